--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -46,20 +46,42 @@
 class Trial:
     """A bank that agrees, with upstreams of its own."""
 
-    def __init__(self, folder: Path, count: int, seed: int, out: int = 1, voters: int = 3,
-                 relayed: bool = False, agreed: bool = True, dies: bool = False) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        count: int,
+        seed: int,
+        out: int = 1,
+        voters: int = 3,
+        relayed: bool = False,
+        agreed: bool = True,
+        dies: bool = False,
+    ) -> None:
         self.folder, self.count, self.seed = folder, count, seed
         self.fleet = Fleet({f"s-{n}": Script(workers=16, work=WORK) for n in range(4)}, seed)
-        agreement = {"voters": [f"m{n}" for n in range(voters)], "permits": {
-            "all": {"of": "balancers", "out": out}, "t": {"of": "upstreams", "pool": "t", "out": 1}}}
-        self.bank = Bank(count, folder, self.service, seed, relayed=relayed,
-                         agreement=agreement if agreed else None)
+        agreement = {
+            "voters": [f"m{n}" for n in range(voters)],
+            "permits": {
+                "all": {"of": "balancers", "out": out},
+                "t": {"of": "upstreams", "pool": "t", "out": 1},
+            },
+        }
+        self.bank = Bank(
+            count,
+            folder,
+            self.service,
+            seed,
+            relayed=relayed,
+            agreement=agreement if agreed else None,
+        )
         if dies:
             for one in self.bank.processes:
                 one.dies = folder / f"{one.name}.dies"
         self.agreed = agreed
 
-    def service(self, process: Process | None = None, agreed: float = AGREED, **more: Any) -> files.Plain:
+    def service(
+        self, process: Process | None = None, agreed: float = AGREED, **more: Any
+    ) -> files.Plain:
         pool = files.service("t", "exclusive", self.fleet.addresses, agreed, PATIENCE) | more
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
@@ -71,7 +93,9 @@
         self.bank.start()
         self.bank.until(self.bank.gathered, 60.0)
         if self.agreed:
-            self.bank.until(lambda: all(self.status(n)["line"] >= 3 for n in range(self.count)), 30.0)
+            self.bank.until(
+                lambda: all(self.status(n)["line"] >= 3 for n in range(self.count)), 30.0
+            )
 
     def status(self, number: int) -> dict[str, Any]:
         found: dict[str, Any] = self.bank.ask(number, "status")
@@ -94,17 +118,35 @@
         """Its status; nothing of one that is just dying."""
         with suppress(OSError, ValueError, RuntimeError):
             return self.status(number)
-        return {"role": "", "release": None, "closed": [], "line": 0, "digest": "", "record": "", "runs": "?",
-                "good": "", "drains": [], "lost": [], "current": False}
+        return {
+            "role": "",
+            "release": None,
+            "closed": [],
+            "line": 0,
+            "digest": "",
+            "record": "",
+            "runs": "?",
+            "good": "",
+            "drains": [],
+            "lost": [],
+            "current": False,
+        }
 
     def states(self) -> set[str]:
         """What each process that runs holds to be agreed."""
-        return {json.dumps([self.asked(n)[key] for key in ("record", "line", "digest")])
-                for n in self.alive()}
+        return {
+            json.dumps([self.asked(n)[key] for key in ("record", "line", "digest")])
+            for n in self.alive()
+        }
 
     def load(self, numbers: list[int], rate: float, span: float) -> Loads:
-        streams = [(self.bank.processes[n].balancer.address,  # type: ignore[union-attr]
-                    Asks(f"t{n}", rate, "/t/x", "POST", "t.example", PATIENCE, AGREED)) for n in numbers]
+        streams = [
+            (
+                self.bank.processes[n].balancer.address,  # type: ignore[union-attr]
+                Asks(f"t{n}", rate, "/t/x", "POST", "t.example", PATIENCE, AGREED),
+            )
+            for n in numbers
+        ]
         return Loads(streams, self.seed, time.monotonic() + 0.2, span, most=1_000)
 
     def command(self, number: int, what: str, **value: Any) -> dict[str, Any]:
@@ -156,7 +198,9 @@
         elif kind == "lossy":
             faults.append(Fault(at, "lossy", span=span, amount=round(chance.uniform(0.05, 0.3), 2)))
         elif kind == "late":
-            faults.append(Fault(at, "late", span=span, amount=round(chance.choice((0.05, 0.2, 1.0)), 2)))
+            faults.append(
+                Fault(at, "late", span=span, amount=round(chance.choice((0.05, 0.2, 1.0)), 2))
+            )
     return Schedule(count, seconds, tuple(sorted(faults, key=lambda one: one.at)), seed)
 
 
@@ -175,8 +219,9 @@
     return most, times
 
 
-def day(report: Report, folder: Path, count: int, seed: int, seconds: float,
-        operators: int) -> dict[str, Any]:
+def day(
+    report: Report, folder: Path, count: int, seed: int, seconds: float, operators: int
+) -> dict[str, Any]:
     """One day; with operators the properties are held, without it is what the same faults come to."""
     calm = [count - 2, count - 1]
     trial = Trial(folder, count, seed, 2, 5 if count >= 9 else 3, relayed=True)
@@ -187,8 +232,10 @@
         load = trial.load(calm, 30.0, seconds + SETTLED)
         contents = [deflated(trial.text(agreed=AGREED + step / 1000)) for step in range(3)]
         ends = time.monotonic() + seconds
-        those = [Operator(bank, number, seed, ends, list(range(count - 2)), trial.fleet, contents)
-                 for number in range(operators)]
+        those = [
+            Operator(bank, number, seed, ends, list(range(count - 2)), trial.fleet, contents)
+            for number in range(operators)
+        ]
         for one in those:
             one.start()
         bank.play(schedule)
@@ -201,21 +248,30 @@
             one_state = False
             for n in trial.alive():
                 found = trial.asked(n)
-                report.say(f"     m{n}: {found['role']} {found['record']} {found['line']} {found['digest']}")
+                report.say(
+                    f"     m{n}: {found['role']} {found['record']} {found['line']} {found['digest']}"
+                )
         settled = time.monotonic() - begun
         seen = load.results()
         most, times = too_many(bank.said)
         answers = [answer for one in those for answer in one.answers]
-        return {"seed": seed, "most": most, "drains": times, "one_state": one_state, "settled": settled,
-                "unanswered": sum(len(one.unanswered()) + len(one.answered_twice()) for one in seen),
-                "twice": len(trial.fleet.ledger().twice()),
-                "faults": [one.fault for one in those if one.fault],
-                "untrue": [answer.untrue for answer in answers if answer.untrue],
-                "said": Counter(f"{answer.what} {'done' if answer.good else 'refused'}"
-                                for answer in answers),
-                "confirmed": sum(answer.done for answer in answers),
-                "on_time": sum(one.share_on_time() for one in seen) / len(seen),
-                "schedule": msgspec.to_builtins(schedule)}
+        return {
+            "seed": seed,
+            "most": most,
+            "drains": times,
+            "one_state": one_state,
+            "settled": settled,
+            "unanswered": sum(len(one.unanswered()) + len(one.answered_twice()) for one in seen),
+            "twice": len(trial.fleet.ledger().twice()),
+            "faults": [one.fault for one in those if one.fault],
+            "untrue": [answer.untrue for answer in answers if answer.untrue],
+            "said": Counter(
+                f"{answer.what} {'done' if answer.good else 'refused'}" for answer in answers
+            ),
+            "confirmed": sum(answer.done for answer in answers),
+            "on_time": sum(one.share_on_time() for one in seen) / len(seen),
+            "schedule": msgspec.to_builtins(schedule),
+        }
     finally:
         trial.end()
 
@@ -229,22 +285,42 @@
         rows.append(row)
         other = day(report, folder / f"day-{place}-off", count, seed + place, seconds, 0)
         lost = max(lost, other["on_time"] - row["on_time"])
-        report.say(f"     day {row['seed']}: {row['drains']} drains at processes, "
-                   f"most at once {row['most']}, upstreams confirmed {row['confirmed']}, "
-                   f"one state after {row['settled']:.1f} s, "
-                   f"on time {row['on_time']:.3f} ({other['on_time']:.3f} without); "
-                   f"{', '.join(f'{key} {value}' for key, value in sorted(row['said'].items()))}")
-        bad = row["most"] > 2 or not row["one_state"] or row["unanswered"] or row["twice"] or row["untrue"]
+        report.say(
+            f"     day {row['seed']}: {row['drains']} drains at processes, "
+            f"most at once {row['most']}, upstreams confirmed {row['confirmed']}, "
+            f"one state after {row['settled']:.1f} s, "
+            f"on time {row['on_time']:.3f} ({other['on_time']:.3f} without); "
+            f"{', '.join(f'{key} {value}' for key, value in sorted(row['said'].items()))}"
+        )
+        bad = (
+            row["most"] > 2
+            or not row["one_state"]
+            or row["unanswered"]
+            or row["twice"]
+            or row["untrue"]
+        )
         if bad or row["faults"]:
-            report.say(f"     its schedule: {json.dumps(row['schedule'])} {row['untrue']} {row['faults']}")
-    report.bound(f"{number} drawn days, {count} processes: most drained at one moment",
-                 max(row["most"] for row in rows), most=2)
+            report.say(
+                f"     its schedule: {json.dumps(row['schedule'])} {row['untrue']} {row['faults']}"
+            )
+    report.bound(
+        f"{number} drawn days, {count} processes: most drained at one moment",
+        max(row["most"] for row in rows),
+        most=2,
+    )
     report.bound("and at some moment as many as may be", max(row["most"] for row in rows), least=2)
     report.bound("drains at processes in all", sum(row["drains"] for row in rows), least=2 * number)
-    report.bound("reports of success that were not so", sum(len(row["untrue"]) for row in rows), most=0)
-    report.bound("days that did not end in one state", sum(not row["one_state"] for row in rows), most=0)
-    report.bound("slowest to one state after the last fault, s", max(row["settled"] for row in rows),
-                 most=SETTLED)
+    report.bound(
+        "reports of success that were not so", sum(len(row["untrue"]) for row in rows), most=0
+    )
+    report.bound(
+        "days that did not end in one state", sum(not row["one_state"] for row in rows), most=0
+    )
+    report.bound(
+        "slowest to one state after the last fault, s",
+        max(row["settled"] for row in rows),
+        most=SETTLED,
+    )
     report.bound("tasks without one answer", sum(row["unanswered"] for row in rows), most=0)
     report.bound("exclusive tasks that ran twice", sum(row["twice"] for row in rows), most=0)
     report.bound("points on time that drains and releases cost at most", 100 * lost, most=2.0)
@@ -266,21 +342,29 @@
         time.sleep(0.5)
         content = trial.put(0, trial.text(agreed=0.24))
         begun = time.monotonic()
-        found = trial.command(1, "release", content=content, waves="100%", window_ms=int(window * 1000))
+        found = trial.command(
+            1, "release", content=content, waves="100%", window_ms=int(window * 1000)
+        )
         assert found["good"], found["text"]
         bank.until(lambda: all(trial.status(n)["runs"] == content for n in range(count)), 30.0)
         took = time.monotonic() - begun
-        report.bound(f"{count} processes, one wave: s from command to the last that runs it", took, most=10.0)
+        report.bound(
+            f"{count} processes, one wave: s from command to the last that runs it", took, most=10.0
+        )
         bank.until(lambda: trial.status(1)["release"] is None, 20.0)
         report.bound("and it is good", float(trial.status(1)["good"] == content), least=1)
-        kinds = {"refused": trial.text().replace(b"exclusive", b"inclusive"),
-                 "erring": trial.text(upstreams=files.upstreams({"s-0": "127.0.0.1:9"})),
-                 "slow": trial.text(upstreams=files.upstreams(ways.addresses))}
+        kinds = {
+            "refused": trial.text().replace(b"exclusive", b"inclusive"),
+            "erring": trial.text(upstreams=files.upstreams({"s-0": "127.0.0.1:9"})),
+            "slow": trial.text(upstreams=files.upstreams(ways.addresses)),
+        }
         for kind, text in kinds.items():
             bad = trial.put(2, text)
             before = ran(bank)
             begun = time.monotonic()
-            found = trial.command(2, "release", content=bad, waves="1", window_ms=int(window * 1000))
+            found = trial.command(
+                2, "release", content=bad, waves="1", window_ms=int(window * 1000)
+            )
             number = int(found["text"].split()[1])
             halted: list[float] = []
 
@@ -296,12 +380,18 @@
             row = next(one for one in trial.status(2)["closed"] if one["number"] == number)
             met = sum(now > then for now, then in zip(ran(bank), before))
             report.say(f"     {kind}: {row['phase']}: {row['reason'][:150]}")
-            report.bound(f"{kind}: s from command to its halt, with the gate's window of {window:g} s",
-                         halted[0], most=3.0 + window)
+            report.bound(
+                f"{kind}: s from command to its halt, with the gate's window of {window:g} s",
+                halted[0],
+                most=3.0 + window,
+            )
             report.bound(f"{kind}: s until it is undone", undone, most=10.0)
             report.bound(f"{kind}: processes that it came to", met, most=1)
-            report.bound(f"{kind}: all run what is good", sum(
-                trial.status(n)["runs"] == content for n in range(count)), least=count)
+            report.bound(
+                f"{kind}: all run what is good",
+                sum(trial.status(n)["runs"] == content for n in range(count)),
+                least=count,
+            )
         answered(report, load.results(), trial.fleet, "releases under traffic")
     finally:
         trial.end()
@@ -310,7 +400,9 @@
 
 def ran(bank: Bank) -> list[int]:
     """How often each process has gone on by another released file."""
-    return [one.balancer.said("event=release_runs") if one.balancer else 0 for one in bank.processes]
+    return [
+        one.balancer.said("event=release_runs") if one.balancer else 0 for one in bank.processes
+    ]
 
 
 # The leader dies.
@@ -335,8 +427,11 @@
                 report.say(f"     killed at point {point} of {total}: {row['wrong']}")
         report.say(f"     {total} points, of which {len(chosen)} were tried; ended {dict(ends)}")
         report.bound("of them so many at which it did die", died / len(chosen), least=0.8)
-        report.bound(f"of {len(chosen)} points at which the leader was killed, ended otherwise than agreed",
-                     len(wrong), most=0)
+        report.bound(
+            f"of {len(chosen)} points at which the leader was killed, ended otherwise than agreed",
+            len(wrong),
+            most=0,
+        )
         report.figure("points", total)
     finally:
         trial.end()
@@ -352,7 +447,14 @@
     other = next(n for n in range(5) if n != leads)
     # What was said may have been lost with the leader: the process that it was said at says it again.
     identity = Random().getrandbits(60) | 1
-    value = {"content": content, "waves": "1", "window_ms": 200, "least": 0, "id": identity, "who": "bench"}
+    value = {
+        "content": content,
+        "waves": "1",
+        "window_ms": 200,
+        "least": 0,
+        "id": identity,
+        "who": "bench",
+    }
     bank.ask(other, "command", name="release", value=value)
     died = False
     ends = time.monotonic() + 40.0
@@ -381,7 +483,12 @@
         wrong = f"not over after 40 s: {number} {trial.asked(other)['release']} {trial.states()}"
     elif set(runs) != {good} or (row["phase"] == "released") != (good == content):
         wrong = f"{row['phase']}, good is {good}, and they run {runs}"
-    return {"points": counted, "phase": row["phase"] if row else "none", "wrong": wrong, "died": died}
+    return {
+        "points": counted,
+        "phase": row["phase"] if row else "none",
+        "wrong": wrong,
+        "died": died,
+    }
 
 
 # Cost, learning, orders.
@@ -408,13 +515,24 @@
         tasks = {on: sum(len(one.told) for one in load.results()) for on, load in loads.items()}
         for on in trials:
             busy[on] = (cpu(on) - before[on] - idle[on] * count * (span + 2.0)) / tasks[on]
-        report.bound("part of a core that the record costs an idle member", idle[True] - idle[False],
-                     most=0.01)
-        report.bound("CPU of a task with it, times that without", busy[True] / busy[False], most=1.1)
-        held = {on: sum(one.balancer.memory() for one in trial.bank.processes if one.balancer) / count / 1e6
-                for on, trial in trials.items()}
-        report.say(f"     memory {held[True]:.1f} MB a member with it, {held[False]:.1f} without; "
-                   f"CPU {1e3 * busy[True]:.3f} and {1e3 * busy[False]:.3f} ms a task")
+        report.bound(
+            "part of a core that the record costs an idle member",
+            idle[True] - idle[False],
+            most=0.01,
+        )
+        report.bound(
+            "CPU of a task with it, times that without", busy[True] / busy[False], most=1.1
+        )
+        held = {
+            on: sum(one.balancer.memory() for one in trial.bank.processes if one.balancer)
+            / count
+            / 1e6
+            for on, trial in trials.items()
+        }
+        report.say(
+            f"     memory {held[True]:.1f} MB a member with it, {held[False]:.1f} without; "
+            f"CPU {1e3 * busy[True]:.3f} and {1e3 * busy[False]:.3f} ms a task"
+        )
         report.figure("idle_cpu", idle[True] - idle[False])
     finally:
         for trial in trials.values():
@@ -424,12 +542,14 @@
 def learn(report: Report, members: int, voters: int, seed: int) -> None:
     """Many members learn what few agree on, on simulated time."""
     found = model.play(members, voters, seed)
-    report.say(f"     {members} members, {voters} voters: a command of {found['bytes']} bytes agreed in "
-               f"{1000 * found['agreed']:.0f} ms, at all in {found['all']:.2f} s; "
-               f"while all learned 60 said at once the leader sent {found['leader_bytes'] / 1000:.1f} "
-               f"kB a second at most, another voter {found['voter_bytes'] / 1000:.1f}, "
-               f"{found['idle_bytes'] / 1000:.1f} kB at rest, others {found['other_bytes'] / 1000:.1f} kB; "
-               f"{found['late']} who came late learned all in {found['late_all']:.1f} s")
+    report.say(
+        f"     {members} members, {voters} voters: a command of {found['bytes']} bytes agreed in "
+        f"{1000 * found['agreed']:.0f} ms, at all in {found['all']:.2f} s; "
+        f"while all learned 60 said at once the leader sent {found['leader_bytes'] / 1000:.1f} "
+        f"kB a second at most, another voter {found['voter_bytes'] / 1000:.1f}, "
+        f"{found['idle_bytes'] / 1000:.1f} kB at rest, others {found['other_bytes'] / 1000:.1f} kB; "
+        f"{found['late']} who came late learned all in {found['late_all']:.1f} s"
+    )
     report.bound("simulated s from a command to all", found["all"], most=3.0)
     report.bound("bytes a second that a voter sent at most", found["voter_bytes"], most=80_000)
     report.bound("bytes a second that the leader sent at most", found["leader_bytes"], most=256_000)
@@ -441,16 +561,28 @@
     with ProcessPoolExecutor(max(1, len(os.sched_getaffinity(0))), get_context("spawn")) as pool:
         whole = [(index, 5 if short else 0) for index in range(len(recorddays.WHOLE))]
         for index, result in enumerate(pool.map(_whole, whole)):
-            report.say(f"     {recorddays.WHOLE[index].what}: {result[0]} states, {result[1]} steps, "
-                       f"to {result[2]}")
+            report.say(
+                f"     {recorddays.WHOLE[index].what}: {result[0]} states, {result[1]} steps, "
+                f"to {result[2]}"
+            )
             report.bound("breaches", float(bool(result[3])), most=0)
-        walked = list(pool.map(_walked, [(index, 20_000 if short else 1_000_000, seed)
-                                         for index in range(len(recorddays.WALKS))]))
+        walked = list(
+            pool.map(
+                _walked,
+                [
+                    (index, 20_000 if short else 1_000_000, seed)
+                    for index in range(len(recorddays.WALKS))
+                ],
+            )
+        )
         for one in walked:
             if one[1]:
                 report.say(f"     {one[1]}: {one[2]}")
-        report.bound(f"of {sum(one[0] for one in walked)} random steps, walks that break a property",
-                     sum(bool(one[1]) for one in walked), most=0)
+        report.bound(
+            f"of {sum(one[0] for one in walked)} random steps, walks that break a property",
+            sum(bool(one[1]) for one in walked),
+            most=0,
+        )
         names = sorted(set(FAULTS) - recorddays.SLOW)[::3] if short else sorted(FAULTS)
         missed = [name for name, length in zip(names, pool.map(_found, names)) if not length]
         report.say(f"     put in and not found: {', '.join(missed) or 'none'}")
@@ -482,9 +614,12 @@
     report = Report("agreed", __doc__ or "")
     report.parser.add_argument("--only", choices=KINDS, default="")
     report.parser.add_argument("--days", type=int, default=0, help="drawn days; 1 short, 200 long")
-    report.parser.add_argument("--each", type=int, default=1, help="of the leader's points every so many")
-    report.parser.add_argument("--processes", type=int, default=0,
-                               help="9 short, 40 long in days; 20 in release")
+    report.parser.add_argument(
+        "--each", type=int, default=1, help="of the leader's points every so many"
+    )
+    report.parser.add_argument(
+        "--processes", type=int, default=0, help="9 short, 40 long in days; 20 in release"
+    )
     given = report.options()
     short, only = given.short, given.only
     with tempfile.TemporaryDirectory() as name:
@@ -498,8 +633,14 @@
         if only == "leader" or not only and not short:
             leader(report, folder / "leader", given.seed, short, given.each)
         if only == "days" or not only and not short:
-            days(report, folder / "days", given.processes or (9 if short else 40), given.seed,
-                 given.days or (1 if short else 200), 10.0 if short else 20.0)
+            days(
+                report,
+                folder / "days",
+                given.processes or (9 if short else 40),
+                given.seed,
+                given.days or (1 if short else 200),
+                10.0 if short else 20.0,
+            )
         if only == "cost" or not only and not short:
             cost(report, folder / "cost", given.seed, 5.0 if short else 30.0)
     return report.close()
--- a/benchmarks/badday.py
+++ b/benchmarks/badday.py
@@ -41,7 +41,9 @@
     for what, (part, seed) in sorted(nearest.items(), key=lambda row: -row[1][0]):
         report.say(f"     {what}: {part:.2f} of what is allowed (day {seed})")
     said = sum((one.said for one in found), Counter[str]())
-    report.say(f"     operators: {', '.join(f'{key} {value}' for key, value in sorted(said.items()))}")
+    report.say(
+        f"     operators: {', '.join(f'{key} {value}' for key, value in sorted(said.items()))}"
+    )
 
 
 def told(report: Report, found: list[Outcome]) -> None:
@@ -70,8 +72,17 @@
     report.bound("24 members that learn what 3 agree on, simulated s", learned["all"], most=3.0)
 
 
-def campaign(report: Report, folder: Path, days: int, first: int, members: int, seconds: float,
-             jobs: int, hours: float, out: Path | None) -> None:
+def campaign(
+    report: Report,
+    folder: Path,
+    days: int,
+    first: int,
+    members: int,
+    seconds: float,
+    jobs: int,
+    hours: float,
+    out: Path | None,
+) -> None:
     """Many days; what failed is kept, made smaller, and told."""
     ends = time.monotonic() + hours * 3600.0
     found: list[Outcome] = []
@@ -106,6 +117,7 @@
 
 def put_back(report: Report, folder: Path, names: list[str], days: int, jobs: int) -> None:
     """Known faults, each in the code of all processes: how many days until one is broken by it."""
+
     def one(name: str) -> tuple[str, int, str]:
         for place in range(days):
             day = badday.draw(100 + place, MEMBERS, 24.0)
@@ -118,8 +130,11 @@
         rows = list(pool.map(one, names))
     for name, took, how in rows:
         report.say(f"     {name}: {f'day {took}: {how}' if took else 'not found'}")
-    report.bound(f"of {len(names)} known faults put back, found within {days} days", sum(
-        took > 0 for _, took, _ in rows), least=min(12, len(names)))
+    report.bound(
+        f"of {len(names)} known faults put back, found within {days} days",
+        sum(took > 0 for _, took, _ in rows),
+        least=min(12, len(names)),
+    )
 
 
 def bench() -> int:
@@ -145,8 +160,17 @@
         if given.only in ("", "fixed"):
             fixed(report, folder, 1 if given.short else len(FIXED))
         if given.only == "campaign" or not given.only and not given.short:
-            campaign(report, folder, given.days or 100, given.seed, given.members, given.seconds, given.jobs,
-                     given.hours, given.out)
+            campaign(
+                report,
+                folder,
+                given.days or 100,
+                given.seed,
+                given.members,
+                given.seconds,
+                given.jobs,
+                given.hours,
+                given.out,
+            )
         if given.only == "faults" or not given.only and not given.short:
             names = [given.fault] if given.fault else list(FAULTS)
             put_back(report, folder, names, given.days or 4, given.jobs)
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -32,8 +32,15 @@
         self.count, self.earlier = count, earlier
         self.fleet = Fleet({f"s-{n}": Script(workers=32, work=WORK) for n in range(4)}, seed)
         homes = [f"m{n}" for n in range(count)]
-        self.bank = Bank(count, folder, self.service, seed, relayed=False, verdicts={}, limits={
-            "all": {"kind": "rate", "amount": RATE, "burst": BURST, "homes": homes}})
+        self.bank = Bank(
+            count,
+            folder,
+            self.service,
+            seed,
+            relayed=False,
+            verdicts={},
+            limits={"all": {"kind": "rate", "amount": RATE, "burst": BURST, "homes": homes}},
+        )
         for one in self.bank.processes:
             one.root = earlier
 
@@ -72,26 +79,42 @@
     try:
         bank.start()
         bank.until(bank.gathered, 60.0)
-        bank.until(lambda: all(not row["fenced_ms"] and row["agreed"] for n in range(count)
-                               for row in bank.ask(n, "limits")), 30.0)
+        bank.until(
+            lambda: all(
+                not row["fenced_ms"] and row["agreed"]
+                for n in range(count)
+                for row in bank.ask(n, "limits")
+            ),
+            30.0,
+        )
         trial.fleet.meter()
         begun = time.monotonic() + 0.2
         # The last two stay as they are to the end of the traffic: one of the earlier build, one of this.
         trial.roll([count - 1], None)
-        streams = [(bank.processes[n].balancer.address,  # type: ignore[union-attr]
-                    Asks(f"t{n}", 0.7 * RATE, "/t/x", "POST", "t.example", PATIENCE, AGREED))
-                   for n in (count - 2, count - 1)]
+        streams = [
+            (
+                bank.processes[n].balancer.address,  # type: ignore[union-attr]
+                Asks(f"t{n}", 0.7 * RATE, "/t/x", "POST", "t.example", PATIENCE, AGREED),
+            )
+            for n in (count - 2, count - 1)
+        ]
         span = 3.0 + 2 * len(rolling) * 2.5
         loads = Loads(streams, seed, begun + 1.0, span, most=1_000)
-        report.bound("processes that are of the earlier build at first", sum(
-            trial.is_earlier(n) for n in range(count)), least=count - 1, most=count - 1)
+        report.bound(
+            "processes that are of the earlier build at first",
+            sum(trial.is_earlier(n) for n in range(count)),
+            least=count - 1,
+            most=count - 1,
+        )
         forward = trial.roll(rolling, None)
         builds = {row["build"] for row in bank.ask(0, "members")["members"]}
         back = trial.roll(rolling, earlier)
         took = time.monotonic() - begun
         seen = loads.results()
-        report.say(f"     {count} processes rolled forward and back in {took:.0f} s; builds met: {builds}; "
-                   f"on time {min(one.share_on_time() for one in seen):.3f}")
+        report.say(
+            f"     {count} processes rolled forward and back in {took:.0f} s; builds met: {builds}; "
+            f"on time {min(one.share_on_time() for one in seen):.3f}"
+        )
         report.bound("slowest to be among the others again, s", max(forward, back), most=6.0)
         wrong = sum(len(one.unanswered()) + len(one.answered_twice()) for one in seen)
         report.bound("tasks without one answer", wrong, most=0)
@@ -100,24 +123,41 @@
         report.bound("tasks over the limit of the whole bank in any window", over, most=0.0)
         report.bound("and so many times what it allows were used in some", used, least=0.3)
         unread = [bank.ask(n, "figures") for n in range(count)]
-        report.bound("datagrams of the other build that were not read", sum(sum(
-            one.get(f"unread_{why}", 0) for why in ("torn", "later_form", "unproved", "strange", "long"))
-            for one in unread), most=0)
+        report.bound(
+            "datagrams of the other build that were not read",
+            sum(
+                sum(
+                    one.get(f"unread_{why}", 0)
+                    for why in ("torn", "later_form", "unproved", "strange", "long")
+                )
+                for one in unread
+            ),
+            most=0,
+        )
     finally:
         trial.end()
 
 
 def bench() -> int:
     report = Report("builds", __doc__ or "")
-    report.parser.add_argument("--earlier", default=EARLIER, help="the earlier build, as git names it")
+    report.parser.add_argument(
+        "--earlier", default=EARLIER, help="the earlier build, as git names it"
+    )
     report.parser.add_argument("--processes", type=int, default=0, help="5 short, 20 long")
     given = report.options()
     with tempfile.TemporaryDirectory() as name:
         earlier = Path(name) / "earlier"
-        subprocess.run(["git", "worktree", "add", "-q", "--detach", str(earlier), given.earlier], check=True)
+        subprocess.run(
+            ["git", "worktree", "add", "-q", "--detach", str(earlier), given.earlier], check=True
+        )
         try:
-            rolled(report, Path(name) / "bank", given.processes or (5 if given.short else 20), given.seed,
-                   earlier)
+            rolled(
+                report,
+                Path(name) / "bank",
+                given.processes or (5 if given.short else 20),
+                given.seed,
+                earlier,
+            )
         finally:
             subprocess.run(["git", "worktree", "remove", "--force", str(earlier)], check=False)
     return report.close()
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -14,7 +14,9 @@
     """Bounds with what was measured, and what the closing line says."""
 
     def __init__(self, name: str, description: str) -> None:
-        parser = argparse.ArgumentParser(prog=f"python -m benchmarks.{name}", description=description)
+        parser = argparse.ArgumentParser(
+            prog=f"python -m benchmarks.{name}", description=description
+        )
         parser.add_argument("--short", action="store_true", help="ends within 40 s on two cores")
         parser.add_argument("--seed", type=int, default=1)
         parser.add_argument("--json", type=Path, help="where the figures go as JSON")
@@ -33,8 +35,9 @@
     def figure(self, key: str, value: Any) -> None:
         self.figures[key] = round(value, 4) if isinstance(value, float) else value
 
-    def bound(self, what: str, measured: float, most: float | None = None,
-              least: float | None = None) -> bool:
+    def bound(
+        self, what: str, measured: float, most: float | None = None, least: float | None = None
+    ) -> bool:
         """One bound: `measured` at most `most`, at least `least`."""
         good = (most is None or measured <= most) and (least is None or measured >= least)
         bounds = (("<=", most), (">=", least))
@@ -46,10 +49,18 @@
 
     def close(self) -> int:
         figures = " ".join(f"{key}={value}" for key, value in self.figures.items())
-        print(f"{self.name} {'holds' if self.holds else 'falls short'} {figures}".rstrip(), flush=True)
+        print(
+            f"{self.name} {'holds' if self.holds else 'falls short'} {figures}".rstrip(), flush=True
+        )
         if self.given.json:
-            whole = {"name": self.name, "holds": self.holds, "seed": self.given.seed,
-                     "short": self.given.short, "bounds": self.bounds, "figures": self.figures}
+            whole = {
+                "name": self.name,
+                "holds": self.holds,
+                "seed": self.given.seed,
+                "short": self.given.short,
+                "bounds": self.bounds,
+                "figures": self.figures,
+            }
             self.given.json.write_text(json.dumps(whole, indent=1) + "\n")
         return 0 if self.holds else 1
 
--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -16,7 +16,10 @@
 from whinpier.standin.faults import Fault, Schedule
 
 BEAT, PAUSE = 0.25, 1.25  # seconds between beats; that a time-out must last in any case
-ENTRY, HEAD = 14, 75  # bytes of one member's beat in a table, and of a datagram besides: as the bank's own
+ENTRY, HEAD = (
+    14,
+    75,
+)  # bytes of one member's beat in a table, and of a datagram besides: as the bank's own
 LOSS = 0.1
 HOUR = 3600.0
 
@@ -24,7 +27,7 @@
 def heartbeats(count: int) -> tuple[float, float]:
     """Bytes a second and member; seconds until all know, at under one false loss an hour in all."""
     missed = int(PAUSE / BEAT)
-    while count * (count - 1) / BEAT * LOSS ** missed * HOUR >= 1.0:
+    while count * (count - 1) / BEAT * LOSS**missed * HOUR >= 1.0:
         missed += 1
     return HEAD * (count - 1) / BEAT, (missed + 1) * BEAT
 
@@ -32,12 +35,17 @@
 def counters(count: int, seed: int, rounds: int = 120) -> tuple[float, float]:
     """The same of tables of counters, played round by round; none lost falsely in those rounds."""
     chance = numpy.random.default_rng(seed)
-    beats = numpy.zeros((count, count), dtype=numpy.int64)  # whose view, of whom: its newest beat known
+    beats = numpy.zeros(
+        (count, count), dtype=numpy.int64
+    )  # whose view, of whom: its newest beat known
     changed = numpy.zeros((count, count), dtype=numpy.int64)  # in which round it became known
     oldest, need, dead_at = 0, 0, 0
     for now in range(1, 4 * rounds):
         if now == rounds:
-            need, dead_at = max(oldest + 1, int(PAUSE / BEAT)), now  # from here on the first member is dead
+            need, dead_at = (
+                max(oldest + 1, int(PAUSE / BEAT)),
+                now,
+            )  # from here on the first member is dead
         alive = numpy.arange(1 if dead_at else 0, count)
         beats[alive, alive] = changed[alive, alive] = now
         to = (alive + chance.integers(1, count, len(alive))) % count
@@ -78,10 +86,14 @@
     for count in (10, 60) if given.short else (10, 200, 500):
         ways = {"heartbeats": heartbeats(count), "counters": counters(count, given.seed)}
         for name, (size, know) in ways.items():
-            report.say(f"     {count} members, {name}: {size:.0f} bytes/s, all know after {know:.2f} s")
+            report.say(
+                f"     {count} members, {name}: {size:.0f} bytes/s, all know after {know:.2f} s"
+            )
             report.figure(f"{name}_{count}", [round(size), round(know, 2)])
         size, know, lost = own(count, given.seed, count <= 200)
-        report.say(f"     {count} members, the bank: {size:.0f} bytes/s, all know after {know:.2f} s")
+        report.say(
+            f"     {count} members, the bank: {size:.0f} bytes/s, all know after {know:.2f} s"
+        )
         report.figure(f"bank_{count}", [round(size), round(know, 2)])
         report.bound(f"{count} members, the bank: seconds until all know", know, most=3.0)
         report.bound(f"{count} members, the bank: bytes a second and member", size, most=10_000.0)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -42,7 +42,10 @@
 
 AGREED, PATIENCE = 0.25, 0.6
 RATE, BURST, OUT = 240, 16, 8
-BRIEF, LONG = 0.004, 0.06  # seconds of work: with the first the rate binds, with the second what is in flight
+BRIEF, LONG = (
+    0.004,
+    0.06,
+)  # seconds of work: with the first the rate binds, with the second what is in flight
 
 
 Stream = tuple[int, float, list[tuple[float, float, float]]]  # which process, usual rate, surges
@@ -51,15 +54,31 @@
 class Trial:
     """A bank with both kinds of limit over one pool."""
 
-    def __init__(self, folder: Path, count: int, seed: int, fixed: bool = False, relayed: bool = True,
-                 work: float = BRIEF) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        count: int,
+        seed: int,
+        fixed: bool = False,
+        relayed: bool = True,
+        work: float = BRIEF,
+    ) -> None:
         self.fleet = Fleet({f"s-{n}": Script(workers=64, work=work) for n in range(4)}, seed)
         homes = [f"m{n}" for n in range(count)]
-        limits: files.Plain = {"all": {"kind": "rate", "amount": RATE, "burst": BURST, "homes": homes},
-                               "out": {"kind": "in_flight", "amount": OUT, "homes": homes}}
+        limits: files.Plain = {
+            "all": {"kind": "rate", "amount": RATE, "burst": BURST, "homes": homes},
+            "out": {"kind": "in_flight", "amount": OUT, "homes": homes},
+        }
         if fixed:  # each its own limit, and nobody else's
-            limits = {f"all-{n}": {"kind": "rate", "amount": RATE / count, "burst": max(1, BURST // count),
-                                   "homes": [f"m{n}"]} for n in range(count)}
+            limits = {
+                f"all-{n}": {
+                    "kind": "rate",
+                    "amount": RATE / count,
+                    "burst": max(1, BURST // count),
+                    "homes": [f"m{n}"],
+                }
+                for n in range(count)
+            }
         self.fixed = fixed
         self.bank = Bank(count, folder, self.service, seed, relayed=relayed, limits=limits)
         if fixed:
@@ -73,16 +92,40 @@
     def start(self) -> None:
         self.bank.start()
         self.bank.until(self.bank.gathered, 30.0)
-        self.bank.until(lambda: all(not row["fenced_ms"] and (self.fixed or row["agreed"])
-                                    for process in self.bank.processes
-                                    for row in self.bank.ask(process.number, "limits")), 30.0)
+        self.bank.until(
+            lambda: all(
+                not row["fenced_ms"] and (self.fixed or row["agreed"])
+                for process in self.bank.processes
+                for row in self.bank.ask(process.number, "limits")
+            ),
+            30.0,
+        )
         self.fleet.meter()
 
     def load(self, streams: list[Stream], start: float, span: float, seed: int) -> Loads:
         """Streams by process: number, usual rate, surges."""
-        return Loads([(self.bank.processes[number].balancer.address,  # type: ignore[union-attr]
-                       Asks(f"t{number}", rate, "/t/x", "POST", "t.example", PATIENCE, AGREED, surges=surges))
-                      for number, rate, surges in streams], seed, start, span, most=1_000)
+        return Loads(
+            [
+                (
+                    self.bank.processes[number].balancer.address,  # type: ignore[union-attr]
+                    Asks(
+                        f"t{number}",
+                        rate,
+                        "/t/x",
+                        "POST",
+                        "t.example",
+                        PATIENCE,
+                        AGREED,
+                        surges=surges,
+                    ),
+                )
+                for number, rate, surges in streams
+            ],
+            seed,
+            start,
+            span,
+            most=1_000,
+        )
 
     def end(self) -> None:
         self.bank.end()
@@ -103,20 +146,30 @@
             trial.start()
             start = time.monotonic() + 0.5
             half = 3.0 + span
-            load = trial.load([(0, 1.5 * RATE, [(half, 99.0, 0.0)]), (1, 1.5 * RATE, [(0.0, half, 0.0)])],
-                              start, 2 * half, seed)
+            load = trial.load(
+                [(0, 1.5 * RATE, [(half, 99.0, 0.0)]), (1, 1.5 * RATE, [(0.0, half, 0.0)])],
+                start,
+                2 * half,
+                seed,
+            )
             load.results()
             met = trial.fleet.meter()
             windows = [(start + 3.0, start + half), (start + half + 2.0, start + 2 * half)]
-            used[fixed] = [sum(begin <= at < end for at in met["times"]) / (RATE * (end - begin))
-                           for begin, end in windows]
+            used[fixed] = [
+                sum(begin <= at < end for at in met["times"]) / (RATE * (end - begin))
+                for begin, end in windows
+            ]
             if not fixed:
                 report.bound("tasks over the rate in any window", over(met["times"]), most=0.0)
                 report.bound("most in flight at once", met["most"], most=OUT)
         finally:
             trial.end()
-    for what, *each in zip(("all demand at one", "from 2 s after it moved"), used[False], used[True]):
-        report.say(f"     {what}: {each[0]:.3f} of the limit is used, with fixed parts {each[1]:.3f}")
+    for what, *each in zip(
+        ("all demand at one", "from 2 s after it moved"), used[False], used[True]
+    ):
+        report.say(
+            f"     {what}: {each[0]:.3f} of the limit is used, with fixed parts {each[1]:.3f}"
+        )
     report.bound("of the limit used, all demand at one", used[False][0], least=0.95)
     report.bound("of the limit used from 2 s after demand moved", used[False][1], least=0.95)
     report.figure("used_fixed", round(used[True][0], 3))
@@ -130,15 +183,33 @@
     chance.shuffle(spare)
     for kind in chance.sample(["kill", "restart", "restart", "stop", "stop"], 3):
         lasts = 0.0 if kind == "kill" else round(chance.uniform(0.3, 4.0), 2)
-        faults.append(Fault(round(chance.uniform(0.5, span - 4.0), 2), kind,  # type: ignore[arg-type]
-                            (spare.pop(),), span=lasts))
+        faults.append(
+            Fault(
+                round(chance.uniform(0.5, span - 4.0), 2),
+                kind,  # type: ignore[arg-type]
+                (spare.pop(),),
+                span=lasts,
+            )
+        )
     parts = split(chance, range(count), chance.choice((2, 3)))
-    faults.append(Fault(round(chance.uniform(0.5, span - 4.0), 2), "cut", parts=parts,
-                        span=chance.choice((1.0, 3.0))))
+    faults.append(
+        Fault(
+            round(chance.uniform(0.5, span - 4.0), 2),
+            "cut",
+            parts=parts,
+            span=chance.choice((1.0, 3.0)),
+        )
+    )
     kind = chance.choice(["lossy", "late", "doubled", "stale"])
     amount = {"lossy": 0.3, "late": 1.0, "doubled": 0.3, "stale": 0.3}[kind]
-    faults.append(Fault(round(chance.uniform(0.0, span - 5.0), 2), kind,  # type: ignore[arg-type]
-                        span=3.0, amount=amount))
+    faults.append(
+        Fault(
+            round(chance.uniform(0.0, span - 5.0), 2),
+            kind,  # type: ignore[arg-type]
+            span=3.0,
+            amount=amount,
+        )
+    )
     return Schedule(count, span, tuple(sorted(faults, key=lambda fault: fault.at)), seed)
 
 
@@ -153,8 +224,10 @@
         hot = [chance.randrange(count) for _ in range(int(span / 2) + 1)]
         streams: list[Stream] = []
         for number in range(count):
-            surges = [(2.0 * at, 2.0 * at + 2.0, 0.8 * count if one == number else 0.2)
-                      for at, one in enumerate(hot)]
+            surges = [
+                (2.0 * at, 2.0 * at + 2.0, 0.8 * count if one == number else 0.2)
+                for at, one in enumerate(hot)
+            ]
             streams.append((number, 2.0 * RATE / count, surges))
         load = trial.load(streams, start, span, seed)
         time.sleep(max(0.0, start - time.monotonic()))
@@ -162,11 +235,20 @@
         gateways = load.results()
         met = trial.fleet.meter()
         touched = {number for fault in schedule.faults for number in fault.who}
-        lost = sum(len(one.unanswered()) for number, one in enumerate(gateways) if number not in touched)
-        twice = len(trial.fleet.ledger().twice()) + sum(len(one.answered_twice()) for one in gateways)
+        lost = sum(
+            len(one.unanswered()) for number, one in enumerate(gateways) if number not in touched
+        )
+        twice = len(trial.fleet.ledger().twice()) + sum(
+            len(one.answered_twice()) for one in gateways
+        )
         passed = sum(start + 1.0 <= at < start + span for at in met["times"])
-        return {"over": over(met["times"]), "most": met["most"], "lost": lost, "twice": twice,
-                "used": passed / (RATE * (span - 1.0))}
+        return {
+            "over": over(met["times"]),
+            "most": met["most"],
+            "lost": lost,
+            "twice": twice,
+            "used": passed / (RATE * (span - 1.0)),
+        }
     finally:
         trial.end()
 
@@ -175,43 +257,71 @@
     rows = []
     for seed in seeds:
         rows.append(day(folder / str(seed), count, seed, span))
-        report.say(f"     day {seed}: {rows[-1]['over']:.1f} tasks over, most in flight {rows[-1]['most']}, "
-                   f"{rows[-1]['used']:.2f} used")
-    report.bound("tasks over the rate in any window of any day", max(row["over"] for row in rows), most=0.0)
+        report.say(
+            f"     day {seed}: {rows[-1]['over']:.1f} tasks over, most in flight {rows[-1]['most']}, "
+            f"{rows[-1]['used']:.2f} used"
+        )
+    report.bound(
+        "tasks over the rate in any window of any day", max(row["over"] for row in rows), most=0.0
+    )
     report.bound("most in flight at once on any day", max(row["most"] for row in rows), most=OUT)
-    report.bound("and on some day as many as are allowed", max(row["most"] for row in rows), least=OUT)
-    report.bound("tasks without an answer at processes that nothing happened to",
-                 sum(row["lost"] for row in rows), most=0)
+    report.bound(
+        "and on some day as many as are allowed", max(row["most"] for row in rows), least=OUT
+    )
+    report.bound(
+        "tasks without an answer at processes that nothing happened to",
+        sum(row["lost"] for row in rows),
+        most=0,
+    )
     report.bound("ran twice, or answered twice", sum(row["twice"] for row in rows), most=0)
-    report.bound("of the rate used on the worst day on which it binds",
-                 min(row["used"] for row, seed in zip(rows, seeds) if not seed % 2), least=0.25)
+    report.bound(
+        "of the rate used on the worst day on which it binds",
+        min(row["used"] for row, seed in zip(rows, seeds) if not seed % 2),
+        least=0.25,
+    )
     report.figure("used_on_days", [round(row["used"], 2) for row in rows])
 
 
 def orders(report: Report, short: bool, seed: int) -> None:
     """The state machines, gone through."""
-    worlds = [(which, index) for which, (days, _, _) in enumerate(MACHINES)
-              for index in range(len(days.WHOLE))]
-    walks = [(which, index, 20_000 if short else 1_000_000, seed)
-             for which, (days, _, _) in enumerate(MACHINES) for index in range(len(days.WALKS))]
+    worlds = [
+        (which, index)
+        for which, (days, _, _) in enumerate(MACHINES)
+        for index in range(len(days.WHOLE))
+    ]
+    walks = [
+        (which, index, 20_000 if short else 1_000_000, seed)
+        for which, (days, _, _) in enumerate(MACHINES)
+        for index in range(len(days.WALKS))
+    ]
     with ProcessPoolExecutor(max(1, len(os.sched_getaffinity(0))), get_context("spawn")) as pool:
         if not short:
             for (which, index), result in zip(worlds, pool.map(_whole, worlds)):
-                report.say(f"     {MACHINES[which][0].WHOLE[index].what}: {result[0]} states, {result[1]} "
-                           f"steps, {result[2]} deep{', whole' if result[3] else ''}")
+                report.say(
+                    f"     {MACHINES[which][0].WHOLE[index].what}: {result[0]} states, {result[1]} "
+                    f"steps, {result[2]} deep{', whole' if result[3] else ''}"
+                )
                 report.bound("breaches", float(bool(result[4])), most=0)
         walked = list(pool.map(_walked, walks))
-        report.bound(f"of {sum(one[0] for one in walked)} random steps, walks that break the limit",
-                     sum(bool(one[1]) for one in walked), most=0)
-        names = [(which, name) for which, (_, faults, _) in enumerate(MACHINES)
-                 for name in (sorted(faults)[::5] if short else sorted(faults))]
+        report.bound(
+            f"of {sum(one[0] for one in walked)} random steps, walks that break the limit",
+            sum(bool(one[1]) for one in walked),
+            most=0,
+        )
+        names = [
+            (which, name)
+            for which, (_, faults, _) in enumerate(MACHINES)
+            for name in (sorted(faults)[::5] if short else sorted(faults))
+        ]
         missed = [name for (_, name), length in zip(names, pool.map(_found, names)) if not length]
         report.say(f"     put in and not found: {', '.join(missed) or 'none'}")
         report.bound(f"of {len(names)} faults put in not found", len(missed), most=0)
 
 
 MACHINES: tuple[tuple[Any, dict[str, Any], Any], ...] = (
-    (sharedays, SHARE_FAULTS, Wishing), (countdays, COUNT_FAULTS, Wishful))
+    (sharedays, SHARE_FAULTS, Wishing),
+    (countdays, COUNT_FAULTS, Wishful),
+)
 
 
 def _whole(given: tuple[int, int]) -> tuple[int, int, int, bool, str]:
@@ -233,15 +343,19 @@
 
 def service(fleet: Fleet) -> Any:
     """One pool of exclusive tasks at a fleet."""
+
     def made(process: Process) -> files.Plain:
         pool = files.service("t", "exclusive", fleet.addresses, AGREED, PATIENCE)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
+
     return made
 
 
 def asked(bank: Bank, number: int, rate: float, surges: list[tuple[float, float, float]]) -> Any:
-    return (bank.processes[number].balancer.address,  # type: ignore[union-attr]
-            Asks(f"t{number}", rate, "/t/x", "POST", "t.example", PATIENCE, AGREED, surges=surges))
+    return (
+        bank.processes[number].balancer.address,  # type: ignore[union-attr]
+        Asks(f"t{number}", rate, "/t/x", "POST", "t.example", PATIENCE, AGREED, surges=surges),
+    )
 
 
 A_MINUTE = 900  # tasks of each minute
@@ -252,8 +366,9 @@
     chance = Random(f"windows/{seed}")
     fleet = Fleet({f"s-{n}": Script(workers=64, work=BRIEF) for n in range(4)}, seed)
     homes = [f"m{n}" for n in range(count)]
-    limits: files.Plain = {"minute": {"kind": "count", "amount": A_MINUTE, "window": "minute",
-                                      "homes": homes}}
+    limits: files.Plain = {
+        "minute": {"kind": "count", "amount": A_MINUTE, "window": "minute", "homes": homes}
+    }
     bank = Bank(count, folder, service(fleet), seed, limits=limits)
     loads: Loads | None = None
     try:
@@ -261,15 +376,32 @@
             bank.processes[number].wall = wrong
         bank.start()
         bank.until(bank.gathered, 30.0)
-        bank.until(lambda: all(row["agreed"] and not row["fenced_ms"] for process in bank.processes
-                               for row in bank.ask(process.number, "limits")), 30.0)
-        time.sleep(60.0 - time.time() % 60.0)  # from a window's start: of the one before nothing is known
+        bank.until(
+            lambda: all(
+                row["agreed"] and not row["fenced_ms"]
+                for process in bank.processes
+                for row in bank.ask(process.number, "limits")
+            ),
+            30.0,
+        )
+        time.sleep(
+            60.0 - time.time() % 60.0
+        )  # from a window's start: of the one before nothing is known
         fleet.meter()
         start, wall, span = time.monotonic(), time.time(), 60.0 * minutes
         hot = [chance.randrange(count) for _ in range(minutes * 6)]
-        streams = [asked(bank, number, 3.0 * A_MINUTE / 60 / count,
-                         [(10.0 * at, 10.0 * at + 10.0, 0.7 * count if one == number else 0.3)
-                          for at, one in enumerate(hot)]) for number in range(count)]
+        streams = [
+            asked(
+                bank,
+                number,
+                3.0 * A_MINUTE / 60 / count,
+                [
+                    (10.0 * at, 10.0 * at + 10.0, 0.7 * count if one == number else 0.3)
+                    for at, one in enumerate(hot)
+                ],
+            )
+            for number in range(count)
+        ]
         loads = Loads(streams, seed, start, span, most=1_000)
         at, killed = 4.0, 0
         while at < span - 8.0:
@@ -297,13 +429,18 @@
         # Where an upstream's own moment and the bank's may be a little apart, a task counts for neither.
         inside = [at for at in met if 0.25 < (wall + at - start) % 60.0 < 59.75]
         each = Counter(int((at - start + wall) // 60.0) for at in inside)
-        report.say(f"     tasks of each minute: {[count for _, count in sorted(each.items())]}, "
-                   f"{killed} processes killed and started")
+        report.say(
+            f"     tasks of each minute: {[count for _, count in sorted(each.items())]}, "
+            f"{killed} processes killed and started"
+        )
         report.bound("tasks of any minute over its count", max(each.values()) - A_MINUTE, most=0)
         usual = sorted(each.values())[len(each) // 2]
         report.bound("of a minute's count used, the middle one", usual / A_MINUTE, least=0.8)
-        report.bound("ran twice, or answered twice", len(fleet.ledger().twice())
-                     + sum(len(one.answered_twice()) for one in gateways), most=0)
+        report.bound(
+            "ran twice, or answered twice",
+            len(fleet.ledger().twice()) + sum(len(one.answered_twice()) for one in gateways),
+            most=0,
+        )
         report.figure("minutes", sorted(each.values()))
     finally:
         if loads:
@@ -325,20 +462,30 @@
 def nearly(report: Report, folder: Path, count: int, seed: int, span: float) -> None:
     """A rate that is nearly kept: demand that moves, then a bank cut in two, whose parts both ask for all."""
     fleet = Fleet({f"s-{n}": Script(workers=64, work=BRIEF) for n in range(4)}, seed)
-    limits: files.Plain = {"near": {"kind": "rate", "amount": RATE, "burst": BURST, "promise": "nearly"}}
+    limits: files.Plain = {
+        "near": {"kind": "rate", "amount": RATE, "burst": BURST, "promise": "nearly"}
+    }
     bank = Bank(count, folder, service(fleet), seed, limits=limits)
     loads: Loads | None = None
     try:
         bank.start()
         bank.until(bank.gathered, 30.0)
-        bank.until(lambda: all(bank.ask(one.number, "limits")[0]["sharing"] == count
-                               for one in bank.processes), 30.0)
+        bank.until(
+            lambda: all(
+                bank.ask(one.number, "limits")[0]["sharing"] == count for one in bank.processes
+            ),
+            30.0,
+        )
         fleet.meter()
         start, cut = time.monotonic() + 0.5, 3 * span
         half = count // 2
         # All at one; all at another; one in each half, of which the second begins when the cut does.
-        phases = {0: [(0.0, span, 1.0)], 1: [(span, 2 * span, 1.0)], 2: [(2 * span, 99.0, 1.0)],
-                  half + 1: [(cut + 0.3, 99.0, 1.0)]}
+        phases = {
+            0: [(0.0, span, 1.0)],
+            1: [(span, 2 * span, 1.0)],
+            2: [(2 * span, 99.0, 1.0)],
+            half + 1: [(cut + 0.3, 99.0, 1.0)],
+        }
         streams = []
         for number, (first,) in phases.items():
             rate = 1.5 * RATE
@@ -351,21 +498,34 @@
         calm = [at for at in met if at < start + cut]
         over = most_in(calm, 1.0) - RATE - BURST
         age = aged(count) / 1e9
-        report.say(f"     {count} processes, words reach all within {age:.2f} s; asked for in full "
-                   f"{sum(start + 2.0 <= at < start + span for at in met) / (RATE * (span - 2.0)):.3f} used")
-        report.bound("used, all at one, from 2 s on", sum(start + 2.0 <= at < start + span for at in met)
-                     / (RATE * (span - 2.0)), least=0.9)
-        report.bound("tasks over in any second while demand moves, of the limit", over / RATE, most=0.1)
+        report.say(
+            f"     {count} processes, words reach all within {age:.2f} s; asked for in full "
+            f"{sum(start + 2.0 <= at < start + span for at in met) / (RATE * (span - 2.0)):.3f} used"
+        )
+        report.bound(
+            "used, all at one, from 2 s on",
+            sum(start + 2.0 <= at < start + span for at in met) / (RATE * (span - 2.0)),
+            least=0.9,
+        )
+        report.bound(
+            "tasks over in any second while demand moves, of the limit", over / RATE, most=0.1
+        )
         unheard = UNHEARD / 1e9 + age
         known = start + cut + unheard + 1.0
         wild = [at for at in met if start + cut <= at < known]
         late = [at for at in met if at >= known]
         excess = len(wild) - RATE * (known - start - cut) - BURST
         allowed = RATE * unheard * (count - half) / count + BURST
-        report.say(f"     cut in two, both ask for all: {excess:.0f} tasks over in {unheard + 1.0:.1f} s, "
-                   f"{allowed:.0f} by the formula; then {most_in(late, 1.0)} in the busiest second of {RATE}")
-        report.bound("tasks over until the parts know, by the formula's", excess / allowed, most=1.0)
-        report.bound("busiest second after that, of the limit", (most_in(late, 1.0) - BURST) / RATE, most=1.1)
+        report.say(
+            f"     cut in two, both ask for all: {excess:.0f} tasks over in {unheard + 1.0:.1f} s, "
+            f"{allowed:.0f} by the formula; then {most_in(late, 1.0)} in the busiest second of {RATE}"
+        )
+        report.bound(
+            "tasks over until the parts know, by the formula's", excess / allowed, most=1.0
+        )
+        report.bound(
+            "busiest second after that, of the limit", (most_in(late, 1.0) - BURST) / RATE, most=1.1
+        )
         report.figure("nearly_excess", round(excess / allowed, 3))
     finally:
         if loads:
@@ -376,6 +536,7 @@
 
 def cost(report: Report) -> None:
     """What a task pays for ten limits, and for one that each tenant has, by the number of tenants."""
+
     def between(now: int) -> tuple[int, int]:
         return now, now
 
@@ -405,8 +566,10 @@
             now += 100_000
             table.named(names[int(chance.random() * tenants)]).enter(now, now + SECOND)
         found[tenants] = (time.perf_counter() - begun) / tasks
-        report.say(f"     {tenants} tenants: {found[tenants] * 1e6:.1f} us a task, {len(table.parts)} parts, "
-                   f"{table.pooled} tasks of strangers that share parts")
+        report.say(
+            f"     {tenants} tenants: {found[tenants] * 1e6:.1f} us a task, {len(table.parts)} parts, "
+            f"{table.pooled} tasks of strangers that share parts"
+        )
         report.bound(f"parts held for {tenants} tenants", len(table.parts), most=1_024 + 16)
     report.bound("a task of 100,000 tenants, by one of 10", found[100_000] / found[10], most=3.0)
 
@@ -415,7 +578,9 @@
     report = Report("limits", __doc__ or "")
     kinds = ("orders", "moves", "days", "windows", "nearly", "cost")
     report.parser.add_argument("--only", choices=kinds, default="")
-    report.parser.add_argument("--processes", type=int, default=0, help="of days and windows; 8 if not said")
+    report.parser.add_argument(
+        "--processes", type=int, default=0, help="of days and windows; 8 if not said"
+    )
     report.parser.add_argument("--days", type=int, default=0, help="drawn days; 1 short, 20 long")
     given = report.options()
     short, seed = given.short, given.seed
@@ -426,8 +591,13 @@
             moves(report, Path(name) / "moves", seed, 3.0 if short else 10.0)
         if given.only in ("", "days") and not (short and not given.only):
             number = given.days or (1 if short else 20)
-            days(report, Path(name) / "days", given.processes or 8, [seed * 1_000 + n for n in range(number)],
-                 12.0)
+            days(
+                report,
+                Path(name) / "days",
+                given.processes or 8,
+                [seed * 1_000 + n for n in range(number)],
+                12.0,
+            )
         if given.only in ("", "nearly"):
             nearly(report, Path(name) / "nearly", 8, seed, 3.0 if short else 8.0)
         if given.only == "windows" or not short and not given.only:
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -40,10 +40,21 @@
 class Trial:
     """One bank with upstreams of its own, and streams to each of its processes."""
 
-    def __init__(self, folder: Path, count: int, upstreams: int, seed: int, kind: str = "exclusive",
-                 known: bool = True, workers: int = 1, relayed: bool = True) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        count: int,
+        upstreams: int,
+        seed: int,
+        kind: str = "exclusive",
+        known: bool = True,
+        workers: int = 1,
+        relayed: bool = True,
+    ) -> None:
         self.kind, self.known, self.told = kind, known, count
-        self.fleet = Fleet({f"s-{n}": Script(workers=workers, work=WORK) for n in range(upstreams)}, seed)
+        self.fleet = Fleet(
+            {f"s-{n}": Script(workers=workers, work=WORK) for n in range(upstreams)}, seed
+        )
         self.capacity = upstreams * workers / WORK
         self.bank = Bank(count, folder, self.service, seed, relayed=relayed)
         self.seed = seed
@@ -53,8 +64,11 @@
         pool = files.service("t", self.kind, self.fleet.addresses, AGREED, PATIENCE)
         if not self.known:
             pool |= {"balancers": self.told, "number": min(process.number, self.told - 1)}
-        return {"pools": {"t": pool}, "routes": [files.route("t", self.kind, "t")],
-                "process": {"seed": f"{self.seed * 1000 + process.number:x}"}}
+        return {
+            "pools": {"t": pool},
+            "routes": [files.route("t", self.kind, "t")],
+            "process": {"seed": f"{self.seed * 1000 + process.number:x}"},
+        }
 
     def retell(self, balancers: int) -> None:
         """The files say another number, and those who are left read them again."""
@@ -64,13 +78,17 @@
                 process.balancer.reload(files.document(process.file()))
 
     def load(self, streams: list[tuple[int, Asks]], start: float, span: float) -> None:
-        addresses = [(self.bank.processes[number].balancer.address, asks)  # type: ignore[union-attr]
-                     for number, asks in streams]
+        addresses = [
+            (self.bank.processes[number].balancer.address, asks)  # type: ignore[union-attr]
+            for number, asks in streams
+        ]
         self.loads.append(Loads(addresses, self.seed, start, span, most=2_000))
 
     def asks(self, number: int, rate: float, **more: Any) -> tuple[int, Asks]:
         method = files.METHODS[self.kind]
-        return number, Asks(f"t{number}", rate, "/t/x", method, "t.example", PATIENCE, AGREED, **more)
+        return number, Asks(
+            f"t{number}", rate, "/t/x", method, "t.example", PATIENCE, AGREED, **more
+        )
 
     def end(self) -> None:
         for load in self.loads:
@@ -82,10 +100,18 @@
 def faults(report: Report, folder: Path, count: int, seed: int, lossy: float) -> None:
     """Kill, silence, pause, a cut, loss: each within its bound, and every answer once."""
     half = tuple(range(count // 2)), tuple(range(count // 2, count))
-    schedule = Schedule(count, 15.0 + lossy, (
-        Fault(0.5, "kill", (count - 1,)), Fault(0.5, "vanish", (count - 2,)),
-        Fault(4.5, "stop", (3, 4), span=1.0),
-        Fault(6.5, "cut", parts=half, span=3.8), Fault(14.5, "lossy", span=lossy, amount=0.1)), seed)
+    schedule = Schedule(
+        count,
+        15.0 + lossy,
+        (
+            Fault(0.5, "kill", (count - 1,)),
+            Fault(0.5, "vanish", (count - 2,)),
+            Fault(4.5, "stop", (3, 4), span=1.0),
+            Fault(6.5, "cut", parts=half, span=3.8),
+            Fault(14.5, "lossy", span=lossy, amount=0.1),
+        ),
+        seed,
+    )
     trial = Trial(folder, count, 4, seed, workers=8)
     bank = trial.bank
     try:
@@ -93,12 +119,17 @@
         bank.until(bank.gathered, 30.0)
         begun, before = time.monotonic(), [bank.ask(n, "figures")["bytes_out"] for n in range(3)]
         time.sleep(1.5)
-        quiet = [(bank.ask(n, "figures")["bytes_out"] - one) / (time.monotonic() - begun)
-                 for n, one in enumerate(before)]
+        quiet = [
+            (bank.ask(n, "figures")["bytes_out"] - one) / (time.monotonic() - begun)
+            for n, one in enumerate(before)
+        ]
         start = time.monotonic() + 0.5
         dying = {count - 1, count - 2}
-        trial.load([trial.asks(n, 15.0, ends=0.3 if n in dying else float("inf")) for n in range(count)],
-                   start, schedule.seconds + 0.4)
+        trial.load(
+            [trial.asks(n, 15.0, ends=0.3 if n in dying else float("inf")) for n in range(count)],
+            start,
+            schedule.seconds + 0.4,
+        )
         time.sleep(max(0.0, start + 0.4 - time.monotonic()))
         played = bank.clock()
         bank.play(schedule)
@@ -109,7 +140,9 @@
         for breach in breaches[:10]:
             report.say(f"     {breach}")
         report.bound(f"{count} processes: properties broken", len(breaches), most=0)
-        report.bound("deaths held against the bound", referee.checked["dead"], least=2 * (count - 3))
+        report.bound(
+            "deaths held against the bound", referee.checked["dead"], least=2 * (count - 3)
+        )
         report.bound("slowest to lose a dead member, s", referee.slowest["dead"], most=3.0)
         cut_at = played + 6.5
         asked = time.monotonic()
@@ -120,16 +153,29 @@
             if said.event == "bank_position" and cut_at <= said.at <= cut_at + 3.8:
                 positions[said.process[0]] = (said.at - cut_at, said.pairs["position"])
         # With one vanished of those known, neither half has over half of all that are reckoned with.
-        report.bound("slowest to name its position in a cut, s",
-                     max(at for at, _ in positions.values()), most=3.0)
-        report.bound("names of positions that were right, after 3 s of a cut", referee.checked["position"],
-                     least=2 * (count - 2))
-        healed = [said.at - cut_at - 3.8 for said in bank.said if said.event == "member_here"
-                  and cut_at + 3.8 <= said.at <= cut_at + 7.5]
+        report.bound(
+            "slowest to name its position in a cut, s",
+            max(at for at, _ in positions.values()),
+            most=3.0,
+        )
+        report.bound(
+            "names of positions that were right, after 3 s of a cut",
+            referee.checked["position"],
+            least=2 * (count - 2),
+        )
+        healed = [
+            said.at - cut_at - 3.8
+            for said in bank.said
+            if said.event == "member_here" and cut_at + 3.8 <= said.at <= cut_at + 7.5
+        ]
         report.bound("slowest to be one again, s", max(healed), most=3.0)
-        lost = [said for said in bank.said if said.event == "member_lost" and said.at > played + 14.4]
+        lost = [
+            said for said in bank.said if said.event == "member_lost" and said.at > played + 14.4
+        ]
         report.bound(f"lost by {lossy:g} s of a tenth lost on all ways", len(lost), most=0)
-        suspected = sum(said.event == "member_suspect" and said.at > played + 14.4 for said in bank.said)
+        suspected = sum(
+            said.event == "member_suspect" and said.at > played + 14.4 for said in bank.said
+        )
         answers(report, trial, gateways, dying)
         report.figure("suspected_by_loss", suspected)
         report.figure("bytes_s_quiet", max(quiet))
@@ -150,7 +196,9 @@
 ROWS = ("8 balancers, 1.2 times capacity", "2 of them left, the same", "1 left, 0.7 of it")
 
 
-def row_streams(trial: Trial, phases: list[tuple[float, list[int], float]]) -> list[tuple[int, Asks]]:
+def row_streams(
+    trial: Trial, phases: list[tuple[float, list[int], float]]
+) -> list[tuple[int, Asks]]:
     """Streams of one pass: in each phase so many a second, shared by whom it names. From, who, rate."""
     ends = [phase[0] for phase in phases[1:]] + [float("inf")]
     found = []
@@ -163,11 +211,17 @@
     return found
 
 
-def shares(gateways: list[Gateway], start: float, windows: list[tuple[float, float]]) -> list[float]:
+def shares(
+    gateways: list[Gateway], start: float, windows: list[tuple[float, float]]
+) -> list[float]:
     found = []
     for begins, ends in windows:
-        tasks = [task for gateway in gateways for task in gateway.told
-                 if begins <= task.due - start < ends]
+        tasks = [
+            task
+            for gateway in gateways
+            for task in gateway.told
+            if begins <= task.due - start < ends
+        ]
         found.append(sum(task.on_time(AGREED) for task in tasks) / max(1, len(tasks)))
     return found
 
@@ -182,16 +236,29 @@
         if known:
             trial.bank.until(trial.bank.gathered, 30.0)
         start, heavy = time.monotonic() + 1.0, 1.2 * trial.capacity
-        trial.load(row_streams(trial, [(0.0, list(range(8)), heavy), (first, [0, 1], heavy),
-                                       (second, [0], 0.7 * trial.capacity)]), start, third)
+        trial.load(
+            row_streams(
+                trial,
+                [
+                    (0.0, list(range(8)), heavy),
+                    (first, [0, 1], heavy),
+                    (second, [0], 0.7 * trial.capacity),
+                ],
+            ),
+            start,
+            third,
+        )
         for at, gone, left in ((first, range(2, 8), 2), (second, range(1, 2), 1)):
             time.sleep(max(0.0, start + at - time.monotonic()))
             for number in gone:
                 trial.bank.kill(number)
             if not known:
                 trial.retell(left)
-        return shares(trial.loads[0].results(), start,
-                      [(2.0, first), (first + 5.0, second), (second + 5.0, third)])
+        return shares(
+            trial.loads[0].results(),
+            start,
+            [(2.0, first), (first + 5.0, second), (second + 5.0, third)],
+        )
     finally:
         trial.end()
 
@@ -201,13 +268,16 @@
     found: dict[bool, list[list[float]]] = {True: [], False: []}
     for pair in range(pairs):
         for known in (True, False):
-            found[known].append(eight_two_one(folder / f"{pair}-{known}", upstreams, seed + pair, span,
-                                              known))
+            found[known].append(
+                eight_two_one(folder / f"{pair}-{known}", upstreams, seed + pair, span, known)
+            )
     for place, row in enumerate(ROWS):
         each = {known: [one[place] for one in rows] for known, rows in found.items()}
         mean = {known: sum(one) / pairs for known, one in each.items()}
-        report.say(f"     {row}: on time {mean[True]:.3f}, told the truth {mean[False]:.3f}; "
-                   f"{', '.join(f'{a:.3f}/{b:.3f}' for a, b in zip(each[True], each[False]))}")
+        report.say(
+            f"     {row}: on time {mean[True]:.3f}, told the truth {mean[False]:.3f}; "
+            f"{', '.join(f'{a:.3f}/{b:.3f}' for a, b in zip(each[True], each[False]))}"
+        )
         report.bound(f"{row}: on time below the told", mean[False] - mean[True], most=0.03)
         report.figure(f"row_{place}", [round(mean[True], 3), round(mean[False], 3)])
 
@@ -220,12 +290,16 @@
         trial.bank.start()
         trial.bank.until(trial.bank.gathered, 30.0)
         start = time.monotonic() + 1.0
-        trial.load([trial.asks(number, 1.2 * trial.capacity / 8) for number in range(8)], start,
-                   5.0 + 2 * span)
+        trial.load(
+            [trial.asks(number, 1.2 * trial.capacity / 8) for number in range(8)],
+            start,
+            5.0 + 2 * span,
+        )
         time.sleep(max(0.0, start + 2.0 + span - time.monotonic()))
         trial.bank.cut("halves", [0, 1, 2, 3], [4, 5, 6, 7])
-        found["uncut"], found["cut"] = shares(trial.loads[0].results(), start,
-                                              [(2.0, 2.0 + span), (5.0 + span, 5.0 + 2 * span)])
+        found["uncut"], found["cut"] = shares(
+            trial.loads[0].results(), start, [(2.0, 2.0 + span), (5.0 + span, 5.0 + 2 * span)]
+        )
     finally:
         trial.end()
     trial = Trial(folder / "one", 8, upstreams, seed, "rerunnable", known=False)
@@ -233,13 +307,17 @@
     try:
         trial.bank.start()
         start = time.monotonic() + 1.0
-        trial.load([trial.asks(number, 1.2 * trial.capacity / 8) for number in range(8)], start, 2.0 + span)
-        found["files say one"], = shares(trial.loads[0].results(), start, [(2.0, 2.0 + span)])
+        trial.load(
+            [trial.asks(number, 1.2 * trial.capacity / 8) for number in range(8)], start, 2.0 + span
+        )
+        (found["files say one"],) = shares(trial.loads[0].results(), start, [(2.0, 2.0 + span)])
     finally:
         trial.end()
     for name, share in found.items():
         report.say(f"     8 balancers, 1.2 times capacity, {name}: {share:.3f} on time")
-    report.bound("cut into halves: on time below the uncut", found["uncut"] - found["cut"], most=0.05)
+    report.bound(
+        "cut into halves: on time below the uncut", found["uncut"] - found["cut"], most=0.05
+    )
     report.figure("files_say_one", found["files say one"])
 
 
@@ -264,7 +342,9 @@
         time.sleep(span)
         shares = [(spent(one) - then) / (time.monotonic() - at) for one, then in zip(those, before)]
         mine = sum(shares[:count]) / count
-        report.say(f"     {count} at rest: {100 * mine:.2f}% of a core each, alone {100 * shares[-1]:.2f}%")
+        report.say(
+            f"     {count} at rest: {100 * mine:.2f}% of a core each, alone {100 * shares[-1]:.2f}%"
+        )
         report.bound("CPU of the bank's own work, of a core", mine - shares[-1], most=0.02)
         report.figure("cpu_of_a_core", mine - shares[-1])
     finally:
@@ -291,7 +371,9 @@
 def parts(report: Report, balancers: int, upstreams: int, seed: int) -> None:
     """How much of their parts of the list balancers change when one joins or is lost, and when one flaps."""
     workload = Workload("t", "rerunnable", SECOND // 4, SECOND, 1.0)
-    names = sorted((f"m{number}" for number in range(balancers + 1)), key=lambda name: member_id(name, 0))
+    names = sorted(
+        (f"m{number}" for number in range(balancers + 1)), key=lambda name: member_id(name, 0)
+    )
     listed = [Upstream(number, "ready", 0, 0, 0) for number in range(upstreams)]
     those: dict[str, Choice] = {}
 
@@ -300,14 +382,20 @@
 
     def go_by(there: list[str], seconds: int = 5) -> float:
         """The part of what was held that is held no longer, over all that stay."""
-        before = {name: {seen.upstream.id for seen in choice.split.pool} for name, choice in those.items()}
+        before = {
+            name: {seen.upstream.id for seen in choice.split.pool} for name, choice in those.items()
+        }
         for name in there:
             if name in those:
                 those[name].change(settings(name, there), [workload])
             else:
                 own = Workload("t", "rerunnable", SECOND // 4, SECOND, 1.0)
-                those[name] = Choice(Still(), settings(name, there), [own],  # type: ignore[arg-type]
-                                     seed + len(those))
+                those[name] = Choice(
+                    Still(),
+                    settings(name, there),
+                    [own],  # type: ignore[arg-type]
+                    seed + len(those),
+                )
                 fresh = [Upstream(one.id, "ready", 0, 0, 0) for one in listed]
                 those[name].listed(fresh)  # type: ignore[arg-type]
             for _ in range(seconds):
@@ -323,10 +411,14 @@
     go_by(names[:-1], 60)
     joins = go_by(names)
     flaps = sum(go_by(names if turn % 2 else names[:-1], 1) for turn in range(20))
-    half = go_by(names[:balancers // 2], 30)
-    report.say(f"     {balancers} balancers, {upstreams} upstreams: of their parts {joins:.3f} moves as one "
-               f"joins, {flaps:.3f} as one flaps 20 times, {half:.2f} when half are gone for good")
-    report.bound("of parts that move as one joins, times the balancers", joins * balancers, most=1.0)
+    half = go_by(names[: balancers // 2], 30)
+    report.say(
+        f"     {balancers} balancers, {upstreams} upstreams: of their parts {joins:.3f} moves as one "
+        f"joins, {flaps:.3f} as one flaps 20 times, {half:.2f} when half are gone for good"
+    )
+    report.bound(
+        "of parts that move as one joins, times the balancers", joins * balancers, most=1.0
+    )
     report.bound("of parts that move as one flaps 20 times", flaps, most=0.05)
     report.figure("parts_half", half)
 
@@ -334,7 +426,12 @@
 def one_day(given: tuple[int, int, float, int]) -> tuple[int, list[str], dict[str, float], float]:
     seed, members, seconds, count = given
     found = Model(draw(seed, members, seconds, count)).play()
-    return seed, [str(breach) for breach in found["breaches"]], found["slowest"], found["bytes_each"]
+    return (
+        seed,
+        [str(breach) for breach in found["breaches"]],
+        found["slowest"],
+        found["bytes_each"],
+    )
 
 
 def model(report: Report, days: list[tuple[int, int, float, int]], mutations: bool) -> None:
@@ -347,32 +444,56 @@
             sizes[day[1]] = max(size, sizes.get(day[1], 0.0))
             for breach in breaches[:3]:
                 report.say(f"     seed {seed}, {day[1]} members: {breach}")
-        report.bound(f"of {len(days)} drawn days in the model that break a property", broken, most=0)
+        report.bound(
+            f"of {len(days)} drawn days in the model that break a property", broken, most=0
+        )
         report.figure("model_slowest_s", slowest)
         for members, size in sorted(sizes.items()):
-            report.say(f"     model, {members} members: {size:.0f} bytes a second and member, busiest day")
+            report.say(
+                f"     model, {members} members: {size:.0f} bytes a second and member, busiest day"
+            )
             report.figure(f"bytes_s_{members}", size)
         if mutations:
             names = sorted(MUTATIONS)
             missed = [name for name, day in zip(names, pool.map(caught, names)) if day is None]
             report.say(f"     put back and not caught: {', '.join(missed) or 'none'}")
-            report.bound(f"of {len(names)} faults put back into the code not caught", len(missed), most=0)
+            report.bound(
+                f"of {len(names)} faults put back into the code not caught", len(missed), most=0
+            )
 
 
 def bench() -> int:
     report = Report("members", __doc__ or "")
-    report.parser.add_argument("--only", choices=("faults", "table", "parts", "cost", "model"), default="")
-    report.parser.add_argument("--processes", type=int, default=0, help="in `faults`; 12 short, 60 long")
-    report.parser.add_argument("--lossy", type=float, default=0.0, help="seconds of loss; 2 short, 600 long")
+    report.parser.add_argument(
+        "--only", choices=("faults", "table", "parts", "cost", "model"), default=""
+    )
+    report.parser.add_argument(
+        "--processes", type=int, default=0, help="in `faults`; 12 short, 60 long"
+    )
+    report.parser.add_argument(
+        "--lossy", type=float, default=0.0, help="seconds of loss; 2 short, 600 long"
+    )
     given = report.options()
     short, seed = given.short, given.seed
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         if given.only in ("", "faults"):
-            faults(report, folder / "faults", given.processes or (12 if short else 60), seed,
-                   given.lossy or (2.0 if short else 600.0))
+            faults(
+                report,
+                folder / "faults",
+                given.processes or (12 if short else 60),
+                seed,
+                given.lossy or (2.0 if short else 600.0),
+            )
         if given.only in ("", "table") and not (short and not given.only):
-            table(report, folder / "table", 3 if short else 8, seed, 3.0 if short else 6.0, 1 if short else 4)
+            table(
+                report,
+                folder / "table",
+                3 if short else 8,
+                seed,
+                3.0 if short else 6.0,
+                1 if short else 4,
+            )
             if not short:
                 wrong(report, folder / "wrong", 8, seed, 10.0)
         if given.only in ("", "parts"):
@@ -380,8 +501,13 @@
         if given.only in ("", "cost"):
             cost(report, folder / "cost", 12, seed, 3.0 if short else 20.0)
     if given.only in ("", "model"):
-        days = [(seed * 100 + n, 12, 30.0, 4) for n in range(6)] if short else (
-            [(n, 200, 45.0, 6) for n in range(200)] + [(n, 1_000, 30.0, 4) for n in range(10)])
+        days = (
+            [(seed * 100 + n, 12, 30.0, 4) for n in range(6)]
+            if short
+            else (
+                [(n, 200, 45.0, 6) for n in range(200)] + [(n, 1_000, 30.0, 4) for n in range(10)]
+            )
+        )
         model(report, days, not short or bool(given.only))
     return report.close()
 
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -36,13 +36,17 @@
         memory, before = balancer.memory() / 2**20, balancer.cpu()
         start = time.monotonic() + 0.5
         os.sched_setaffinity(0, apart()[1])
-        loads = [Load(balancer.address, Asks("charge", RATE / 2, "/charge"), seed, start, span),
-                 Load(balancer.address, Asks("look", RATE / 2, "/look/1", "GET"), seed, start, span)]
+        loads = [
+            Load(balancer.address, Asks("charge", RATE / 2, "/charge"), seed, start, span),
+            Load(balancer.address, Asks("look", RATE / 2, "/look/1", "GET"), seed, start, span),
+        ]
         seen = [load.result() for load in loads]
         tasks = sum(len(gateway.told) for gateway in seen)
         fulfilled = sum(task.status == 200 for gateway in seen for task in gateway.told)
         if fulfilled < 0.99 * tasks:
-            raise RuntimeError(f"only {fulfilled} of {tasks} tasks fulfilled: {balancer.log()[-2000:]}")
+            raise RuntimeError(
+                f"only {fulfilled} of {tasks} tasks fulfilled: {balancer.log()[-2000:]}"
+            )
         return 1000 * (balancer.cpu() - before) / tasks, memory, tasks
     finally:
         balancer.stop()
@@ -52,7 +56,9 @@
 
 def bench() -> int:
     report = Report("platform", __doc__ or "")
-    report.parser.add_argument("--before", default="", help="the version to compare with; none: only measure")
+    report.parser.add_argument(
+        "--before", default="", help="the version to compare with; none: only measure"
+    )
     given = report.options()
     rounds, span = (3, 3.0) if given.short else (7, 10.0)
     with tempfile.TemporaryDirectory() as folder:
@@ -60,18 +66,24 @@
         if given.before:
             tree = versions["before"] = Path(folder) / "tree"
             tree.mkdir()
-            packed = subprocess.run(["git", "archive", given.before], capture_output=True, check=True).stdout
+            packed = subprocess.run(
+                ["git", "archive", given.before], capture_output=True, check=True
+            ).stdout
             subprocess.run(["tar", "-x", "-C", str(tree)], input=packed, check=True)
         found: dict[str, list[tuple[float, float, int]]] = {name: [] for name in versions}
         for turn in range(rounds):
             for name, root in versions.items():
-                found[name].append(once(root, Path(folder) / f"{name}{turn}", given.seed + turn, span))
+                found[name].append(
+                    once(root, Path(folder) / f"{name}{turn}", given.seed + turn, span)
+                )
     cpu = {name: statistics.median(run[0] for run in runs) for name, runs in found.items()}
     memory = {name: statistics.median(run[1] for run in runs) for name, runs in found.items()}
     for name, runs in found.items():
         each = ", ".join(f"{run[0]:.3f}" for run in runs)
-        report.say(f"     {name}: CPU {cpu[name]:.3f} ms a task ({each}), "
-                   f"memory at the start {memory[name]:.1f} MB")
+        report.say(
+            f"     {name}: CPU {cpu[name]:.3f} ms a task ({each}), "
+            f"memory at the start {memory[name]:.1f} MB"
+        )
         report.figure(f"cpu_ms_{name}", cpu[name])
         report.figure(f"memory_mb_{name}", memory[name])
     if given.before:
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -47,36 +47,68 @@
 
 def phases(short: bool) -> list[Phase]:
     twice = 2.0 * CAPACITY["posting"] / USUAL["posting"]
-    found = [CALM, Phase("twice its capacity", twice, {}, {}),
-             Phase("a third left, the others hang", twice, {"hang": 1.0}, {})]
+    found = [
+        CALM,
+        Phase("twice its capacity", twice, {}, {}),
+        Phase("a third left, the others hang", twice, {"hang": 1.0}, {}),
+    ]
     if not short:
-        found += [Phase("all of it hangs", twice, {"hang": 1.0}, {"hang": 1.0}),
-                  Phase("large slow answers", 1.0, {"size": HUGE, "pace": 400_000.0},
-                        {"size": HUGE, "pace": 400_000.0}),
-                  Phase("twice its capacity, all reset", twice, {"reset": 1.0}, {"reset": 1.0})]
+        found += [
+            Phase("all of it hangs", twice, {"hang": 1.0}, {"hang": 1.0}),
+            Phase(
+                "large slow answers",
+                1.0,
+                {"size": HUGE, "pace": 400_000.0},
+                {"size": HUGE, "pace": 400_000.0},
+            ),
+            Phase("twice its capacity, all reset", twice, {"reset": 1.0}, {"reset": 1.0}),
+        ]
     return [*found, CALM]
 
 
 def operator(listen: str, fleets: dict[str, Fleet], isolate: bool) -> files.Plain:
     """The operator's file as a table."""
-    pools = {name: files.service(name, kind, fleets[name].addresses, AGREED, PATIENCE)
-             for name, kind in KINDS.items()}
-    return {"version": 1, "listen": [listen],
-            "process": {"descriptors": DESCRIPTORS, "memory_mb": MEMORY, "isolate": isolate},
-            "pools": pools, "routes": [files.route(name, kind, name) for name, kind in KINDS.items()]}
+    pools = {
+        name: files.service(name, kind, fleets[name].addresses, AGREED, PATIENCE)
+        for name, kind in KINDS.items()
+    }
+    return {
+        "version": 1,
+        "listen": [listen],
+        "process": {"descriptors": DESCRIPTORS, "memory_mb": MEMORY, "isolate": isolate},
+        "pools": pools,
+        "routes": [files.route(name, kind, name) for name, kind in KINDS.items()],
+    }
 
 
 def fleets_of(seed: int, **script: int) -> dict[str, Fleet]:
     """Three upstreams for each pool, which together do what its capacity says."""
-    return {name: Fleet({f"{name}-{n}": Script(work=PER_POOL * 4 / CAPACITY[name], **script)
-                         for n in range(PER_POOL)}, seed) for name in KINDS}
+    return {
+        name: Fleet(
+            {
+                f"{name}-{n}": Script(work=PER_POOL * 4 / CAPACITY[name], **script)
+                for n in range(PER_POOL)
+            },
+            seed,
+        )
+        for name in KINDS
+    }
 
 
 def usual(name: str, **more: object) -> Asks:
     """What a pool is asked for."""
     kind = KINDS[name]
-    return Asks(name, USUAL[name], f"/{name}/x", files.METHODS[kind], f"{name}.example", PATIENCE, AGREED,
-                ticket=kind == "ticketed", **more)  # type: ignore[arg-type]
+    return Asks(
+        name,
+        USUAL[name],
+        f"/{name}/x",
+        files.METHODS[kind],
+        f"{name}.example",
+        PATIENCE,
+        AGREED,
+        ticket=kind == "ticketed",
+        **more,
+    )  # type: ignore[arg-type]
 
 
 @dataclass
@@ -93,7 +125,9 @@
     cpu: float
 
 
-def drive(plan: list[Phase], start: float, span: float, fleet: Fleet, balancer: Balancer) -> tuple[int, int]:
+def drive(
+    plan: list[Phase], start: float, span: float, fleet: Fleet, balancer: Balancer
+) -> tuple[int, int]:
     """Lead the upstreams through the phases; the most memory and descriptors met."""
     most, held = 0, 0
     for index, phase in enumerate(plan):
@@ -111,22 +145,41 @@
 def run(seed: int, plan: list[Phase], span: float, isolate: bool, folder: Path) -> Seen:
     """One run of all phases."""
     fleets, listen = fleets_of(seed, queue=16), free_address()
-    balancer = Balancer(folder, operator=files.document(operator(listen, fleets, isolate)), listen=listen,
-                        cores={apart()[0]})
+    balancer = Balancer(
+        folder,
+        operator=files.document(operator(listen, fleets, isolate)),
+        listen=listen,
+        cores={apart()[0]},
+    )
     loads = {}
     try:
         balancer.wait_ready()
         start = time.monotonic() + 1.0
-        surges = [(index * span, (index + 1) * span, phase.rate) for index, phase in enumerate(plan)]
+        surges = [
+            (index * span, (index + 1) * span, phase.rate) for index, phase in enumerate(plan)
+        ]
         for name in KINDS:
             asks = usual(name, retries=3, surges=surges) if name == "posting" else usual(name)
             loads[name] = Load(balancer.address, asks, seed, start, span * len(plan), most=2000)
-        loads["lost"] = Load(balancer.address, Asks("lost", 20.0, "/nowhere", host="nowhere.example",
-                                                    patience=PATIENCE), seed, start, span * len(plan))
+        loads["lost"] = Load(
+            balancer.address,
+            Asks("lost", 20.0, "/nowhere", host="nowhere.example", patience=PATIENCE),
+            seed,
+            start,
+            span * len(plan),
+        )
         most, held = drive(plan, start, span, fleets["posting"], balancer)
         gateways = {name: load.result() for name, load in loads.items()}
-        return Seen(gateways, gateways.pop("lost"), {name: fleet.ledger() for name, fleet in fleets.items()},
-                    most, held, balancer.log(), start, balancer.cpu())
+        return Seen(
+            gateways,
+            gateways.pop("lost"),
+            {name: fleet.ledger() for name, fleet in fleets.items()},
+            most,
+            held,
+            balancer.log(),
+            start,
+            balancer.cpu(),
+        )
     finally:
         for load in loads.values():
             load.stop()
@@ -137,27 +190,49 @@
 
 def late(gateway: Gateway, begins: float, ends: float, part: float) -> float:
     """A percentile of latency, in milliseconds, of what was fulfilled of a stretch."""
-    return 1000 * percentile([task.latency for task in gateway.told
-                              if task.status == 200 and begins <= task.due < ends], part)
-
-
-def compare(report: Report, plan: list[Phase], span: float, calm: Seen, seen: Seen, label: str,
-            binding: bool) -> float:
+    return 1000 * percentile(
+        [task.latency for task in gateway.told if task.status == 200 and begins <= task.due < ends],
+        part,
+    )
+
+
+def compare(
+    report: Report,
+    plan: list[Phase],
+    span: float,
+    calm: Seen,
+    seen: Seen,
+    label: str,
+    binding: bool,
+) -> float:
     """The other pools beside the calm run, phase by phase; the most that one lost, in points."""
     worst = 0.0
     for index, phase in enumerate(plan):
         if phase is CALM:
             continue
         for name in ("tariff", "settlement"):
-            shares = [run.gateways[name].share_on_time(run.start + index * span,
-                                                       run.start + (index + 1) * span)
-                      for run in (calm, seen)]
+            shares = [
+                run.gateways[name].share_on_time(
+                    run.start + index * span, run.start + (index + 1) * span
+                )
+                for run in (calm, seen)
+            ]
             lost = 100 * (shares[0] - shares[1])
             worst = max(worst, lost)
-            times = [late(run.gateways[name], run.start + index * span, run.start + (index + 1) * span, part)
-                     for part in (0.5, 0.99) for run in (calm, seen)]
-            report.say(f"     {label}: {name}, {phase.name}: on time {shares[1]:.4f} (calm {shares[0]:.4f}), "
-                       f"median {times[1]:.1f} ms ({times[0]:.1f}), 99th {times[3]:.0f} ms ({times[2]:.0f})")
+            times = [
+                late(
+                    run.gateways[name],
+                    run.start + index * span,
+                    run.start + (index + 1) * span,
+                    part,
+                )
+                for part in (0.5, 0.99)
+                for run in (calm, seen)
+            ]
+            report.say(
+                f"     {label}: {name}, {phase.name}: on time {shares[1]:.4f} (calm {shares[0]:.4f}), "
+                f"median {times[1]:.1f} ms ({times[0]:.1f}), 99th {times[3]:.0f} ms ({times[2]:.0f})"
+            )
             if binding:
                 report.bound(f"{name}, {phase.name}: points lost on time", lost, most=2.0)
     return worst
@@ -166,23 +241,37 @@
 def rules(report: Report, seen: Seen) -> None:
     """Every task one answer, no exclusive task twice, all within the file's limits."""
     gateways = [*seen.gateways.values(), seen.lost]
-    report.bound("tasks sent without a final answer", sum(len(g.unanswered()) for g in gateways), most=0)
+    report.bound(
+        "tasks sent without a final answer", sum(len(g.unanswered()) for g in gateways), most=0
+    )
     for gateway in gateways:
         for task in gateway.unanswered()[:5]:
-            report.say(f"     {task.id} at {task.due - seen.start:.3f} s, try {task.tries}: {task.how}")
-    report.bound("tasks answered twice, answers nobody asked for",
-                 sum(len(g.answered_twice()) + g.surplus for g in gateways), most=0)
+            report.say(
+                f"     {task.id} at {task.due - seen.start:.3f} s, try {task.tries}: {task.how}"
+            )
+    report.bound(
+        "tasks answered twice, answers nobody asked for",
+        sum(len(g.answered_twice()) + g.surplus for g in gateways),
+        most=0,
+    )
     report.bound("exclusive tasks that ran twice", len(seen.ledgers["posting"].twice()), most=0)
-    strangers = sum(1 for name, ledger in seen.ledgers.items() for ran in ledger.ran
-                    if not ran.startswith(f"{name}-"))
+    strangers = sum(
+        1
+        for name, ledger in seen.ledgers.items()
+        for ran in ledger.ran
+        if not ran.startswith(f"{name}-")
+    )
     report.bound("tasks that ran in another pool", strangers, most=0)
     others = sum(task.status != 404 for task in seen.lost.told if task.answers)
     report.bound("no route: other answers than 404", others, most=0)
     report.bound("no route: 99th of the answer, ms", 1000 * seen.lost.latency(0.99, None), most=20)
     report.bound("descriptors", seen.descriptors, most=DESCRIPTORS)
     report.bound("memory, MB", seen.memory / 2**20, most=MEMORY)
-    report.bound("lines that say a rule or the program is broken",
-                 seen.log.count("event=broken") + seen.log.count("level=error"), most=0)
+    report.bound(
+        "lines that say a rule or the program is broken",
+        seen.log.count("event=broken") + seen.log.count("level=error"),
+        most=0,
+    )
 
 
 def reloads(report: Report, seed: int, span: float, folder: Path) -> None:
@@ -191,15 +280,34 @@
     whole = operator(listen, fleets, True)
     plain = files.document(whole)
     # Another pool in the place of the posting pool, with the same upstreams; its route leads there.
-    moved = files.document(whole | {
-        "pools": {name.replace("posting", "replacement"): pool for name, pool in whole["pools"].items()},
-        "routes": [route | {"pool": "replacement"} if route["pool"] == "posting" else route
-                   for route in whole["routes"]]})
+    moved = files.document(
+        whole
+        | {
+            "pools": {
+                name.replace("posting", "replacement"): pool
+                for name, pool in whole["pools"].items()
+            },
+            "routes": [
+                route | {"pool": "replacement"} if route["pool"] == "posting" else route
+                for route in whole["routes"]
+            ],
+        }
+    )
     added = [f"more-{number}" for number in range(5)]
-    more = files.document(whole | {
-        "pools": whole["pools"] | {
-            name: files.service(name, "rerunnable", fleets["tariff"].addresses, 0.1, 1.0) for name in added},
-        "routes": [*whole["routes"], *(files.route(name, "rerunnable", name) for name in added)]})
+    more = files.document(
+        whole
+        | {
+            "pools": whole["pools"]
+            | {
+                name: files.service(name, "rerunnable", fleets["tariff"].addresses, 0.1, 1.0)
+                for name in added
+            },
+            "routes": [
+                *whole["routes"],
+                *(files.route(name, "rerunnable", name) for name in added),
+            ],
+        }
+    )
     faulty = plain.replace('kind = "exclusive"', 'kind = "sometimes"')
     balancer = Balancer(folder, operator=plain, listen=listen, cores={apart()[0]})
     turns = 0
@@ -215,13 +323,22 @@
             time.sleep(0.2)
         seen = [load.result() for load in loads.values()]
         ledgers = {name: fleet.ledger() for name, fleet in fleets.items()}
-        report.bound("reloads: tasks without a final answer", sum(len(g.unanswered()) for g in seen), most=0)
+        report.bound(
+            "reloads: tasks without a final answer", sum(len(g.unanswered()) for g in seen), most=0
+        )
         twice = sum(len(g.answered_twice()) + g.surplus for g in seen)
         report.bound("reloads: tasks answered twice", twice, most=0)
-        report.bound("reloads: exclusive tasks that ran twice", len(ledgers["posting"].twice()), most=0)
-        report.bound("reloads: least on time of a pool", min(g.share_on_time() for g in seen), least=0.95)
-        report.bound("reloads: lines that say a rule or the program is broken",
-                     balancer.said("event=broken") + balancer.said("level=error"), most=0)
+        report.bound(
+            "reloads: exclusive tasks that ran twice", len(ledgers["posting"].twice()), most=0
+        )
+        report.bound(
+            "reloads: least on time of a pool", min(g.share_on_time() for g in seen), least=0.95
+        )
+        report.bound(
+            "reloads: lines that say a rule or the program is broken",
+            balancer.said("event=broken") + balancer.said("level=error"),
+            most=0,
+        )
         report.figure("reloads", turns)
     finally:
         for load in loads.values():
--- a/benchmarks/radius.py
+++ b/benchmarks/radius.py
@@ -41,29 +41,59 @@
     addresses = {server.name: f"127.0.0.1:{server.port}" for server in servers}
     whole = files.records(radius, addresses, ["partner"], agreed=1.0)
     whole["pools"]["charges"] = files.service("charge", "exclusive", fleet.addresses, 0.25, 1.5)
-    return files.document({"version": 1, "listen": [listen], **whole,
-                           "routes": [{"name": "charge", "pool": "charges"}]})
+    return files.document(
+        {
+            "version": 1,
+            "listen": [listen],
+            **whole,
+            "routes": [{"name": "charge", "pool": "charges"}],
+        }
+    )
 
 
-async def run(seed: int, span: float, weather: Weather, behaviours: list[Behaviour], records: bool,
-folder: Path) -> dict[str, Any]:
+async def run(
+    seed: int,
+    span: float,
+    weather: Weather,
+    behaviours: list[Behaviour],
+    records: bool,
+    folder: Path,
+) -> dict[str, Any]:
     """One run: what records and HTTP tasks came to."""
-    servers = [Server(f"r{number}", b"server", how, weather, seed + number)
-               for number, how in enumerate(behaviours)]
+    servers = [
+        Server(f"r{number}", b"server", how, weather, seed + number)
+        for number, how in enumerate(behaviours)
+    ]
     for server in servers:
         await server.start()
     fleet = Fleet({f"s-{number}": Script(work=0.02) for number in range(3)}, seed)
     listen, radius = free_address(), free_address()
-    balancer = Balancer(folder, operator=operator(listen, radius, servers, fleet), listen=listen,
-                        cores={apart()[0]})
+    balancer = Balancer(
+        folder, operator=operator(listen, radius, servers, fleet), listen=listen, cores={apart()[0]}
+    )
     try:
         await asyncio.to_thread(balancer.wait_ready)
         host, _, port = radius.rpartition(":")
-        load = Load(balancer.address, Asks("charge", HTTP_RATE, "/x", patience=1.5, agreed=0.25), seed,
-                    time.monotonic() + 0.7, span)
+        load = Load(
+            balancer.address,
+            Asks("charge", HTTP_RATE, "/x", patience=1.5, agreed=0.25),
+            seed,
+            time.monotonic() + 0.7,
+            span,
+        )
         await asyncio.sleep(0.7)
-        clients = [Client(f"nas{number}", (host, int(port)), b"partner", RATE if records else 0.01,
-                          seed + number, weather, first=0.6) for number in range(CLIENTS)]
+        clients = [
+            Client(
+                f"nas{number}",
+                (host, int(port)),
+                b"partner",
+                RATE if records else 0.01,
+                seed + number,
+                weather,
+                first=0.6,
+            )
+            for number in range(CLIENTS)
+        ]
         for client in clients:
             await client.start()
         before, memory = balancer.cpu(), [balancer.memory()]
@@ -82,10 +112,17 @@
         ran: Counter[str] = Counter()
         for server in servers:
             ran.update(server.ran)
-        return {"told": told, "ran": ran, "http": http, "cpu": cpu, "memory": memory,
-                "packets": sum(server.met for server in servers) + sum(record.sent for record in told),
-                "strange": sum(client.strange for client in clients), "log": balancer.log(),
-                "twice_http": fleet.ledger().twice()}
+        return {
+            "told": told,
+            "ran": ran,
+            "http": http,
+            "cpu": cpu,
+            "memory": memory,
+            "packets": sum(server.met for server in servers) + sum(record.sent for record in told),
+            "strange": sum(client.strange for client in clients),
+            "log": balancer.log(),
+            "twice_http": fleet.ledger().twice(),
+        }
     finally:
         await asyncio.to_thread(balancer.stop)
         await asyncio.to_thread(fleet.stop)
@@ -98,9 +135,15 @@
     server = Server("r0", b"server", Behaviour(delay=0.002, forgets=True), Weather(), seed)
     await server.start()
     listen, radius = free_address(), free_address()
-    whole = files.records(radius, {"r0": f"127.0.0.1:{server.port}"}, ["partner"], most=most, kept="30s")
-    balancer = Balancer(folder, operator=files.document({"version": 1, "listen": [listen], **whole}),
-                        listen=listen, cores={apart()[0]})
+    whole = files.records(
+        radius, {"r0": f"127.0.0.1:{server.port}"}, ["partner"], most=most, kept="30s"
+    )
+    balancer = Balancer(
+        folder,
+        operator=files.document({"version": 1, "listen": [listen], **whole}),
+        listen=listen,
+        cores={apart()[0]},
+    )
     try:
         await asyncio.to_thread(balancer.wait_ready)
         host, _, port = radius.rpartition(":")
@@ -110,8 +153,11 @@
             await burst.send(packets, 600.0)
             await asyncio.sleep(0.5)
         burst.close()
-        return {"ran": server.ran, "answered": len(burst.answers),
-                "contents": max((len(set(one)) for one in burst.answers.values()), default=0)}
+        return {
+            "ran": server.ran,
+            "answered": len(burst.answers),
+            "contents": max((len(set(one)) for one in burst.answers.values()), default=0),
+        }
     finally:
         await asyncio.to_thread(balancer.stop)
         server.stop()
@@ -127,7 +173,9 @@
     await server.start()
     listen, radius = free_address(), free_address()
     more: Plain = {"state": {"file": str(folder / "state")} | state} if state is not None else {}
-    whole = files.records(radius, {"r0": f"127.0.0.1:{server.port}"}, ["partner"], kept="60s", **more)
+    whole = files.records(
+        radius, {"r0": f"127.0.0.1:{server.port}"}, ["partner"], kept="60s", **more
+    )
     text = files.document({"version": 1, "listen": [listen], **whole})
     host, _, port = radius.rpartition(":")
     burst = Burst((host, int(port)), b"partner")
@@ -137,29 +185,57 @@
         first = turn * EACH
         for again in (False, True):
             begun = time.monotonic()
-            balancer = Balancer(folder / f"{turn}{again}", operator=text, listen=listen, cores={apart()[0]})
+            balancer = Balancer(
+                folder / f"{turn}{again}", operator=text, listen=listen, cores={apart()[0]}
+            )
             await asyncio.to_thread(balancer.wait_ready)
             starts.append(time.monotonic() - begun)
-            sending = asyncio.create_task(burst.send(packets[first:first + EACH], BURST, first))
-            await asyncio.sleep(EACH / BURST * chance.uniform(0.1, 1.1) if not again else EACH / BURST + 0.3)
+            sending = asyncio.create_task(burst.send(packets[first : first + EACH], BURST, first))
+            await asyncio.sleep(
+                EACH / BURST * chance.uniform(0.1, 1.1) if not again else EACH / BURST + 0.3
+            )
             await asyncio.to_thread(balancer.stop, again)
             lost += balancer.log().count("level=error") + balancer.log().count("event=broken")
             await sending
     burst.close()
     server.stop()
-    return {"ran": server.ran, "answered": len(burst.answers), "sent": len(packets), "start": max(starts),
-            "faults": lost, "size": (folder / "state").stat().st_size if state is not None else 0}
+    return {
+        "ran": server.ran,
+        "answered": len(burst.answers),
+        "sent": len(packets),
+        "start": max(starts),
+        "faults": lost,
+        "size": (folder / "state").stat().st_size if state is not None else 0,
+    }
 
 
 def look_up(realms: int) -> float:
     """Microseconds to find client and route of a record, among so many realms, NAS prefixes and networks."""
-    routes = Routes([RouteSpec(f"r{number}", "p", "w", f"n{number}.example") for number in range(realms)]
-                    + [RouteSpec(f"s{number}", "p", "w", nas=f"bsc-{number}-*") for number in range(realms)])
-    clients = Clients([ClientSpec(f"c{number}", (IPv4Network((167772160 + 256 * number, 24)),), (b"s",))
-                       for number in range(realms)])
-    asked = [(f"10.{number // 256 % 256}.{number % 256}.7", Packet(4, 1, attributes=[
-        (1, b"u@n%d.example" % number if number % 2 else b"u"), (32, b"bsc-%d-9" % number),
-        (40, b"\0\0\0\1")])) for number in (turn * realms // 1000 for turn in range(1000))]
+    routes = Routes(
+        [RouteSpec(f"r{number}", "p", "w", f"n{number}.example") for number in range(realms)]
+        + [RouteSpec(f"s{number}", "p", "w", nas=f"bsc-{number}-*") for number in range(realms)]
+    )
+    clients = Clients(
+        [
+            ClientSpec(f"c{number}", (IPv4Network((167772160 + 256 * number, 24)),), (b"s",))
+            for number in range(realms)
+        ]
+    )
+    asked = [
+        (
+            f"10.{number // 256 % 256}.{number % 256}.7",
+            Packet(
+                4,
+                1,
+                attributes=[
+                    (1, b"u@n%d.example" % number if number % 2 else b"u"),
+                    (32, b"bsc-%d-9" % number),
+                    (40, b"\0\0\0\1"),
+                ],
+            ),
+        )
+        for number in (turn * realms // 1000 for turn in range(1000))
+    ]
     best = float("inf")
     for _ in range(7):
         begun = time.perf_counter()
@@ -179,17 +255,35 @@
     authority = trustme.CA()
     authority.cert_pem.write_to_path(str(folder / "ca.pem"))
     certificate = authority.issue_cert("server")
-    (folder / "server.pem").write_bytes(b"".join(part.bytes() for part in certificate.cert_chain_pems))
+    (folder / "server.pem").write_bytes(
+        b"".join(part.bytes() for part in certificate.cert_chain_pems)
+    )
     (folder / "server.key").write_bytes(certificate.private_key_pem.bytes())
     (folder / "server.key").chmod(0o600)
-    files_of = {name: str(folder / file) for name, file in (
-        ("certificate", "server.pem"), ("key", "server.key"), ("authorities", "ca.pem"))}
-    more: Plain = {"streams": [{"listen": stream, **(files_of if over == "TLS" else {})}],
-                   "connections": peers + 8} if over != "UDP" else {}
+    files_of = {
+        name: str(folder / file)
+        for name, file in (
+            ("certificate", "server.pem"),
+            ("key", "server.key"),
+            ("authorities", "ca.pem"),
+        )
+    }
+    more: Plain = (
+        {
+            "streams": [{"listen": stream, **(files_of if over == "TLS" else {})}],
+            "connections": peers + 8,
+        }
+        if over != "UDP"
+        else {}
+    )
     whole = files.records(radius, {"r0": f"127.0.0.1:{server.port}"}, ["partner"], **more)
     whole["radius"]["clients"]["partner"]["names"] = ["nas.example"]
-    balancer = Balancer(folder / over, operator=files.document({"version": 1, "listen": [listen], **whole}),
-                        listen=listen, cores={apart()[0]})
+    balancer = Balancer(
+        folder / over,
+        operator=files.document({"version": 1, "listen": [listen], **whole}),
+        listen=listen,
+        cores={apart()[0]},
+    )
     context = None
     if over == "TLS":
         context = ssl.create_default_context(cafile=str(folder / "ca.pem"))
@@ -200,7 +294,9 @@
         host, _, port = (radius if over == "UDP" else stream).rpartition(":")
         secret = b"radsec" if over == "TLS" else b"partner"
         before = balancer.memory()
-        callers = [Caller((host, int(port)), secret, context) for _ in range(peers if over != "UDP" else 0)]
+        callers = [
+            Caller((host, int(port)), secret, context) for _ in range(peers if over != "UDP" else 0)
+        ]
         for caller in callers:
             await caller.open()
         held = (balancer.memory() - before) / max(1, peers)
@@ -236,7 +332,12 @@
     os.sched_setaffinity(0, apart()[1])
     bad = Weather(lost=0.05, doubled=0.05, late=0.1, by=0.1)
     well = [Behaviour() for _ in range(4)]
-    ill = [Behaviour(), Behaviour(twice=0.2), Behaviour(late=0.1, late_by=1.2), Behaviour(deaf=True)]
+    ill = [
+        Behaviour(),
+        Behaviour(twice=0.2),
+        Behaviour(late=0.1, late_by=1.2),
+        Behaviour(deaf=True),
+    ]
     with tempfile.TemporaryDirectory() as folder:
         where = Path(folder)
         alone = asyncio.run(run(given.seed, span, Weather(), well, False, where / "alone"))
@@ -246,58 +347,97 @@
     for name, seen in (("calm", calm), ("lossy", lossy), ("faulty", faulty)):
         told = seen["told"]
         answered = [one for one in told if one.answers]
-        report.say(f"     {name}: {len(told)} records, {len(answered)} answered, on time {share(told):.4f}, "
-                   f"{sum(one.sent for one in told)} packets of clients, HTTP on time "
-                   f"{seen['http'].share_on_time():.4f} (alone {alone['http'].share_on_time():.4f})")
-        report.bound(f"{name}: records that ran twice", sum(n > 1 for n in seen["ran"].values()), most=0)
-        report.bound(f"{name}: records with two contents of answers",
-                     sum(len(set(one.answers)) > 1 for one in told), most=0)
-        report.bound(f"{name}: answered and never ran",
-                     sum(not seen["ran"][one.record] for one in answered), most=0)
-        report.bound(f"{name}: HTTP tasks unanswered, or run twice",
-                     len(seen["http"].unanswered()) + len(seen["twice_http"]), most=0)
-        report.bound(f"{name}: points that HTTP lost on time beside HTTP alone",
-                     100 * (alone["http"].share_on_time() - seen["http"].share_on_time()), most=2)
-        report.bound(f"{name}: lines that say a rule or the program is broken",
-                     seen["log"].count("event=broken") + seen["log"].count("level=error"), most=0)
+        report.say(
+            f"     {name}: {len(told)} records, {len(answered)} answered, on time {share(told):.4f}, "
+            f"{sum(one.sent for one in told)} packets of clients, HTTP on time "
+            f"{seen['http'].share_on_time():.4f} (alone {alone['http'].share_on_time():.4f})"
+        )
+        report.bound(
+            f"{name}: records that ran twice", sum(n > 1 for n in seen["ran"].values()), most=0
+        )
+        report.bound(
+            f"{name}: records with two contents of answers",
+            sum(len(set(one.answers)) > 1 for one in told),
+            most=0,
+        )
+        report.bound(
+            f"{name}: answered and never ran",
+            sum(not seen["ran"][one.record] for one in answered),
+            most=0,
+        )
+        report.bound(
+            f"{name}: HTTP tasks unanswered, or run twice",
+            len(seen["http"].unanswered()) + len(seen["twice_http"]),
+            most=0,
+        )
+        report.bound(
+            f"{name}: points that HTTP lost on time beside HTTP alone",
+            100 * (alone["http"].share_on_time() - seen["http"].share_on_time()),
+            most=2,
+        )
+        report.bound(
+            f"{name}: lines that say a rule or the program is broken",
+            seen["log"].count("event=broken") + seen["log"].count("level=error"),
+            most=0,
+        )
     most, records = (300, 600) if given.short else (3000, 6000)
     with tempfile.TemporaryDirectory() as folder:
         met = asyncio.run(full(given.seed, records, most, Path(folder)))
-    report.say(f"     full memory: {records} records and as many retransmissions, room for {most}; "
-               f"{met['answered']} answered")
-    report.bound("full memory: records that ran twice", sum(n > 1 for n in met["ran"].values()), most=0)
+    report.say(
+        f"     full memory: {records} records and as many retransmissions, room for {most}; "
+        f"{met['answered']} answered"
+    )
+    report.bound(
+        "full memory: records that ran twice", sum(n > 1 for n in met["ran"].values()), most=0
+    )
     report.bound("full memory: records with two answers", max(0, met["contents"] - 1), most=0)
     report.bound("full memory: part of the room that was used", met["answered"] / most, least=0.95)
     few, many = look_up(10), look_up(10_000)
-    report.say(f"     client and route among 10 realms, NAS prefixes and networks: {few:.1f} us, "
-               f"among 10,000: {many:.1f} us")
+    report.say(
+        f"     client and route among 10 realms, NAS prefixes and networks: {few:.1f} us, "
+        f"among 10,000: {many:.1f} us"
+    )
     # Trying each would be a thousand times as much; what is left is the memory that more entries lie in.
     report.bound("look-up among 10,000 over that among 10", many / few, most=4.0)
     costs = {}
     for over in ("UDP", "TCP", "TLS"):
         with tempfile.TemporaryDirectory() as folder:
-            costs[over] = asyncio.run(transport(over, 384 if given.short else 7680, 30, Path(folder)))
-        report.say(f"     over {over}: {costs[over]['cpu_ms']:.2f} ms of CPU a record, "
-                   f"{costs[over]['kb']:.0f} KB a connection, answered {costs[over]['answered']:.3f}")
+            costs[over] = asyncio.run(
+                transport(over, 384 if given.short else 7680, 30, Path(folder))
+            )
+        report.say(
+            f"     over {over}: {costs[over]['cpu_ms']:.2f} ms of CPU a record, "
+            f"{costs[over]['kb']:.0f} KB a connection, answered {costs[over]['answered']:.3f}"
+        )
         report.bound(f"over {over}: part answered", costs[over]["answered"], least=0.98)
         report.figure(f"cpu_ms_{over}", costs[over]["cpu_ms"])
-    report.bound("CPU of a record over TLS beside UDP", costs["TLS"]["cpu_ms"] / costs["UDP"]["cpu_ms"],
-                 most=2.0)
+    report.bound(
+        "CPU of a record over TLS beside UDP",
+        costs["TLS"]["cpu_ms"] / costs["UDP"]["cpu_ms"],
+        most=2.0,
+    )
     rounds = 2 if given.short else 50
     for name, state in (("no state file", None), ("state file", {})):
         with tempfile.TemporaryDirectory() as folder:
             turns = min(rounds - 1, 10) if state is None else rounds
             met = asyncio.run(killed(given.seed, turns, state, Path(folder)))
         twice = sum(n > 1 for n in met["ran"].values())
-        report.say(f"     killed, {name}: {met['sent']} records, {len(met['ran'])} ran, {twice} twice, "
-                   f"{met['answered']} answered, slowest start {met['start']:.2f} s, {met['size']} bytes")
+        report.say(
+            f"     killed, {name}: {met['sent']} records, {len(met['ran'])} ran, {twice} twice, "
+            f"{met['answered']} answered, slowest start {met['start']:.2f} s, {met['size']} bytes"
+        )
         report.figure(f"twice_with_{name.replace(' ', '_')}", twice)
         if state is not None:
             report.bound(f"kill -9 in {rounds} rounds: records that ran twice", twice, most=0)
             report.bound("kill -9: faults in the log", met["faults"], most=0)
-            report.bound("kill -9: part of the records that ran", len(met["ran"]) / met["sent"], least=0.9)
-    report.bound("lossy: answered", sum(bool(one.answers) for one in lossy["told"]) / len(lossy["told"]),
-                 least=0.99)
+            report.bound(
+                "kill -9: part of the records that ran", len(met["ran"]) / met["sent"], least=0.9
+            )
+    report.bound(
+        "lossy: answered",
+        sum(bool(one.answers) for one in lossy["told"]) / len(lossy["told"]),
+        least=0.99,
+    )
     packets = calm["packets"]
     report.figure("on_time_calm", share(calm["told"]))
     report.figure("on_time_lossy", share(lossy["told"]))
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -23,8 +23,11 @@
     for number in range(count):
         host, kind = number // PER_HOST, number % PER_HOST
         name = f"*.h{host}.example" if host % 5 == 4 else f"h{host}.example"
-        path, prefix = [(f"/exact/{kind}", False), (f"/networks/{{n}}/kind{kind}", False),
-                        (f"/under/{kind}", True)][kind % 3]
+        path, prefix = [
+            (f"/exact/{kind}", False),
+            (f"/networks/{{n}}/kind{kind}", False),
+            (f"/under/{kind}", True),
+        ][kind % 3]
         methods = frozenset(["POST"]) if kind % 2 else frozenset[str]()
         found.append(Route(f"r{number}", name, path, prefix, methods))
     return found
@@ -36,8 +39,12 @@
     for _ in range(number):
         host, kind = chance.randrange(max(1, count // PER_HOST)), chance.randrange(PER_HOST)
         name = f"x.H{host}.example:80" if host % 5 == 4 else f"h{host}.example"
-        path = [f"/exact/{kind}", f"/networks/{chance.randrange(10**6)}/kind{kind}",
-                f"/under/{kind}/a/b", "/nowhere/at/all"][kind % 4]
+        path = [
+            f"/exact/{kind}",
+            f"/networks/{chance.randrange(10**6)}/kind{kind}",
+            f"/under/{kind}/a/b",
+            "/nowhere/at/all",
+        ][kind % 4]
         found.append(("POST" if chance.random() < 0.7 else "GET", name, path))
     return found
 
@@ -66,18 +73,26 @@
         built = 1000 * (time.perf_counter() - begun)
         asked = questions(count, number, chance)
         costs[count] = timed(asked, table, rounds)
-        few = [Asked(method, normal.host(host), normal.path(path)) for method, host, path in asked[:50]]
+        few = [
+            Asked(method, normal.host(host), normal.path(path)) for method, host, path in asked[:50]
+        ]
         begun = time.perf_counter()
         scanned = [scan(found, one) for one in few]
         plain = 1e6 * (time.perf_counter() - begun) / len(few)
-        differ = sum((None if isinstance(got := table.find(one), Missed) else got) is not other
-                     for one, other in zip(few, scanned))
-        report.say(f"     {count} routes: {costs[count]:.2f} us a look-up, {plain:.0f} us by a plain scan; "
-                   f"compiled in {built:.0f} ms")
+        differ = sum(
+            (None if isinstance(got := table.find(one), Missed) else got) is not other
+            for one, other in zip(few, scanned)
+        )
+        report.say(
+            f"     {count} routes: {costs[count]:.2f} us a look-up, {plain:.0f} us by a plain scan; "
+            f"compiled in {built:.0f} ms"
+        )
         report.bound(f"{count} routes: answers other than a plain scan's", differ, most=0)
         report.figure(f"us_{count}", costs[count])
         report.figure(f"scan_us_{count}", plain)
-    report.bound("10,000 routes: cost of a look-up over that at 10", costs[10_000] / costs[10], most=1.5)
+    report.bound(
+        "10,000 routes: cost of a look-up over that at 10", costs[10_000] / costs[10], most=1.5
+    )
     return report.close()
 
 
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -39,12 +39,31 @@
 class Trial:
     """A bank over one pool of ten upstreams, each process with a stream of its own."""
 
-    def __init__(self, folder: Path, count: int, seed: int, verdicts: bool, relayed: bool = False,
-                 upstreams: int = 10, **rules: Any) -> None:
-        self.fleet = Fleet({f"s-{n}": Script(workers=8, work=WORK, spread="exponential")
-                            for n in range(upstreams)}, seed)
-        self.bank = Bank(count, folder, self.service, seed, relayed=relayed,
-                         verdicts={"part": 0.2, "life": "3s", "term": "30s"} | rules if verdicts else None)
+    def __init__(
+        self,
+        folder: Path,
+        count: int,
+        seed: int,
+        verdicts: bool,
+        relayed: bool = False,
+        upstreams: int = 10,
+        **rules: Any,
+    ) -> None:
+        self.fleet = Fleet(
+            {
+                f"s-{n}": Script(workers=8, work=WORK, spread="exponential")
+                for n in range(upstreams)
+            },
+            seed,
+        )
+        self.bank = Bank(
+            count,
+            folder,
+            self.service,
+            seed,
+            relayed=relayed,
+            verdicts={"part": 0.2, "life": "3s", "term": "30s"} | rules if verdicts else None,
+        )
         self.seed, self.loads = seed, list[Loads]()
 
     def service(self, process: Process) -> files.Plain:
@@ -56,9 +75,14 @@
         self.bank.start()
         self.bank.until(self.bank.gathered, 30.0)
         begun = time.monotonic() + 0.5
-        streams = [(process.balancer.address, Asks(f"t{process.number}", RATE, "/t/x", "GET", "t.example",
-                                                   PATIENCE, AGREED))
-                   for process in self.bank.processes if process.balancer]
+        streams = [
+            (
+                process.balancer.address,
+                Asks(f"t{process.number}", RATE, "/t/x", "GET", "t.example", PATIENCE, AGREED),
+            )
+            for process in self.bank.processes
+            if process.balancer
+        ]
         self.loads.append(Loads(streams, self.seed, begun, span))
         return begun
 
@@ -73,15 +97,23 @@
 
     def resting(self) -> dict[int, set[str]]:
         """What rests at each process."""
-        return {process.number: {row["upstream"] for row in self.bank.ask(process.number, "verdicts")
-                                 if row["state"] == "rests"}
-                for process in self.bank.processes if process.alive() and not process.stopped}
+        return {
+            process.number: {
+                row["upstream"]
+                for row in self.bank.ask(process.number, "verdicts")
+                if row["state"] == "rests"
+            }
+            for process in self.bank.processes
+            if process.alive() and not process.stopped
+        }
 
     def shares(self, begun: float, windows: list[tuple[float, float]]) -> list[float]:
         found = []
         gateways = [gateway for load in self.loads for gateway in load.results()]
         for first, last in windows:
-            tasks = [task for one in gateways for task in one.told if first <= task.due - begun < last]
+            tasks = [
+                task for one in gateways for task in one.told if first <= task.due - begun < last
+            ]
             found.append(sum(task.on_time(AGREED) for task in tasks) / max(1, len(tasks)))
         return found
 
@@ -109,17 +141,28 @@
             last = trial.last("s-3") - at
             found[verdicts] = last, trial.shares(begun, [(2.0, WARM), (WARM + 1.0, WARM + 5.0)])
             if verdicts:
-                told = [line for process in trial.bank.processes if process.balancer
-                        for line in process.balancer.log().splitlines() if "verdict_rests" in line]
+                told = [
+                    line
+                    for process in trial.bank.processes
+                    if process.balancer
+                    for line in process.balancer.log().splitlines()
+                    if "verdict_rests" in line
+                ]
                 report.bound("processes at which it rested", len(told), least=count)
-                report.bound("that rested and was not slow", sum("s-3" not in line for line in told), most=0)
+                report.bound(
+                    "that rested and was not slow", sum("s-3" not in line for line in told), most=0
+                )
         finally:
             trial.end()
     for verdicts, (last, shares) in found.items():
-        report.say(f"     {'with' if verdicts else 'without'} verdicts: sent to for {last:.2f} s, on time "
-                   f"{shares[0]:.3f} before, {shares[1]:.3f} from 1 to 5 s after")
+        report.say(
+            f"     {'with' if verdicts else 'without'} verdicts: sent to for {last:.2f} s, on time "
+            f"{shares[0]:.3f} before, {shares[1]:.3f} from 1 to 5 s after"
+        )
     report.bound("out of the draw everywhere within, s", found[True][0], most=2.0)
-    report.bound("on time with verdicts less without", found[True][1][1] - found[False][1][1], least=0.0)
+    report.bound(
+        "on time with verdicts less without", found[True][1][1] - found[False][1][1], least=0.0
+    )
     report.figure("out_s", [round(found[True][0], 2), round(found[False][0], 2)])
     report.figure("on_time", [round(found[True][1][1], 3), round(found[False][1][1], 3)])
 
@@ -132,9 +175,14 @@
         until(begun + WARM)
         trial.slow(trial.fleet.addresses, 0.1)
         until(begun + WARM + 6.0)
-        report.bound("that rested while all were slow", sum(map(len, trial.resting().values())), most=0)
-        said = sum(process.balancer.said("verdict_rests") for process in trial.bank.processes
-                   if process.balancer)
+        report.bound(
+            "that rested while all were slow", sum(map(len, trial.resting().values())), most=0
+        )
+        said = sum(
+            process.balancer.said("verdict_rests")
+            for process in trial.bank.processes
+            if process.balancer
+        )
         report.bound("verdicts while all were slow", said, most=0)
     finally:
         trial.end()
@@ -162,8 +210,12 @@
         process = trial.bank.processes[0].balancer
         assert process
         hearings = process.said("event=verdict_none")
-        said = sum(one.balancer.said("verdict_rests") for one in trial.bank.processes if one.balancer)
-        report.say(f"     one of {count} with bad ways to six of ten: {hearings} hearings of it in vain")
+        said = sum(
+            one.balancer.said("verdict_rests") for one in trial.bank.processes if one.balancer
+        )
+        report.say(
+            f"     one of {count} with bad ways to six of ten: {hearings} hearings of it in vain"
+        )
         report.bound("verdicts by one process with bad ways", said, most=0)
     finally:
         trial.end()
@@ -172,7 +224,9 @@
 
 def parts(report: Report, folder: Path, count: int, seed: int, rounds: int) -> None:
     """A bank that is cut, unevenly and in halves, while upstreams turn slow: what rests anywhere."""
-    trial = Trial(folder, count, seed, True, relayed=True, part=0.2, term="4s", life="2s", back="1s")
+    trial = Trial(
+        folder, count, seed, True, relayed=True, part=0.2, term="4s", life="2s", back="1s"
+    )
     chance, most, worst, some = Random(f"parts/{seed}"), 2, 0, 0
     try:
         begun = trial.start(WARM + 6.0 * rounds)
@@ -211,8 +265,11 @@
         trial.bank.cut("one", [0], list(range(1, count)))
         took = trial.bank.until(lambda: not trial.resting()[0], 10.0)
         report.bound("a verdict at a member that was cut off lasted, s", took, most=3.5)
-        report.bound("members that go on by it", sum("s-3" in one for one in trial.resting().values()),
-                     least=count - 1)
+        report.bound(
+            "members that go on by it",
+            sum("s-3" in one for one in trial.resting().values()),
+            least=count - 1,
+        )
         trial.bank.heal("one")
         trial.bank.until(lambda: all("s-3" in one for one in trial.resting().values()), 10.0)
     finally:
@@ -224,12 +281,24 @@
     with ProcessPoolExecutor(max(1, len(os.sched_getaffinity(0))), get_context("spawn")) as pool:
         if not short:
             for index, result in enumerate(pool.map(_whole, range(len(votedays.WHOLE)))):
-                report.say(f"     {votedays.WHOLE[index].what}: {result[0]} states, {result[1]} steps")
+                report.say(
+                    f"     {votedays.WHOLE[index].what}: {result[0]} states, {result[1]} steps"
+                )
                 report.bound("breaches", float(bool(result[2])), most=0)
-        walked = list(pool.map(_walked, [(index, 20_000 if short else 1_000_000, seed)
-                                         for index in range(len(votedays.WALKS))]))
-        report.bound(f"of {sum(one[0] for one in walked)} random steps, walks in which too many rest",
-                     sum(bool(one[1]) for one in walked), most=0)
+        walked = list(
+            pool.map(
+                _walked,
+                [
+                    (index, 20_000 if short else 1_000_000, seed)
+                    for index in range(len(votedays.WALKS))
+                ],
+            )
+        )
+        report.bound(
+            f"of {sum(one[0] for one in walked)} random steps, walks in which too many rest",
+            sum(bool(one[1]) for one in walked),
+            most=0,
+        )
         names = sorted(FAULTS)[::4] if short else sorted(FAULTS)
         missed = [name for name, length in zip(names, pool.map(_found, names)) if not length]
         report.say(f"     put in and not found: {', '.join(missed) or 'none'}")
--- a/example/toy.py
+++ b/example/toy.py
@@ -93,8 +93,16 @@
 
     def entry(self, host: str, health: str = "up", born_ms: int = 0) -> dict[str, Any]:
         """Its line of the list."""
-        return {"host": host, "dial": self.dial, "site": "a", "class": "m", "block": 0, "health": health,
-                "share": 1.0, "born_ms": born_ms}
+        return {
+            "host": host,
+            "dial": self.dial,
+            "site": "a",
+            "class": "m",
+            "block": 0,
+            "health": health,
+            "share": 1.0,
+            "born_ms": born_ms,
+        }
 
 
 class Discovery(Toy):
@@ -147,7 +155,9 @@
         while self.hung_up == hung_up:
             request.wfile.write(b"%x\r\n%s\r\n" % (len(piece), piece))
             with self.news:
-                self.news.wait_for(lambda: len(self.lines) > told or self.hung_up != hung_up, self.beat)
+                self.news.wait_for(
+                    lambda: len(self.lines) > told or self.hung_up != hung_up, self.beat
+                )
                 piece = b"".join(line + b"\n" for _, line in self.lines[told:]) or b"\n"
                 told = len(self.lines)
         request.close_connection = True
@@ -155,7 +165,9 @@
 
 def main() -> None:
     upstreams = [Upstream(port=port) for port in (9101, 9102, 9103)]
-    Discovery(*(upstream.entry(f"toy-{number}") for number, upstream in enumerate(upstreams)), port=8500)
+    Discovery(
+        *(upstream.entry(f"toy-{number}") for number, upstream in enumerate(upstreams)), port=8500
+    )
     print("three toy upstreams and discovery are up; Ctrl-C ends them", flush=True)
     try:
         while True:
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -7,8 +7,13 @@
 
 MS = SECOND // 1000
 SETTINGS = {
-    "balancers": 1, "limits.max_hand_offs": 3, "limits.second_copies": True, "limits.cancelling": True,
-    "rules.cold": 10 * SECOND, "rules.cold_from": 0.2, "rules.drain_grace": SECOND,
+    "balancers": 1,
+    "limits.max_hand_offs": 3,
+    "limits.second_copies": True,
+    "limits.cancelling": True,
+    "rules.cold": 10 * SECOND,
+    "rules.cold_from": 0.2,
+    "rules.drain_grace": SECOND,
 }
 
 
@@ -27,7 +32,9 @@
         self.asked: list[int] = []  # when the list was asked for
         self.tasks = 0
         group = settings.pop("group", "all")
-        self.workload = Workload("any", kind, 800 * MS, 3000 * MS, 5.0, group=group, window=2 * SECOND)
+        self.workload = Workload(
+            "any", kind, 800 * MS, 3000 * MS, 5.0, group=group, window=2 * SECOND
+        )
         self.choice = Choice(self, SETTINGS | settings, [self.workload], settings.pop("seed", 7))
         self.upstreams = [Upstream(n, READY, n % 2, 0, 0) for n in range(count)]
         if count:
@@ -98,7 +105,9 @@
             self.choice.bell(due[1])
         self.now = until
 
-    def traffic(self, span: int, every: int = 20 * MS, takes=lambda upstream: 50 * MS, load=None) -> None:
+    def traffic(
+        self, span: int, every: int = 20 * MS, takes=lambda upstream: 50 * MS, load=None
+    ) -> None:
         """Steady tasks; each upstream answers after what `takes` says, or never where that is None."""
         until, next_task = self.now + span, self.now
         while self.now < until:
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -19,8 +19,13 @@
 from whinpier.standin.load import Loads
 from whinpier.standin.upstream import Script
 
-AGREEMENT = {"voters": ["m0", "m1", "m2"], "permits": {
-    "all": {"of": "balancers", "out": 1}, "t": {"of": "upstreams", "pool": "t", "out": 1}}}
+AGREEMENT = {
+    "voters": ["m0", "m1", "m2"],
+    "permits": {
+        "all": {"of": "balancers", "out": 1},
+        "t": {"of": "upstreams", "pool": "t", "out": 1},
+    },
+}
 
 
 class Trial:
@@ -53,20 +58,30 @@
 
     def load(self, span, *numbers):
         those = [self.bank.processes[number] for number in numbers]
-        self.loads = Loads([(one.balancer.address, Asks(
-            one.name, 40.0, "/t/x", "POST", "t.example", 1.5, 0.25)) for one in those], 1,
-            time.monotonic() + 0.1, span)
+        self.loads = Loads(
+            [
+                (one.balancer.address, Asks(one.name, 40.0, "/t/x", "POST", "t.example", 1.5, 0.25))
+                for one in those
+            ],
+            1,
+            time.monotonic() + 0.1,
+            span,
+        )
 
     def say(self, number, *words, code=0):
         """One command at one process, to its end."""
-        found = CliRunner().invoke(cli, ["bank", *words, "--socket", self.bank.processes[number].control])
+        found = CliRunner().invoke(
+            cli, ["bank", *words, "--socket", self.bank.processes[number].control]
+        )
         assert found.exit_code == code, (words, found.exit_code, found.output)
         return found.output
 
     def one_state(self):
         """Whether all that run hold the same."""
-        states = {json.dumps([self.status(n)[key] for key in ("record", "line", "digest")])
-                  for n in self.alive()}
+        states = {
+            json.dumps([self.status(n)[key] for key in ("record", "line", "digest")])
+            for n in self.alive()
+        }
         return len(states) == 1
 
     def end(self):
@@ -119,8 +134,19 @@
 def test_a_release_goes_to_all_and_a_bad_one_is_met_by_its_canary_alone(trial, tmp_path):
     four = trial(4)
     good, bad, faulty = (tmp_path / name for name in ("good.toml", "bad.toml", "faulty.toml"))
-    good.write_text(files.document(four.service(upstreams=files.upstreams(
-        {name: address for name, address in four.fleet.addresses.items() if name != "s-2"}))))
+    good.write_text(
+        files.document(
+            four.service(
+                upstreams=files.upstreams(
+                    {
+                        name: address
+                        for name, address in four.fleet.addresses.items()
+                        if name != "s-2"
+                    }
+                )
+            )
+        )
+    )
     bad.write_text(files.document(four.service(upstreams=files.upstreams({"s-0": "127.0.0.1:9"}))))
     faulty.write_text(good.read_text().replace("exclusive", "inclusive"))
     four.load(16.0, 0, 1, 2, 3)
@@ -170,7 +196,9 @@
     four.bank.cut("apart", [leader], rest)
     until(lambda: [n for n in rest if four.status(n)["role"] == "leader"])
     until(lambda: four.status(leader)["role"] != "leader")
-    assert "most voters are not heard" in four.say(leader, "undrain", "balancer", "m3", "--wait", "1", code=1)
+    assert "most voters are not heard" in four.say(
+        leader, "undrain", "balancer", "m3", "--wait", "1", code=1
+    )
     four.bank.heal("apart")
     until(lambda: four.one_state() and not four.status(0)["lost"])
     for number in range(4):
@@ -179,7 +207,9 @@
         four.bank.processes[number].start()
     for number in range(3):
         four.bank.processes[number].balancer.wait_ready()
-    until(lambda: four.status(3)["current"] and four.status(3)["aside"])  # it is drained, as the record says
+    until(
+        lambda: four.status(3)["current"] and four.status(3)["aside"]
+    )  # it is drained, as the record says
     four.say(0, "undrain", "balancer", "m3")
     four.bank.processes[3].balancer.wait_ready()
 
@@ -191,10 +221,19 @@
     def operate(number, name):
         found = three.status(number)["revision"]
         ends.wait(10.0)
-        three.bank.ask(number, "command", name="drain", value={
-            "id": 7 + number, "name": name, "who": f"op-{name}", "based": found})
-        said[name] = until(lambda: [one for one in [three.bank.ask(number, "outcome", name=str(7 + number))]
-                                    if one["known"]])[0]
+        three.bank.ask(
+            number,
+            "command",
+            name="drain",
+            value={"id": 7 + number, "name": name, "who": f"op-{name}", "based": found},
+        )
+        said[name] = until(
+            lambda: [
+                one
+                for one in [three.bank.ask(number, "outcome", name=str(7 + number))]
+                if one["known"]
+            ]
+        )[0]
 
     both = [threading.Thread(target=operate, args=given) for given in ((0, "m1"), (1, "m2"))]
     for one in both:
@@ -225,46 +264,69 @@
     three.load(3.0, 0, 1, 2)
     met = three.fleet.tell("s-1")["met"]
     for one in three.bank.processes:  # listed anew under its name, as another run
-        again = [{"name": name, "address": address, **({"started_ms": int(time.time() * 1000)}
-                                                       if name == "s-1" else {})}
-                 for name, address in three.fleet.addresses.items()]
+        again = [
+            {
+                "name": name,
+                "address": address,
+                **({"started_ms": int(time.time() * 1000)} if name == "s-1" else {}),
+            }
+            for name, address in three.fleet.addresses.items()
+        ]
         one.balancer.reload(files.document(one.file() | three.service(upstreams=again)))
     assert not any(one.unanswered() for one in three.loads.results())
     assert three.fleet.tell("s-1")["met"] == met
 
 
-def test_faulty_keys_of_the_record_are_named_and_without_its_table_nothing_of_it_is_there(trial, tmp_path):
+def test_faulty_keys_of_the_record_are_named_and_without_its_table_nothing_of_it_is_there(
+    trial, tmp_path
+):
     key = tmp_path / "key"
     key.write_text("a key for a trial, not a secret")
     key.chmod(0o600)
-    whole = {"version": 1, "name": "m0", "listen": ["127.0.0.1:9000"], "pools": {
-        "t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.1, 1.0)},
-        "routes": [files.route("t", "rerunnable", "t")]}
+    whole = {
+        "version": 1,
+        "name": "m0",
+        "listen": ["127.0.0.1:9000"],
+        "pools": {"t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.1, 1.0)},
+        "routes": [files.route("t", "rerunnable", "t")],
+    }
     path = tmp_path / "operator.toml"
     for wrong, said in (
-            ({"voters": [], "folder": "/x"}, "bank.agreement.voters"),
-            ({"voters": ["m0", "m0"], "folder": "/x"}, "none twice"),
-            ({"voters": ["m0"], "folder": "x"}, "bank.agreement.folder: 'x' is no whole path"),
-            ({"voters": ["m0"], "folder": "/x", "permits": {"a": {"of": "balancers", "out": 1, "pool": "t"}}},
-             "bank.agreement.permits.a.pool"),
-            ({"voters": ["m0"], "folder": "/x", "wait": "soon"}, "bank.agreement.wait"),
-            ({"voters": ["m0"], "folder": "/x", "cut_off": "1s"}, "bank.agreement.cut_off: is shorter")):
+        ({"voters": [], "folder": "/x"}, "bank.agreement.voters"),
+        ({"voters": ["m0", "m0"], "folder": "/x"}, "none twice"),
+        ({"voters": ["m0"], "folder": "x"}, "bank.agreement.folder: 'x' is no whole path"),
+        (
+            {
+                "voters": ["m0"],
+                "folder": "/x",
+                "permits": {"a": {"of": "balancers", "out": 1, "pool": "t"}},
+            },
+            "bank.agreement.permits.a.pool",
+        ),
+        ({"voters": ["m0"], "folder": "/x", "wait": "soon"}, "bank.agreement.wait"),
+        ({"voters": ["m0"], "folder": "/x", "cut_off": "1s"}, "bank.agreement.cut_off: is shorter"),
+    ):
         bank = {"listen": "127.0.0.1:9001", "key_files": [str(key)], "agreement": wrong}
         path.write_text(files.document(whole | {"bank": bank}))
         with pytest.raises(ConfigFault, match=said):
             operator.read(str(path))
     folder = tmp_path / "agreed"
     folder.mkdir()
-    bank = {"listen": "127.0.0.1:9001", "key_files": [str(key)],
-            "agreement": {"voters": ["m0"], "folder": str(folder)}}
+    bank = {
+        "listen": "127.0.0.1:9001",
+        "key_files": [str(key)],
+        "agreement": {"voters": ["m0"], "folder": str(folder)},
+    }
     path.write_text(files.document(whole | {"bank": bank}))
     before = operator.read(str(path))
     (folder / "released.toml").write_text('# release ab\nup = "/ready"\n')
     after = operator.read(str(path))
     assert (before.up, after.up) == (b"/up", b"/ready") and before.revision != after.revision
-    for text, said in (('listen = ["127.0.0.1:1"]', "listen: belongs into each process's own file"),
-                       ('[bank]\nlisten = "127.0.0.1:1"', "only limits and verdicts are released"),
-                       ("up = ", "Invalid value")):
+    for text, said in (
+        ('listen = ["127.0.0.1:1"]', "listen: belongs into each process's own file"),
+        ('[bank]\nlisten = "127.0.0.1:1"', "only limits and verdicts are released"),
+        ("up = ", "Invalid value"),
+    ):
         with pytest.raises(ConfigFault, match=said):
             operator.read(str(path), text.encode(), False)
 
@@ -278,9 +340,22 @@
     content = {}
 
     def say():
-        content["said"] = CliRunner().invoke(cli, [
-            "bank", "release", str(file), "--waves", "1", "--window", "5s", "--back", "2s", "--socket",
-            three.bank.processes[2].control])
+        content["said"] = CliRunner().invoke(
+            cli,
+            [
+                "bank",
+                "release",
+                str(file),
+                "--waves",
+                "1",
+                "--window",
+                "5s",
+                "--back",
+                "2s",
+                "--socket",
+                three.bank.processes[2].control,
+            ],
+        )
 
     thread = threading.Thread(target=say)
     thread.start()
@@ -291,6 +366,8 @@
     thread.join(20.0)
     assert content["said"].exit_code == 3 and "m0" in content["said"].output
     three.bank.heal("off")
-    until(lambda: three.one_state() and not three.status(1)["lost"] and not three.status(1)["release"])
+    until(
+        lambda: three.one_state() and not three.status(1)["lost"] and not three.status(1)["release"]
+    )
     assert {three.status(n)["runs"] for n in range(3)} == {""}
     assert not any(one.unanswered() or one.answered_twice() for one in three.loads.results())
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -7,10 +7,34 @@
 from hypothesis import strategies as st
 
 from whinpier.bank import agreement as raft
-from whinpier.bank.agreement import (COMPACT, KEPT, LEADER, MOST_OPEN, PIECE_SIZE, SERVED, VOTERS, Agreement,
-                                     Copy, compacted, pack, replayed)
-from whinpier.bank.forms import (APPEND, ASK_EARLY, FETCH, LINES, MOST_TALK, PIECE, READ, Datagram, Line,
-                                 Seal, Talk, size_of)
+from whinpier.bank.agreement import (
+    COMPACT,
+    KEPT,
+    LEADER,
+    MOST_OPEN,
+    PIECE_SIZE,
+    SERVED,
+    VOTERS,
+    Agreement,
+    Copy,
+    compacted,
+    pack,
+    replayed,
+)
+from whinpier.bank.forms import (
+    APPEND,
+    ASK_EARLY,
+    FETCH,
+    LINES,
+    MOST_TALK,
+    PIECE,
+    READ,
+    Datagram,
+    Line,
+    Seal,
+    Talk,
+    size_of,
+)
 from whinpier.check.explore import every, replay
 from whinpier.check.records import COMMAND, FAULTS, Lines
 from whinpier.check.recorddays import SLOW, WALKS, WHOLE, found
@@ -46,11 +70,18 @@
     def __init__(self, count=3, spare=0, copies=None):
         config = {f"m{n}": n + 1 for n in range(count)}
         self.now = 0
-        self.disks = copies or [[(raft.WHO, 256, n + 1), (raft.TERM, 1, 0),
-                                 *([(raft.LINE, 1, 1, VOTERS, pack(config))] if n < count else [])]
-                                for n in range(count + spare)]
-        self.those = {f"m{n}": Agreement(f"m{n}", replayed(disk), Lines(), 0, Random(n))
-                      for n, disk in enumerate(self.disks)}
+        self.disks = copies or [
+            [
+                (raft.WHO, 256, n + 1),
+                (raft.TERM, 1, 0),
+                *([(raft.LINE, 1, 1, VOTERS, pack(config))] if n < count else []),
+            ]
+            for n in range(count + spare)
+        ]
+        self.those = {
+            f"m{n}": Agreement(f"m{n}", replayed(disk), Lines(), 0, Random(n))
+            for n, disk in enumerate(self.disks)
+        }
         self.cut = set()
         self.largest = 0
 
@@ -80,7 +111,11 @@
             for one in self.those.values():
                 if one.name not in self.cut:
                     for other in self.those.values():
-                        if other.name not in self.cut and other.commit > one.commit and not one.votes_here:
+                        if (
+                            other.name not in self.cut
+                            and other.commit > one.commit
+                            and not one.votes_here
+                        ):
                             one.told(other.name, other.record, other.commit, other.term, 0)
                     while one.due() <= self.now:
                         one.tick(self.now)
@@ -88,7 +123,9 @@
 
     @property
     def leader(self):
-        return next(one for one in self.those.values() if one.role == LEADER and one.name not in self.cut)
+        return next(
+            one for one in self.those.values() if one.role == LEADER and one.name not in self.cut
+        )
 
 
 def test_a_leader_comes_within_two_patiences_and_the_next_after_it_is_cut_off():
@@ -106,7 +143,9 @@
     three.settle()
     three.cut.clear()
     three.run(1.0)
-    assert all([data for _, data in one.machine.all] == [b"one", b"two"] for one in three.those.values())
+    assert all(
+        [data for _, data in one.machine.all] == [b"one", b"two"] for one in three.those.values()
+    )
 
 
 def test_a_member_that_was_cut_off_disturbs_nobody_when_it_comes_back():
@@ -142,7 +181,7 @@
     for one, disk in zip(three.those.values(), three.disks):
         assert replayed(disk) == one.copy() == replayed(compacted(one.copy()))
         for end in range(3, len(disk)):
-            assert replayed(disk[:end]).lines == one.copy().lines[:len(replayed(disk[:end]).lines)]
+            assert replayed(disk[:end]).lines == one.copy().lines[: len(replayed(disk[:end]).lines)]
     for wrong in ([(raft.LINE, 5, 1, 2, b"")], [(9, 1)], [(raft.TERM, 1)], [(raft.LINE,)]):
         with pytest.raises((ValueError, TypeError, IndexError)):
             replayed([(raft.WHO, 256, 1), *wrong])
@@ -166,7 +205,7 @@
         assert len(one.machine.all) == COMPACT + 100 and one.machine.all == leader.machine.all
         again = Agreement(one.name, replayed(four.disks[int(one.name[1:])]), Lines(), 0, Random(1))
         assert again.config == leader.config and again.last == one.last
-        assert again.machine.all == one.machine.all[:len(again.machine.all)]
+        assert again.machine.all == one.machine.all[: len(again.machine.all)]
     assert four.those[away].counts["states_learned"] and four.those["m3"].counts["states_learned"]
     assert four.largest <= MOST_TALK + 100
 
@@ -183,7 +222,9 @@
     leader.counts_as = lambda talk, sender: Agreement.counts_as(leader, talk, sender)
     assert not leader.counts_as(Talk(raft.TAKEN, 256, 77, leader.term, 1, 99), lost)
     config = leader.config
-    assert leader.change_voters({**config, lost: 77}) == "one voter at a time is added or taken away"
+    assert (
+        leader.change_voters({**config, lost: 77}) == "one voter at a time is added or taken away"
+    )
     assert leader.change_voters({name: disk for name, disk in config.items() if name != lost}) == ""
     three.run(0.5)
     assert leader.change_voters({**leader.config, lost: 77}) == ""
@@ -197,7 +238,9 @@
     three.leader.command(COMMAND, b"kept")
     three.settle()
     for name in ("m1", "m2"):
-        three.those[name] = Agreement(name, Copy(disk=50 + int(name[1:])), Lines(), three.now, Random(9))
+        three.those[name] = Agreement(
+            name, Copy(disk=50 + int(name[1:])), Lines(), three.now, Random(9)
+        )
         three.disks[int(name[1:])] = []
     alone = three.those["m0"]
     three.run(3.0)
@@ -243,11 +286,28 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(st.lists(st.builds(
-    Talk, st.integers(0, 15), st.sampled_from((0, 256, 257, 999)), st.integers(0, 4), st.integers(0, 6),
-    st.integers(0, 9), st.integers(0, 9), st.integers(0, 2**40), st.integers(0, 9),
-    st.lists(st.builds(Line, st.integers(0, 6), st.integers(2, 9), st.binary(max_size=9)), max_size=3),
-    st.binary(max_size=PIECE_SIZE)), max_size=12), st.integers(0, 3))
+@given(
+    st.lists(
+        st.builds(
+            Talk,
+            st.integers(0, 15),
+            st.sampled_from((0, 256, 257, 999)),
+            st.integers(0, 4),
+            st.integers(0, 6),
+            st.integers(0, 9),
+            st.integers(0, 9),
+            st.integers(0, 2**40),
+            st.integers(0, 9),
+            st.lists(
+                st.builds(Line, st.integers(0, 6), st.integers(2, 9), st.binary(max_size=9)),
+                max_size=3,
+            ),
+            st.binary(max_size=PIECE_SIZE),
+        ),
+        max_size=12,
+    ),
+    st.integers(0, 3),
+)
 def test_no_talk_makes_it_raise_or_grow(talks, which):
     three = Voters()
     three.run(2.0)
--- a/tests/test_badday.py
+++ b/tests/test_badday.py
@@ -1,8 +1,19 @@
 """Stories of bad days: days are data, become smaller, and what is held of them can break."""
 
 from whinpier.standin import badday
-from whinpier.standin.badday import (BURST, RATE, Day, Player, at_once, draw, excess, read, shrink, smaller,
-                                     text)
+from whinpier.standin.badday import (
+    BURST,
+    RATE,
+    Day,
+    Player,
+    at_once,
+    draw,
+    excess,
+    read,
+    shrink,
+    smaller,
+    text,
+)
 from whinpier.standin.faults import Schedule
 from whinpier.standin.faulty import FAULTS
 from whinpier.standin.referee import Fact, Said
@@ -10,13 +21,21 @@
 
 def test_days_are_drawn_alike_from_one_seed_and_are_read_as_they_were_written():
     days = [draw(seed, 8, 25.0) for seed in range(200)]
-    assert days == [draw(seed, 8, 25.0) for seed in range(200)] and len({text(day) for day in days}) == 200
+    assert (
+        days == [draw(seed, 8, 25.0) for seed in range(200)]
+        and len({text(day) for day in days}) == 200
+    )
     assert all(read(text(day)) == day for day in days)
     kinds = {fault.kind for day in days for fault in day.schedule.faults}
     assert kinds == set(badday.DRAWN) and any(day.whole for day in days)
     # The last two are never hit by name, and all has ended well before the end.
-    assert all(number < 6 for day in days for fault in day.schedule.faults if fault.kind != "one_way"
-               for number in fault.who)
+    assert all(
+        number < 6
+        for day in days
+        for fault in day.schedule.faults
+        if fault.kind != "one_way"
+        for number in fault.who
+    )
     assert all(day.schedule.quiet_from() < 25.0 for day in days)
 
 
@@ -24,7 +43,12 @@
     day = next(day for seed in range(100) if len((day := draw(seed, 8, 25.0)).schedule.faults) > 3)
     wanted = day.schedule.faults[1]
     small, played = shrink(day, lambda other: wanted in other.schedule.faults, 60)
-    assert small.schedule.faults == (wanted,) and not small.operators and not small.troubles and played <= 60
+    assert (
+        small.schedule.faults == (wanted,)
+        and not small.operators
+        and not small.troubles
+        and played <= 60
+    )
     assert all(other != small for other in smaller(small))
 
 
--- a/tests/test_bank.py
+++ b/tests/test_bank.py
@@ -26,12 +26,31 @@
 HALVES = (tuple(range(6)), tuple(range(6, 12)))
 ids, small, short = st.integers(0, 2**64 - 1), st.integers(0, 2**32 - 1), st.text(max_size=20)
 words = st.builds(Word, ids, small, st.integers(0, 5), st.integers(0, 4), ids)
-cards = st.builds(Card, st.text(min_size=1, max_size=20), ids, small, st.just("127.0.0.1"),
-                  st.integers(1, 65535), short, short, short, st.lists(small, max_size=4).map(tuple))
-datagrams = st.builds(Datagram, st.integers(0, 5), ids, st.integers(0, 2**63 - 1), ids, ids, ids,
-                      st.lists(words, max_size=8), st.lists(cards, max_size=2),
-                      st.lists(st.tuples(small, st.binary(max_size=64)), max_size=3),
-                      st.lists(ids, max_size=5))
+cards = st.builds(
+    Card,
+    st.text(min_size=1, max_size=20),
+    ids,
+    small,
+    st.just("127.0.0.1"),
+    st.integers(1, 65535),
+    short,
+    short,
+    short,
+    st.lists(small, max_size=4).map(tuple),
+)
+datagrams = st.builds(
+    Datagram,
+    st.integers(0, 5),
+    ids,
+    st.integers(0, 2**63 - 1),
+    ids,
+    ids,
+    ids,
+    st.lists(words, max_size=8),
+    st.lists(cards, max_size=2),
+    st.lists(st.tuples(small, st.binary(max_size=64)), max_size=3),
+    st.lists(ids, max_size=5),
+)
 
 
 def card(name="a", run=1, port=7001, **more):
@@ -69,7 +88,7 @@
     assert KEY.open(data) == datagram
     at %= len(data)
     with pytest.raises(Unread):
-        KEY.open(data[:at] + bytes((data[at] ^ 1 << at % 8,)) + data[at + 1:])
+        KEY.open(data[:at] + bytes((data[at] ^ 1 << at % 8,)) + data[at + 1 :])
     with pytest.raises(Unread):
         KEY.open(data[:at])
 
@@ -83,14 +102,19 @@
         noise = forms.MAGIC + bytes((form,)) + noise
         noise += Seal.tag(noise, KEY.keys[0])
     one.receive(noise, ("127.0.0.1", 9), 1)
-    assert not one.members and sum(count for name, count in one.counts.items() if "unread" in name) == 1
+    assert (
+        not one.members
+        and sum(count for name, count in one.counts.items() if "unread" in name) == 1
+    )
     if sealed and form != forms.FORM:
         assert one.counts["unread_later_form"] == 1
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(datagrams, min_size=1, max_size=6),
-       st.lists(st.integers(0, 5 * SECOND), min_size=6, max_size=6))
+@given(
+    st.lists(datagrams, min_size=1, max_size=6),
+    st.lists(st.integers(0, 5 * SECOND), min_size=6, max_size=6),
+)
 def test_whatever_is_proved_and_well_formed_raises_nothing_and_stays_within_bounds(those, steps):
     """From one that is known and one that is not, of members known and not, of this one itself."""
     one, other = members("a", 7001), members("b", 7002, [("127.0.0.1", 7001)])
@@ -102,8 +126,12 @@
         now += step
         mine = Word(one.card.id, number, datagram.kind, 1, other.card.id)
         of_it = Word(other.card.id, 3 - number % 3, datagram.kind, 1, datagram.sender)
-        known = msgspec.structs.replace(datagram, sender=other.card.id, count=1_000 + number,
-                                        words=[*datagram.words, mine, of_it])
+        known = msgspec.structs.replace(
+            datagram,
+            sender=other.card.id,
+            count=1_000 + number,
+            words=[*datagram.words, mine, of_it],
+        )
         for noise in (datagram, known):
             one.receive(KEY.seal(noise), ("127.0.0.1", 7002), now)
         one.refused(("127.0.0.1", 7002), now)
@@ -125,7 +153,9 @@
 def test_the_largest_of_everything_fits_into_a_datagram_and_one_more_byte_is_refused():
     one = members()
     large = card("n" * 63, 2**63, 7002, build="b" * 63, zone="z" * 63, revision="r" * 63)
-    large = msgspec.structs.replace(large, pools=tuple(2**32 - 1 - n for n in range(forms.MOST_POOLS)))
+    large = msgspec.structs.replace(
+        large, pools=tuple(2**32 - 1 - n for n in range(forms.MOST_POOLS))
+    )
     one.card = large
     for number in range(500):
         one.spread(Word(2**64 - 1 - number, 2**32 - 1, 2, 1, 2**64 - 1))
@@ -153,7 +183,11 @@
 
 def test_a_killed_member_is_lost_by_all_within_three_seconds_by_evidence():
     bank, found = play(Fault(10.0, "kill", (5, 6)))
-    assert found["breaches"] == [] and found["checked"]["dead"] == 20 and found["slowest"]["dead"] < 1.5
+    assert (
+        found["breaches"] == []
+        and found["checked"]["dead"] == 20
+        and found["slowest"]["dead"] < 1.5
+    )
     lost = [said for said in bank.said if said.event == "member_lost"]
     assert {said.pairs["why"] for said in lost} == {"refused"}
     assert {node.members.position for node in bank.nodes.values() if node.alive} == {"whole"}
@@ -168,9 +202,13 @@
 
 def test_a_pause_of_a_second_is_no_loss_and_the_one_who_stood_still_accuses_nobody():
     bank, found = play(Fault(10.0, "stop", (5, 6), span=1.0))
-    assert found["breaches"] == [] and bank.counts["member_suspect"] and not bank.counts["member_lost"]
+    assert (
+        found["breaches"] == [] and bank.counts["member_suspect"] and not bank.counts["member_lost"]
+    )
     bank, found = play(Fault(10.0, "stop", (5,), span=60.0), seconds=80.0)
-    assert found["breaches"] == [] and bank.counts["member_lost"] == 11  # it is lost, and loses nobody
+    assert (
+        found["breaches"] == [] and bank.counts["member_lost"] == 11
+    )  # it is lost, and loses nobody
 
 
 THIRDS = ((0, 1, 2, 3), (4, 5, 6), (7, 8, 9, 10, 11))
@@ -183,15 +221,21 @@
 
 
 def test_three_parts_of_which_two_meet_first():
-    bank, found = play(Fault(8.0, "cut", parts=((0, 1, 2, 3), (4, 5, 6, 7), (8, 9, 10, 11)), span=6.0),
-                       Fault(8.0, "cut", parts=((0, 1, 2, 3, 4, 5, 6, 7), (8, 9, 10, 11)), span=12.0),
-                       seconds=30.0)
+    bank, found = play(
+        Fault(8.0, "cut", parts=((0, 1, 2, 3), (4, 5, 6, 7), (8, 9, 10, 11)), span=6.0),
+        Fault(8.0, "cut", parts=((0, 1, 2, 3, 4, 5, 6, 7), (8, 9, 10, 11)), span=12.0),
+        seconds=30.0,
+    )
     assert found["breaches"] == [] and found["checked"]["position"] >= 36
 
 
 def test_a_tenth_of_all_datagrams_lost_loses_nobody():
     bank, found = play(Fault(5.0, "lossy", span=60.0, amount=0.1), seconds=70.0)
-    assert bank.counts["member_suspect"] > 20 and not bank.counts["member_lost"] and found["breaches"] == []
+    assert (
+        bank.counts["member_suspect"] > 20
+        and not bank.counts["member_lost"]
+        and found["breaches"] == []
+    )
 
 
 def acquainted():
@@ -251,8 +295,11 @@
 
 
 def test_all_die_at_once_and_come_back_while_the_seeds_are_down():
-    bank, found = play(Fault(6.0, "restart", tuple(range(3, 12)), span=2.0),
-                       Fault(6.0, "restart", (0, 1, 2), span=9.0), seconds=30.0)
+    bank, found = play(
+        Fault(6.0, "restart", tuple(range(3, 12)), span=2.0),
+        Fault(6.0, "restart", (0, 1, 2), span=9.0),
+        seconds=30.0,
+    )
     assert found["breaches"] == [] and bank.counts["bank_joined"] == 24
 
 
@@ -302,7 +349,10 @@
     known = one.others()[0]
     for number in range(4_000):
         one.send(forms.ACK, ("127.0.0.1", 9), known)
-    assert BURST < sum(len(data) for _, data in one.take()[0]) <= 2 * BURST + 1_200 and one.counts["not_sent"]
+    assert (
+        BURST < sum(len(data) for _, data in one.take()[0]) <= 2 * BURST + 1_200
+        and one.counts["not_sent"]
+    )
     for number in range(5_000):
         one.bury(Word(number, 0, forms.LEFT))
     assert len(one.tombs) == 4_096
@@ -369,26 +419,45 @@
 
 def test_a_schedule_is_data_drawn_alike_from_one_seed_and_refused_with_its_key():
     drawn = faults.draw(7, 12, 45.0)
-    assert drawn == faults.draw(7, 12, 45.0) == faults.read(faults.text(drawn)) != faults.draw(8, 12, 45.0)
+    assert (
+        drawn
+        == faults.draw(7, 12, 45.0)
+        == faults.read(faults.text(drawn))
+        != faults.draw(8, 12, 45.0)
+    )
     with pytest.raises(msgspec.ValidationError, match="faults"):
         faults.read('{"members": 3, "seconds": 5, "faults": [{"at": 1, "kind": "gone"}]}')
 
 
 def test_a_failing_schedule_is_shortened_to_what_still_fails():
-    whole = Schedule(12, 20.0, (Fault(5.0, "lossy", span=2.0, amount=0.1), Fault(6.0, "kill", (4, 5, 6, 7)),
-                                Fault(7.0, "late", span=1.0, amount=0.1), Fault(8.0, "leave", (9,))))
-    least, tried = faults.shrink(whole, lambda one: any(fault.kind == "kill" for fault in one.faults))
-    assert [(fault.kind, fault.who) for fault in least.faults] == [("kill", (4,))] and least.members == 5
+    whole = Schedule(
+        12,
+        20.0,
+        (
+            Fault(5.0, "lossy", span=2.0, amount=0.1),
+            Fault(6.0, "kill", (4, 5, 6, 7)),
+            Fault(7.0, "late", span=1.0, amount=0.1),
+            Fault(8.0, "leave", (9,)),
+        ),
+    )
+    least, tried = faults.shrink(
+        whole, lambda one: any(fault.kind == "kill" for fault in one.faults)
+    )
+    assert [(fault.kind, fault.who) for fault in least.faults] == [
+        ("kill", (4,))
+    ] and least.members == 5
 
 
 def history(*moments):
     """Two members that know each other from the start, and what else happens."""
     a, b = ("a", "1"), ("b", "2")
     facts = [Fact(0.0, "started", a), Fact(0.0, "started", b)]
-    said = [Said(0.1, a, "member_here", {"member": "b", "run": "2"}),
-            Said(0.1, b, "member_here", {"member": "a", "run": "1"}),
-            Said(0.1, a, "bank_position", {"position": "whole"}),
-            Said(0.1, b, "bank_position", {"position": "whole"})]
+    said = [
+        Said(0.1, a, "member_here", {"member": "b", "run": "2"}),
+        Said(0.1, b, "member_here", {"member": "a", "run": "1"}),
+        Said(0.1, a, "bank_position", {"position": "whole"}),
+        Said(0.1, b, "bank_position", {"position": "whole"}),
+    ]
     facts += [one for one in moments if isinstance(one, Fact)]
     said += [one for one in moments if isinstance(one, Said)]
     return sorted({breach.rule for breach in Referee(facts, said, 30.0, Bounds()).judge()})
@@ -406,9 +475,14 @@
     assert history(Fact(10.0, "stopped", b), Said(12.0, a, "member_lost", of_b)) == []
     assert history(Fact(10.0, "ways", parts=apart), *alone) == []
     assert history(Fact(10.0, "ways", parts=apart)) == ["position"]
-    assert history(Fact(10.0, "ways", parts=apart), *alone, Fact(16.0, "ways"),
-                   Said(15.0, a, "member_lost", of_b), Said(16.5, a, "bank_position", {"position": "whole"}),
-                   Said(16.5, b, "bank_position", {"position": "whole"})) == ["agree"]
+    assert history(
+        Fact(10.0, "ways", parts=apart),
+        *alone,
+        Fact(16.0, "ways"),
+        Said(15.0, a, "member_lost", of_b),
+        Said(16.5, a, "bank_position", {"position": "whole"}),
+        Said(16.5, b, "bank_position", {"position": "whole"}),
+    ) == ["agree"]
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -433,9 +507,11 @@
 
 def test_days_of_the_bank_are_an_experiment_and_a_broken_one_is_kept_and_shortened(tmp_path):
     file = tmp_path / "days.toml"
-    file.write_text('name = "x"\nseconds = 24.0\nseeds = 2\n[bank]\nmembers = 6\n'
-                    '[[faults]]\nat = 8.0\nkind = "vanish"\nwho = [4]\n'
-                    '[[faults]]\nat = 12.0\nkind = "lossy"\namount = 0.05\nspan = 2.0\n')
+    file.write_text(
+        'name = "x"\nseconds = 24.0\nseeds = 2\n[bank]\nmembers = 6\n'
+        '[[faults]]\nat = 8.0\nkind = "vanish"\nwho = [4]\n'
+        '[[faults]]\nat = 12.0\nkind = "lossy"\namount = 0.05\nspan = 2.0\n'
+    )
     run = CliRunner()
     kept = ["--json", "--jobs", "1", "--out", str(tmp_path / "out")]
     found = run.invoke(cli, ["lab", "run", str(file), *kept])
--- a/tests/test_bank_processes.py
+++ b/tests/test_bank_processes.py
@@ -31,8 +31,10 @@
 
 
 def service(process):
-    return {"pools": {"t": files.service("t", "rerunnable", UPSTREAMS, 0.25, 1.5)},
-            "routes": [files.route("t", "rerunnable", "t")]}
+    return {
+        "pools": {"t": files.service("t", "rerunnable", UPSTREAMS, 0.25, 1.5)},
+        "routes": [files.route("t", "rerunnable", "t")],
+    }
 
 
 @pytest.fixture
@@ -56,12 +58,24 @@
     five = bank(5, seeds=2)
     five.start()
     until(five.gathered)
-    five.play(Schedule(5, 17.0, (
-        Fault(1.2, "kill", (4,)), Fault(4.6, "stop", (1,), span=1.0),
-        Fault(7.0, "cut", parts=((0, 1), (2, 3)), span=4.0))))
+    five.play(
+        Schedule(
+            5,
+            17.0,
+            (
+                Fault(1.2, "kill", (4,)),
+                Fault(4.6, "stop", (1,), span=1.0),
+                Fault(7.0, "cut", parts=((0, 1), (2, 3)), span=4.0),
+            ),
+        )
+    )
     # Wider than what the benchmark holds them to: a test's verdict must not hang on the machine.
-    referee = Referee(five.facts, five.said, five.clock(), Bounds(dead=5.0, position=3.5, agree=5.0))
-    assert referee.judge() == [] and referee.checked["dead"] == 4 and referee.checked["position"] >= 8
+    referee = Referee(
+        five.facts, five.said, five.clock(), Bounds(dead=5.0, position=3.5, agree=5.0)
+    )
+    assert (
+        referee.judge() == [] and referee.checked["dead"] == 4 and referee.checked["position"] >= 8
+    )
     # The dead one was refused, so it is reckoned with no longer; those across the cut were all the time.
     told = [line for line in five.processes[0].balancer.log().splitlines() if "bank_shares" in line]
     assert [line.split("balancers=")[1].split()[0] for line in told][-2:] == ["5", "4"]
@@ -74,14 +88,22 @@
     four.start()
     until(four.gathered)
     four.leave(3)
-    until(lambda: all(four.view(number, "here", "suspect", "lost", "leaving") == {"m0", "m1", "m2"}
-                      for number in range(3)))
+    until(
+        lambda: all(
+            four.view(number, "here", "suspect", "lost", "leaving") == {"m0", "m1", "m2"}
+            for number in range(3)
+        )
+    )
     four.processes[3].start()
     until(four.gathered)
     before = four.processes[1].run
     until(lambda: all((one.folder / "recall").exists() for one in four.processes))
-    until(lambda: all(len(json.loads((one.folder / "recall").read_text())["members"]) == 3
-                      for one in four.processes))
+    until(
+        lambda: all(
+            len(json.loads((one.folder / "recall").read_text())["members"]) == 3
+            for one in four.processes
+        )
+    )
     for number in range(4):
         four.kill(number)
     four.start(1, 2, 3)  # the seed stays down
@@ -93,6 +115,7 @@
 def test_every_answer_is_given_once_while_members_come_and_go(bank):
     fleet = Fleet({f"s-{number}": Script(work=0.005) for number in range(3)}, 1)
     try:
+
         def charges(process):
             pool = files.service("t", "exclusive", fleet.addresses, 0.25, 1.5)
             return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
@@ -140,8 +163,15 @@
                 return json.loads(lines.readline())
 
     assert ask(b'{"ask":"members","id":"x"}\n')["id"] == "x"
-    for noise in (b"\0\n", b"{}\n", b"[" * 3000 + b"\n", b'{"ask":"none"}\n', b"\xff\xfe\n",
-                  b'{"ask":"strike","name":"m1"}\n', b"x" * 9000):
+    for noise in (
+        b"\0\n",
+        b"{}\n",
+        b"[" * 3000 + b"\n",
+        b'{"ask":"none"}\n',
+        b"\xff\xfe\n",
+        b'{"ask":"strike","name":"m1"}\n',
+        b"x" * 9000,
+    ):
         assert ask(noise)["ok"] is False
     silent = []
     for _ in range(40):  # more than are served, none of which reads
@@ -165,10 +195,14 @@
     given = process.file.read_text().replace(process.listen, listen)
     given = given.replace('"%s:%d"' % one.processes[0].real, f'"{free_address()}"')
     with pytest.raises(RuntimeError, match="another process has it"):
-        Balancer(one.folder / "same", given, listen=listen).wait_ready()  # nor does it share its state file
+        Balancer(
+            one.folder / "same", given, listen=listen
+        ).wait_ready()  # nor does it share its state file
     again = Balancer(one.folder / "again", given.replace('/state"', '/other"'))
     try:
-        until(lambda: again.said("bank_control_fault"))  # it goes on without, and does not take the path away
+        until(
+            lambda: again.said("bank_control_fault")
+        )  # it goes on without, and does not take the path away
         assert one.ask(0, "members")["here"] >= 2
     finally:
         again.stop()
@@ -180,14 +214,18 @@
     until(one.gathered)
     run = CliRunner()
     found = run.invoke(cli, ["bank", "members", "--socket", one.processes[0].control, "--json"])
-    assert found.exit_code == 0 and {row["state"] for row in json.loads(found.output)["members"]} == {"here"}
+    assert found.exit_code == 0 and {
+        row["state"] for row in json.loads(found.output)["members"]
+    } == {"here"}
     found = run.invoke(cli, ["bank", "links", "--operator", str(one.processes[0].balancer.file)])
     assert found.exit_code == 0 and "m1" in found.output and "direct" in found.output
     found = run.invoke(cli, ["bank", "strike", "m1", "--socket", one.processes[0].control])
     assert found.exit_code == 1 and "lost by silence" in found.output
     found = run.invoke(cli, ["bank", "members", "--socket", str(one.folder / "none")])
     assert found.exit_code == 1 and found.output.count("\n") == 1
-    found = run.invoke(cli, ["bank", "watch", "--socket", one.processes[0].control, "--json", "--most", "1"])
+    found = run.invoke(
+        cli, ["bank", "watch", "--socket", one.processes[0].control, "--json", "--most", "1"]
+    )
     assert found.exit_code == 0 and "watching" in found.output
 
 
@@ -205,10 +243,14 @@
             given["bank"] |= {"key_files": keys, "zone": "z", "name": "other"}
             process.balancer.reload(files.document(given))
     until(two.gathered)
-    until(lambda: {row["zone"] for row in two.ask(0, "members")["members"]} == {"z"})  # news needs its time
+    until(
+        lambda: {row["zone"] for row in two.ask(0, "members")["members"]} == {"z"}
+    )  # news needs its time
     log = two.processes[0].balancer.log()
     assert "kept_till_restart=bank.name" in log and "event=bank_changed keys=keys" in log
-    assert "member_lost" not in log and {row["zone"] for row in two.ask(0, "members")["members"]} == {"z"}
+    assert "member_lost" not in log and {
+        row["zone"] for row in two.ask(0, "members")["members"]
+    } == {"z"}
 
 
 def given(tmp_path, **bank):
@@ -219,19 +261,25 @@
     return {"version": 1, "listen": ["127.0.0.1:9000"], "bank": table} | service(None)
 
 
-@pytest.mark.parametrize("key, value, said", [
-    ("listen", "here", "bank.listen: 'here' is not HOST:PORT"),
-    ("lisen", 1, "bank.lisen: is no key here (meant: listen)"),
-    ("seeds", ["a:1"], "bank.seeds[0]: 'a:1' is no IPv4"),
-    ("listen", "0.0.0.0:1", "bank.listen: 0.0.0.0 is where"),
-    ("advertise", "0.0.0.0:1", "bank.advertise: 0.0.0.0"), ("key_files", [], "bank.key_files: 0 of them"),
-    ("key_files", ["/none"], "bank.key_files[0]: "), ("name", "A b", "bank.name: 'A b' is no name"),
-    ("times", {"probe": "1ms"}, "bank.times.probe: '1ms' is not between 10ms"),
-    ("times", {"answer": "50ms"}, "bank.times.answer: is shorter than probe"),
-    ("times", {"suspect": "200ms"}, "bank.times.suspect: is shorter"),
-    ("times", {"reckon": "5s"}, "bank.times.reckon: is shorter"),
-    ("control", "x" * 200, "bank.control: "), ("seeds", ["127.0.0.1:1"] * 1001, "bank.seeds: 1001 of them"),
-])
+@pytest.mark.parametrize(
+    "key, value, said",
+    [
+        ("listen", "here", "bank.listen: 'here' is not HOST:PORT"),
+        ("lisen", 1, "bank.lisen: is no key here (meant: listen)"),
+        ("seeds", ["a:1"], "bank.seeds[0]: 'a:1' is no IPv4"),
+        ("listen", "0.0.0.0:1", "bank.listen: 0.0.0.0 is where"),
+        ("advertise", "0.0.0.0:1", "bank.advertise: 0.0.0.0"),
+        ("key_files", [], "bank.key_files: 0 of them"),
+        ("key_files", ["/none"], "bank.key_files[0]: "),
+        ("name", "A b", "bank.name: 'A b' is no name"),
+        ("times", {"probe": "1ms"}, "bank.times.probe: '1ms' is not between 10ms"),
+        ("times", {"answer": "50ms"}, "bank.times.answer: is shorter than probe"),
+        ("times", {"suspect": "200ms"}, "bank.times.suspect: is shorter"),
+        ("times", {"reckon": "5s"}, "bank.times.reckon: is shorter"),
+        ("control", "x" * 200, "bank.control: "),
+        ("seeds", ["127.0.0.1:1"] * 1001, "bank.seeds: 1001 of them"),
+    ],
+)
 def test_a_faulty_table_is_refused_with_its_key(tmp_path, key, value, said):
     with pytest.raises(ConfigFault) as fault:
         operator.made(given(tmp_path, **{key: value}))
@@ -261,10 +309,16 @@
     """As deploy/balancer.toml starts it: no table, so no module, no socket."""
     platform = json.loads(Path("example/config.json").read_text()) | {"listen": free_address()}
     (tmp_path / "c.json").write_text(json.dumps(platform))
-    environment = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
+    environment = {
+        key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")
+    }
     environment["BALANCER_CONFIG"] = str(tmp_path / "c.json")
-    process = subprocess.Popen([sys.executable, "-O", "-X", "importtime", "-m", "whinpier"], text=True,
-                               stderr=subprocess.PIPE, env=environment)
+    process = subprocess.Popen(
+        [sys.executable, "-O", "-X", "importtime", "-m", "whinpier"],
+        text=True,
+        stderr=subprocess.PIPE,
+        env=environment,
+    )
     lines = []
     try:
         for line in process.stderr:
--- a/tests/test_buffers.py
+++ b/tests/test_buffers.py
@@ -7,8 +7,10 @@
 from whinpier.net import buffers
 from whinpier.net.buffers import HEAD, LINES
 
-STARTS = {h11.SERVER: b"GET /a HTTP/1.1\r\nhost: a\r\n",
-          h11.CLIENT: b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n"}
+STARTS = {
+    h11.SERVER: b"GET /a HTTP/1.1\r\nhost: a\r\n",
+    h11.CLIENT: b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n",
+}
 
 
 def verdict(side, *parts):
@@ -45,16 +47,29 @@
 
 
 @pytest.mark.parametrize("side", STARTS, ids=["request", "answer"])
-@pytest.mark.parametrize("kind, of, wanted", [
-    (filled, HEAD, 200), (filled, HEAD + 1, 431), (filled, 55_000, 431),
-    (lined, LINES, 200), (lined, LINES + 1, 431), (lined, 5_000, 431),
-])
+@pytest.mark.parametrize(
+    "kind, of, wanted",
+    [
+        (filled, HEAD, 200),
+        (filled, HEAD + 1, 431),
+        (filled, 55_000, 431),
+        (lined, LINES, 200),
+        (lined, LINES + 1, 431),
+        (lined, 5_000, 431),
+    ],
+)
 def test_a_head_is_taken_or_refused_the_same_however_it_is_cut(side, kind, of, wanted):
     """A request of 5,000 lines that came in one read was passed on, while in two it was refused."""
     head, before = kind(side, of), log.counts["heads_too_large"]
     assert verdict(side, head) == wanted
-    near = sorted({*range(1, len(head), 211), *range(1, 60), *range(len(head) - 60, len(head)),
-                   *(at for at in range(HEAD - 4, HEAD + 5) if at < len(head))})
+    near = sorted(
+        {
+            *range(1, len(head), 211),
+            *range(1, 60),
+            *range(len(head) - 60, len(head)),
+            *(at for at in range(HEAD - 4, HEAD + 5) if at < len(head)),
+        }
+    )
     assert {verdict(side, head[:cut], head[cut:]) for cut in near} == {wanted}
     assert (log.counts["heads_too_large"] > before) == (wanted == 431)
 
@@ -64,8 +79,10 @@
 def test_of_two_faults_the_one_that_stands_first_decides_however_it_is_cut(side, first, wanted):
     head = bytearray(filled(side, HEAD + 200))
     head[first] = ord("\n")
-    told = {verdict(side, bytes(head[:cut]), bytes(head[cut:]))
-            for cut in (*range(1, 80), *range(HEAD - 3, len(head)))}
+    told = {
+        verdict(side, bytes(head[:cut]), bytes(head[cut:]))
+        for cut in (*range(1, 80), *range(HEAD - 3, len(head)))
+    }
     assert told | {verdict(side, bytes(head))} == {wanted}
 
 
@@ -78,7 +95,9 @@
         try:
             for part in (data[:cut], data[cut:]):
                 parser.receive_data(part)
-                while (event := parser.next_event()) is not h11.NEED_DATA and event is not h11.PAUSED:
+                while (
+                    event := parser.next_event()
+                ) is not h11.NEED_DATA and event is not h11.PAUSED:
                     if isinstance(event, h11.EndOfMessage):
                         buffers.check_trailers(event)
                         break
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -9,34 +9,54 @@
 
 from tests.fake_host import MS, SETTINGS, FakeHost
 from whinpier.choice import SECOND, level
-from whinpier.model import (DRAINING, ERROR, EXCLUSIVE, FULFILLED, FULL, NO_CONNECTION, READY,
-                            RERUNNABLE, RESET, TICKETED, TIMED_OUT, Upstream)
+from whinpier.model import (
+    DRAINING,
+    ERROR,
+    EXCLUSIVE,
+    FULFILLED,
+    FULL,
+    NO_CONNECTION,
+    READY,
+    RERUNNABLE,
+    RESET,
+    TICKETED,
+    TIMED_OUT,
+    Upstream,
+)
 from whinpier.peers import Peers
 
 
-@pytest.mark.parametrize("costs, rate, split", [
-    ([], 5.0, []),
-    ([0.1], 4.0, [4.0]),
-    ([0.1, 0.1], 4.0, [2.0, 2.0]),
-    ([0.1, 1.0], 0.001, [0.001, 0.0]),
-    ([0.1, 0.2], 7.0, [6.0, 1.0]),
-    ([0.1, 0.2], 30.0, [20.0, 10.0]),
-])
+@pytest.mark.parametrize(
+    "costs, rate, split",
+    [
+        ([], 5.0, []),
+        ([0.1], 4.0, [4.0]),
+        ([0.1, 0.1], 4.0, [2.0, 2.0]),
+        ([0.1, 1.0], 0.001, [0.001, 0.0]),
+        ([0.1, 0.2], 7.0, [6.0, 1.0]),
+        ([0.1, 0.2], 30.0, [20.0, 10.0]),
+    ],
+)
 def test_level_is_the_papers(costs, rate, split):
     assert level(costs, rate) == pytest.approx(split, abs=1e-9)
 
 
-@pytest.mark.parametrize("kind, group, outcome, sent, answer", [
-    (EXCLUSIVE, "all", FULL, 2, None),
-    (EXCLUSIVE, "all", NO_CONNECTION, 2, None),
-    (EXCLUSIVE, "all", ERROR, 1, "scrapped"),
-    (EXCLUSIVE, "all", RESET, 1, "scrapped"),
-    (TICKETED, "all", RESET, 2, None),
-    (TICKETED, "cell", RESET, 2, None),
-    (TICKETED, "zone", RESET, 1, "scrapped"),
-    (RERUNNABLE, "all", ERROR, 2, None),
-])
-def test_what_may_have_run_is_sent_again_only_as_its_workload_allows(kind, group, outcome, sent, answer):
+@pytest.mark.parametrize(
+    "kind, group, outcome, sent, answer",
+    [
+        (EXCLUSIVE, "all", FULL, 2, None),
+        (EXCLUSIVE, "all", NO_CONNECTION, 2, None),
+        (EXCLUSIVE, "all", ERROR, 1, "scrapped"),
+        (EXCLUSIVE, "all", RESET, 1, "scrapped"),
+        (TICKETED, "all", RESET, 2, None),
+        (TICKETED, "cell", RESET, 2, None),
+        (TICKETED, "zone", RESET, 1, "scrapped"),
+        (RERUNNABLE, "all", ERROR, 2, None),
+    ],
+)
+def test_what_may_have_run_is_sent_again_only_as_its_workload_allows(
+    kind, group, outcome, sent, answer
+):
     host = FakeHost(kind, 2, group=group)  # the two upstreams stand in different zones
     task = host.task()
     host.came_back(host.sent[0], outcome)
@@ -126,7 +146,9 @@
 
 
 @pytest.mark.parametrize("silent, copies", [(True, 1), (False, 0)])
-def test_only_a_task_at_a_silent_upstream_gets_a_second_copy_and_the_loser_is_withdrawn(silent, copies):
+def test_only_a_task_at_a_silent_upstream_gets_a_second_copy_and_the_loser_is_withdrawn(
+    silent, copies
+):
     host = FakeHost(RERUNNABLE, 3)
     host.traffic(3 * SECOND)
     task, upstream = host.task(), host.sent[-1].upstream
@@ -180,7 +202,9 @@
     assert len(host.sent) == most
 
 
-@pytest.mark.parametrize("balancers, count", [(400, 80), (400, 3), (30, 80), (1, 80), (0, 80), (400, 1)])
+@pytest.mark.parametrize(
+    "balancers, count", [(400, 80), (400, 3), (30, 80), (1, 80), (0, 80), (400, 1)]
+)
 def test_a_large_bank_spreads_its_connections_evenly_over_a_large_fleet(balancers, count):
     met = Counter()
     for number in range(max(1, balancers)):
@@ -215,7 +239,9 @@
         host.choice.listed(host.upstreams + [cold])
         host.traffic(1500 * MS, every=100 * MS)
         first += sum(sent.upstream is cold for sent in host.sent)
-    assert 0 < first < 0.2 * 2.5 * 1.5 * 100  # 100 a second is what a warm one gets; cold from a fifth of it
+    assert (
+        0 < first < 0.2 * 2.5 * 1.5 * 100
+    )  # 100 a second is what a warm one gets; cold from a fifth of it
 
 
 def cold_fleet(number, count, rate, burst, kind):
@@ -225,8 +251,14 @@
     upstreams turn away what is beyond their capacity, a third above what they usually get.
     """
     chance = Random(number)
-    host = FakeHost(kind, 12, balancers=count, seed=number, slot_no=number,
-                    **{"rules.fall": 1500 * MS, "rules.fall_multiple": 2.5})
+    host = FakeHost(
+        kind,
+        12,
+        balancers=count,
+        seed=number,
+        slot_no=number,
+        **{"rules.fall": 1500 * MS, "rules.fall_multiple": 2.5},
+    )
     each, sent = rate / count * chance.uniform(0.4, 1.6), []
 
     def go(span, each, full):
@@ -248,16 +280,21 @@
 
     host.hand_off = counted
     go(5 * SECOND, each, 0.0)
-    host.choice.listed(host.upstreams[2:] + [Upstream(100 + n, READY, 0, 0, host.now) for n in range(2)])
+    host.choice.listed(
+        host.upstreams[2:] + [Upstream(100 + n, READY, 0, 0, host.now) for n in range(2)]
+    )
     go(5 * SECOND, each * burst, max(0.0, 1.0 - 1.0 / (0.75 * burst)))
     return sent
 
 
 @pytest.mark.parametrize("kind", [EXCLUSIVE, RERUNNABLE])
-@pytest.mark.parametrize("count, rate", [(1, 300.0), (20, 300.0), (30, 300.0), (30, 60.0), (200, 300.0)])
+@pytest.mark.parametrize(
+    "count, rate", [(1, 300.0), (20, 300.0), (30, 300.0), (30, 60.0), (200, 300.0)]
+)
 @pytest.mark.parametrize("burst", [1.0, 2.0])
 def test_all_balancers_together_never_send_a_cold_upstream_more_than_it_bears_and_bring_it_on(
-        count, rate, burst, kind):
+    count, rate, burst, kind
+):
     """Each kept a bound of its own and rounded up: thirty sent 57 in a second and a half where 37 fell it."""
     sent = [one for number in range(count) for one in cold_fleet(number, count, rate, burst, kind)]
     capacity, span = rate / 12 / 0.75, 1500 * MS  # a second, of a warm one
@@ -334,7 +371,9 @@
     assert all(upstream.seen.wide == 6.0 for upstream in host.upstreams)
 
 
-@pytest.mark.parametrize("load", [{}, {"busy": 1e9}, {"held": 1e9}, {"fulfilled_rate": 1e9, "busy": 0.0}])
+@pytest.mark.parametrize(
+    "load", [{}, {"busy": 1e9}, {"held": 1e9}, {"fulfilled_rate": 1e9, "busy": 0.0}]
+)
 def test_no_report_upsets_the_decisions(load):
     host = FakeHost(count=3, **PROBED)
     host.traffic(3 * SECOND, load=load)
@@ -378,10 +417,19 @@
     assert host.told and all(len(contents) == 5 for contents in host.told)
 
 
-@pytest.mark.parametrize("who, contents", [
-    (1, b""), (1, b"\x02" + Peers.pack(1.0)[1:]), (1, Peers.pack(1.0) + b"more"), (9, Peers.pack(1.0)),
-    (1, Peers.pack(float("nan"))), (1, Peers.pack(-1.0)), (1, Peers.pack(float("inf"))), (1, b"x" * 256),
-])
+@pytest.mark.parametrize(
+    "who, contents",
+    [
+        (1, b""),
+        (1, b"\x02" + Peers.pack(1.0)[1:]),
+        (1, Peers.pack(1.0) + b"more"),
+        (9, Peers.pack(1.0)),
+        (1, Peers.pack(float("nan"))),
+        (1, Peers.pack(-1.0)),
+        (1, Peers.pack(float("inf"))),
+        (1, b"x" * 256),
+    ],
+)
 def test_a_message_that_cannot_be_read_is_counted_and_passed_over(who, contents):
     host = FakeHost(count=3, balancers=4, **{"limits.peers": True})
     host.choice.told(who, contents)
@@ -392,7 +440,9 @@
 def test_the_list_is_asked_for_at_times_spread_by_chance_and_later_after_each_call_in_vain():
     first = []
     for seed in range(20):
-        host = FakeHost(count=0, seed=seed, discovery="subscribe", **{"rules.ask_within": 10 * SECOND})
+        host = FakeHost(
+            count=0, seed=seed, discovery="subscribe", **{"rules.ask_within": 10 * SECOND}
+        )
         start = host.now
         while len(host.asked) < 6:
             host.wait(SECOND // 10)
@@ -424,5 +474,8 @@
     host.choice.change(SETTINGS | {"limits.second_copies": False}, [host.workload])
     before = {task.id: len(task.hand_offs) for task in {sent.task for sent in host.out()}}
     host.traffic(2 * SECOND, takes=lambda upstream: None if upstream is bad else 50 * MS)
-    assert before and all(len(sent.task.hand_offs) == before[sent.task.id]
-                          for sent in host.sent if sent.task.id in before)
+    assert before and all(
+        len(sent.task.hand_offs) == before[sent.task.id]
+        for sent in host.sent
+        if sent.task.id in before
+    )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,12 +14,22 @@
 from whinpier.spec import ConfigFault
 
 WHOLE, WATCH = b"GET /discovery/hosts HTTP/1.1", b"GET /discovery/hosts?watch=1&from=%d HTTP/1.1"
-TOLD_BY = 6.0  # seconds after which what a silent watch misses counts as told, whether or not it came
+TOLD_BY = (
+    6.0  # seconds after which what a silent watch misses counts as told, whether or not it came
+)
 
 
 def host(name, health="up"):
-    return {"host": name, "dial": "127.0.0.1:9", "site": "a", "class": "m", "block": 0, "health": health,
-            "share": 1.0, "born_ms": 0}
+    return {
+        "host": name,
+        "dial": "127.0.0.1:9",
+        "site": "a",
+        "class": "m",
+        "block": 0,
+        "health": health,
+        "share": 1.0,
+        "born_ms": 0,
+    }
 
 
 def listed(seq, *hosts, whole=True, indent=None):
@@ -45,8 +55,9 @@
         self.listener.setblocking(False)
         self.told = []
         chance = Random(1).random
-        self.client = Discovery(self.listener.getsockname(), None, lambda *told: self.told.append(told),
-                                chance, dict)
+        self.client = Discovery(
+            self.listener.getsockname(), None, lambda *told: self.told.append(told), chance, dict
+        )
 
     async def asked(self):
         """The next question: its first line, and where the answer goes."""
@@ -68,8 +79,10 @@
         with anyio.fail_after(LIMIT):
             while len(self.told) < count:
                 await anyio.sleep(0.002)
-        return [(sorted((entry.host, entry.state) for entry in entries), whole)
-                for entries, whole in self.told][count - 1]
+        return [
+            (sorted((entry.host, entry.state) for entry in entries), whole)
+            for entries, whole in self.told
+        ][count - 1]
 
 
 @asynccontextmanager
@@ -90,7 +103,7 @@
     began = time.monotonic()
     try:
         for at in range(len(data)):
-            sock.send(data[at:at + 1])
+            sock.send(data[at : at + 1])
             await anyio.sleep(0.05)
             if time.monotonic() > began + TOLD_BY:
                 break
@@ -101,7 +114,9 @@
 
 def taken(data, size):
     pieces = Pieces()
-    found = [piece for at in range(0, len(data), size) for piece in pieces.take(data[at:at + size])]
+    found = [
+        piece for at in range(0, len(data), size) for piece in pieces.take(data[at : at + size])
+    ]
     return found, pieces.rest()
 
 
@@ -111,7 +126,11 @@
     first, second = listed(1, odd, indent=2), listed(2, odd, whole=False)
     found, rest = taken(first + b"\n\n" + second + b"\n" + first + b"\n" + second[:9], size)
     assert [json.loads(piece) if piece else None for piece in found] == [
-        json.loads(first), None, json.loads(second), json.loads(first)]
+        json.loads(first),
+        None,
+        json.loads(second),
+        json.loads(first),
+    ]
     assert rest == second[:9]
 
 
@@ -133,7 +152,7 @@
         line, watch = await scripted.asked()
         assert line == WATCH % 3
         change = listed(4, host("s-1", "draining"), whole=False, indent="\t") + b"\n"
-        watch.send(OPEN + b"".join(chunk(change[at:at + 5]) for at in range(0, len(change), 5)))
+        watch.send(OPEN + b"".join(chunk(change[at : at + 5]) for at in range(0, len(change), 5)))
         assert await scripted.heard(2) == ([("s-1", "draining")], False)
         sock.close(), watch.close()
 
@@ -143,7 +162,9 @@
     async with followed() as scripted:
         sock, watch = await scripted.watched(3)
         watch.send(OPEN)
-        took = await dribble(watch, chunk(listed(4, *[host("s-0", "draining")] * 40, whole=False))[:2000])
+        took = await dribble(
+            watch, chunk(listed(4, *[host("s-0", "draining")] * 40, whole=False))[:2000]
+        )
         assert SILENCE <= took < TOLD_BY - SILENCE
         line, sock = await scripted.asked()
         assert line == WHOLE  # what was missed is not known
@@ -153,9 +174,14 @@
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("data", [OPEN + b"fff\r\n" + b" " * 4000,
-                                  b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 4000,
-                                  b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{" + b" " * 3999])
+@pytest.mark.parametrize(
+    "data",
+    [
+        OPEN + b"fff\r\n" + b" " * 4000,
+        b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 4000,
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{" + b" " * 3999,
+    ],
+)
 async def test_a_whole_list_that_never_ends_is_asked_for_anew_in_time(data):
     async with followed() as scripted:
         line, sock = await scripted.asked()
@@ -169,7 +195,9 @@
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("end", [b"", chunk(b"\n"), chunk(listed(4, host("s-0", "draining"), whole=False))])
+@pytest.mark.parametrize(
+    "end", [b"", chunk(b"\n"), chunk(listed(4, host("s-0", "draining"), whole=False))]
+)
 async def test_a_watch_that_ends_or_is_reset_instead_of_telling_is_opened_anew_where_it_was(end):
     async with followed() as scripted:
         sock, watch = await scripted.watched(3)
@@ -177,7 +205,9 @@
         watch.close()
         line, again = await scripted.asked()
         assert line == WATCH % 3
-        again.send(OPEN + chunk(listed(5, host("s-1")) + b"\n"))  # the first answer may be the whole list
+        again.send(
+            OPEN + chunk(listed(5, host("s-1")) + b"\n")
+        )  # the first answer may be the whole list
         assert await scripted.heard(2) == ([("s-1", "ready")], True)
         sock.close(), again.close()
 
@@ -186,7 +216,9 @@
 async def test_a_discovery_that_counts_from_the_start_again_is_believed():
     async with followed() as scripted:
         sock, watch = await scripted.watched(40)
-        watch.send(OPEN + chunk(listed(2, host("s-1"), whole=False) + b"\n"))  # does not join what is known
+        watch.send(
+            OPEN + chunk(listed(2, host("s-1"), whole=False) + b"\n")
+        )  # does not join what is known
         line, again = await scripted.asked()
         assert line == WHOLE
         again.send(answer(listed(2, host("s-1"))))
