--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -43,8 +43,10 @@
 def request(lane="charge", remaining=2.0, key=""):
     """The bytes of a request: `charge` is non-idempotent, `settle` keyed."""
     key = f"Idempotency-Key: {key or next(ids)}\r\n" if lane == "settle" else ""
-    return (f"POST /{lane} HTTP/1.1\r\nHost: a\r\nX-Txn: {next(ids):x}\r\nX-Remaining: {remaining}\r\n"
-            f"{key}Content-Length: 2\r\n\r\n{{}}").encode()
+    return (
+        f"POST /{lane} HTTP/1.1\r\nHost: a\r\nX-Txn: {next(ids):x}\r\nX-Remaining: {remaining}\r\n"
+        f"{key}Content-Length: 2\r\n\r\n{{}}"
+    ).encode()
 
 
 def reset(sock):
@@ -57,17 +59,31 @@
 
     def __init__(self, count, sockets=1024, **limits):
         self.upstreams = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-        self.nobody = socket.create_server(("127.0.0.1", 0))  # where discovery is asked, and says nothing
+        self.nobody = socket.create_server(
+            ("127.0.0.1", 0)
+        )  # where discovery is asked, and says nothing
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.sockets = [*self.upstreams, self.nobody, self.listener]
         for listener in self.sockets:
             listener.setblocking(False)
-        hosts = [{"host": f"s-{number}", "dial": "%s:%d" % up.getsockname(), "site": "a", "class": "m",
-                  "block": 0, "health": "up", "share": 1.0, "born_ms": 0}
-                 for number, up in enumerate(self.upstreams)]
+        hosts = [
+            {
+                "host": f"s-{number}",
+                "dial": "%s:%d" % up.getsockname(),
+                "site": "a",
+                "class": "m",
+                "block": 0,
+                "health": "up",
+                "share": 1.0,
+                "born_ms": 0,
+            }
+            for number, up in enumerate(self.upstreams)
+        ]
         self.given = json.loads(json.dumps(GIVEN)) | {
-            "listen": "%s:%d" % self.listener.getsockname(), "discovery": "%s:%d" % self.nobody.getsockname(),
-            "known": {"seq": 1, "whole": True, "hosts": hosts}}
+            "listen": "%s:%d" % self.listener.getsockname(),
+            "discovery": "%s:%d" % self.nobody.getsockname(),
+            "known": {"seq": 1, "whole": True, "hosts": hosts},
+        }
         self.given["limits"]["sockets"] = sockets
         self.given["settings"]["limits"] |= limits
         spec = self.spec()
@@ -147,6 +163,7 @@
 
 # The client leaves.
 
+
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
 async def test_who_has_left_before_the_request_is_read_has_no_attempt_begun(leave):
     async with staged() as stage:
@@ -174,7 +191,9 @@
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
-async def test_who_leaves_while_an_attempt_waits_to_be_sent_has_it_never_sent(cancelling, monkeypatch):
+async def test_who_leaves_while_an_attempt_waits_to_be_sent_has_it_never_sent(
+    cancelling, monkeypatch
+):
     up, run = anyio.Event(), Link.run
 
     async def late(link):
@@ -199,7 +218,9 @@
         sock.close()
 
 
-async def test_an_attempt_that_waits_for_a_connection_to_where_its_upstream_was_goes_elsewhere(monkeypatch):
+async def test_an_attempt_that_waits_for_a_connection_to_where_its_upstream_was_goes_elsewhere(
+    monkeypatch,
+):
     up, run = anyio.Event(), Link.run
 
     async def late(link):
@@ -212,7 +233,9 @@
         await stage.until(lambda: stage.begun() == 1)
         peers = list(stage.pool.held.values())
         at = next(number for number, peer in enumerate(peers) if peer.out())
-        peers[at].moved(peers[1 - at].address)  # as the list says; the connection to the old address comes up
+        peers[at].moved(
+            peers[1 - at].address
+        )  # as the list says; the connection to the old address comes up
         up.set()
         with anyio.fail_after(1.0):  # well before its time is up
             upstream, _ = await stage.met(1 - at)
@@ -247,7 +270,9 @@
         await stage.until(lambda: stage.pool.choice.entry.waiting())
         client.close()
         server.spare = 10
-        stage.pool.loop.enter(stage.pool, stage.pool.choice.entry.release)  # before its leaving is read
+        stage.pool.loop.enter(
+            stage.pool, stage.pool.choice.entry.release
+        )  # before its leaving is read
         await stage.until(lambda: stage.pool.counts["clients_left"] == 1)
         await stage.turns()
         assert stage.begun() == 0 and stage.pool.choice.split.total == 0
@@ -255,6 +280,7 @@
 
 # Told to stop.
 
+
 async def ended(stage):
     with anyio.fail_after(LIMIT):
         while not stage.life.loop.tasks.cancel_scope.cancel_called:
@@ -265,7 +291,9 @@
     async with staged() as stage:
         out, half = stage.client(request() + request()), stage.client(request()[:-1])
         upstream, _ = await stage.met()
-        await stage.until(lambda: len([client for client in stage.door.clients if client.reading]) == 1)
+        await stage.until(
+            lambda: len([client for client in stage.door.clients if client.reading]) == 1
+        )
         stage.life.stop()
         await stage.turns()
         await stage.life.configure()
@@ -315,6 +343,7 @@
 
 # Descriptors.
 
+
 async def test_idle_clients_that_fill_the_descriptors_leave_room_for_discovery_and_for_who_asks():
     async with staged(sockets=64) as stage:
         idle = [stage.client() for _ in range(80)]
@@ -331,6 +360,7 @@
 
 # Closing.
 
+
 async def test_who_sends_too_much_ahead_is_answered_what_is_owed_before_the_connection_ends():
     async with staged() as stage:
         client = stage.client(request())
@@ -391,7 +421,9 @@
 
 async def test_the_end_waits_for_answers_that_may_still_be_on_their_way():
     async with staged() as stage:
-        client = stage.client(request() + b"POST")  # a close over what is unread would reset the connection
+        client = stage.client(
+            request() + b"POST"
+        )  # a close over what is unread would reset the connection
         upstream, _ = await stage.met()
         stage.life.closing = True
         upstream.sendall(GOOD)
@@ -404,11 +436,21 @@
 
 # Answers that break off.
 
+
 @pytest.mark.parametrize("how", [socket.socket.close, reset])
-@pytest.mark.parametrize("part", [b"", b"HTTP/1.1 2", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-                                  b"HTTP/1.1 200 OK\r\n\r\nwithout a length",
-                                  b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"])
-async def test_what_breaks_off_is_no_answer_and_a_non_idempotent_request_is_not_sent_again(part, how):
+@pytest.mark.parametrize(
+    "part",
+    [
+        b"",
+        b"HTTP/1.1 2",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+        b"HTTP/1.1 200 OK\r\n\r\nwithout a length",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+    ],
+)
+async def test_what_breaks_off_is_no_answer_and_a_non_idempotent_request_is_not_sent_again(
+    part, how
+):
     async with staged(2) as stage:
         client = stage.client(request())
         await stage.until(lambda: stage.begun() == 1)
@@ -422,7 +464,9 @@
 
 
 @pytest.mark.parametrize("how", [socket.socket.close, reset])
-async def test_a_connection_closed_as_it_is_to_be_used_carries_nothing_and_the_request_goes_on_another(how):
+async def test_a_connection_closed_as_it_is_to_be_used_carries_nothing_and_the_request_goes_on_another(
+    how,
+):
     async with staged() as stage:
         client, upstream, _ = await rested(stage)
         server = stage.pool.held["s-0"]
@@ -440,9 +484,12 @@
 
 # A second answer.
 
+
 @pytest.mark.parametrize("second", [GOOD.replace(b"done", b"evil"), b"HTTP/1.1 2"])
 async def test_a_second_answer_that_comes_late_reaches_nobody_else(second, monkeypatch):
-    monkeypatch.setattr(upstreams, "REST", 100 * SECOND)  # the moment lasts until the second answer has come
+    monkeypatch.setattr(
+        upstreams, "REST", 100 * SECOND
+    )  # the moment lasts until the second answer has come
     async with staged() as stage:
         first = stage.client(request())
         upstream, _ = await stage.met()
@@ -471,6 +518,7 @@
 
 # One revision of the settings.
 
+
 def reloaded(stage, lane, **workload):
     """The balancer goes on by other settings of a workload."""
     for given in stage.given["settings"]["workloads"]:
@@ -504,7 +552,9 @@
 
 
 @pytest.mark.parametrize("before, after", [("once", "by_key"), ("once", "repeatable")])
-async def test_what_came_as_non_idempotent_is_not_resent_because_a_new_file_says_otherwise(before, after):
+async def test_what_came_as_non_idempotent_is_not_resent_because_a_new_file_says_otherwise(
+    before, after
+):
     async with staged(2) as stage:
         client = stage.client(request("charge"))
         await stage.until(lambda: stage.begun() == 1)
@@ -518,6 +568,7 @@
 
 # Windows for repeats.
 
+
 @pytest.mark.parametrize("after, attempts", [(1500, 2), (1800, 1)])
 def test_a_keyed_request_is_not_resent_when_it_could_arrive_outside_its_window(after, attempts):
     host = FakeHost(TICKETED)  # a window of 2 s; a connection may take a quarter of one to come up
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -4,8 +4,19 @@
 from pathlib import Path
 
 LAYERS = [  # from below; a module may import from its own layer and from those before it
-    ("decay", "model", "log", "spec", "settings", "files", "durable", "tables", "routing",
-     "observed", "peers"),
+    (
+        "decay",
+        "model",
+        "log",
+        "spec",
+        "settings",
+        "files",
+        "durable",
+        "tables",
+        "routing",
+        "observed",
+        "peers",
+    ),
     ("choice",),
     ("runtime",),
     ("net", "simhost"),
@@ -32,8 +43,12 @@
         if own == "__init__":
             continue
         tree = ast.parse(file.read_text())
-        typed = {inner for node in ast.walk(tree) if isinstance(node, ast.If)
-                 and getattr(node.test, "id", "") == "TYPE_CHECKING" for inner in ast.walk(node)}
+        typed = {
+            inner
+            for node in ast.walk(tree)
+            if isinstance(node, ast.If) and getattr(node.test, "id", "") == "TYPE_CHECKING"
+            for inner in ast.walk(node)
+        }
         for node in set(ast.walk(tree)) - typed:
             names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
             if isinstance(node, ast.ImportFrom) and node.module:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -41,7 +41,9 @@
     """Deliver what is out, at once, until all is quiet."""
     names = list(those)
     for _ in range(20):
-        sent = [(place, to, deal) for place, name in enumerate(names) for to, deal in those[name].out]
+        sent = [
+            (place, to, deal) for place, name in enumerate(names) for to, deal in those[name].out
+        ]
         for one in those.values():
             one.out = []
         for place, to, deal in sent:
@@ -78,7 +80,9 @@
 
 
 def test_a_walk_is_the_same_from_the_same_seed():
-    one, two = (walk(lambda seed: Sharing(make=FAULTS["LendsForTooShort"]), 3, 20_000) for _ in range(2))
+    one, two = (
+        walk(lambda seed: Sharing(make=FAULTS["LendsForTooShort"]), 3, 20_000) for _ in range(2)
+    )
     assert one == two and one.broken
 
 
@@ -96,8 +100,11 @@
     for step in range(1_200):
         now = step * SECOND // 100
         asked = "a" if step < 600 else "b"
-        passed[asked] += those[asked].take(now) if 500 <= step < 600 or step >= 800 else (
-            those[asked].take(now) and 0)
+        passed[asked] += (
+            those[asked].take(now)
+            if 500 <= step < 600 or step >= 800
+            else (those[asked].take(now) and 0)
+        )
         if step % 10 == 0:
             for place, one in enumerate(those.values()):
                 one.turn(now, [other for other in range(3) if other != place])
@@ -147,7 +154,9 @@
 
 
 def division(name, *limits, kept=None, **more):
-    return Shares(name, [Said(limit, ("t",)) for limit in limits], 0, Random(1), between, kept or {}, **more)
+    return Shares(
+        name, [Said(limit, ("t",)) for limit in limits], 0, Random(1), between, kept or {}, **more
+    )
 
 
 def home(one, name="x"):
@@ -168,7 +177,9 @@
     assert one.look(TURN, {"b"}, set(), set()) and home(one) == 30_000
     assert one.keep() == {"x": Kept(new.epoch(), 30_000, ("a", "b"), SPAN)}
     again = division("a", old, kept=kept)
-    assert not again.look(TURN, {"b"}, {"c"}, set()) and home(again) == 10_000  # two of three stand by it
+    assert (
+        not again.look(TURN, {"b"}, {"c"}, set()) and home(again) == 10_000
+    )  # two of three stand by it
 
 
 def test_who_comes_back_from_long_ago_finds_that_its_division_was_left():
@@ -184,7 +195,9 @@
     one = division("a", old)
     assert one.look(TURN, {"b", "c"}, set(), set()) and home(one) == 10_000
     one.follow([Said(new, ("t",))], 2 * TURN)
-    assert home(one) == 10_000 and one.tell(2 * TURN) and not one.look(3 * TURN, {"b"}, {"c"}, set())
+    assert (
+        home(one) == 10_000 and one.tell(2 * TURN) and not one.look(3 * TURN, {"b"}, {"c"}, set())
+    )
     one.follow([Said(rate(15), ("t",))], 3 * TURN)  # a third one, before the second was agreed
     assert home(one) == 5_000
     one.follow([Said(old, ("t",))], 4 * TURN)  # and back: the others may have gone on meanwhile
@@ -200,14 +213,21 @@
     taken = [one.tables["x"].one.enter(start, start + SECOND) for _ in range(10)]
     assert all(taken)
     one.follow([Said(new, ("t",))], start)
-    assert home(one) == 1 and not one.tell(start) and one.tables["x"].one.enter(start, start + SECOND) is None
+    assert (
+        home(one) == 1
+        and not one.tell(start)
+        and one.tables["x"].one.enter(start, start + SECOND) is None
+    )
     for passed in taken[:9]:
         passed.give(start)
     assert one.tell(start) and one.look(start, {"b", "c"}, set(), set())
 
 
 def test_loans_end_by_the_shorter_span_and_come_back_by_the_longer_while_two_stand_side_by_side():
-    old, new = Limit("x", IN_FLIGHT, 3, HOMES, span=SPAN), Limit("x", IN_FLIGHT, 3, HOMES, span=3 * SPAN)
+    old, new = (
+        Limit("x", IN_FLIGHT, 3, HOMES, span=SPAN),
+        Limit("x", IN_FLIGHT, 3, HOMES, span=3 * SPAN),
+    )
     one = division("a", old)
     one.look(TURN, {"b", "c"}, set(), set())
     one.follow([Said(new, ("t",))], TURN)
@@ -221,6 +241,7 @@
 def test_tables_of_loans_are_bounded_and_a_flood_of_asks_lends_no_more_than_there_is():
     those = shares(Limit("x", IN_FLIGHT, 3_000, HOMES))
     from whinpier.bank.forms import ASK_FOR, Deal
+
     for nonce in range(2_000):
         those["a"].deal(Deal(ASK_FOR, those["a"].limit.mark, nonce + 1, 1, 0), 1, 0)
     assert len(those["a"].lent) == 256 and those["a"].count(0) == 1_000 - 256
@@ -233,7 +254,9 @@
     kept = {"x": Kept(5, 6, ("a", "b"), 7)}
     recall.write(path, [("127.0.0.1", 7)], kept)
     assert recall.read(path) == ([("127.0.0.1", 7)], kept)
-    before = '{"form":1,"members":["127.0.0.1:7"],"limits":{"x":[5,6]}}'  # of the build before this one
+    before = (
+        '{"form":1,"members":["127.0.0.1:7"],"limits":{"x":[5,6]}}'  # of the build before this one
+    )
     (tmp_path / "recall").write_text(before)
     assert recall.read(path) == ([("127.0.0.1", 7)], {"x": Kept(5, 6)})
     for noise in ("", "{", '{"form":3,"members":[]}', '{"form":1,"members":["a:1"]}', "[" * 5_000):
@@ -251,19 +274,29 @@
     key.chmod(0o600)
     pool = files.service("t", "exclusive", {"s": "127.0.0.1:9"}, 0.25, 1.5)
     limit = {"kind": "rate", "amount": 10, "homes": ["a", "b"]} | limit
-    return {"version": 1, "listen": ["127.0.0.1:9000"], "pools": {"t": pool},
-            "bank": {"listen": "127.0.0.1:7000", "key_files": [str(key)], "limits": {"x": limit}},
-            "routes": [files.route("t", "exclusive", "t")]}
-
-
-@pytest.mark.parametrize("key, value, said", [
-    ("kind", "day", "'day' is none of rate, in_flight"),
-    ("amount", 0, "bank.limits.x.amount: "),
-    ("amount", 0.0001, "is less than a task in 1,000 s"), ("homes", [], "bank.limits.x.homes: 0 of them"),
-    ("homes", ["a", "a"], "bank.limits.x.homes: a member twice"),
-    ("homes", ["A"], "bank.limits.x.homes[0]: "),
-    ("pools", ["u"], "bank.limits.x.pools[0]: 'u' is none of t"), ("burst", 0, "bank.limits.x.burst: "),
-    ("brust", 1, "bank.limits.x.brust: is no key here (meant: burst)")])
+    return {
+        "version": 1,
+        "listen": ["127.0.0.1:9000"],
+        "pools": {"t": pool},
+        "bank": {"listen": "127.0.0.1:7000", "key_files": [str(key)], "limits": {"x": limit}},
+        "routes": [files.route("t", "exclusive", "t")],
+    }
+
+
+@pytest.mark.parametrize(
+    "key, value, said",
+    [
+        ("kind", "day", "'day' is none of rate, in_flight"),
+        ("amount", 0, "bank.limits.x.amount: "),
+        ("amount", 0.0001, "is less than a task in 1,000 s"),
+        ("homes", [], "bank.limits.x.homes: 0 of them"),
+        ("homes", ["a", "a"], "bank.limits.x.homes: a member twice"),
+        ("homes", ["A"], "bank.limits.x.homes[0]: "),
+        ("pools", ["u"], "bank.limits.x.pools[0]: 'u' is none of t"),
+        ("burst", 0, "bank.limits.x.burst: "),
+        ("brust", 1, "bank.limits.x.brust: is no key here (meant: burst)"),
+    ],
+)
 def test_a_faulty_limit_is_refused_with_its_key(tmp_path, key, value, said):
     with pytest.raises(ConfigFault) as fault:
         operator.made(table(tmp_path, **{key: value}))
@@ -271,8 +304,10 @@
 
 
 def test_loans_of_tasks_in_flight_last_longer_than_any_task(tmp_path):
-    held, = operator.made(table(tmp_path, kind="in_flight")).bank.limits
-    assert held.limit.span == 3 * 3 * SECOND // 2 and held.pools == ("t",) and held.limit.amount == 10
+    (held,) = operator.made(table(tmp_path, kind="in_flight")).bank.limits
+    assert (
+        held.limit.span == 3 * 3 * SECOND // 2 and held.pools == ("t",) and held.limit.amount == 10
+    )
     with pytest.raises(ConfigFault, match="no whole number"):
         operator.made(table(tmp_path, kind="in_flight", amount=1.5))
 
@@ -287,24 +322,42 @@
         pool = files.service("t", "exclusive", fleet.addresses, 0.5, 1.0)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
-    limits = {"all": {"kind": "rate", "amount": 60, "burst": 12, "homes": ["m0", "m1", "m2"]},
-              "out": {"kind": "in_flight", "amount": 4, "homes": ["m0", "m1", "m2"]}}
+    limits = {
+        "all": {"kind": "rate", "amount": 60, "burst": 12, "homes": ["m0", "m1", "m2"]},
+        "out": {"kind": "in_flight", "amount": 4, "homes": ["m0", "m1", "m2"]},
+    }
     bank = Bank(3, tmp_path, service, limits=limits)
     loads = None
     try:
         bank.start()
-        until(lambda: all(row["agreed"] and not row["fenced_ms"] for number in range(3)
-                          for row in bank.ask(number, "limits")))
+        until(
+            lambda: all(
+                row["agreed"] and not row["fenced_ms"]
+                for number in range(3)
+                for row in bank.ask(number, "limits")
+            )
+        )
         kept = [one.folder / "recall" for one in bank.processes]
         until(lambda: all(one.exists() and json.loads(one.read_text())["limits"] for one in kept))
         fleet.meter()
         start = time.monotonic() + 0.3
-        loads = Loads([(bank.processes[number].balancer.address,
-                        Asks(f"t{number}", 150.0, "/t/x", host="t.example", patience=1.0, agreed=0.5))
-                       for number in (0, 1)], 1, start, 7.0)
+        loads = Loads(
+            [
+                (
+                    bank.processes[number].balancer.address,
+                    Asks(f"t{number}", 150.0, "/t/x", host="t.example", patience=1.0, agreed=0.5),
+                )
+                for number in (0, 1)
+            ],
+            1,
+            start,
+            7.0,
+        )
         time.sleep(max(0.0, start + 2.0 - time.monotonic()))
         bank.kill(2)
-        bank.processes[2].start()  # its disk says that it may go by its home, after what may be lent is over
+        bank.processes[
+            2
+        ].start()  # its disk says that it may go by its home, after what may be lent is over
         seen = loads.results()
         met = fleet.meter()
         assert met["most"] <= 4
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -33,47 +33,80 @@
         table[int(last) if last.isdigit() else last] = value
 
 
-@pytest.mark.parametrize("key, value, said", [
-    ("version", 2, "version: "), ("version", None, "version: is missing"),
-    ("lisen", [], "lisen: is no key here (meant: listen); allowed: "),
-    ("listen", [], "listen: names no address"), ("listen/0", "localhost:1", "listen[0]: 'localhost:1'"),
-    ("listen/0", "127.0.0.1:9001", "listen: an address twice"), ("up", "up", "up: "),
-    ("process/descriptors", 10, "process.descriptors: expected `int` >= 64"),
-    ("process/descriptors", 64, "process.descriptors: 64 leave 29 for 3 pools, which need 48"),
-    ("process/seed", "xyz", "process.seed: "),
-    ("pools", {}, "pools: 0 of them"), ("pools/Tariff", {}, "pools: 'Tariff' is no name"),
-    ("pools/tariff/workload", {}, "pools.tariff.workload: is no key here (meant: workloads)"),
-    ("pools/tariff/workloads", {}, "pools.tariff.workloads: none"),
-    ("pools/tariff/workloads/enquiry/kind", "safe",
-     "pools.tariff.workloads.enquiry.kind: 'safe' is none of rerunnable, ticketed, exclusive"),
-    ("pools/tariff/workloads/enquiry/agreed_time", "0.5", "enquiry.agreed_time: '0.5' is no duration"),
-    ("pools/tariff/workloads/enquiry/patience", "1ms", "patience: is shorter than agreed_time"),
-    ("pools/tariff/workloads/enquiry/window", "1s", "window: only a ticketed"),
-    ("pools/tariff/workloads/enquiry/payoff", -1, "pools.tariff.workloads.enquiry.payoff: "),
-    ("pools/tariff/discovery", "127.0.0.1:1", "pools.tariff: either upstreams or discovery"),
-    ("pools/tariff/upstreams", None, "pools.tariff: either upstreams or discovery"),
-    ("pools/tariff/upstreams/0/address", "a:1", "pools.tariff.upstreams[0].address: "),
-    ("pools/tariff/upstreams/1/name", "tariff-1", "pools.tariff.upstreams[1].name: "),
-    ("pools/tariff/upstreams/1/weight", 1, "pools.tariff.upstreams[1].weight: is no key here"),
-    ("pools/tariff/upstreams/1/zone", "x", "pools.tariff.upstreams[1].zone: 'x' is not in zones"),
-    ("pools/tariff/limits/guaranteed", 0.4, "pools: guaranteed parts come to 1.1, over 1"),
-    ("pools/tariff/limits/tasks", 0, "pools.tariff.limits.tasks: expected `int` >= 1"),
-    ("pools/tariff/number", 1, "pools.tariff.number: 1 is not below balancers"),
-    ("pools/tariff/cold_from", 0.0, "pools.tariff.cold_from: "),
-    ("pools/tariff/statuses", [503], "pools.tariff.statuses[0]: expected `int` <= 499"),
-    ("pools/tariff/says", {"id": "X-Id"}, "pools.tariff.says.id: 'X-Id'"),
-    ("pools/tariff/says", {"id": ""}, "pools.tariff.says: without headers"),
-    ("pools/tariff/says", {"id": "x-remaining"}, "pools.tariff.says: one header says two things"),
-    ("routes/0/pool", "none", "routes.enquiry.pool: 'none' is none of tariff, posting, settlement"),
-    ("routes/0/workload", "none", "routes.enquiry.workload: 'none' is none of enquiry"),
-    ("routes/0/path", "/", "routes.enquiry: either path or prefix"),
-    ("routes/0/methods", ["HEAD"], "routes[0].methods[0]: 'HEAD' is none of GET, POST, PUT, PATCH, DELETE"),
-    ("routes/1/methods", ["GET"], "routes.charge.methods: GET is for what may be repeated"),
-    ("routes/0/host", "Tariff.example", "routes.enquiry: host: "),
-    ("routes/+", {"name": "twin", "host": "tariff.example", "pool": "tariff", "methods": ["GET", "PUT"]},
-     "routes.enquiry, routes.twin: two routes are as specific as each other"),
-    ("routes/0", 7, "routes[0]: expected `object`"),
-])
+@pytest.mark.parametrize(
+    "key, value, said",
+    [
+        ("version", 2, "version: "),
+        ("version", None, "version: is missing"),
+        ("lisen", [], "lisen: is no key here (meant: listen); allowed: "),
+        ("listen", [], "listen: names no address"),
+        ("listen/0", "localhost:1", "listen[0]: 'localhost:1'"),
+        ("listen/0", "127.0.0.1:9001", "listen: an address twice"),
+        ("up", "up", "up: "),
+        ("process/descriptors", 10, "process.descriptors: expected `int` >= 64"),
+        ("process/descriptors", 64, "process.descriptors: 64 leave 29 for 3 pools, which need 48"),
+        ("process/seed", "xyz", "process.seed: "),
+        ("pools", {}, "pools: 0 of them"),
+        ("pools/Tariff", {}, "pools: 'Tariff' is no name"),
+        ("pools/tariff/workload", {}, "pools.tariff.workload: is no key here (meant: workloads)"),
+        ("pools/tariff/workloads", {}, "pools.tariff.workloads: none"),
+        (
+            "pools/tariff/workloads/enquiry/kind",
+            "safe",
+            "pools.tariff.workloads.enquiry.kind: 'safe' is none of rerunnable, ticketed, exclusive",
+        ),
+        (
+            "pools/tariff/workloads/enquiry/agreed_time",
+            "0.5",
+            "enquiry.agreed_time: '0.5' is no duration",
+        ),
+        ("pools/tariff/workloads/enquiry/patience", "1ms", "patience: is shorter than agreed_time"),
+        ("pools/tariff/workloads/enquiry/window", "1s", "window: only a ticketed"),
+        ("pools/tariff/workloads/enquiry/payoff", -1, "pools.tariff.workloads.enquiry.payoff: "),
+        ("pools/tariff/discovery", "127.0.0.1:1", "pools.tariff: either upstreams or discovery"),
+        ("pools/tariff/upstreams", None, "pools.tariff: either upstreams or discovery"),
+        ("pools/tariff/upstreams/0/address", "a:1", "pools.tariff.upstreams[0].address: "),
+        ("pools/tariff/upstreams/1/name", "tariff-1", "pools.tariff.upstreams[1].name: "),
+        ("pools/tariff/upstreams/1/weight", 1, "pools.tariff.upstreams[1].weight: is no key here"),
+        (
+            "pools/tariff/upstreams/1/zone",
+            "x",
+            "pools.tariff.upstreams[1].zone: 'x' is not in zones",
+        ),
+        ("pools/tariff/limits/guaranteed", 0.4, "pools: guaranteed parts come to 1.1, over 1"),
+        ("pools/tariff/limits/tasks", 0, "pools.tariff.limits.tasks: expected `int` >= 1"),
+        ("pools/tariff/number", 1, "pools.tariff.number: 1 is not below balancers"),
+        ("pools/tariff/cold_from", 0.0, "pools.tariff.cold_from: "),
+        ("pools/tariff/statuses", [503], "pools.tariff.statuses[0]: expected `int` <= 499"),
+        ("pools/tariff/says", {"id": "X-Id"}, "pools.tariff.says.id: 'X-Id'"),
+        ("pools/tariff/says", {"id": ""}, "pools.tariff.says: without headers"),
+        (
+            "pools/tariff/says",
+            {"id": "x-remaining"},
+            "pools.tariff.says: one header says two things",
+        ),
+        (
+            "routes/0/pool",
+            "none",
+            "routes.enquiry.pool: 'none' is none of tariff, posting, settlement",
+        ),
+        ("routes/0/workload", "none", "routes.enquiry.workload: 'none' is none of enquiry"),
+        ("routes/0/path", "/", "routes.enquiry: either path or prefix"),
+        (
+            "routes/0/methods",
+            ["HEAD"],
+            "routes[0].methods[0]: 'HEAD' is none of GET, POST, PUT, PATCH, DELETE",
+        ),
+        ("routes/1/methods", ["GET"], "routes.charge.methods: GET is for what may be repeated"),
+        ("routes/0/host", "Tariff.example", "routes.enquiry: host: "),
+        (
+            "routes/+",
+            {"name": "twin", "host": "tariff.example", "pool": "tariff", "methods": ["GET", "PUT"]},
+            "routes.enquiry, routes.twin: two routes are as specific as each other",
+        ),
+        ("routes/0", 7, "routes[0]: expected `object`"),
+    ],
+)
 def test_a_faulty_file_is_refused_as_a_whole_with_the_key_and_what_is_allowed(key, value, said):
     table = given()
     put(table, key, value)
@@ -82,7 +115,9 @@
     assert said in str(fault.value), str(fault.value)
 
 
-@pytest.mark.parametrize("text", [None, "", "version = ", "version = 1", "\0", "\xff".encode("latin-1")])
+@pytest.mark.parametrize(
+    "text", [None, "", "version = ", "version = 1", "\0", "\xff".encode("latin-1")]
+)
 def test_a_file_that_cannot_be_read_is_named(tmp_path, text):
     file = tmp_path / "o.toml"
     if text is not None:
@@ -109,8 +144,13 @@
     table["process"]["descriptors"] = 512
     new = operator.made(table)
     assert operator.differences(old, new) == [
-        "pools.settlement: removed", "pools.tariff.workloads: changed", "pools.new: added",
-        "routes.partner: removed", "routes.settle: changed", "routes.other: added"]
+        "pools.settlement: removed",
+        "pools.tariff.workloads: changed",
+        "pools.new: added",
+        "routes.partner: removed",
+        "routes.settle: changed",
+        "routes.other: added",
+    ]
     assert list(operator.changes(old, new)) == ["sockets"]
     assert not differs(old.pools["posting"], new.pools["posting"])
 
@@ -122,28 +162,47 @@
 def test_the_command_line_checks_a_file_and_exits_with_2_for_a_faulty_one(tmp_path):
     ended = run("config", "check", EXAMPLE, "--json")
     found = json.loads(ended.output)
-    assert ended.exit_code == 0 and [pool["pool"] for pool in found["pools"]] == list(given()["pools"])
+    assert ended.exit_code == 0 and [pool["pool"] for pool in found["pools"]] == list(
+        given()["pools"]
+    )
     order = ["partner", "enquiry", "charge", "reserve", "settle"]
     assert [route["route"] for route in found["routes"]] == order
     assert "routes" in run("config", "check", EXAMPLE, "--routes").output
     faulty = tmp_path / "o.toml"
     faulty.write_text(Path(EXAMPLE).read_text().replace('kind = "exclusive"', 'kind = "often"'))
     ended = run("config", "check", faulty)
-    assert ended.exit_code == 2 and f"{faulty}: pools.posting.workloads.charge.kind: " in ended.output
+    assert (
+        ended.exit_code == 2 and f"{faulty}: pools.posting.workloads.charge.kind: " in ended.output
+    )
     assert run("config", "diff", EXAMPLE, EXAMPLE).output == "nothing changes\n"
     assert run("run").exit_code == 2
 
 
-@pytest.mark.parametrize("words, code, said", [
-    (["--host", "x.charge.example", "--path", "/networks/7/charges", "--method", "post"], 0, "charge: pool"),
-    (["--host", "x.charge.example", "--path", "/networks/7/charges"], 1, "answered 405, method"),
-    (["--host", "x.charge.example", "--path", "/networks/7/charges/1"], 1, "answered 404"),
-    (["--path", "/settle/1?x=/.."], 0, "settle: pool settlement, workload settle"),
-    (["--path", "/settle/../charge"], 1, "refused with 400"),
-    (["--host", "partner.example", "--path", "/charge", "-H", "X-Partner: p"], 0, "partner: pool posting"),
-    (["--host", "partner.example", "--path", "/charge"], 1, "header x-partner does not fit"),
-    (["--path", "/settle", "-H", "nonsense"], 2, "is not NAME:VALUE"),
-])
+@pytest.mark.parametrize(
+    "words, code, said",
+    [
+        (
+            ["--host", "x.charge.example", "--path", "/networks/7/charges", "--method", "post"],
+            0,
+            "charge: pool",
+        ),
+        (
+            ["--host", "x.charge.example", "--path", "/networks/7/charges"],
+            1,
+            "answered 405, method",
+        ),
+        (["--host", "x.charge.example", "--path", "/networks/7/charges/1"], 1, "answered 404"),
+        (["--path", "/settle/1?x=/.."], 0, "settle: pool settlement, workload settle"),
+        (["--path", "/settle/../charge"], 1, "refused with 400"),
+        (
+            ["--host", "partner.example", "--path", "/charge", "-H", "X-Partner: p"],
+            0,
+            "partner: pool posting",
+        ),
+        (["--host", "partner.example", "--path", "/charge"], 1, "header x-partner does not fit"),
+        (["--path", "/settle", "-H", "nonsense"], 2, "is not NAME:VALUE"),
+    ],
+)
 def test_the_command_line_says_which_route_takes_a_request_and_why(words, code, said):
     ended = run("config", "route", EXAMPLE, *words)
     assert ended.exit_code == code and said in ended.output, ended.output
@@ -154,7 +213,9 @@
     text = "import sys, whinpier.__main__; print(*sys.modules)"
     ended = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, timeout=20)
     found = ended.stdout.split()
-    assert "whinpier.runtime.life" in found and not {"msgspec", "click", "rich", "tomllib"} & set(found)
+    assert "whinpier.runtime.life" in found and not {"msgspec", "click", "rich", "tomllib"} & set(
+        found
+    )
     assert not any(name.startswith(tuple(f"whinpier.{part}" for part in ours)) for name in found)
     assert not read_platform({"BALANCER_CONFIG": "example/config.json"}).routed
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -46,14 +46,27 @@
         self.balancer.wait_ready()
 
     def pool(self, names, states=(), kind="exclusive", **more):
-        upstreams = [{"name": name, "address": self.fleet.addresses[name],
-                      "state": dict(states).get(name, "ready")} for name in names]
+        upstreams = [
+            {
+                "name": name,
+                "address": self.fleet.addresses[name],
+                "state": dict(states).get(name, "ready"),
+            }
+            for name in names
+        ]
         workload = {"kind": kind, "agreed_time": self.agreed_time, "patience": "2s"}
         return {"upstreams": upstreams, "workloads": {"w": workload}} | more
 
     def text(self):
-        return files.document({"version": 1, "listen": [self.listen], "process": self.process,
-                               "pools": self.pools, "routes": self.routes})
+        return files.document(
+            {
+                "version": 1,
+                "listen": [self.listen],
+                "process": self.process,
+                "pools": self.pools,
+                "routes": self.routes,
+            }
+        )
 
     def reload(self):
         self.balancer.reload(self.text())
@@ -64,8 +77,12 @@
     def ask(self, host, path="/x", method="POST", client=None, body=b"{}", **headers):
         client = client or self.client()
         given = {"Host": host, "X-Txn": f"t{next(ids)}", "X-Remaining": "1.5"} | headers
-        client.request(method, path, body if method != "GET" else None,
-                       {name: value for name, value in given.items() if value is not None})
+        client.request(
+            method,
+            path,
+            body if method != "GET" else None,
+            {name: value for name, value in given.items() if value is not None},
+        )
         answer = client.getresponse()
         answer.body = answer.read()
         return answer
@@ -96,7 +113,9 @@
         assert [bank.by(host, client=client) for host in "abab"] == list("abab")
         began, lost = time.monotonic(), bank.ask("c", client=client)
         assert (lost.status, lost.body) == (404, b"no route: host or path not known\n")
-        assert time.monotonic() - began < 0.2 and bank.by("a", client=client) == "a"  # it may go on asking
+        assert (
+            time.monotonic() - began < 0.2 and bank.by("a", client=client) == "a"
+        )  # it may go on asking
         for path in ("/a/../b", "/%2e%2e/b", "//b", "/a%2fb"):
             assert bank.ask("a", path).status == 400
         assert bank.ask("a, b").status == 400 and bank.ask("a", method="HEAD").status == 405
@@ -104,18 +123,33 @@
 
 def test_tasks_of_two_pools_sent_at_once_on_one_connection_are_answered_in_turn(tmp_path, fleet):
     task = "POST /x HTTP/1.1\r\nHost: %s\r\nX-Txn: p%d\r\nX-Remaining: 1\r\nContent-Length: 0\r\n%s\r\n"
-    with setting(tmp_path, fleet) as bank, socket.create_connection(bank.balancer.address, LIMIT) as sock:
+    with (
+        setting(tmp_path, fleet) as bank,
+        socket.create_connection(bank.balancer.address, LIMIT) as sock,
+    ):
         fleet.tell("a-1", work=0.1, workers=1)
         fleet.tell("a-2", work=0.1, workers=1)
-        sock.sendall((task % ("a", 1, "") + task % ("b", 2, "") + task % ("none", 3, "")
-                      + task % ("a", 4, "Connection: close\r\n")).encode())
+        sock.sendall(
+            (
+                task % ("a", 1, "")
+                + task % ("b", 2, "")
+                + task % ("none", 3, "")
+                + task % ("a", 4, "Connection: close\r\n")
+            ).encode()
+        )
         said = sock.makefile("rb").read().decode()
     statuses = [line.split()[1] for line in said.splitlines() if "HTTP/1.1" in line]
     assert statuses == ["200", "200", "404", "200"]
-    assert [line[6] for line in said.lower().splitlines() if line.startswith("x-by: ")] == ["a", "b", "a"]
+    assert [line[6] for line in said.lower().splitlines() if line.startswith("x-by: ")] == [
+        "a",
+        "b",
+        "a",
+    ]
 
 
-def test_a_route_says_which_headers_say_what_how_long_is_waited_and_which_statuses_pass(tmp_path, fleet):
+def test_a_route_says_which_headers_say_what_how_long_is_waited_and_which_statuses_pass(
+    tmp_path, fleet
+):
     with setting(tmp_path, fleet) as bank:
         bank.pools["a"] |= {"statuses": [200, 500][:1]}
         says = {"id": "x-request-id", "patience": "x-timeout", "ticket": "", "optional": True}
@@ -133,7 +167,9 @@
         assert bank.ask("a", **partner).status == 502 and time.monotonic() - began < 0.8
 
 
-def test_a_pool_whose_upstreams_hang_with_all_it_may_have_in_use_keeps_no_other_waiting(tmp_path, fleet):
+def test_a_pool_whose_upstreams_hang_with_all_it_may_have_in_use_keeps_no_other_waiting(
+    tmp_path, fleet
+):
     with setting(tmp_path, fleet, descriptors=96) as bank:
         fleet.tell("a-1", hang=1.0)
         fleet.tell("a-2", hang=1.0)
@@ -148,15 +184,21 @@
         hung, well = gateways
         assert well.share_on_time() > 0.97 and hung.share_on_time() < 0.2
         assert not hung.unanswered() and not hung.answered_twice() and hung.surplus == 0
-        assert all(task.status in (502, 503) or task.on_time(0.5) for task in hung.told if task.answers)
+        assert all(
+            task.status in (502, 503) or task.on_time(0.5) for task in hung.told if task.answers
+        )
 
 
-def test_a_pool_that_is_taken_out_finishes_its_tasks_while_its_route_leads_elsewhere(tmp_path, fleet):
+def test_a_pool_that_is_taken_out_finishes_its_tasks_while_its_route_leads_elsewhere(
+    tmp_path, fleet
+):
     with setting(tmp_path, fleet) as bank:
         fleet.tell("a-1", work=0.6, workers=1, spread="constant")
         fleet.tell("a-2", work=0.6, workers=1, spread="constant")
         client, before = bank.client(), sum(fleet.tell(name)["met"] for name in ("a-1", "a-2"))
-        client.request("POST", "/x", b"{}", {"Host": "a", "X-Txn": f"out{before}", "X-Remaining": "2"})
+        client.request(
+            "POST", "/x", b"{}", {"Host": "a", "X-Txn": f"out{before}", "X-Remaining": "2"}
+        )
         until(lambda: sum(fleet.tell(name)["met"] for name in ("a-1", "a-2")) > before)
         del bank.pools["a"]
         bank.routes[0]["pool"] = "b"
@@ -179,15 +221,16 @@
     with setting(tmp_path, fleet, agreed_time="2s") as bank:
         names = [f"moved{next(ids)}", f"stays{next(ids)}"]
         address = bank.balancer.address
-        gateways = [Gateway(address, Asks(name, 150, "/x", host=host), 1)
-                    for name, host in zip(names, "ab")]
+        gateways = [
+            Gateway(address, Asks(name, 150, "/x", host=host), 1) for name, host in zip(names, "ab")
+        ]
 
         async def reload():
             for turn in range(8):
                 await asyncio.sleep(0.25)
                 bank.routes[0]["pool"] = "ab"[turn % 2]
                 bank.pools["c"] = bank.pool(["a-1"], kind="ticketed")
-                bank.pools["a"] = bank.pool(["a-1", "a-2"][:1 + turn % 2], hand_offs=1 + turn % 3)
+                bank.pools["a"] = bank.pool(["a-1", "a-2"][: 1 + turn % 2], hand_offs=1 + turn % 3)
                 if turn % 3 == 2:
                     del bank.pools["c"]
                 await asyncio.to_thread(bank.reload)
@@ -229,8 +272,15 @@
 def test_fifty_pools_and_a_thousand_routes_fit_in_64_mb(tmp_path, fleet):
     with setting(tmp_path, fleet, descriptors=1024, memory_mb=64) as bank:
         bank.pools = {f"p{number}": bank.pool(["a-1", "b-1"]) for number in range(50)}
-        bank.routes = [{"name": f"r{number}", "host": f"h{number}.example", "prefix": "/x/{n}",
-                        "pool": f"p{number % 50}"} for number in range(1000)]
+        bank.routes = [
+            {
+                "name": f"r{number}",
+                "host": f"h{number}.example",
+                "prefix": "/x/{n}",
+                "pool": f"p{number % 50}",
+            }
+            for number in range(1000)
+        ]
         bank.reload()
         some = [f"h{number}.example" for number in range(0, 1000, 99)]
         assert {bank.ask(host, "/x/1/y").status for host in some} == {200}
@@ -258,7 +308,10 @@
     for _ in range(lent - half):
         first.links.give()
         assert second.links.take() and not first.links.take()
-    assert not first.links.borrowed() and (first.links.used, second.links.used) == (half, whole - half)
+    assert not first.links.borrowed() and (first.links.used, second.links.used) == (
+        half,
+        whole - half,
+    )
 
 
 def test_a_pool_keeps_to_its_own_limit_and_one_that_ends_gives_its_part_back():
@@ -314,12 +367,16 @@
     known, task = [up.seen for up in host.upstreams], host.task()
     other = Workload("other", "rerunnable", 400 * MS, 2000 * MS, 1.0)
     host.choice.change({"limits.max_hand_offs": 1, "limits.held": 0}, [other])
-    assert [up.seen for up in host.upstreams] == known and all(seen.answers.value > 1 for seen in known)
+    assert [up.seen for up in host.upstreams] == known and all(
+        seen.answers.value > 1 for seen in known
+    )
     host.came_back(task.hand_offs[0], "reset")
     assert host.answers[task.id] == "scrapped"  # it came as exclusive
     host.workload = other
     again = host.task()
     host.came_back(again.hand_offs[0], "full")
-    assert len(again.hand_offs) == 1 and host.answers[again.id] == "turned back"  # one hand-off, nothing held
+    assert (
+        len(again.hand_offs) == 1 and host.answers[again.id] == "turned back"
+    )  # one hand-off, nothing held
     host.traffic(2 * SECOND)
     assert list(host.choice.entry.held) == [other]
--- a/tests/test_radius.py
+++ b/tests/test_radius.py
@@ -37,12 +37,23 @@
 from whinpier.spec import ConfigFault
 from whinpier.standin import files
 from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.radius import Behaviour, Burst, Client, Server, Weather, attributes, proved, request
+from whinpier.standin.radius import (
+    Behaviour,
+    Burst,
+    Client,
+    Server,
+    Weather,
+    attributes,
+    proved,
+    request,
+)
 from whinpier.standin.radius import record as record_packet
 
 SECRET = b"partner"
-attribute = st.tuples(st.integers(1, 255).filter(lambda kind: kind != wire.MESSAGE_AUTHENTICATOR),
-                      st.binary(max_size=253))
+attribute = st.tuples(
+    st.integers(1, 255).filter(lambda kind: kind != wire.MESSAGE_AUTHENTICATOR),
+    st.binary(max_size=253),
+)
 many = st.lists(attribute, max_size=12)
 
 
@@ -68,10 +79,20 @@
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
-@given(st.one_of(st.binary(max_size=64), st.binary(min_size=16, max_size=80).map(
-    lambda tail: bytes((4, 1, 0, 4 + len(tail))) + tail)), st.integers(0, 80), st.integers(0, 255))
+@given(
+    st.one_of(
+        st.binary(max_size=64),
+        st.binary(min_size=16, max_size=80).map(
+            lambda tail: bytes((4, 1, 0, 4 + len(tail))) + tail
+        ),
+    ),
+    st.integers(0, 80),
+    st.integers(0, 255),
+)
 def test_no_bytes_do_more_than_be_refused(data, at, byte):
-    good = wire.sealed(Packet(wire.ACCOUNTING_REQUEST, 1, attributes=[(40, b"\0\0\0\1")]), SECRET, True)
+    good = wire.sealed(
+        Packet(wire.ACCOUNTING_REQUEST, 1, attributes=[(40, b"\0\0\0\1")]), SECRET, True
+    )
     changed = bytearray(good + b"padding")
     changed[at % len(good)] = byte
     for text in (data, bytes(changed)):
@@ -80,13 +101,23 @@
             wire.check_request(packet, text, SECRET, True)
         except BadPacket:
             continue
-        assert packet.code == wire.STATUS_SERVER or bytes(changed[:len(good)]) == good
-
-
-@pytest.mark.parametrize("data", [b"", b"\4\1\0\x14" + bytes(15), b"\4\1\0\x13" + bytes(16),
-                                  b"\4\1\0\x15" + bytes(16) + b"\1", b"\4\1\0\x16" + bytes(16) + b"\1\1",
-                                  b"\4\1\0\x16" + bytes(16) + b"\1\3", b"\4\1\0\x16" + bytes(16) + b"\0\2",
-                                  b"\4\1\x10\x01" + bytes(4093), b"\4\1\xff\xff" + bytes(70000)])
+        assert packet.code == wire.STATUS_SERVER or bytes(changed[: len(good)]) == good
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"\4\1\0\x14" + bytes(15),
+        b"\4\1\0\x13" + bytes(16),
+        b"\4\1\0\x15" + bytes(16) + b"\1",
+        b"\4\1\0\x16" + bytes(16) + b"\1\1",
+        b"\4\1\0\x16" + bytes(16) + b"\1\3",
+        b"\4\1\0\x16" + bytes(16) + b"\0\2",
+        b"\4\1\x10\x01" + bytes(4093),
+        b"\4\1\xff\xff" + bytes(70000),
+    ],
+)
 def test_lengths_that_lie_are_refused(data):
     with pytest.raises(BadPacket):
         wire.parse(data)
@@ -104,9 +135,11 @@
 
 
 def test_another_implementation_reads_what_is_written_here_and_the_other_way(tmp_path):
-    text = ("ATTRIBUTE User-Name 1 string\nATTRIBUTE Class 25 octets\nATTRIBUTE Proxy-State 33 octets\n"
-            "ATTRIBUTE Acct-Status-Type 40 integer\nATTRIBUTE Acct-Session-Id 44 string\n"
-            "ATTRIBUTE Message-Authenticator 80 octets\n")
+    text = (
+        "ATTRIBUTE User-Name 1 string\nATTRIBUTE Class 25 octets\nATTRIBUTE Proxy-State 33 octets\n"
+        "ATTRIBUTE Acct-Status-Type 40 integer\nATTRIBUTE Acct-Session-Id 44 string\n"
+        "ATTRIBUTE Message-Authenticator 80 octets\n"
+    )
     (tmp_path / "dictionary").write_text(text)
     names = Dictionary(str(tmp_path / "dictionary"))
     theirs = other.AcctPacket(id=7, secret=SECRET, dict=names)
@@ -120,7 +153,9 @@
     assert theirs.VerifyReply(theirs.CreateReply(packet=reply), reply)
     ours = wire.sealed(Packet(4, 9, attributes=[(1, b"u"), (40, b"\0\0\0\2")]), SECRET, True)
     read = other.AcctPacket(packet=ours, secret=SECRET, dict=names)
-    assert read.VerifyAcctRequest() and read["User-Name"] == ["u"] and read["Acct-Status-Type"] == [2]
+    assert (
+        read.VerifyAcctRequest() and read["User-Name"] == ["u"] and read["Acct-Status-Type"] == [2]
+    )
     back = read.CreateReply()
     back.source = None
     answer = back.ReplyPacket()
@@ -133,7 +168,12 @@
 
 
 def record(session=b"s1", status=1, delay=0, moment=None, nas=b"n", extra=b""):
-    pairs = [(32, nas), (44, session), (40, status.to_bytes(4, "big")), (41, delay.to_bytes(4, "big"))]
+    pairs = [
+        (32, nas),
+        (44, session),
+        (40, status.to_bytes(4, "big")),
+        (41, delay.to_bytes(4, "big")),
+    ]
     pairs += [(55, moment)] * (moment is not None) + [(25, extra)] * bool(extra)
     return wire.parse(wire.sealed(Packet(4, delay, attributes=pairs), SECRET, True))
 
@@ -148,7 +188,9 @@
     met, entry = meet(memory, packet)
     entry.task = "out"
     assert met == keys.NEW and meet(memory, packet) == (keys.JOINS, entry)
-    assert meet(memory, record(session=b"s2"))[0] == keys.NEW  # same identifier, another authenticator
+    assert (
+        meet(memory, record(session=b"s2"))[0] == keys.NEW
+    )  # same identifier, another authenticator
     assert meet(memory, packet, source=("1.1.1.1", 2))[1] is entry  # by its record
     memory.answered(entry, b"answer", SECOND)
     assert meet(memory, packet, now=5 * SECOND)[0] == keys.AGAIN
@@ -164,8 +206,9 @@
     assert keys.record_key(record(status=3), "c") is None  # interim updates look alike ...
     moments = [keys.record_key(record(status=3, moment=bytes((0, 0, 0, n))), "c") for n in (1, 2)]
     assert None not in moments and moments[0] != moments[1]  # ... but for their moment
-    assert keys.record_key(record(nas=b""), "c") is None and keys.record_key(first, "d") != \
-        keys.record_key(first, "c")
+    assert keys.record_key(record(nas=b""), "c") is None and keys.record_key(
+        first, "d"
+    ) != keys.record_key(first, "c")
 
 
 def test_memory_is_bounded_and_nothing_is_let_go_before_its_time():
@@ -176,7 +219,9 @@
     for entry in entries:
         entry.task = "out"
     memory.answered(entries[1], b"a", 0)
-    assert meet(memory, packets[4]) == (keys.FULL, None) and meet(memory, packets[1])[0] == keys.AGAIN
+    assert (
+        meet(memory, packets[4]) == (keys.FULL, None) and meet(memory, packets[1])[0] == keys.AGAIN
+    )
     memory.forget(9 * SECOND)
     assert meet(memory, packets[1], now=9 * SECOND)[0] == keys.AGAIN
     assert meet(memory, packets[4], now=11 * SECOND)[0] == keys.NEW  # the answer's time is over
@@ -190,10 +235,14 @@
 def test_one_clients_flood_takes_the_common_part_and_no_other_clients():
     memory = keys.Memory(kept=10 * SECOND, most=80, clients=["flood", "quiet"])
     met = [meet(memory, record(session=b"%d" % number), name="flood")[0] for number in range(100)]
-    assert met.count(keys.NEW) == 60 and met[60:] == [keys.FULL] * 40  # its own 20 and the 40 common ones
+    assert (
+        met.count(keys.NEW) == 60 and met[60:] == [keys.FULL] * 40
+    )  # its own 20 and the 40 common ones
     met = [meet(memory, record(session=b"%d" % number), name="quiet")[0] for number in range(30)]
     assert met == [keys.NEW] * 20 + [keys.FULL] * 10
-    memory.change(10 * SECOND, 80, {"quiet": SECOND})  # the other was taken out: it is remembered to its end
+    memory.change(
+        10 * SECOND, 80, {"quiet": SECOND}
+    )  # the other was taken out: it is remembered to its end
     assert meet(memory, record(session=b"0"), name="flood")[0] == keys.JOINS
     memory.forget(11 * SECOND)
     assert list(memory.parts) == ["quiet"] and not len(memory)
@@ -224,8 +273,11 @@
 
 
 def test_a_packet_is_read_aloud_with_each_step_or_why_it_is_refused(tmp_path):
-    (tmp_path / "o.toml").write_text(text("127.0.0.1:9000", "127.0.0.1:1813", []).replace(
-        "upstreams = []", 'upstreams = [{ name = "a", address = "127.0.0.1:1" }]'))
+    (tmp_path / "o.toml").write_text(
+        text("127.0.0.1:9000", "127.0.0.1:1813", []).replace(
+            "upstreams = []", 'upstreams = [{ name = "a", address = "127.0.0.1:1" }]'
+        )
+    )
     good = record_packet(7, SECRET, "bsc")
 
     def told(data, *words):
@@ -234,11 +286,23 @@
         return ended.exit_code, json.loads(ended.stdout) if ended.exit_code < 2 else ended.stderr
 
     code, found = told(good.hex())
-    assert code == 0 and found["route"] == "all" and ["Acct-Session-Id", "bsc-7"] in found["attributes"]
-    assert [one["step"] for one in found["steps"]] == ["client", "packet", "proof", "record", "route"]
+    assert (
+        code == 0
+        and found["route"] == "all"
+        and ["Acct-Session-Id", "bsc-7"] in found["attributes"]
+    )
+    assert [one["step"] for one in found["steps"]] == [
+        "client",
+        "packet",
+        "proof",
+        "record",
+        "route",
+    ]
     assert "secret 2 of 2" in found["steps"][2]["told"]
     (tmp_path / "p").write_bytes(good[:-1] + b"!")
-    assert told("@" + str(tmp_path / "p"))[1]["refused"].startswith("an authenticator that is wrong")
+    assert told("@" + str(tmp_path / "p"))[1]["refused"].startswith(
+        "an authenticator that is wrong"
+    )
     assert "in no client" in told(good.hex(), "--source", "10.1.1.1")[1]["refused"]
     assert told("04")[1]["refused"] == "shorter than a head"
     assert told("xyz")[0] == 2 and told(good.hex(), "--source", "x")[0] == 2
@@ -250,12 +314,33 @@
 
     async def story(servers, balancer, address, _):
         target, words = "%s:%d" % address, ["--secret-file", str(tmp_path / "secret"), "--json"]
-        sent = await asyncio.to_thread(CliRunner().invoke, cli, [
-            "radius", "send", target, "--rate", "100", "--seconds", "0.5", "--bind", "127.0.0.1", *words])
+        sent = await asyncio.to_thread(
+            CliRunner().invoke,
+            cli,
+            [
+                "radius",
+                "send",
+                target,
+                "--rate",
+                "100",
+                "--seconds",
+                "0.5",
+                "--bind",
+                "127.0.0.1",
+                *words,
+            ],
+        )
         found = json.loads(sent.output)
-        assert sent.exit_code == 0 and found["answered"] == found["records"] > 20 and found["two_ways"] == 0
-        sent = await asyncio.to_thread(CliRunner().invoke, cli, [
-            "radius", "flood", target, "--records", "50", "--copies", "2", *words])
+        assert (
+            sent.exit_code == 0
+            and found["answered"] == found["records"] > 20
+            and found["two_ways"] == 0
+        )
+        sent = await asyncio.to_thread(
+            CliRunner().invoke,
+            cli,
+            ["radius", "flood", target, "--records", "50", "--copies", "2", *words],
+        )
         found = json.loads(sent.output)
         assert sent.exit_code == 0 and (found["answered"], found["answers"]) == (50, 100)
         assert max(ran(servers).values()) == 1
@@ -263,13 +348,19 @@
     play(tmp_path, [Behaviour(delay=0.001, forgets=True)], story)
 
 
-@pytest.mark.parametrize("pairs, why", [
-    ([(40, b"\0\0\1")], "attribute 40 has 3 bytes"), ([(40, b"\0\0\0\1")] * 2, "attribute 40, which decides"),
-    ([(44, b"s"), (40, b"\0\0\0\1"), (44, b"t")], "attribute 44, which decides"),
-    ([(40, b"\0\0\0\1"), (44, b"")], "attribute 44 has 0"), ([(44, b"s")], "no Acct-Status-Type"),
-    ([(40, b"\0\0\0\1"), (55, b"\1")], "attribute 55"), ([(40, b"\0\0\0\1"), (95, bytes(4))], "attribute 95"),
-    ([(33, b"p")] * 9, "a loop"),
-])
+@pytest.mark.parametrize(
+    "pairs, why",
+    [
+        ([(40, b"\0\0\1")], "attribute 40 has 3 bytes"),
+        ([(40, b"\0\0\0\1")] * 2, "attribute 40, which decides"),
+        ([(44, b"s"), (40, b"\0\0\0\1"), (44, b"t")], "attribute 44, which decides"),
+        ([(40, b"\0\0\0\1"), (44, b"")], "attribute 44 has 0"),
+        ([(44, b"s")], "no Acct-Status-Type"),
+        ([(40, b"\0\0\0\1"), (55, b"\1")], "attribute 55"),
+        ([(40, b"\0\0\0\1"), (95, bytes(4))], "attribute 95"),
+        ([(33, b"p")] * 9, "a loop"),
+    ],
+)
 def test_a_record_that_can_be_read_two_ways_is_refused(pairs, why):
     with pytest.raises(BadPacket, match=why):
         wire.check_record(Packet(4, 1, attributes=pairs))
@@ -278,7 +369,9 @@
 def test_an_answer_that_fits_in_no_packet_goes_without_what_the_server_said():
     way = Datagrams(None, ("127.0.0.1", 1), ClientSpec("c", (), (SECRET,)))
     states = [(33, bytes(253))] * 8
-    asked = wire.parse(wire.sealed(Packet(4, 1, attributes=[(40, b"\0\0\0\1"), *states]), SECRET, True))
+    asked = wire.parse(
+        wire.sealed(Packet(4, 1, attributes=[(40, b"\0\0\0\1"), *states]), SECRET, True)
+    )
     data = Front.answer_to(asked, SECRET, way, [(25, bytes(253))] * 9)
     reply = wire.parse(data)
     wire.check_answer(reply, data, asked, SECRET, True)
@@ -299,13 +392,21 @@
 
 
 def test_the_narrowest_network_and_the_most_specific_route_win():
-    clients = (ClientSpec("wide", (IPv4Network("127.0.0.0/8"),), (b"a",)),
-               ClientSpec("one", (IPv4Network("127.0.0.1/32"),), (b"b",)))
+    clients = (
+        ClientSpec("wide", (IPv4Network("127.0.0.0/8"),), (b"a",)),
+        ClientSpec("one", (IPv4Network("127.0.0.1/32"),), (b"b",)),
+    )
     assert [Clients(clients).of(at).name for at in ("127.0.0.1", "127.9.9.9")] == ["one", "wide"]
     assert Clients(clients).of("10.0.0.1") is None
-    routes = sorted([RouteSpec("any", "p", "w"), RouteSpec("below", "p", "w", "*.example"),
-                     RouteSpec("realm", "p", "w", "home.example"),
-                     RouteSpec("stops", "p", "w", "home.example", frozenset((2,)))], key=RouteSpec.rank)
+    routes = sorted(
+        [
+            RouteSpec("any", "p", "w"),
+            RouteSpec("below", "p", "w", "*.example"),
+            RouteSpec("realm", "p", "w", "home.example"),
+            RouteSpec("stops", "p", "w", "home.example", frozenset((2,))),
+        ],
+        key=RouteSpec.rank,
+    )
 
     def taken(name, status):
         asked = Packet(4, 1, attributes=[(1, name), (40, status.to_bytes(4, "big"))])
@@ -315,22 +416,49 @@
     assert [taken(*one) for one in asked] == ["realm", "stops", "below", "any"]
 
 
-realms = st.sampled_from(["", "home.example", "*.example", "*.home.example", "a.home.example", "other"])
+realms = st.sampled_from(
+    ["", "home.example", "*.example", "*.home.example", "a.home.example", "other"]
+)
 places = st.sampled_from(["", "bsc-1", "bsc-*", "bsc-1*", "*", "msc"])
-routes_made = st.lists(st.builds(
-    lambda realm, client, nas, statuses: (realm, client, nas, frozenset(statuses)), realms,
-    st.sampled_from(["", "c", "d"]), places, st.lists(st.sampled_from([1, 2, 3]), max_size=2)), max_size=25)
+routes_made = st.lists(
+    st.builds(
+        lambda realm, client, nas, statuses: (realm, client, nas, frozenset(statuses)),
+        realms,
+        st.sampled_from(["", "c", "d"]),
+        places,
+        st.lists(st.sampled_from([1, 2, 3]), max_size=2),
+    ),
+    max_size=25,
+)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(routes_made, st.sampled_from([b"u", b"u@home.example", b"u@A.Home.Example.", b"u@x.a.home.example",
-                                     b"u@other", b"@", b"u@example", b"u@.example"]),
-       st.sampled_from([b"bsc-1", b"bsc-12", b"bsc-2", b"msc", b"x"]), st.sampled_from([1, 2, 8]))
-def test_the_compiled_table_finds_what_trying_each_route_in_order_finds(given_routes, user, nas, status):
+@given(
+    routes_made,
+    st.sampled_from(
+        [
+            b"u",
+            b"u@home.example",
+            b"u@A.Home.Example.",
+            b"u@x.a.home.example",
+            b"u@other",
+            b"@",
+            b"u@example",
+            b"u@.example",
+        ]
+    ),
+    st.sampled_from([b"bsc-1", b"bsc-12", b"bsc-2", b"msc", b"x"]),
+    st.sampled_from([1, 2, 8]),
+)
+def test_the_compiled_table_finds_what_trying_each_route_in_order_finds(
+    given_routes, user, nas, status
+):
     met, made = {}, []
     for number, (realm, client, nas_name, statuses) in enumerate(given_routes):
         alike = met.setdefault((realm, client, nas_name), [])
-        if not any(other & statuses or other == statuses for other in alike):  # as the file is checked
+        if not any(
+            other & statuses or other == statuses for other in alike
+        ):  # as the file is checked
             alike.append(statuses)
             made.append(RouteSpec(f"r{number}", "p", "w", realm, statuses, client, nas_name))
     packet = Packet(4, 1, attributes=[(1, user), (32, nas), (40, status.to_bytes(4, "big"))])
@@ -339,14 +467,20 @@
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.integers(0, 2**32 - 1), st.integers(0, 32)), max_size=20),
-       st.integers(0, 2**32 - 1))
+@given(
+    st.lists(st.tuples(st.integers(0, 2**32 - 1), st.integers(0, 32)), max_size=20),
+    st.integers(0, 2**32 - 1),
+)
 def test_the_narrowest_network_is_found_whatever_networks_there_are(made, address):
-    networks = {IPv4Network((number >> (32 - width) << (32 - width), width)) for number, width in made}
+    networks = {
+        IPv4Network((number >> (32 - width) << (32 - width), width)) for number, width in made
+    }
     clients = [ClientSpec(str(network), (network,), (b"s",)) for network in networks]
     holds = [network for network in networks if IPv4Address(address) in network]
     found = Clients(clients).of(str(IPv4Address(address)))
-    assert (found and found.name) == (str(max(holds, key=lambda one: one.prefixlen)) if holds else None)
+    assert (found and found.name) == (
+        str(max(holds, key=lambda one: one.prefixlen)) if holds else None
+    )
 
 
 # The state file.
@@ -376,7 +510,12 @@
     memory.given_up(entries[3])
     state.close()
     memory, state = kept_in(tmp_path)
-    assert [meet(memory, packet)[0] for packet in packets] == [keys.JOINS, keys.AGAIN, keys.JOINS, keys.NEW]
+    assert [meet(memory, packet)[0] for packet in packets] == [
+        keys.JOINS,
+        keys.AGAIN,
+        keys.JOINS,
+        keys.NEW,
+    ]
     known = meet(memory, record(session=b"1", delay=7))  # by its record, in other words
     assert known[0] == keys.AGAIN and known[1].answer == b"answer"
     assert meet(memory, packets[0])[1].task is None
@@ -400,12 +539,16 @@
         state.close()
         # Each request has two notes, the second its answer.
         assert len(memory) == (sum(end <= cut for end in ends) + 1) // 2, cut
-        assert (tmp_path / "state").stat().st_size == max([24, *(end for end in ends if end <= cut)])
+        assert (tmp_path / "state").stat().st_size == max(
+            [24, *(end for end in ends if end <= cut)]
+        )
     (tmp_path / "state").write_bytes(whole + bytes(300))  # as a file system may leave it
     assert len(reopened(tmp_path)) == 4
 
 
-def test_a_byte_that_was_changed_is_a_tear_at_the_end_or_refuses_the_file_never_another_record(tmp_path):
+def test_a_byte_that_was_changed_is_a_tear_at_the_end_or_refuses_the_file_never_another_record(
+    tmp_path,
+):
     memory, state = kept_in(tmp_path)
     for number in range(3):
         memory.answered(meet(memory, record(session=b"%d" % number))[1], b"answer", 0)
@@ -420,14 +563,16 @@
         except Torn:
             refused += 1
             continue
-        assert found == good[:len(found)] and len(found) < len(good)
+        assert found == good[: len(found)] and len(found) < len(good)
     assert refused > len(whole) * 2 // 3
     (tmp_path / "state").write_bytes(b"something else altogether, of another program")
     with pytest.raises(Torn, match="move it away"):
         kept_in(tmp_path)
 
 
-def test_where_notes_cannot_be_written_nothing_new_is_taken_and_all_are_written_later(tmp_path, monkeypatch):
+def test_where_notes_cannot_be_written_nothing_new_is_taken_and_all_are_written_later(
+    tmp_path, monkeypatch
+):
     memory, state = kept_in(tmp_path, first=True)
     write, told = os.pwrite, []
 
@@ -450,8 +595,9 @@
     assert len(reopened(tmp_path)) == 1
 
 
-def test_told_to_go_on_with_a_full_disk_it_waits_for_nothing_and_holds_no_more_than_a_bound(tmp_path,
-                                                                                          monkeypatch):
+def test_told_to_go_on_with_a_full_disk_it_waits_for_nothing_and_holds_no_more_than_a_bound(
+    tmp_path, monkeypatch
+):
     memory, state = kept_in(tmp_path, refuse=False)
     write, told = os.pwrite, []
 
@@ -502,8 +648,9 @@
 
 def text(listen, radius, servers, kind="exclusive", patience=2.0, **more):
     addresses = {one.name: f"127.0.0.1:{one.port}" for one in servers}
-    whole = files.records(radius, addresses, ["old", "partner"], kind, patience=patience,
-                          retransmit=0.1, **more)
+    whole = files.records(
+        radius, addresses, ["old", "partner"], kind, patience=patience, retransmit=0.1, **more
+    )
     return files.document({"version": 1, "listen": [listen], **whole})
 
 
@@ -515,7 +662,11 @@
     try:
         balancer.wait_ready()
         host, _, port = radius.rpartition(":")
-        yield balancer, (host, int(port)), lambda to=servers, **other: text(listen, radius, to, **other)
+        yield (
+            balancer,
+            (host, int(port)),
+            lambda to=servers, **other: text(listen, radius, to, **other),
+        )
     finally:
         balancer.stop(wait=False)
     assert not balancer.said("event=broken") and not balancer.said("level=error"), balancer.log()
@@ -523,9 +674,12 @@
 
 def play(tmp_path, behaviours, story, weather=None, **more):
     """Servers with these behaviours, a balancer, and a story told with them."""
+
     async def whole():
-        servers = [Server(f"r{number}", b"server", how, weather, number)
-                   for number, how in enumerate(behaviours)]
+        servers = [
+            Server(f"r{number}", b"server", how, weather, number)
+            for number, how in enumerate(behaviours)
+        ]
         for server in servers:
             await server.start()
         loop = asyncio.get_running_loop()
@@ -554,11 +708,16 @@
     return whole
 
 
-@pytest.mark.parametrize("behaviours", [
-    [Behaviour(), Behaviour(), Behaviour()],
-    [Behaviour(late=0.3, late_by=0.4), Behaviour(twice=0.5), Behaviour(wrong=0.3)],
-])
-def test_on_a_bad_network_nothing_runs_twice_and_each_record_has_one_answers_content(tmp_path, behaviours):
+@pytest.mark.parametrize(
+    "behaviours",
+    [
+        [Behaviour(), Behaviour(), Behaviour()],
+        [Behaviour(late=0.3, late_by=0.4), Behaviour(twice=0.5), Behaviour(wrong=0.3)],
+    ],
+)
+def test_on_a_bad_network_nothing_runs_twice_and_each_record_has_one_answers_content(
+    tmp_path, behaviours
+):
     async def story(servers, balancer, address, _):
         weather = Weather(lost=0.05, doubled=0.05, late=0.1)
         nas = [await client(address, seed=seed, weather=weather, first=0.3) for seed in range(3)]
@@ -566,7 +725,9 @@
         told = [record for one in nas for record in one.told]
         counts = ran(servers)
         assert max(counts.values()) == 1 and sum(server.bad for server in servers) == 0
-        assert all(len(set(one.answers)) <= 1 for one in told) and not any(one.strange for one in nas)
+        assert all(len(set(one.answers)) <= 1 for one in told) and not any(
+            one.strange for one in nas
+        )
         assert all(counts[one.record] for one in told if one.answers)
         least = 0.95 if behaviours[1].twice == 0 else 0.75
         assert sum(bool(one.answers) for one in told) > least * len(told)
@@ -586,7 +747,9 @@
         await anyio.sleep(0.3)
         counts = ran(servers)
         assert len(counts) == 256 and max(counts.values()) == 1
-        assert set(burst.answers) == taken and all(len(set(got)) == 1 for got in burst.answers.values())
+        assert set(burst.answers) == taken and all(
+            len(set(got)) == 1 for got in burst.answers.values()
+        )
         burst.close()
         await asyncio.to_thread(until, lambda: balancer.said("event=radius_full"))
 
@@ -599,7 +762,9 @@
         packets = [record_packet(number, SECRET) for number in range(60)]
         await burst.send(packets, 600.0)
         await asyncio.to_thread(balancer.stop, False)  # with some still out
-        again = Balancer(tmp_path / "again", operator=balancer.file.read_text(), listen=balancer.listen)
+        again = Balancer(
+            tmp_path / "again", operator=balancer.file.read_text(), listen=balancer.listen
+        )
         await asyncio.to_thread(again.wait_ready)
         await burst.send(packets, 600.0)
         await anyio.sleep(0.3)
@@ -611,11 +776,18 @@
         data = bytearray(state.read_bytes())
         data[200] ^= 1
         state.write_bytes(data)
-        third = Balancer(tmp_path / "third", operator=balancer.file.read_text(), listen=balancer.listen)
+        third = Balancer(
+            tmp_path / "third", operator=balancer.file.read_text(), listen=balancer.listen
+        )
         assert await asyncio.to_thread(third.process.wait, LIMIT) == 2
         assert len(third.log().splitlines()) == 1 and "is damaged at byte" in third.log()
 
-    play(tmp_path, [Behaviour(delay=0.02, forgets=True)], story, state={"file": str(tmp_path / "state")})
+    play(
+        tmp_path,
+        [Behaviour(delay=0.02, forgets=True)],
+        story,
+        state={"file": str(tmp_path / "state")},
+    )
 
 
 def test_a_server_that_takes_datagrams_and_never_answers_is_left_to_trials(tmp_path):
@@ -625,7 +797,7 @@
         late = [one for one in nas.told if one.due > nas.told[0].due + 2.5]
         assert sum(bool(one.answers) for one in late) > 0.95 * len(late) and servers[0].met > 5
         assert all(count == 1 for count in ran(servers[1:]).values())
-        assert balancer.said("outcome=\"timed out\"")
+        assert balancer.said('outcome="timed out"')
 
     play(tmp_path, [Behaviour(deaf=True), Behaviour(), Behaviour()], story, patience=1.0)
 
@@ -654,7 +826,9 @@
         noise.sendto(request(2, [(44, b"no status")], SECRET), address)
         await asyncio.gather(forger.run(1.0), plain.run(1.0))
         noise.close()
-        assert not any(one.answers for one in forger.told) and all(one.answers for one in plain.told)
+        assert not any(one.answers for one in forger.told) and all(
+            one.answers for one in plain.told
+        )
         assert sum(ran(servers).values()) == len(plain.told)
         assert balancer.said("event=radius_bad_request")
 
@@ -663,8 +837,10 @@
 
 def test_secrets_change_under_load_and_two_hold_meanwhile(tmp_path):
     async def story(servers, balancer, address, other):
-        both = [await client(address, secret=secret, seed=seed, rate=60.0)
-                for seed, secret in enumerate((b"old", b"partner"))]
+        both = [
+            await client(address, secret=secret, seed=seed, rate=60.0)
+            for seed, secret in enumerate((b"old", b"partner"))
+        ]
         new = other().replace('secrets = ["old", "partner"]', 'secrets = ["partner", "new"]')
 
         async def change():
@@ -695,7 +871,9 @@
         loop = asyncio.get_running_loop()
         noise, _ = await loop.create_datagram_endpoint(Listener, ("127.0.0.1", 0))
         same = [(32, b"n"), (44, b"s"), (40, b"\0\0\0\1")]
-        asked = [request(ident, [*same, (41, bytes((0, 0, 0, ident)))], SECRET) for ident in range(3)]
+        asked = [
+            request(ident, [*same, (41, bytes((0, 0, 0, ident)))], SECRET) for ident in range(3)
+        ]
         for data in asked:  # the server takes its time
             noise.sendto(data, address)
             noise.sendto(data, address)
@@ -707,7 +885,9 @@
             await asyncio.sleep(0.01)
         noise.close()
         assert all(any(proved(reply, data, SECRET) for reply in got) for data in asked)
-        assert {value for reply in got for kind, value in attributes(reply) if kind == 25} == {b"r0"}
+        assert {value for reply in got for kind, value in attributes(reply) if kind == 25} == {
+            b"r0"
+        }
         assert list(ran(servers).values()) == [1]
 
     play(tmp_path, [Behaviour(delay=0.3)], story)
@@ -745,7 +925,10 @@
         nas = await client(address, first=0.3, tries=1)
         asking = asyncio.create_task(nas.run(0.8))
         await met_by_all(servers)
-        swapped = [SimpleNamespace(name=one.name, port=two.port) for one, two in zip(servers, servers[::-1])]
+        swapped = [
+            SimpleNamespace(name=one.name, port=two.port)
+            for one, two in zip(servers, servers[::-1])
+        ]
         await asyncio.to_thread(balancer.reload, other(swapped))
         await asking
         assert max(ran(servers).values()) == 1 and nas.told[-1].answers
@@ -759,7 +942,9 @@
         nas = await client(address, rate=60.0, first=1.5, tries=0)
         asking = asyncio.create_task(nas.run(0.3))
         await met_by_all(servers)
-        await asyncio.to_thread(balancer.reload, other().replace('secret = "server"', 'secret = "new"'))
+        await asyncio.to_thread(
+            balancer.reload, other().replace('secret = "server"', 'secret = "new"')
+        )
         await asking
         sealed_before = [one for one in nas.told if ran(servers)[one.record]]
         assert sealed_before and all(one.answers for one in sealed_before)
@@ -767,21 +952,47 @@
     play(tmp_path, [Behaviour(delay=0.4)], story)
 
 
-@pytest.mark.parametrize("old, new, said", [
-    ('secret = "server"', "", "pools.acct.radius: either secret or secret_file"),
-    ('secret = "server"', 'secret_file = "/nowhere"', "pools.acct.radius.secret_file: "),
-    ('protocol = "radius"', "", "pools.acct.radius: belongs to protocol"),
-    ('networks = ["127.0.0.0/8"]', 'networks = ["127.0.0.1/8"]', "radius.clients.partner.networks: "),
-    ('secrets = ["old", "partner"]', "secrets = []", "radius.clients.partner: needs networks"),
-    ('pool = "acct"', 'pool = "none"', "radius.routes.all.pool: 'none' is no pool"),
-    ('name = "all"', 'name = "all"\nstatuses = ["begin"]', "radius.routes[0].statuses[0]: 'begin' is none"),
-    ('name = "all"', 'name = "all"\nclient = "x"', "radius.routes.all.client: 'x' is none of partner"),
-    ("[radius]\n", "[radius]\nport = 1\n", "radius.port: is no key here"),
-    ("[radius]\n", '[radius]\nstate = { file = "here" }\n', "radius.state.file: 'here' is no whole path"),
-    ("[radius]\n", '[radius]\nstate = { file = "/x", sync = "0s" }\n', "radius.state.sync: '0s' is not"),
-    ("[[radius.routes]]", '[[radius.routes]]\nname = "a"\npool = "acct"\n[[radius.routes]]',
-     "radius.routes.all: takes"),
-])
+@pytest.mark.parametrize(
+    "old, new, said",
+    [
+        ('secret = "server"', "", "pools.acct.radius: either secret or secret_file"),
+        ('secret = "server"', 'secret_file = "/nowhere"', "pools.acct.radius.secret_file: "),
+        ('protocol = "radius"', "", "pools.acct.radius: belongs to protocol"),
+        (
+            'networks = ["127.0.0.0/8"]',
+            'networks = ["127.0.0.1/8"]',
+            "radius.clients.partner.networks: ",
+        ),
+        ('secrets = ["old", "partner"]', "secrets = []", "radius.clients.partner: needs networks"),
+        ('pool = "acct"', 'pool = "none"', "radius.routes.all.pool: 'none' is no pool"),
+        (
+            'name = "all"',
+            'name = "all"\nstatuses = ["begin"]',
+            "radius.routes[0].statuses[0]: 'begin' is none",
+        ),
+        (
+            'name = "all"',
+            'name = "all"\nclient = "x"',
+            "radius.routes.all.client: 'x' is none of partner",
+        ),
+        ("[radius]\n", "[radius]\nport = 1\n", "radius.port: is no key here"),
+        (
+            "[radius]\n",
+            '[radius]\nstate = { file = "here" }\n',
+            "radius.state.file: 'here' is no whole path",
+        ),
+        (
+            "[radius]\n",
+            '[radius]\nstate = { file = "/x", sync = "0s" }\n',
+            "radius.state.sync: '0s' is not",
+        ),
+        (
+            "[[radius.routes]]",
+            '[[radius.routes]]\nname = "a"\npool = "acct"\n[[radius.routes]]',
+            "radius.routes.all: takes",
+        ),
+    ],
+)
 def test_a_faulty_radius_part_is_named_by_its_key(tmp_path, old, new, said):
     server = type("Server", (), {"name": "r", "port": 1})
     table = text("127.0.0.1:1", "127.0.0.1:2", [server])
--- a/tests/test_radius_streams.py
+++ b/tests/test_radius_streams.py
@@ -27,11 +27,13 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(st.integers(0, 400), max_size=8), st.lists(st.integers(1, 300), max_size=40))
 def test_packets_come_out_of_a_stream_as_they_went_in_however_it_is_cut(sizes, cuts):
-    packets = [request(number, [(40, b"\0\0\0\1"), (25, bytes(size % 250))], SECRET)
-               for number, size in enumerate(sizes)]
+    packets = [
+        request(number, [(40, b"\0\0\0\1"), (25, bytes(size % 250))], SECRET)
+        for number, size in enumerate(sizes)
+    ]
     whole, splitter, found, at = b"".join(packets), Splitter(), [], 0
     for cut in [*cuts, len(whole)]:
-        found += splitter.feed(whole[at:at + cut])
+        found += splitter.feed(whole[at : at + cut])
         at += cut
         assert len(splitter.held) < wire.MOST
     assert found == packets and not splitter.held
@@ -58,7 +60,9 @@
         return host, int(port)
 
     async def told(servers, balancer, address, other):
-        await story(servers, balancer, {"udp": address, "tcp": place(tcp), "tls": place(tls)}, other)
+        await story(
+            servers, balancer, {"udp": address, "tcp": place(tcp), "tls": place(tls)}, other
+        )
 
     play(tmp_path, [WORK], told, streams=listeners, **more)
 
@@ -84,15 +88,21 @@
         burst = Burst(at["udp"], SECRET)
         await burst.send([record(number, SECRET) for number in range(40)], 1000.0)
         await anyio.sleep(0.2)
-        assert len(burst.answers) == 40 and len(ran(servers)) == 40 and max(ran(servers).values()) == 1
-        caller.send(request(200, [], SECRET).replace(b"\4", b"\x0c", 1))  # a Status-Server's proof is another
+        assert (
+            len(burst.answers) == 40 and len(ran(servers)) == 40 and max(ran(servers).values()) == 1
+        )
+        caller.send(
+            request(200, [], SECRET).replace(b"\4", b"\x0c", 1)
+        )  # a Status-Server's proof is another
         await asyncio.wait_for(caller.ended.wait(), 5)
         burst.close()
 
     streams(tmp_path, story)
 
 
-def test_a_connection_that_dies_with_records_out_leaves_them_known_and_what_is_not_proved_ends_one(tmp_path):
+def test_a_connection_that_dies_with_records_out_leaves_them_known_and_what_is_not_proved_ends_one(
+    tmp_path,
+):
     async def story(servers, balancer, at, _):
         servers[0].behaviour = Behaviour(delay=0.3)  # it knows the balancer's own retransmissions
         caller = Caller(at["tcp"], SECRET)
@@ -104,7 +114,9 @@
         caller.close()
         again = Caller(at["tcp"], SECRET)
         await again.open()
-        again.send(record(1, SECRET))  # in time to join, or to be given the answer: never a second run
+        again.send(
+            record(1, SECRET)
+        )  # in time to join, or to be given the answer: never a second run
         await answered(again, 1)
         assert ran(servers) == {"nas-1/1": 1}
         wrong = record(2, b"other")
@@ -151,12 +163,17 @@
 
     def issue(self, name, **more):
         made = self.authority.issue_cert(name, **more)
-        (self.folder / f"{name}.pem").write_bytes(b"".join(part.bytes() for part in made.cert_chain_pems))
+        (self.folder / f"{name}.pem").write_bytes(
+            b"".join(part.bytes() for part in made.cert_chain_pems)
+        )
         key = self.folder / f"{name}.key"
         key.write_bytes(made.private_key_pem.bytes())
         key.chmod(0o600)
-        return {"certificate": str(self.folder / f"{name}.pem"), "key": str(key),
-                "authorities": str(self.folder / "ca.pem")}
+        return {
+            "certificate": str(self.folder / f"{name}.pem"),
+            "key": str(key),
+            "authorities": str(self.folder / "ca.pem"),
+        }
 
     def client(self, name=None):
         context = ssl.create_default_context(cafile=str(self.folder / "ca.pem"))
@@ -172,8 +189,15 @@
     async def story(servers, balancer, at, _):
         caller = Caller(at["tls"], b"radsec", made.client("nas.partner.example"))
         await caller.open()
-        await paced(caller, [request(number, [(32, b"n"), (44, b"%d" % number), (40, b"\0\0\0\1")],
-                                     b"radsec", False) for number in range(20)])
+        await paced(
+            caller,
+            [
+                request(
+                    number, [(32, b"n"), (44, b"%d" % number), (40, b"\0\0\0\1")], b"radsec", False
+                )
+                for number in range(20)
+            ],
+        )
         assert max(ran(servers).values()) == 1
         stranger = Caller(at["tls"], b"radsec", made.client("other.example"))
         await stranger.open()
@@ -192,9 +216,15 @@
         assert "nas-99/1" not in ran(servers) and len(ran(servers)) == 20
         caller.close()
 
-    streams(tmp_path, story, certificates=made.issue("server"),
-            clients={"partner": {"names": ["nas.partner.example"]},
-                     "near": {"networks": ["127.0.0.0/8"], "secrets": ["partner"]}})
+    streams(
+        tmp_path,
+        story,
+        certificates=made.issue("server"),
+        clients={
+            "partner": {"names": ["nas.partner.example"]},
+            "near": {"networks": ["127.0.0.0/8"], "secrets": ["partner"]},
+        },
+    )
 
 
 def test_a_certificate_is_changed_under_load_and_connections_that_stand_go_on(tmp_path):
@@ -221,7 +251,9 @@
         caller.close()
         new.close()
 
-    streams(tmp_path, story, certificates=first, clients={"partner": {"names": ["nas.partner.example"]}})
+    streams(
+        tmp_path, story, certificates=first, clients={"partner": {"names": ["nas.partner.example"]}}
+    )
 
 
 def test_files_of_tls_are_looked_at_when_they_are_read(tmp_path):
@@ -229,10 +261,12 @@
     good = made.issue("server")
     TlsSpec(**good).context("at")
     yesterday = datetime.datetime.now(datetime.timezone.utc) - datetime.timedelta(days=1)
-    for faulty, said in ((made.issue("old", not_after=yesterday), "at.certificate: .* is valid from"),
-                         (good | {"authorities": "/nowhere"}, "at.authorities: "),
-                         (good | {"key": made.issue("other")["key"]}, "at: .*"),
-                         (good | {"certificate": good["key"]}, "at.certificate: ")):
+    for faulty, said in (
+        (made.issue("old", not_after=yesterday), "at.certificate: .* is valid from"),
+        (good | {"authorities": "/nowhere"}, "at.authorities: "),
+        (good | {"key": made.issue("other")["key"]}, "at: .*"),
+        (good | {"certificate": good["key"]}, "at.certificate: "),
+    ):
         with pytest.raises(ConfigFault, match=said):
             TlsSpec(**faulty).context("at")
     (tmp_path / "server.key").chmod(0o640)
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -10,10 +10,41 @@
 from whinpier.bank import record as r
 from whinpier.bank.conduct import Conduct, Report, Seat, chosen, split
 from whinpier.bank.forms import Line
-from whinpier.bank.record import (BACK, CONFIRMED, DRAIN, FAILED, GATE, HALT, LOST, OBSERVED, PLAN, PUT,
-                                  RELEASE, RESUME, RULES, STRUCK, SWITCHED, UNDO, UNDRAIN, WRITTEN_OFF,
-                                  About, Drain, Gate, Judged, Observed, Plan, Put, Record, Release, Rule,
-                                  Rules, Said, Seen, checked, hash_of)
+from whinpier.bank.record import (
+    BACK,
+    CONFIRMED,
+    DRAIN,
+    FAILED,
+    GATE,
+    HALT,
+    LOST,
+    OBSERVED,
+    PLAN,
+    PUT,
+    RELEASE,
+    RESUME,
+    RULES,
+    STRUCK,
+    SWITCHED,
+    UNDO,
+    UNDRAIN,
+    WRITTEN_OFF,
+    About,
+    Drain,
+    Gate,
+    Judged,
+    Observed,
+    Plan,
+    Put,
+    Record,
+    Release,
+    Rule,
+    Rules,
+    Said,
+    Seen,
+    checked,
+    hash_of,
+)
 from whinpier.decay import SECOND
 
 
@@ -42,7 +73,7 @@
     def file(self, text):
         name = hash_of(text)
         for at in range(0, len(text), 4):
-            self.line(PUT, Put(name, at, len(text), text[at:at + 4]))
+            self.line(PUT, Put(name, at, len(text), text[at : at + 4]))
         return name
 
     def release(self, content, *waves, hold=False, names=("m0", "m1", "m2", "m3")):
@@ -109,7 +140,11 @@
 
 
 def test_zones_and_pools_have_rules_of_their_own():
-    book = Book(Rule("a", "balancers", 1, "", "a"), Rule("t", "upstreams", 1, "t"), Rule("u", "upstreams", 2))
+    book = Book(
+        Rule("a", "balancers", 1, "", "a"),
+        Rule("t", "upstreams", 1, "t"),
+        Rule("u", "upstreams", 2),
+    )
     assert book.say(DRAIN, Drain, "m1", "", "a")[0]
     assert not book.say(DRAIN, Drain, "m2", "", "a")[0] and book.say(DRAIN, Drain, "m3", "", "b")[0]
     assert book.say(DRAIN, Drain, "s1", "t")[0] and not book.say(DRAIN, Drain, "s2", "t")[0]
@@ -130,7 +165,9 @@
     seen = book.record.whole.revision
     assert book.say(DRAIN, Drain, "m1", based=seen, who="ann")[0]
     assert book.say(DRAIN, Drain, "m2", based=seen, who="bob") == (
-        False, "changed since 2: at 3 ann said drain m1")
+        False,
+        "changed since 2: at 3 ann said drain m1",
+    )
     assert book.say(DRAIN, Drain, "m2", based=book.record.whole.revision, who="bob")[0]
 
 
@@ -150,7 +187,10 @@
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.integers(1, 3), st.lists(st.tuples(st.sampled_from("dublsfwxhru"), st.integers(0, 4)), max_size=60))
+@given(
+    st.integers(1, 3),
+    st.lists(st.tuples(st.sampled_from("dublsfwxhru"), st.integers(0, 4)), max_size=60),
+)
 def test_never_more_are_out_by_permit_than_may_whatever_comes(may, steps):
     """Drains, undrains, losses, releases with all that can happen to them, in any order."""
     book, names = Book(Rule("all", "balancers", may)), [f"m{n}" for n in range(5)]
@@ -358,8 +398,11 @@
         book.file(b"pools = %d" % number)
     assert len(book.record.whole.contents) <= r.MOST_CONTENTS
     before = book.record.freeze()
-    for line in (Line(1, 60, b"x"), Line(1, DRAIN, b"\xc1"),
-                 Line(1, OBSERVED, msgspec.msgpack.encode([1, 2]))):
+    for line in (
+        Line(1, 60, b"x"),
+        Line(1, DRAIN, b"\xc1"),
+        Line(1, OBSERVED, msgspec.msgpack.encode([1, 2])),
+    ):
         book.record.apply(book.at + 1, line)
     assert book.record.unread == 3 and len(before) < 400_000
 
@@ -378,14 +421,24 @@
 
 
 def seats(*names, gone=(), unheard=(), zones=None):
-    return {name: Seat(name, 10 + n, (zones or {}).get(name, ""), name not in gone and name not in unheard,
-                       name in unheard) for n, name in enumerate(names)}
+    return {
+        name: Seat(
+            name,
+            10 + n,
+            (zones or {}).get(name, ""),
+            name not in gone and name not in unheard,
+            name in unheard,
+        )
+        for n, name in enumerate(names)
+    }
 
 
 def told(conduct, there, now, **more):
     for seat in there.values():
         if seat.here:
-            conduct.report(seat.name, seat.id, Report(**({"applied": 99, "ready": True} | more)), now)
+            conduct.report(
+                seat.name, seat.id, Report(**({"applied": 99, "ready": True} | more)), now
+            )
 
 
 def put(book, found):
@@ -400,7 +453,9 @@
     told(conduct, there, 1)
     put(book, conduct.turn(1, there, book.record))
     assert book.record.whole.drains["b/m1"].state == r.DRAINING
-    conduct.report("m1", 77, Report(99, ready=False, draining=True, drained=True), 2)  # an earlier run of it
+    conduct.report(
+        "m1", 77, Report(99, ready=False, draining=True, drained=True), 2
+    )  # an earlier run of it
     put(book, conduct.turn(2, there, book.record))
     assert book.record.whole.drains["b/m1"].state == r.DRAINING
     conduct.report("m1", 11, Report(99, ready=False, draining=True, drained=True), 3)
@@ -462,10 +517,17 @@
 GOOD = {"ended": 40, "on_time": 40}
 
 
-@pytest.mark.parametrize("released,said", [
-    (GOOD, ""), ({"ended": 40, "on_time": 30}, "on time 0.75"), ({**GOOD, "scrapped": 4}, "scrapped 0.1"),
-    ({**GOOD, "turned_back": 8}, "turned back 0.2"), ({**GOOD, "memory": 90}, "memory"),
-    ({}, "nothing to judge by")])
+@pytest.mark.parametrize(
+    "released,said",
+    [
+        (GOOD, ""),
+        ({"ended": 40, "on_time": 30}, "on time 0.75"),
+        ({**GOOD, "scrapped": 4}, "scrapped 0.1"),
+        ({**GOOD, "turned_back": 8}, "turned back 0.2"),
+        ({**GOOD, "memory": 90}, "memory"),
+        ({}, "nothing to judge by"),
+    ],
+)
 def test_a_gate_holds_the_released_against_the_rest_in_the_same_seconds(released, said):
     book, conduct = Book(FEW), Conduct(0, 600 * SECOND)
     at, _ = gate(book, seats("m0", "m1", "m2"), conduct, released, {**GOOD, "memory": 40})
@@ -495,7 +557,10 @@
 
 def test_selectors_and_waves():
     there = seats("m0", "m1", "m2", "m3", "m4", gone=("m4",), zones={"m1": "a", "m2": "a"})
-    assert chosen("all", there) == ["m0", "m1", "m2", "m3"] and chosen("zone=a", there) == ["m1", "m2"]
+    assert chosen("all", there) == ["m0", "m1", "m2", "m3"] and chosen("zone=a", there) == [
+        "m1",
+        "m2",
+    ]
     assert chosen("m3, m0,m9", there) == ["m0", "m3"]
     names = [f"m{n}" for n in range(10)]
     assert [len(wave) for wave in split(names, ["1", "25%"])] == [1, 3, 6]
@@ -518,10 +583,13 @@
             conduct = Conduct(now, 600 * SECOND)
         for name, seat in there.items():
             runs = book.record.orders(name).content
-            figures = {"ended": 30 * now // SECOND, "on_time": (15 if bad and runs else 30) * now // SECOND}
+            figures = {
+                "ended": 30 * now // SECOND,
+                "on_time": (15 if bad and runs else 30) * now // SECOND,
+            }
             conduct.report(name, seat.id, Report(book.at, runs, ready=True, **figures), now)
         found = conduct.turn(now, there, book.record)
-        put(book, found[:chance.randint(0, len(found))] if chance.random() < 0.2 else found)
+        put(book, found[: chance.randint(0, len(found))] if chance.random() < 0.2 else found)
         assert len(book.out()) <= 2
         if book.on is None:
             break
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -13,85 +13,181 @@
     return route.reason if isinstance(route, Missed) else route.name
 
 
-@pytest.mark.parametrize("text, host", [
-    ("A.Example", "a.example"), ("a.example:8080", "a.example"), ("a.example.", "a.example"),
-    ("127.0.0.1:1", "127.0.0.1"), ("[::1]:90", "[::1]"), ("[0:0::1]", "[::1]"), ("a_b", "a_b"),
-])
+@pytest.mark.parametrize(
+    "text, host",
+    [
+        ("A.Example", "a.example"),
+        ("a.example:8080", "a.example"),
+        ("a.example.", "a.example"),
+        ("127.0.0.1:1", "127.0.0.1"),
+        ("[::1]:90", "[::1]"),
+        ("[0:0::1]", "[::1]"),
+        ("a_b", "a_b"),
+    ],
+)
 def test_a_host_has_one_form(text, host):
     assert normal.host(text) == host
 
 
-@pytest.mark.parametrize("text", ["", ".", "a..b", "a b", "a/b", "a@b", "a:", "a:x", "a:123456", "[::1",
-                                  "[::g]",
-                                  "[fe80::1%eth0]", "-a", "a" * 64, "a." * 130, "\xe4", "a\r\nb",
-                                  "a,b"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        ".",
+        "a..b",
+        "a b",
+        "a/b",
+        "a@b",
+        "a:",
+        "a:x",
+        "a:123456",
+        "[::1",
+        "[::g]",
+        "[fe80::1%eth0]",
+        "-a",
+        "a" * 64,
+        "a." * 130,
+        "\xe4",
+        "a\r\nb",
+        "a,b",
+    ],
+)
 def test_a_host_that_can_be_read_two_ways_is_refused(text):
     with pytest.raises(normal.Unclear):
         normal.host(text)
 
 
-@pytest.mark.parametrize("text, path", [
-    ("/", "/"), ("/a/b", "/a/b"), ("/%61/b", "/a/b"), ("/a%3fb", "/a%3Fb"), ("/a%7Eb", "/a~b"),
-    ("/a/", "/a/"),
-    ("/a;v=1", "/a;v=1"), ("/100%25", "/100%25"), ("/a.b", "/a.b"), ("/...", "/..."),
-])
+@pytest.mark.parametrize(
+    "text, path",
+    [
+        ("/", "/"),
+        ("/a/b", "/a/b"),
+        ("/%61/b", "/a/b"),
+        ("/a%3fb", "/a%3Fb"),
+        ("/a%7Eb", "/a~b"),
+        ("/a/", "/a/"),
+        ("/a;v=1", "/a;v=1"),
+        ("/100%25", "/100%25"),
+        ("/a.b", "/a.b"),
+        ("/...", "/..."),
+    ],
+)
 def test_a_path_has_one_form(text, path):
     assert normal.path(text) == path and normal.path(path) == path
 
 
-@pytest.mark.parametrize("text", [
-    "", "a", "//", "//a", "/a//b", "/.", "/..", "/a/../b", "/a/./b", "/%2e%2e/b", "/.%2e", "/a/..;x/b",
-    "/a%2Fb", "/a%5cb", "/a\\b", "/a%00", "/a%", "/a%4", "/a%zz", "/a%252e", "/a b", "/\xe4", "/a\n", "/a#b",
-    "/" + "a/" * 70,
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "a",
+        "//",
+        "//a",
+        "/a//b",
+        "/.",
+        "/..",
+        "/a/../b",
+        "/a/./b",
+        "/%2e%2e/b",
+        "/.%2e",
+        "/a/..;x/b",
+        "/a%2Fb",
+        "/a%5cb",
+        "/a\\b",
+        "/a%00",
+        "/a%",
+        "/a%4",
+        "/a%zz",
+        "/a%252e",
+        "/a b",
+        "/\xe4",
+        "/a\n",
+        "/a#b",
+        "/" + "a/" * 70,
+    ],
+)
 def test_a_path_that_can_be_read_two_ways_is_refused(text):
     with pytest.raises(normal.Unclear):
         normal.path(text)
 
 
-@pytest.mark.parametrize("asked, name", [
-    ({}, "host"), ({"host": "z.b.c"}, "longer"), ({"host": "z.c"}, "shorter"), ({"host": "z"}, "any"),
-    ({"host": "b.c"}, "shorter"), ({"path": "/x/y"}, "host"), ({"path": "/x/1/end"}, "template"),
-    ({"path": "/x/lit/end"}, "literal"), ({"path": "/x/lit/other"}, "host"), ({"path": "/xy"}, "longer"),
-    ({"path": "/only"}, "exact"), ({"path": "/only/more"}, "longer"),
-    ({"path": "/p", "method": "POST"}, "post"),
-    ({"path": "/p"}, "longer"), ({"path": "/p", "method": "POST", "headers": {"x-a": "1"}}, "valued"),
-    ({"path": "/p", "method": "POST", "headers": {"x-a": "2"}}, "post"),
-    ({"path": "/p", "method": "POST", "workload": "w"}, "laned"),
-])
+@pytest.mark.parametrize(
+    "asked, name",
+    [
+        ({}, "host"),
+        ({"host": "z.b.c"}, "longer"),
+        ({"host": "z.c"}, "shorter"),
+        ({"host": "z"}, "any"),
+        ({"host": "b.c"}, "shorter"),
+        ({"path": "/x/y"}, "host"),
+        ({"path": "/x/1/end"}, "template"),
+        ({"path": "/x/lit/end"}, "literal"),
+        ({"path": "/x/lit/other"}, "host"),
+        ({"path": "/xy"}, "longer"),
+        ({"path": "/only"}, "exact"),
+        ({"path": "/only/more"}, "longer"),
+        ({"path": "/p", "method": "POST"}, "post"),
+        ({"path": "/p"}, "longer"),
+        ({"path": "/p", "method": "POST", "headers": {"x-a": "1"}}, "valued"),
+        ({"path": "/p", "method": "POST", "headers": {"x-a": "2"}}, "post"),
+        ({"path": "/p", "method": "POST", "workload": "w"}, "laned"),
+    ],
+)
 def test_the_most_specific_route_takes_a_request_wherever_it_stands(asked, name):
     routes = [
-        Route("any"), Route("shorter", "*.c"), Route("longer", "*.b.c"), Route("host", "a.b.c", "/x"),
-        Route("template", "a.b.c", "/x/{n}/end", False), Route("literal", "a.b.c", "/x/lit/end", False),
-        Route("exact", "a.b.c", "/only", False), Route("post", "a.b.c", "/p", methods=frozenset(["POST"])),
+        Route("any"),
+        Route("shorter", "*.c"),
+        Route("longer", "*.b.c"),
+        Route("host", "a.b.c", "/x"),
+        Route("template", "a.b.c", "/x/{n}/end", False),
+        Route("literal", "a.b.c", "/x/lit/end", False),
+        Route("exact", "a.b.c", "/only", False),
+        Route("post", "a.b.c", "/p", methods=frozenset(["POST"])),
         Route("valued", "a.b.c", "/p", methods=frozenset(["POST"]), headers={"x-a": "1"}),
         Route("laned", "a.b.c", "/p", methods=frozenset(["POST"]), workload="w"),
     ]
     assert found(routes, **asked) == found(routes[::-1], **asked) == name
 
 
-@pytest.mark.parametrize("asked, why", [
-    ({"host": "other"}, "host or path"), ({"method": "PUT"}, "method"), ({"path": "/y"}, "header x-a"),
-    ({"path": "/z"}, "workload"),
-])
+@pytest.mark.parametrize(
+    "asked, why",
+    [
+        ({"host": "other"}, "host or path"),
+        ({"method": "PUT"}, "method"),
+        ({"path": "/y"}, "header x-a"),
+        ({"path": "/z"}, "workload"),
+    ],
+)
 def test_what_no_route_takes_is_told_why(asked, why):
-    routes = [Route("a", "a.b.c", "/x", methods=frozenset(["POST", "GET"][:1])),
-              Route("b", "a.b.c", "/y", headers={"x-a": "*"}), Route("c", "a.b.c", "/z", workload="w")]
+    routes = [
+        Route("a", "a.b.c", "/x", methods=frozenset(["POST", "GET"][:1])),
+        Route("b", "a.b.c", "/y", headers={"x-a": "*"}),
+        Route("c", "a.b.c", "/z", workload="w"),
+    ]
     assert found(routes, **{"method": "POST"} | asked) == why
 
 
-@pytest.mark.parametrize("routes", [
-    [Route("a", path="/x"), Route("b", path="/x")],
-    [Route("a", path="/x/{n}", prefix=False), Route("b", path="/x/{m}", prefix=False)],
-    [Route("a", headers={"x-a": "*"}), Route("b", headers={"x-b": "1"})],
-    [Route("a", methods=frozenset(["GET", "PUT"])), Route("b", methods=frozenset(["GET"]))],
-    [Route("a"), Route("a", path="/other")],
-    [Route("a", host="A.b")], [Route("a", host="a..b")], [Route("a", host="*.")], [Route("a", host="a.*")],
-    [Route("a", path="x")], [Route("a", path="/x/")], [Route("a", path="/a/../b")],
-    [Route("a", path="/a//b")],
-    [Route("a", path="/%61", prefix=False)], [Route("a", headers={"X-A": "1"})],
-    [Route("a", path="/x" * 17)],
-])
+@pytest.mark.parametrize(
+    "routes",
+    [
+        [Route("a", path="/x"), Route("b", path="/x")],
+        [Route("a", path="/x/{n}", prefix=False), Route("b", path="/x/{m}", prefix=False)],
+        [Route("a", headers={"x-a": "*"}), Route("b", headers={"x-b": "1"})],
+        [Route("a", methods=frozenset(["GET", "PUT"])), Route("b", methods=frozenset(["GET"]))],
+        [Route("a"), Route("a", path="/other")],
+        [Route("a", host="A.b")],
+        [Route("a", host="a..b")],
+        [Route("a", host="*.")],
+        [Route("a", host="a.*")],
+        [Route("a", path="x")],
+        [Route("a", path="/x/")],
+        [Route("a", path="/a/../b")],
+        [Route("a", path="/a//b")],
+        [Route("a", path="/%61", prefix=False)],
+        [Route("a", headers={"X-A": "1"})],
+        [Route("a", path="/x" * 17)],
+    ],
+)
 def test_routes_that_are_ambiguous_or_take_nothing_are_faults_that_name_them(routes):
     with pytest.raises(RouteFault) as fault:
         Table(routes)
@@ -99,24 +195,44 @@
 
 
 def test_routes_that_cannot_take_the_same_request_are_no_fault():
-    Table([Route("a", headers={"x-a": "1"}), Route("b", headers={"x-a": "2"}),
-           Route("c", path="/p", methods=frozenset(["GET"])),
-           Route("d", path="/p", methods=frozenset(["PUT"])),
-           Route("e", path="/q", workload="v"), Route("f", path="/q", workload="w")])
+    Table(
+        [
+            Route("a", headers={"x-a": "1"}),
+            Route("b", headers={"x-a": "2"}),
+            Route("c", path="/p", methods=frozenset(["GET"])),
+            Route("d", path="/p", methods=frozenset(["PUT"])),
+            Route("e", path="/q", workload="v"),
+            Route("f", path="/q", workload="w"),
+        ]
+    )
 
 
 words = st.sampled_from(["a", "b", "c"])
 hosts = st.sampled_from(["", "a", "a.b", "b.b", "*.b", "*.a.b", "x.a.b", "c.a.b"])
 segments = st.lists(st.one_of(words, st.sampled_from(["{n}", "{m}"])), max_size=4)
 methods = st.frozensets(st.sampled_from(["GET", "POST"]), max_size=2)
-headers = st.dictionaries(st.sampled_from(["x-a", "x-b"]), st.sampled_from(["1", "2", "*"]), max_size=2)
-route = st.builds(lambda host, path, prefix, method, header, workload: Route(
-    "", host, "/" + "/".join(path), prefix, method, header, workload),
-    hosts, segments, st.booleans(), methods, headers, st.sampled_from(["", "v"]))
-asked = st.builds(Asked, st.sampled_from(["GET", "POST"]), st.sampled_from(["a", "a.b", "b.b", "x.a.b", "q"]),
-                  st.lists(words, max_size=5).map(lambda parts: "/" + "/".join(parts)),
-                  st.dictionaries(st.sampled_from(["x-a", "x-b"]), st.sampled_from(["1", "2"])),
-                  st.sampled_from(["", "v", "w"]))
+headers = st.dictionaries(
+    st.sampled_from(["x-a", "x-b"]), st.sampled_from(["1", "2", "*"]), max_size=2
+)
+route = st.builds(
+    lambda host, path, prefix, method, header, workload: Route(
+        "", host, "/" + "/".join(path), prefix, method, header, workload
+    ),
+    hosts,
+    segments,
+    st.booleans(),
+    methods,
+    headers,
+    st.sampled_from(["", "v"]),
+)
+asked = st.builds(
+    Asked,
+    st.sampled_from(["GET", "POST"]),
+    st.sampled_from(["a", "a.b", "b.b", "x.a.b", "q"]),
+    st.lists(words, max_size=5).map(lambda parts: "/" + "/".join(parts)),
+    st.dictionaries(st.sampled_from(["x-a", "x-b"]), st.sampled_from(["1", "2"])),
+    st.sampled_from(["", "v", "w"]),
+)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -124,7 +240,9 @@
 def test_the_table_finds_what_a_plain_scan_finds(routes, questions):
     kept = []
     for number, one in enumerate(routes):  # as many of them as are no fault together
-        one = Route(f"r{number}", one.host, one.path, one.prefix, one.methods, one.headers, one.workload)
+        one = Route(
+            f"r{number}", one.host, one.path, one.prefix, one.methods, one.headers, one.workload
+        )
         try:
             Table([*kept, one])
             kept.append(one)
--- a/tests/test_said.py
+++ b/tests/test_said.py
@@ -44,7 +44,10 @@
     for number in range(2 * MOST):
         one.take(Entry(f"k{number}", b"v", 1, 1, 60_000), 0)
     assert len(one.words) == MOST and one.refused == MOST
-    assert one.say("x" * 161, b"", SECOND, 1, 0) is None and one.say("x", b"v" * 321, SECOND, 1, 0) is None
+    assert (
+        one.say("x" * 161, b"", SECOND, 1, 0) is None
+        and one.say("x", b"v" * 321, SECOND, 1, 0) is None
+    )
     for page in one.pages(900, 16, 0):
         assert 1 <= len(page) <= 16
 
@@ -60,7 +63,10 @@
         a.tick(now), b.tick(now)
         pass_on(a, b, now=now)
     assert b.register.values("k") == {"": b"1"}
-    assert 57_000 <= b.register.words["k"].entry.left <= 60_000 and b.register.words["k"].until <= 62 * SECOND
+    assert (
+        57_000 <= b.register.words["k"].entry.left <= 60_000
+        and b.register.words["k"].until <= 62 * SECOND
+    )
     assert a.members[b.card.id].register == a.register.digest and MS
 
 
@@ -68,61 +74,101 @@
     limits = {"all": {"kind": "rate", "amount": 30, "homes": ["m0", "m1", "m2"]}}
 
     def service(process):
-        return {"pools": {"t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.25, 1.5)},
-                "routes": [files.route("t", "rerunnable", "t")]}
+        return {
+            "pools": {"t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.25, 1.5)},
+            "routes": [files.route("t", "rerunnable", "t")],
+        }
 
     bank, run = Bank(3, tmp_path, service, limits=limits, relayed=False), CliRunner()
 
     def limit(*arguments, number=0):
-        return run.invoke(cli, ["bank", "limits", *arguments, "--socket", bank.processes[number].control])
+        return run.invoke(
+            cli, ["bank", "limits", *arguments, "--socket", bank.processes[number].control]
+        )
 
     try:
         bank.start()
-        until(lambda: all(row["agreed"] for number in range(3) for row in bank.ask(number, "limits")))
+        until(
+            lambda: all(row["agreed"] for number in range(3) for row in bank.ask(number, "limits"))
+        )
         found = limit("set", "all", "90", "--for", "30m", "--who", "night", "--why", "a surge")
         assert found.exit_code == 0 and "confirmed by 3 members" in found.output, found.output
         # All go by it; what is larger counts from when each knows that all do.
-        until(lambda: [bank.ask(number, "limits")[0]["home"] for number in range(3)] == [30_000] * 3)
-        word, = bank.ask(2, "register")["words"]
+        until(
+            lambda: [bank.ask(number, "limits")[0]["home"] for number in range(3)] == [30_000] * 3
+        )
+        (word,) = bank.ask(2, "register")["words"]
         assert (word["who"], word["why"], word["at"]) == ("night", "a surge", "m0")
         assert 1_700_000 < word["left_ms"] <= 1_800_000
         bank.stop(2)
         found = limit("lift", "all", "--wait", "0.4", "--json", number=1)
-        assert found.exit_code == 3 and "m2" in found.output and '"confirmed": false' in found.output
+        assert (
+            found.exit_code == 3 and "m2" in found.output and '"confirmed": false' in found.output
+        )
         # Lower at once for who has heard it, whoever has not.
         until(lambda: bank.ask(0, "limits")[0]["home"] == 10_000)
         bank.go_on(2)
-        until(lambda: [bank.ask(number, "limits")[0]["amount"] for number in range(3)] == [30_000] * 3)
-        for arguments, said in ((("set", "none", "5"), "no limit of this file"),
-                                (("set", "all", "5", "--for", "48h"), "is not between"),
-                                (("set", "all", "5", "--for", "x"), "no span"),
-                                (("begin", "all"), "no count")):
+        until(
+            lambda: [bank.ask(number, "limits")[0]["amount"] for number in range(3)] == [30_000] * 3
+        )
+        for arguments, said in (
+            (("set", "none", "5"), "no limit of this file"),
+            (("set", "all", "5", "--for", "48h"), "is not between"),
+            (("set", "all", "5", "--for", "x"), "no span"),
+            (("begin", "all"), "no count"),
+        ):
             found = limit(*arguments)
             assert found.exit_code in (1, 2) and said in found.output, found.output
         assert limit("show", "--json").exit_code == 0 and limit().exit_code == 0
-        until(lambda: "held by all" in run.invoke(
-            cli, ["bank", "said", "--socket", bank.processes[0].control]).output)
+        until(
+            lambda: "held by all"
+            in run.invoke(cli, ["bank", "said", "--socket", bank.processes[0].control]).output
+        )
     finally:
         bank.processes[2].signal(signal.SIGCONT)
         bank.end()
 
 
-@pytest.mark.parametrize("limit, said", [
-    ({"kind": "rate", "amount": 10, "homes": ["a", "b"]}, {"over": "0", "homes": "2, 5 tasks a second each"}),
-    ({"kind": "count", "amount": 9, "window": "day", "homes": ["a"]}, {"over": "0", "window": "day UTC"}),
-    ({"kind": "rate", "amount": 10, "promise": "nearly"}, {"a part grows": "1.2 s after it is asked"}),
-    ({"kind": "in_flight", "amount": 4, "promise": "nearly"}, {"over, cut into halves": "2 at most for 4.2"}),
-    ({"kind": "connections", "amount": 4, "homes": ["a", "b"], "each": "upstream"}, {"of": "each upstream"}),
-    ({"kind": "rate", "amount": 4, "homes": ["a"], "each": "tenant"}, {"pooled": "strangers beyond 1024"}),
-])
+@pytest.mark.parametrize(
+    "limit, said",
+    [
+        (
+            {"kind": "rate", "amount": 10, "homes": ["a", "b"]},
+            {"over": "0", "homes": "2, 5 tasks a second each"},
+        ),
+        (
+            {"kind": "count", "amount": 9, "window": "day", "homes": ["a"]},
+            {"over": "0", "window": "day UTC"},
+        ),
+        (
+            {"kind": "rate", "amount": 10, "promise": "nearly"},
+            {"a part grows": "1.2 s after it is asked"},
+        ),
+        (
+            {"kind": "in_flight", "amount": 4, "promise": "nearly"},
+            {"over, cut into halves": "2 at most for 4.2"},
+        ),
+        (
+            {"kind": "connections", "amount": 4, "homes": ["a", "b"], "each": "upstream"},
+            {"of": "each upstream"},
+        ),
+        (
+            {"kind": "rate", "amount": 4, "homes": ["a"], "each": "tenant"},
+            {"pooled": "strangers beyond 1024"},
+        ),
+    ],
+)
 def test_what_a_limit_promises_is_said_in_figures(tmp_path, limit, said):
     key = tmp_path / "key"
     key.write_text("k" * 20)
     key.chmod(0o600)
-    given = {"version": 1, "listen": ["127.0.0.1:9000"],
-             "pools": {"t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.25, 1.5)},
-             "bank": {"listen": "127.0.0.1:7000", "key_files": [str(key)], "limits": {"x": limit}},
-             "routes": [files.route("t", "rerunnable", "t")]}
+    given = {
+        "version": 1,
+        "listen": ["127.0.0.1:9000"],
+        "pools": {"t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.25, 1.5)},
+        "bank": {"listen": "127.0.0.1:7000", "key_files": [str(key)], "limits": {"x": limit}},
+        "routes": [files.route("t", "rerunnable", "t")],
+    }
     found = explained(operator.made(given).bank.limits[0], 10)
     assert all(found[key].startswith(value) for key, value in said.items()), found
     file = tmp_path / "operator.toml"
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -38,7 +38,7 @@
     at, found = 12, []
     for _ in range(count):
         code, size = struct.unpack_from("<BI", reply, at)
-        found.append((code, reply[at + 5:at + 5 + size]))
+        found.append((code, reply[at + 5 : at + 5 + size]))
         at += 5 + size
     assert at == 12 + length
     return found
@@ -51,23 +51,34 @@
     came = record(50, struct.pack("<IIBQIQBI", 3, 99, 0, 0, 0, 9_000_000, 0, 0))
     strange = record(250, b"??")  # an event of a later wire is skipped
     body = up() + record(10, gone) + told + strange + record(10, ready) + told + came
-    sent = [fields for code, fields in actions(Process().batch(1, 7, 6_000_000_000, body)) if code == 60]
+    sent = [
+        fields for code, fields in actions(Process().batch(1, 7, 6_000_000_000, body)) if code == 60
+    ]
     assert [struct.unpack("<IIIQ", fields)[:3] for fields in sent] == [(3, 99, 222)]
 
 
-@pytest.mark.parametrize("body, count, text", [
-    (up()[:-4], 1, "runs past the end"),
-    (up(), 2, "is missing"),
-    (up() + b"!", 1, "after the last record"),
-    (record(60, b"\x03\x00"), 1, "expected"),
-    (up(SETTINGS.replace("workloads.0.patience_us", "other")), 1, "workloads.0.patience is missing"),
-])
+@pytest.mark.parametrize(
+    "body, count, text",
+    [
+        (up()[:-4], 1, "runs past the end"),
+        (up(), 2, "is missing"),
+        (up() + b"!", 1, "after the last record"),
+        (record(60, b"\x03\x00"), 1, "expected"),
+        (
+            up(SETTINGS.replace("workloads.0.patience_us", "other")),
+            1,
+            "workloads.0.patience is missing",
+        ),
+    ],
+)
 def test_what_cannot_be_read_is_said_plainly(body, count, text):
     with pytest.raises(WireError, match=text):
         Process().batch(1, count, 0, body)
 
 
-@pytest.mark.parametrize("given, code", [(b"", 0), (b"\x01\x00", 1), (struct.pack("<IIIQ", 1, 0, 8, 5), 0)])
+@pytest.mark.parametrize(
+    "given, code", [(b"", 0), (b"\x01\x00", 1), (struct.pack("<IIIQ", 1, 0, 8, 5), 0)]
+)
 def test_the_end_of_input_is_no_fault_but_half_a_frame_is(monkeypatch, capsysbinary, given, code):
     monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(given)))
     assert main() == code
@@ -76,15 +87,26 @@
 
 def test_what_is_absent_negative_or_no_number_is_not_reported():
     packed = struct.pack("<3f", float("nan"), -1.0, 4.0)
-    assert wire.report(packed, 3, ["waiting", "service_ms", "scrapped_rate"]) == {"scrapped_rate": 4.0}
+    assert wire.report(packed, 3, ["waiting", "service_ms", "scrapped_rate"]) == {
+        "scrapped_rate": 4.0
+    }
 
 
 def test_a_probes_findings_and_a_message_reach_the_decisions_and_odd_ones_do_no_harm():
     settings = SETTINGS.replace("balancers=1", "balancers=4").replace("automatic", "subscribe") + (
-        "limits.peers=true\nlimits.probes=true\nreport.source=on_probe\nreport.columns=busy_reqs,cpu_share\n")
+        "limits.peers=true\nlimits.probes=true\nreport.source=on_probe\nreport.columns=busy_reqs,cpu_share\n"
+    )
     ready = struct.pack("<IIBIHQfHH", 2, 1, 1, 222, 0, 0, 1.0, 0, 0)
-    body = up(settings) + record(10, ready) + record(100, struct.pack("<IBII", 3, wire.SCOPE_CACHED, 1, 2))
-    for upstream, n in ((222, 2), (333, 2), (222, 0)):  # one that is not listed, one that says nothing
+    body = (
+        up(settings)
+        + record(10, ready)
+        + record(100, struct.pack("<IBII", 3, wire.SCOPE_CACHED, 1, 2))
+    )
+    for upstream, n in (
+        (222, 2),
+        (333, 2),
+        (222, 0),
+    ):  # one that is not listed, one that says nothing
         load = struct.pack(f"<{n}f", *(5.0, 1.0)[:n])
         body += record(30, struct.pack("<IHIIB", 3, 0, 1400, upstream, n) + load)
     for contents in (Peers.pack(30.0), b"hi"):
@@ -94,4 +116,6 @@
     process.batch(1, 9, 6_000_000_000, body)
     choice = process.instances[3].choice
     assert process.instances[3].known[222].seen.held == 5.0
-    assert [rate for _, rate in choice.split.peers.told.values()] == [30.0] and choice.split.peers.unread == 1
+    assert [rate for _, rate in choice.split.peers.told.values()] == [
+        30.0
+    ] and choice.split.peers.unread == 1
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -37,24 +37,30 @@
 
     def __init__(self, folder, *upstreams, known=(), **settings):
         self.upstreams = upstreams
-        self.discovery = Discovery(*(up.entry(f"s-{number}") for number, up in enumerate(upstreams)))
+        self.discovery = Discovery(
+            *(up.entry(f"s-{number}") for number, up in enumerate(upstreams))
+        )
         with socket.socket() as probe:  # a free port; no other connection starts from this address
             probe.bind(("127.0.0.2", 0))
             self.address = probe.getsockname()
         given = json.loads(json.dumps(GIVEN)) | {
-            "listen": "%s:%d" % self.address, "discovery": self.discovery.dial,
+            "listen": "%s:%d" % self.address,
+            "discovery": self.discovery.dial,
             "known": {"seq": 1 if known else 0, "whole": True, "hosts": list(known)},
         }
         given["limits"] |= settings.pop("sockets", {})
         given["settings"]["limits"] |= settings
         self.given, self.file = given, folder / "config.json"
         self.file.write_text(json.dumps(given))
-        self.environment = os.environ | {"BALANCER_CONFIG": str(self.file),
-                                         "BALANCER_DISCOVERY": self.discovery.dial}
+        self.environment = os.environ | {
+            "BALANCER_CONFIG": str(self.file),
+            "BALANCER_DISCOVERY": self.discovery.dial,
+        }
         self.log = folder / "log"
         with self.log.open("wb") as errors:
-            self.process = subprocess.Popen([sys.executable, "-m", "whinpier"], env=self.environment,
-                                            stderr=errors)
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "whinpier"], env=self.environment, stderr=errors
+            )
         self.clients = []
         until(self.up)
 
@@ -135,9 +141,11 @@
 
 def raw(data):
     """Answers with these bytes and ends the connection."""
+
     def behave(request):
         request.wfile.write(data)
         request.close_connection = True
+
     return behave
 
 
@@ -159,9 +167,11 @@
 def test_a_task_goes_on_unchanged_and_its_answer_comes_back_unchanged(tmp_path):
     body, sent = os.urandom(64 * 1024), os.urandom(64 * 1024)
     with started(tmp_path, Upstream(lambda request: request.reply(200, body, X_Note="n"))) as bank:
-        answer = bank.ask("POST", "/charge/some?a=b", sent, X_Lane="charge", X_Txn="9b", X_Labels="w=1")
+        answer = bank.ask(
+            "POST", "/charge/some?a=b", sent, X_Lane="charge", X_Txn="9b", X_Labels="w=1"
+        )
         assert (answer.status, answer.body, answer.headers["X-Note"]) == (200, body, "n")
-        met, = bank.met()
+        (met,) = bank.met()
         assert (met.command, met.path, met.body) == ("POST", "/charge/some?a=b", sent)
         assert (met.headers["X-Txn"], met.headers["X-Labels"]) == ("9b", "w=1")
         assert 1.3 < float(met.headers["X-Remaining"]) < 1.5
@@ -192,23 +202,39 @@
 
 
 @pytest.mark.parametrize("kind", ["charge", "settle"])
-@pytest.mark.parametrize("bad", [
-    error, reset, turned_away, raw(b""), raw(b"HTTP/1.1 503 busy\r\nContent-Length: 0\r\n\r\n"),
-    raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), raw(b"\x16\x03rubbish\r\n\r\n"),
-    raw(b"HTTP/1.1 200 OK\r\n\r\nno length: cut or whole?"), raw(b"HTTP/1.1 102 x\r\n\r\n" * 50),
-    raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"8000\r\n%s\r\n" % (b"x" * 0x8000) * 40),
-    raw(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
-    raw(b"HTTP/1.1 200 OK\nContent-Length: 0\r\n\r\n"),
-    raw(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + b"X-Many: 1\r\n" * 5000 + b"\r\n"),
-    # From here on with the connection left open, and no more.
-    lambda request: request.wfile.write(b"HTTP/1.1 200 OK\r\nX-Never: e"),
-    lambda request: request.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
-    lambda request: request.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"),
-    lambda request: request.wfile.write(b"\0\1noise" * 10),
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        error,
+        reset,
+        turned_away,
+        raw(b""),
+        raw(b"HTTP/1.1 503 busy\r\nContent-Length: 0\r\n\r\n"),
+        raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
+        raw(b"\x16\x03rubbish\r\n\r\n"),
+        raw(b"HTTP/1.1 200 OK\r\n\r\nno length: cut or whole?"),
+        raw(b"HTTP/1.1 102 x\r\n\r\n" * 50),
+        raw(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + b"8000\r\n%s\r\n" % (b"x" * 0x8000) * 40
+        ),
+        raw(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
+        raw(b"HTTP/1.1 200 OK\nContent-Length: 0\r\n\r\n"),
+        raw(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + b"X-Many: 1\r\n" * 5000 + b"\r\n"),
+        # From here on with the connection left open, and no more.
+        lambda request: request.wfile.write(b"HTTP/1.1 200 OK\r\nX-Never: e"),
+        lambda request: request.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
+        lambda request: request.wfile.write(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"
+        ),
+        lambda request: request.wfile.write(b"\0\1noise" * 10),
+    ],
+)
 def test_what_may_have_run_is_sent_again_only_for_a_ticketed_task(tmp_path, bad, kind):
     turns = iter([bad, good])
-    with started(tmp_path, *(Upstream(lambda request: next(turns)(request)) for _ in range(2))) as bank:
+    with started(
+        tmp_path, *(Upstream(lambda request: next(turns)(request)) for _ in range(2))
+    ) as bank:
         again = kind == "settle" or bad is turned_away
         assert getattr(bank, kind)().status == (200 if again else 502)
         assert len(bank.met()) == 1 + again
@@ -233,15 +259,21 @@
     with socket.socket() as vanished, started(tmp_path, Upstream(good)) as bank:
         vanished.bind(("127.0.0.1", 0))
         vanished.listen(0)
-        bank.clients.append(socket.create_connection(vanished.getsockname()))  # its queue is full now
-        bank.discovery.change(bank.upstreams[0].entry("s-1") | {"dial": "%s:%d" % vanished.getsockname()})
+        bank.clients.append(
+            socket.create_connection(vanished.getsockname())
+        )  # its queue is full now
+        bank.discovery.change(
+            bank.upstreams[0].entry("s-1") | {"dial": "%s:%d" % vanished.getsockname()}
+        )
         until(lambda: bank.lists() == 2)
         assert [bank.charge().status for _ in range(6)] == [200] * 6
 
 
 @pytest.mark.parametrize("pressure", ["", "x", "served_ps=nan", "served_ps=1e999,,=", "\x01;\xff"])
 def test_a_load_report_that_cannot_be_read_costs_its_answer_nothing(tmp_path, pressure):
-    with started(tmp_path, Upstream(lambda request: request.reply(200, b"ok", X_Pressure=pressure))) as bank:
+    with started(
+        tmp_path, Upstream(lambda request: request.reply(200, b"ok", X_Pressure=pressure))
+    ) as bank:
         assert [bank.charge().body for _ in range(3)] == [b"ok"] * 3
 
 
@@ -249,7 +281,9 @@
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
     two = Upstream(lambda request: request.wfile.write(answer + b"mine" + answer + b"none"))
     with started(tmp_path, two) as bank:
-        assert [bank.charge().body for _ in range(3)] == [b"mine"] * 3 and bank.upstreams[0].opened == 3
+        assert [bank.charge().body for _ in range(3)] == [b"mine"] * 3 and bank.upstreams[
+            0
+        ].opened == 3
 
 
 def test_a_silent_upstream_is_waited_for_until_the_client_gives_up_and_not_longer(tmp_path):
@@ -348,7 +382,9 @@
     other.stop()
 
 
-def test_told_to_read_its_configuration_again_it_follows_the_list_elsewhere_and_keeps_all_it_has(tmp_path):
+def test_told_to_read_its_configuration_again_it_follows_the_list_elsewhere_and_keeps_all_it_has(
+    tmp_path,
+):
     told, other = [], Upstream(good)
     slow = Upstream(lambda request: until(lambda: told) and good(request))
     moved = Discovery(slow.entry("s-0"))
@@ -356,8 +392,12 @@
         client = bank.client()
         client.request("POST", "/charge", b"{}", {"X-Txn": "1", "X-Remaining": "3"})
         until(bank.met)
-        for text in [None, "{", json.dumps(bank.given | {"discovery": "nowhere"}),
-                     json.dumps(bank.given | {"discovery": moved.dial})]:
+        for text in [
+            None,
+            "{",
+            json.dumps(bank.given | {"discovery": "nowhere"}),
+            json.dumps(bank.given | {"discovery": moved.dial}),
+        ]:
             bank.file.unlink(missing_ok=True)
             if text is not None:
                 bank.file.write_text(text)
@@ -370,7 +410,9 @@
         until(lambda: bank.said("ready=2"))
         told.append("go on")
         assert client.getresponse().status == 200 and len(bank.met()) == 1 and slow.opened == 1
-        assert bank.log.read_text().count("configuration_fault") == 3 and bank.said("discovery: 'nowhere'")
+        assert bank.log.read_text().count("configuration_fault") == 3 and bank.said(
+            "discovery: 'nowhere'"
+        )
         bank.process.send_signal(signal.SIGTERM)
         until(lambda: bank.said("event=stopping"))
         bank.process.send_signal(signal.SIGHUP)
@@ -386,13 +428,22 @@
         bank.discovery.hang_up()
 
 
-@pytest.mark.parametrize("line", [
-    b"{", b"[]", b'{"seq":9,"whole":true}', b'{"seq":9,"whole":true,"hosts":[{}]}',
-    b'{"seq":9,"whole":true,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"odd"}]}',
-    b'{"seq":9,"whole":true,"hosts":[{"host":"s-0","dial":"nowhere","health":"up"}]}',
-    b'{"seq":0,"whole":false,"hosts":[]}', b"\xff\xfe",
-])
-def test_what_discovery_garbles_leaves_the_last_good_list_and_the_whole_is_asked_for(tmp_path, line):
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"{",
+        b"[]",
+        b'{"seq":9,"whole":true}',
+        b'{"seq":9,"whole":true,"hosts":[{}]}',
+        b'{"seq":9,"whole":true,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"odd"}]}',
+        b'{"seq":9,"whole":true,"hosts":[{"host":"s-0","dial":"nowhere","health":"up"}]}',
+        b'{"seq":0,"whole":false,"hosts":[]}',
+        b"\xff\xfe",
+    ],
+)
+def test_what_discovery_garbles_leaves_the_last_good_list_and_the_whole_is_asked_for(
+    tmp_path, line
+):
     with started(tmp_path, Upstream(good)) as bank:
         until(lambda: "/discovery/hosts?watch=1&from=0" in bank.discovery.asked)
         asked = len(bank.discovery.asked)
@@ -401,36 +452,67 @@
         assert bank.charge().status == 200
 
 
-@pytest.mark.parametrize("data, status", [
-    ("rubbish\r\n\r\n", 400),
-    ("POST /charge HTTP/1.1\r\n\r\n", 400),
-    (HEAD + "X-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: soon\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: inf\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nIdempotency-Key: 2\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nX-Lane: settle\r\nContent-Length: 0\r\n\r\n", 404),
-    (HEAD.replace("charge", "settle") + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD.replace("charge", "none") + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 404),
-    (HEAD.replace("POST", "GET") + "X-Txn: 1\r\nX-Remaining: 1\r\n\r\n", 405),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 70000\r\n\r\n" + "x" * 70000, 413),
-    (HEAD + "X-Txn: 1\r\nX-Long: " + "x" * 70000 + "\r\n\r\n", 431),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n" + "X-Many: 1\r\n" * 5000 + "\r\n", 431),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: 1_0\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nX-Txn: 2\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-     + HEAD + "X-Txn: 2\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD.replace("1.1", "1.0")
-     + "X-Txn: 1\r\nX-Remaining: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-    (HEAD.replace("1.1", "3.0") + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 505),
-    (HEAD + "X-Txn: 1\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\n 2\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: -1\r\n\r\n", 400),
-    (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: " + "9" * 12 + "\r\n\r\n", 413),
-    ((HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n") * 200, 400),
-    ("CONNECT charge HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Remaining: 1\r\n\r\n", 405),
-])
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        ("rubbish\r\n\r\n", 400),
+        ("POST /charge HTTP/1.1\r\n\r\n", 400),
+        (HEAD + "X-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
+        (HEAD + "X-Txn: 1\r\nContent-Length: 0\r\n\r\n", 400),
+        (HEAD + "X-Txn: 1\r\nX-Remaining: soon\r\nContent-Length: 0\r\n\r\n", 400),
+        (HEAD + "X-Txn: 1\r\nX-Remaining: inf\r\nContent-Length: 0\r\n\r\n", 400),
+        (
+            HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nIdempotency-Key: 2\r\nContent-Length: 0\r\n\r\n",
+            400,
+        ),
+        (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nX-Lane: settle\r\nContent-Length: 0\r\n\r\n", 404),
+        (
+            HEAD.replace("charge", "settle")
+            + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n",
+            400,
+        ),
+        (
+            HEAD.replace("charge", "none")
+            + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n",
+            404,
+        ),
+        (HEAD.replace("POST", "GET") + "X-Txn: 1\r\nX-Remaining: 1\r\n\r\n", 405),
+        (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 70000\r\n\r\n" + "x" * 70000, 413),
+        (HEAD + "X-Txn: 1\r\nX-Long: " + "x" * 70000 + "\r\n\r\n", 431),
+        (
+            HEAD
+            + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n"
+            + "X-Many: 1\r\n" * 5000
+            + "\r\n",
+            431,
+        ),
+        (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
+        (HEAD + "X-Txn: 1\r\nX-Remaining: 1_0\r\nContent-Length: 0\r\n\r\n", 400),
+        (HEAD + "X-Txn: 1\r\nX-Txn: 2\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
+        (
+            HEAD
+            + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+            + HEAD
+            + "X-Txn: 2\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n",
+            400,
+        ),
+        (
+            HEAD.replace("1.1", "1.0")
+            + "X-Txn: 1\r\nX-Remaining: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            400,
+        ),
+        (
+            HEAD.replace("1.1", "3.0") + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n",
+            505,
+        ),
+        (HEAD + "X-Txn: 1\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
+        (HEAD + "X-Txn: 1\r\n 2\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n", 400),
+        (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: -1\r\n\r\n", 400),
+        (HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: " + "9" * 12 + "\r\n\r\n", 413),
+        ((HEAD + "X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 0\r\n\r\n") * 200, 400),
+        ("CONNECT charge HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Remaining: 1\r\n\r\n", 405),
+    ],
+)
 def test_what_is_no_task_is_answered_and_never_sent(tmp_path, data, status):
     with started(tmp_path, Upstream(good)) as bank:
         answer = HTTPResponse(bank.raw(data.encode()))
@@ -440,14 +522,19 @@
 
 def test_a_client_that_sends_half_a_request_and_stops_is_let_go(tmp_path):
     with started(tmp_path, Upstream(good)) as bank:
-        for sock in [bank.raw(b"POST /charge HT"), bank.raw(f"{HEAD}Content-Length: 9\r\n\r\nx".encode())]:
+        for sock in [
+            bank.raw(b"POST /charge HT"),
+            bank.raw(f"{HEAD}Content-Length: 9\r\n\r\nx".encode()),
+        ]:
             assert sock.makefile("rb").read().startswith(b"HTTP/1.1 408")
         assert not bank.met()
 
 
 def test_an_id_that_another_task_has_or_had_is_refused(tmp_path):
     let_go = []
-    with started(tmp_path, Upstream(lambda request: until(lambda: let_go) and good(request))) as bank:
+    with started(
+        tmp_path, Upstream(lambda request: until(lambda: let_go) and good(request))
+    ) as bank:
         client = bank.client()
         client.request("POST", "/charge", b"{}", {"X-Txn": "7", "X-Remaining": "3"})
         until(bank.met)
@@ -461,7 +548,9 @@
     with started(tmp_path, Upstream(good), sockets={"sockets": 64}) as bank:
         began, silent = time.monotonic(), [bank.raw() for _ in range(60)]  # more than it can hold
         assert [bank.charge().status for _ in range(5)] == [200] * 5
-        sock = bank.raw(f"{HEAD}X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 60000000\r\n\r\n".encode())
+        sock = bank.raw(
+            f"{HEAD}X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 60000000\r\n\r\n".encode()
+        )
         with pytest.raises(OSError):
             for _ in range(1000):
                 sock.sendall(b"x" * 60_000)
@@ -483,24 +572,29 @@
     with started(tmp_path, Upstream(good), sockets={"sockets": 64}) as bank:
         answers = [bank.charge() for _ in range(100)]  # each on a connection that its client keeps
         assert {answer.status for answer in answers} <= {200, 503} and answers[0].status == 200
-        assert all(float(answer.headers["Retry-After"]) > 0 for answer in answers if answer.status == 503)
+        assert all(
+            float(answer.headers["Retry-After"]) > 0 for answer in answers if answer.status == 503
+        )
         until(lambda: bank.charge().status == 200)
 
 
-
 def test_at_the_limit_of_descriptors_no_client_that_has_asked_is_closed_unheard(tmp_path):
     let_go = []
     task = HEAD + "X-Txn: %d\r\nX-Remaining: 3\r\nContent-Length: 0\r\n\r\n"
     slow = Upstream(lambda request: until(lambda: let_go) and good(request))
     with started(tmp_path, slow, sockets={"sockets": 64}) as bank:
-        asked = [bank.raw((task % n).encode()).makefile("rb") for n in range(40)]  # more than it can hold
+        asked = [
+            bank.raw((task % n).encode()).makefile("rb") for n in range(40)
+        ]  # more than it can hold
         turned_back = until(lambda: bank.met()) and [file.readline() for file in asked[-5:]]
         let_go.append("all")
         lines = turned_back + [file.readline() for file in asked[:-5]]
         assert {line.split()[1] for line in lines} == {b"200", b"503"}
 
 
-def test_told_to_stop_it_serves_who_is_connected_then_closes_in_time_and_leaves_with_nought(tmp_path):
+def test_told_to_stop_it_serves_who_is_connected_then_closes_in_time_and_leaves_with_nought(
+    tmp_path,
+):
     told = []
     with started(tmp_path, Upstream(lambda request: until(lambda: told) and good(request))) as bank:
         first, stays = bank.client(), bank.client()
@@ -565,7 +659,9 @@
                     with anyio.fail_after(LIMIT):
                         await client.send(task)
                         assert (await client.receive()).startswith(b"HTTP/1.1 200")
-                        while any(isinstance(thing, (Asked, Sending)) for thing in gc.get_objects()):
+                        while any(
+                            isinstance(thing, (Asked, Sending)) for thing in gc.get_objects()
+                        ):
                             await anyio.sleep(0.02)
                 finally:
                     gc.enable()
@@ -575,7 +671,9 @@
         anyio.run(story, config, listener)
 
 
-def test_however_hand_offs_end_what_is_counted_is_what_is_on_the_sockets_and_nothing_stays(tmp_path):
+def test_however_hand_offs_end_what_is_counted_is_what_is_on_the_sockets_and_nothing_stays(
+    tmp_path,
+):
     ways = cycle([good, silent, error, reset, raw(b"noise\r\n\r\n"), turned_away, silent])
     banks = [Upstream(lambda request: next(ways)(request)) for _ in range(3)]
 
@@ -630,7 +728,9 @@
         at += SECOND // 5
         balancer.behind(SECOND)
     part = sum(bool(turned_back()) for _ in range(1000))
-    assert balancer.margin() < SECOND // 2 and 800 < part < 1000  # never all: those come again at once
+    assert (
+        balancer.margin() < SECOND // 2 and 800 < part < 1000
+    )  # never all: those come again at once
     for _ in range(100):
         at += SECOND // 5
         balancer.behind(0)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -17,28 +17,57 @@
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 MOVED = {  # as a deployment is put together where each client has a balancer of its own
-    "balancers": 12, "slot_no": 3, "discovery": "subscribe", "failure_domains": ["a", "b"],
-    "limits": {"max_hand_offs": 5, "second_copies": False, "cancelling": True, "retry_after": False,
-               "peers": True, "probes": True},
+    "balancers": 12,
+    "slot_no": 3,
+    "discovery": "subscribe",
+    "failure_domains": ["a", "b"],
+    "limits": {
+        "max_hand_offs": 5,
+        "second_copies": False,
+        "cancelling": True,
+        "retry_after": False,
+        "peers": True,
+        "probes": True,
+    },
     "report": {"source": "inline", "columns": "served_ps,cpu_share,busy_reqs"},
-    "rules": {"cold_from": 0.17, "cold_us": 24000000, "drain_grace_us": 250000, "ask_within_us": 10000000},
+    "rules": {
+        "cold_from": 0.17,
+        "cold_us": 24000000,
+        "drain_grace_us": 250000,
+        "ask_within_us": 10000000,
+    },
 }
 
 
 @pytest.fixture
 def fleet():
-    fleet = Fleet({f"s-{number}": Script(workers=4, work=0.002) for number in range(4)}, discovery=True)
-    fleet.tell_list(change=[
-        {"host": name, "dial": address, "site": "ab"[number % 2], "class": "m", "block": number % 2,
-         "health": "up", "share": 1.0, "born_ms": 0}
-        for number, (name, address) in enumerate(fleet.addresses.items())])
+    fleet = Fleet(
+        {f"s-{number}": Script(workers=4, work=0.002) for number in range(4)}, discovery=True
+    )
+    fleet.tell_list(
+        change=[
+            {
+                "host": name,
+                "dial": address,
+                "site": "ab"[number % 2],
+                "class": "m",
+                "block": number % 2,
+                "health": "up",
+                "share": 1.0,
+                "born_ms": 0,
+            }
+            for number, (name, address) in enumerate(fleet.addresses.items())
+        ]
+    )
     yield fleet
     fleet.stop()
 
 
 def file(balancer_at, told_by, **settings):
-    return json.dumps(GIVEN | {"listen": balancer_at, "discovery": told_by,
-                               "settings": GIVEN["settings"] | settings})
+    return json.dumps(
+        GIVEN
+        | {"listen": balancer_at, "discovery": told_by, "settings": GIVEN["settings"] | settings}
+    )
 
 
 @contextmanager
@@ -54,21 +83,33 @@
     assert "event=broken" not in made.log() and "level=error" not in made.log(), made.log()
 
 
-def test_settings_switched_there_and_back_under_traffic_lose_no_answer_and_run_nothing_twice(tmp_path, fleet):
+def test_settings_switched_there_and_back_under_traffic_lose_no_answer_and_run_nothing_twice(
+    tmp_path, fleet
+):
     with balancer(tmp_path, fleet) as running:
         gateways = [
-            Gateway(running.address, Asks("charge", 100, "/charge", lane="charge", patience=2.0), 1),
-            Gateway(running.address, Asks("settle", 60, "/settle", lane="settle", ticket=True,
-                                          patience=2.0), 2),
-            Gateway(running.address, Asks("look", 60, "/look", "GET", lane="look", patience=2.0,
-                                          body=b""), 3),
+            Gateway(
+                running.address, Asks("charge", 100, "/charge", lane="charge", patience=2.0), 1
+            ),
+            Gateway(
+                running.address,
+                Asks("settle", 60, "/settle", lane="settle", ticket=True, patience=2.0),
+                2,
+            ),
+            Gateway(
+                running.address,
+                Asks("look", 60, "/look", "GET", lane="look", patience=2.0, body=b""),
+                3,
+            ),
         ]
 
         async def switch():
             for turn in range(8):
                 await asyncio.sleep(0.25)
                 settings = MOVED if turn % 2 == 0 else {}
-                await asyncio.to_thread(running.reload, file(running.listen, fleet.discovery, **settings))
+                await asyncio.to_thread(
+                    running.reload, file(running.listen, fleet.discovery, **settings)
+                )
 
         async def story():
             await asyncio.gather(*(gateway.run(2.5) for gateway in gateways), switch())
@@ -85,32 +126,48 @@
         # With the new settings the list is asked for by the module: a change of it still arrives.
         probed = MOVED | {"report": {"source": "on_probe", "columns": "busy_reqs,cpu_share"}}
         running.reload(file(running.listen, fleet.discovery, **probed))
-        assert running.said("event=settings_not_honoured keys=limits.peers,limits.probes,report.source") == 1
+        assert (
+            running.said(
+                "event=settings_not_honoured keys=limits.peers,limits.probes,report.source"
+            )
+            == 1
+        )
         lists = running.said("event=list ")
-        fleet.tell_list(change=[{"host": "s-3", "dial": fleet.addresses["s-3"], "health": "draining"}])
+        fleet.tell_list(
+            change=[{"host": "s-3", "dial": fleet.addresses["s-3"], "health": "draining"}]
+        )
         until(lambda: running.said("event=list ") > lists and "draining=1" in running.log())
 
 
-@pytest.mark.parametrize("settings, key", [
-    ({"discovery": "sometimes"}, "discovery"),
-    ({"limits": {"peers": 1}}, "limits.peers"),
-    ({"limits": {"retry_after": "no"}}, "limits.retry_after"),
-    ({"report": {"source": "aloud"}}, "report.source"),
-    ({"report": {"source": "inline", "columns": "mood"}}, "report.columns"),
-    ({"rules": {"ask_within_us": 0}}, "rules.ask_within"),
-    ({"weights": "heavy"}, "weights"),
-    ({"balancers": 0}, "balancers"),
-])
-def test_faulty_settings_are_refused_as_a_whole_and_the_running_ones_stay(tmp_path, fleet, settings, key):
+@pytest.mark.parametrize(
+    "settings, key",
+    [
+        ({"discovery": "sometimes"}, "discovery"),
+        ({"limits": {"peers": 1}}, "limits.peers"),
+        ({"limits": {"retry_after": "no"}}, "limits.retry_after"),
+        ({"report": {"source": "aloud"}}, "report.source"),
+        ({"report": {"source": "inline", "columns": "mood"}}, "report.columns"),
+        ({"rules": {"ask_within_us": 0}}, "rules.ask_within"),
+        ({"weights": "heavy"}, "weights"),
+        ({"balancers": 0}, "balancers"),
+    ],
+)
+def test_faulty_settings_are_refused_as_a_whole_and_the_running_ones_stay(
+    tmp_path, fleet, settings, key
+):
     with balancer(tmp_path, fleet) as running:
         running.reload(file(running.listen, fleet.discovery, **(MOVED | settings)))
-        assert running.said(f"event=configuration_fault fault=\"{key}:") == 1
+        assert running.said(f'event=configuration_fault fault="{key}:') == 1
         assert running.said("event=settings_changed") == 0
 
 
-@pytest.mark.parametrize("settings, code, said", [
-    (MOVED, 0, "limits.probes: not honoured"), (MOVED | {"weights": "heavy"}, 2, "weights: 'heavy'"),
-])
+@pytest.mark.parametrize(
+    "settings, code, said",
+    [
+        (MOVED, 0, "limits.probes: not honoured"),
+        (MOVED | {"weights": "heavy"}, 2, "weights: 'heavy'"),
+    ],
+)
 def test_a_platforms_file_is_checked_without_starting_anything(tmp_path, settings, code, said):
     path = tmp_path / "new.json"
     path.write_text(file("127.0.0.2:9000", "127.0.0.1:8500", **settings))
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -65,7 +65,12 @@
 def pass_on(those, now, but=()):
     """Deliver all that is out, at once, until all is quiet; `but` hear and say nothing."""
     for _ in range(10):
-        sent = [(court.own, to, plea) for court in those for to, plea in court.out if court.own not in but]
+        sent = [
+            (court.own, to, plea)
+            for court in those
+            for to, plea in court.out
+            if court.own not in but
+        ]
         for court in those:
             court.out = []
         for sender, to, plea in sent:
@@ -109,7 +114,9 @@
     now = play(those, 4.0, now)
     assert not rest(those, 23)
     at = {court.returns.get((POOL, 23)) for court in those}
-    assert len(at - {None}) > 1 or not any(court.returns for court in those)  # each at a moment of its own
+    assert len(at - {None}) > 1 or not any(
+        court.returns for court in those
+    )  # each at a moment of its own
     play(those, 2.5, now)
     assert not any(court.returns for court in those)
     assert {court.strikes[POOL, 23][0] for court in those} == {1}
@@ -203,12 +210,26 @@
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.integers(0, 4), st.integers(0, 2**32 - 1), *[st.integers(0, 2**40 - 1)] * 3,
-                          st.integers(0, 5)), max_size=40))
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(0, 4),
+            st.integers(0, 2**32 - 1),
+            *[st.integers(0, 2**40 - 1)] * 3,
+            st.integers(0, 5),
+        ),
+        max_size=40,
+    )
+)
 def test_no_message_raises_or_fills_a_table(messages):
     one = courts(1)[0]
     for number, (kind, key, first, second, third, sender) in enumerate(messages):
-        one.hear(Plea(kind, POOL, 20 + key % 12, number, first, second, third), sender, USUAL, number * MS)
+        one.hear(
+            Plea(kind, POOL, 20 + key % 12, number, first, second, third),
+            sender,
+            USUAL,
+            number * MS,
+        )
         one.turn(number * MS, lambda pool: USUAL, lambda pool: (5, 5))
     assert len(one.given) <= 4 and not one.rests
 
@@ -232,19 +253,31 @@
     assert fresh.out[-1][1].one == 0  # what its last run voted for may still hold
 
 
-@pytest.mark.parametrize("key, value, said", [
-    ("part", 0.9, "bank.verdicts.part: "), ("witnesses", 1, "bank.verdicts.witnesses: "),
-    ("life", "1s", "bank.verdicts.life: is shorter"),
-    ("most_term", "1s", "bank.verdicts.most_term: is shorter"),
-    ("slwo", 1, "bank.verdicts.slwo: is no key here (meant: slow)")])
+@pytest.mark.parametrize(
+    "key, value, said",
+    [
+        ("part", 0.9, "bank.verdicts.part: "),
+        ("witnesses", 1, "bank.verdicts.witnesses: "),
+        ("life", "1s", "bank.verdicts.life: is shorter"),
+        ("most_term", "1s", "bank.verdicts.most_term: is shorter"),
+        ("slwo", 1, "bank.verdicts.slwo: is no key here (meant: slow)"),
+    ],
+)
 def test_a_faulty_table_is_refused_with_its_key(tmp_path, key, value, said):
     secret = tmp_path / "key"
     secret.write_text("k" * 20)
     secret.chmod(0o600)
     bank = {"listen": "127.0.0.1:7000", "key_files": [str(secret)], "verdicts": {key: value}}
     with pytest.raises(ConfigFault) as fault:
-        operator.made({"version": 1, "listen": ["127.0.0.1:9000"], "bank": bank, "routes": [],
-                       "pools": {"t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.25, 1.5)}})
+        operator.made(
+            {
+                "version": 1,
+                "listen": ["127.0.0.1:9000"],
+                "bank": bank,
+                "routes": [],
+                "pools": {"t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.25, 1.5)},
+            }
+        )
     assert str(fault.value).startswith(said), str(fault.value)
 
 
@@ -262,29 +295,54 @@
     loads = None
 
     def states():
-        return [{row["upstream"]: row["state"] for row in bank.ask(number, "verdicts")}
-                for number in range(6)]
+        return [
+            {row["upstream"]: row["state"] for row in bank.ask(number, "verdicts")}
+            for number in range(6)
+        ]
 
     try:
         bank.start()
         until(bank.gathered)
         start = time.monotonic() + 0.2
-        loads = Loads([(process.balancer.address, Asks(
-            f"t{process.number}", 40.0, "/t/x", "GET", "t.example", 1.0, 0.1))
-            for process in bank.processes], 1, start, 14.0)
-        time.sleep(max(0.0, start + 4.5 - time.monotonic()))  # votes count from a life after the start
+        loads = Loads(
+            [
+                (
+                    process.balancer.address,
+                    Asks(f"t{process.number}", 40.0, "/t/x", "GET", "t.example", 1.0, 0.1),
+                )
+                for process in bank.processes
+            ],
+            1,
+            start,
+            14.0,
+        )
+        time.sleep(
+            max(0.0, start + 4.5 - time.monotonic())
+        )  # votes count from a life after the start
         fleet.tell("s-2", speed=0.08)
         until(lambda: all(one.get("s-2") == "rests" for one in states()))
-        assert all({name for name, state in one.items() if state == "rests"} == {"s-2"} for one in states())
+        assert all(
+            {name for name, state in one.items() if state == "rests"} == {"s-2"} for one in states()
+        )
         rested = time.monotonic()
         fleet.tell("s-2", speed=1.0)
         # Its next run is another upstream, of which nothing is known.
         for entry in (process for process in bank.processes):
-            given_ = files.document(entry.file() | {"pools": {"t": files.service(
-                "t", "rerunnable", fleet.addresses, 0.1, 1.0) | {"upstreams": [
-                    {"name": name, "address": address} | ({"started_ms": int(time.time() * 1000)}
-                                                          if name == "s-2" else {})
-                    for name, address in fleet.addresses.items()]}}})
+            given_ = files.document(
+                entry.file()
+                | {
+                    "pools": {
+                        "t": files.service("t", "rerunnable", fleet.addresses, 0.1, 1.0)
+                        | {
+                            "upstreams": [
+                                {"name": name, "address": address}
+                                | ({"started_ms": int(time.time() * 1000)} if name == "s-2" else {})
+                                for name, address in fleet.addresses.items()
+                            ]
+                        }
+                    }
+                }
+            )
             entry.balancer.reload(given_)
         until(lambda: fleet.tell("s-2")["last"]["s-2"] > rested + 0.5)
         seen = loads.results()
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -43,24 +43,36 @@
 # Windows.
 
 
-@pytest.mark.parametrize("every_, zone, when, start, end", [
-    ("minute", "UTC", (2026, 12, 2, 0, 14, 29), (2026, 12, 2, 0, 14), (2026, 12, 2, 0, 15)),
-    ("hour", "Asia/Kathmandu", (2026, 12, 2, 5, 50), (2026, 12, 2, 5), (2026, 12, 2, 6)),
-    ("day", "Asia/Ulaanbaatar", (2026, 12, 2, 23, 59), (2026, 12, 2), (2026, 12, 3)),
-    ("day", "Europe/Berlin", (2026, 3, 29, 12), (2026, 3, 29), (2026, 3, 30)),  # 23 hours
-    ("day", "Europe/Berlin", (2026, 10, 25, 1), (2026, 10, 25), (2026, 10, 26)),  # 25 hours
-])
+@pytest.mark.parametrize(
+    "every_, zone, when, start, end",
+    [
+        ("minute", "UTC", (2026, 12, 2, 0, 14, 29), (2026, 12, 2, 0, 14), (2026, 12, 2, 0, 15)),
+        ("hour", "Asia/Kathmandu", (2026, 12, 2, 5, 50), (2026, 12, 2, 5), (2026, 12, 2, 6)),
+        ("day", "Asia/Ulaanbaatar", (2026, 12, 2, 23, 59), (2026, 12, 2), (2026, 12, 3)),
+        ("day", "Europe/Berlin", (2026, 3, 29, 12), (2026, 3, 29), (2026, 3, 30)),  # 23 hours
+        ("day", "Europe/Berlin", (2026, 10, 25, 1), (2026, 10, 25), (2026, 10, 26)),  # 25 hours
+    ],
+)
 def test_windows_are_those_of_the_clock_on_the_wall_there(every_, zone, when, start, end):
     assert Calendar(every_, zone).bounds(at(zone, *when)) == (at(zone, *start), at(zone, *end))
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.integers(10**8, 4 * 10**9), st.sampled_from(["minute", "hour", "day"]),
-       st.sampled_from(["UTC", "Asia/Kathmandu", "America/Santiago", "Australia/Lord_Howe", "Africa/Cairo"]))
+@given(
+    st.integers(10**8, 4 * 10**9),
+    st.sampled_from(["minute", "hour", "day"]),
+    st.sampled_from(
+        ["UTC", "Asia/Kathmandu", "America/Santiago", "Australia/Lord_Howe", "Africa/Cairo"]
+    ),
+)
 def test_each_moment_lies_in_one_window_and_windows_meet(wall, every_, zone):
     calendar = Calendar(every_, zone)
     start, end = calendar.bounds(wall)
-    assert start <= wall < end and calendar.bounds(end)[0] == end and calendar.bounds(end - 1) == (start, end)
+    assert (
+        start <= wall < end
+        and calendar.bounds(end)[0] == end
+        and calendar.bounds(end - 1) == (start, end)
+    )
 
 
 def test_every_order_of_a_small_world_keeps_the_count():
@@ -80,7 +92,9 @@
     assert broken and replay(days.make(FAULTS[name]), path) == broken
 
 
-def units(name="a", amount=90, homes=("a", "b", "c"), lasting=False, between=lambda now: (now, now), now=0):
+def units(
+    name="a", amount=90, homes=("a", "b", "c"), lasting=False, between=lambda now: (now, now), now=0
+):
     limit = Limit("x", COUNT, amount, homes, window="minute UTC")
     return Units(limit, MINUTES, name, now, Random(name), between, lasting)
 
@@ -94,7 +108,11 @@
             for place, one in enumerate(those.values()):
                 one.turn(now, [other for other in range(3) if other != place])
             for _ in range(4):
-                sent = [(place, to, deal) for place, one in enumerate(those.values()) for to, deal in one.out]
+                sent = [
+                    (place, to, deal)
+                    for place, one in enumerate(those.values())
+                    for to, deal in one.out
+                ]
                 for one in those.values():
                     one.out = []
                 for place, to, deal in sent:
@@ -118,7 +136,11 @@
     for nonce in range(1, 2 * MOST_GRANTED):
         one.deal(Deal(ASK_UNITS, one.limit.mark, nonce, 1, 0), 7, SECOND)
     given_away = sum(deal.amount for _, deal in one.out)
-    assert given_away == 2 * MOST_GRANTED - 1 and one.slots[0].own == 953 and len(one.granted) == MOST_GRANTED
+    assert (
+        given_away == 2 * MOST_GRANTED - 1
+        and one.slots[0].own == 953
+        and len(one.granted) == MOST_GRANTED
+    )
     one.out = []
     one.deal(Deal(ASK_UNITS, one.limit.mark, 1_500, 1, 0), 7, SECOND)
     assert [deal.amount for _, deal in one.out] == [1] and one.slots[0].own == 953
@@ -153,8 +175,13 @@
 
     keeper = Keeper(path)
     assert keeper.open() == {}
-    anyio.run(story, keeper, {("begun",): (7,)}, {("window", 1, 0, 60): (10, -1, 3)},
-              {("window", 1, 0, 60): (10, -1, 8)})
+    anyio.run(
+        story,
+        keeper,
+        {("begun",): (7,)},
+        {("window", 1, 0, 60): (10, -1, 3)},
+        {("window", 1, 0, 60): (10, -1, 8)},
+    )
     assert keeper.stamp == 3
     with pytest.raises(Torn, match="another process"):
         Keeper(path).open()
@@ -171,7 +198,9 @@
         Keeper(path).open()
 
 
-def test_a_full_disk_keeps_what_is_not_written_from_being_used_and_a_well_one_lets_it(tmp_path, monkeypatch):
+def test_a_full_disk_keeps_what_is_not_written_from_being_used_and_a_well_one_lets_it(
+    tmp_path, monkeypatch
+):
     keeper, one = Keeper(str(tmp_path / "state")), units(amount=30, homes=("a",), lasting=True)
     keeper.open()
     write = os.pwrite
@@ -181,8 +210,11 @@
 
     async def flush():
         said, notes = one.take_notes()
-        await keeper.write({("window", *note[:3]): note[3:] for note in notes},
-                           lambda: one.written(said, notes), lambda: one.not_written(notes))
+        await keeper.write(
+            {("window", *note[:3]): note[3:] for note in notes},
+            lambda: one.written(said, notes),
+            lambda: one.not_written(notes),
+        )
 
     assert not one.take(0) and one.notes
     monkeypatch.setattr(os, "pwrite", full)
@@ -193,7 +225,7 @@
     assert not keeper.fault and one.take(2)
     keeper.journal.close()
     again = Keeper(str(tmp_path / "state"))
-    row, = again.open().values()
+    (row,) = again.open().values()
     assert row[2] >= 8  # written ahead as used: what a kill loses
     again.journal.close()
 
@@ -236,7 +268,9 @@
     assert one.take(50 * SECOND) and [slot.start for slot in one.slots] == [0]
     assert one.take(57 * SECOND) and [slot.start for slot in one.slots] == [0, 60]
     assert not one.take(62 * SECOND)  # of the first nothing is left
-    assert one.take(66 * SECOND) and not one.take(67 * SECOND)  # of the second one was counted before
+    assert one.take(66 * SECOND) and not one.take(
+        67 * SECOND
+    )  # of the second one was counted before
 
 
 # Nearly.
@@ -338,6 +372,7 @@
     def made(process):
         pool = files.service("t", "exclusive", fleet.addresses, 0.5, 1.0)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
+
     return made
 
 
@@ -346,9 +381,13 @@
     return all(row["agreed"] and not row["fenced_ms"] for row in rows)
 
 
-def test_a_window_of_three_processes_is_kept_over_kill_9_its_close_and_a_clock_that_is_wrong(tmp_path):
+def test_a_window_of_three_processes_is_kept_over_kill_9_its_close_and_a_clock_that_is_wrong(
+    tmp_path,
+):
     fleet = Fleet({f"s-{n}": Script(workers=32, work=0.005) for n in range(2)}, 1)
-    limits = {"day": {"kind": "count", "amount": 90, "window": "minute", "homes": ["m0", "m1", "m2"]}}
+    limits = {
+        "day": {"kind": "count", "amount": 90, "window": "minute", "homes": ["m0", "m1", "m2"]}
+    }
     bank = Bank(3, tmp_path, service(fleet), limits=limits, relayed=False)
     loads = None
     try:
@@ -365,9 +404,18 @@
             bank.ask(number, "begin", name="day")
         fleet.meter()
         start = time.monotonic() + 0.2
-        loads = Loads([(bank.processes[number].balancer.address, Asks(
-            f"t{number}", rate, "/t/x", host="t.example", patience=1.0, agreed=0.5))
-            for number, rate in ((0, 40.0), (1, 5.0))], 1, start, closes + 3.0 - start)
+        loads = Loads(
+            [
+                (
+                    bank.processes[number].balancer.address,
+                    Asks(f"t{number}", rate, "/t/x", host="t.example", patience=1.0, agreed=0.5),
+                )
+                for number, rate in ((0, 40.0), (1, 5.0))
+            ],
+            1,
+            start,
+            closes + 3.0 - start,
+        )
         time.sleep(max(0.0, start + 1.5 - time.monotonic()))
         bank.kill(1)
         bank.processes[1].start()
@@ -399,8 +447,17 @@
         state = bank.processes[0].folder / "state"
         until(lambda: bank.ask(0, "limits")[0]["mine"] == 500)
         old = state.read_bytes()
-        loads = Loads([(bank.processes[0].balancer.address, Asks(
-            "t", 100.0, "/t/x", host="t.example", patience=1.0, agreed=0.5))], 1, time.monotonic(), 1.5)
+        loads = Loads(
+            [
+                (
+                    bank.processes[0].balancer.address,
+                    Asks("t", 100.0, "/t/x", host="t.example", patience=1.0, agreed=0.5),
+                )
+            ],
+            1,
+            time.monotonic(),
+            1.5,
+        )
         loads.results()
         until(lambda: bank.ask(1, "figures").get("bank_stamps_heard", 0) > 3)
         bank.kill(0)
@@ -408,7 +465,7 @@
         bank.processes[0].start()
         bank.processes[0].balancer.wait_ready()
         until(lambda: ready(bank, 0))
-        row, = bank.ask(0, "limits")
+        (row,) = bank.ask(0, "limits")
         assert row["mine"] == 0 and "event=bank_state_old" in bank.processes[0].balancer.log()
     finally:
         if loads:
@@ -420,12 +477,21 @@
 def test_limits_by_route_by_tenant_at_upstreams_and_nearly_hold_over_two_processes(tmp_path):
     fleet = Fleet({"s": Script(workers=64, work=0.05)}, 1)
     homes = ["m0", "m1"]
-    limits = {"route": {"kind": "rate", "amount": 20, "burst": 5, "homes": homes, "routes": ["u"]},
-              "org": {"kind": "rate", "amount": 8, "burst": 4, "homes": homes, "each": "tenant", "most": 2,
-                      "tenants": {"big": 40}},
-              "wide": {"kind": "in_flight", "amount": 6, "homes": homes, "each": "upstream"},
-              "links": {"kind": "connections", "amount": 8, "homes": homes, "each": "upstream"},
-              "all": {"kind": "rate", "amount": 60, "burst": 10, "promise": "nearly"}}
+    limits = {
+        "route": {"kind": "rate", "amount": 20, "burst": 5, "homes": homes, "routes": ["u"]},
+        "org": {
+            "kind": "rate",
+            "amount": 8,
+            "burst": 4,
+            "homes": homes,
+            "each": "tenant",
+            "most": 2,
+            "tenants": {"big": 40},
+        },
+        "wide": {"kind": "in_flight", "amount": 6, "homes": homes, "each": "upstream"},
+        "links": {"kind": "connections", "amount": 8, "homes": homes, "each": "upstream"},
+        "all": {"kind": "rate", "amount": 60, "burst": 10, "promise": "nearly"},
+    }
 
     def service(process):
         pool = files.service("t", "rerunnable", fleet.addresses, 0.5, 1.0)
@@ -441,13 +507,30 @@
         start = time.monotonic() + 0.3
 
         def asks(name, rate, tenant, path="t", **more):
-            return Asks(name, rate, f"/{path}/x", "GET", f"{path}.example", 1.0, 0.5,
-                        headers={"X-Org": tenant}, **more)
+            return Asks(
+                name,
+                rate,
+                f"/{path}/x",
+                "GET",
+                f"{path}.example",
+                1.0,
+                0.5,
+                headers={"X-Org": tenant},
+                **more,
+            )
 
         address = bank.processes[0].balancer.address
-        loads = Loads([(address, asks("a", 30.0, "a")), (address, asks("b", 30.0, "big")),
-                       (address, asks("c", 30.0, "c", "u")),
-                       (bank.processes[1].balancer.address, asks("d", 4.0, "a"))], 1, start, 5.0)
+        loads = Loads(
+            [
+                (address, asks("a", 30.0, "a")),
+                (address, asks("b", 30.0, "big")),
+                (address, asks("c", 30.0, "c", "u")),
+                (bank.processes[1].balancer.address, asks("d", 4.0, "a")),
+            ],
+            1,
+            start,
+            5.0,
+        )
         seen = loads.results()
         met = fleet.meter()
         served = {one.asks.name: sum(task.status == 200 for task in one.told) for one in seen}
@@ -467,7 +550,9 @@
         fleet.stop()
 
 
-def test_a_limit_changes_while_it_serves_and_a_repeat_of_a_task_counts_once_for_its_tenant(tmp_path):
+def test_a_limit_changes_while_it_serves_and_a_repeat_of_a_task_counts_once_for_its_tenant(
+    tmp_path,
+):
     fleet = Fleet({"s": Script(workers=64, work=0.005)}, 1)
     limits = {"all": {"kind": "rate", "amount": 20, "burst": 5, "homes": ["m0", "m1"]}}
 
@@ -480,19 +565,34 @@
         bank.start()
         until(lambda: ready(bank, 0, 1))
         limits["all"] |= {"amount": 200, "burst": 100}
-        limits["org"] = {"kind": "count", "window": "day", "amount": 4, "homes": ["m0"], "each": "tenant"}
+        limits["org"] = {
+            "kind": "count",
+            "window": "day",
+            "amount": 4,
+            "homes": ["m0"],
+            "each": "tenant",
+        }
         for number, process in enumerate(bank.processes):
             process.limits = limits
             process.balancer.reload(files.document(process.file()))
             if number == 0:
                 until(lambda: bank.ask(0, "limits")[0]["amount"] == 200_000)
                 assert bank.ask(0, "limits")[0]["home"] == 10_000  # the other has not read it yet
-        until(lambda: [row["home"] for number in (0, 1) for row in bank.ask(number, "limits")
-                       if row["limit"] == "all"] == [100_000, 100_000])
+        until(
+            lambda: [
+                row["home"]
+                for number in (0, 1)
+                for row in bank.ask(number, "limits")
+                if row["limit"] == "all"
+            ]
+            == [100_000, 100_000]
+        )
         bank.ask(0, "begin", name="org")
 
         def ask(ticket, repeat):
-            head = f"POST /t/x HTTP/1.1\r\nHost: t.example\r\nX-Txn: {random()}\r\nX-Remaining: 1\r\n"
+            head = (
+                f"POST /t/x HTTP/1.1\r\nHost: t.example\r\nX-Txn: {random()}\r\nX-Remaining: 1\r\n"
+            )
             head += f"Idempotency-Key: {ticket}\r\nX-Org: a\r\nContent-Length: 2\r\n"
             with socket.create_connection(bank.processes[0].balancer.address, 5.0) as sock:
                 sock.sendall((head + "X-Resent: 1\r\n" * repeat + "\r\n{}").encode())
--- a/whinpier/__main__.py
+++ b/whinpier/__main__.py
@@ -68,6 +68,7 @@
         wire = Http1()
         if spec.beside:
             from whinpier.radius.wire import WithRadius  # only where a file has it
+
             wire = WithRadius(datagrams, further)
         try:
             life = Life(spec, wire, reread, changed)
@@ -76,6 +77,7 @@
             return 2
         if spec.bank:
             from whinpier.bank import start as bank  # only where a file has it
+
             try:
                 life.bank = bank.start(life, datagrams)
             except OSError as fault:
@@ -95,6 +97,7 @@
     if os.environ.get("BALANCER_OPERATOR"):
         # Only here: the platform sets no such file, and pays nothing for what reads it.
         from whinpier.config import operator
+
         return start(operator.reader(os.environ["BALANCER_OPERATOR"]), operator.changes)
     return start(lambda: read(os.environ), kept_till_restart)
 
--- a/whinpier/bank/agreed.py
+++ b/whinpier/bank/agreed.py
@@ -39,11 +39,18 @@
 MS = SECOND // 1000
 MAGIC = b"whinpier bank record 1\n"
 LONGEST = 6 << 20  # bytes of a note: a whole state fits
-LEAST, LIVE = 1 << 20, 2  # bytes below which the file is not rewritten; times what is live that it may hold
+LEAST, LIVE = (
+    1 << 20,
+    2,
+)  # bytes below which the file is not rewritten; times what is live that it may hold
 AGAIN = 0.5  # seconds until what could not be written is tried again
 TURN, BUSY = SECOND // 4, SECOND // 10  # between looks; while a drain or release is on
 TELL, TELL_BUSY = 2 * SECOND, 400 * MS  # between reports that say nothing new
-ASKED, ASK_AGAIN, ASK_FOR = 256, 250 * MS, 60 * SECOND  # commands on their way: how many, how often, how long
+ASKED, ASK_AGAIN, ASK_FOR = (
+    256,
+    250 * MS,
+    60 * SECOND,
+)  # commands on their way: how many, how often, how long
 MOST_FILE = 1 << 20  # bytes of a released file
 PIECE = 560  # bytes of a file in one line of the record: with its names it fits into a control line
 FIRST = re.compile(rb"# release ([0-9a-f]{1,64})\n")
@@ -65,7 +72,13 @@
     __slots__ = ("kind", "data", "done", "since", "sent")
 
     def __init__(self, kind: int, data: bytes, done: Callable[[], bool], now: int) -> None:
-        self.kind, self.data, self.done, self.since, self.sent = kind, data, done, now, now - ASK_AGAIN
+        self.kind, self.data, self.done, self.since, self.sent = (
+            kind,
+            data,
+            done,
+            now,
+            now - ASK_AGAIN,
+        )
 
 
 class Agreed:
@@ -74,27 +87,43 @@
     def __init__(self, link: Link, spec: AgreementSpec) -> None:
         self.link, self.spec, self.loop, self.life = link, spec, link.loop, link.life
         self.now = self.begun = self.loop.clock()
-        self.chance = Random(Random().getrandbits(64))  # numbers of disks and commands are nobody else's
+        self.chance = Random(
+            Random().getrandbits(64)
+        )  # numbers of disks and commands are nobody else's
         self.journal = Journal(str(Path(spec.folder) / "record"), MAGIC, LONGEST)
         self.file = Path(spec.folder) / RELEASED
         copy = self.opened()
         self.stamp = self.begun_stamp = stamp_of(copy)  # how much this disk has promised
         self.record = Record()
         pace = raft.Pace()
-        self.agreement = Agreement(link.spec.name, copy, self.record, self.now, Random(self.chance.random()),
-                                   pace, pace.patience if copy.record else 0)
+        self.agreement = Agreement(
+            link.spec.name,
+            copy,
+            self.record,
+            self.now,
+            Random(self.chance.random()),
+            pace,
+            pace.patience if copy.record else 0,
+        )
         if not copy.disk:
             self.draw_disk()
         self.came, self.fault = anyio.Event(), ""
-        self.disks: dict[int, tuple[int, int]] = {}  # by disk: whose run told of it, how much it has promised
-        self.told: dict[str, tuple[int, int]] = {}  # by name: which disk a member has, of which record
+        self.disks: dict[
+            int, tuple[int, int]
+        ] = {}  # by disk: whose run told of it, how much it has promised
+        self.told: dict[
+            str, tuple[int, int]
+        ] = {}  # by name: which disk a member has, of which record
         self.heard_any = False
         self.conduct: Conduct | None = None
         self.asks: list[Asked] = []
         self.reads: dict[int, int] = {}  # by nonce: up to which line; 0: not known yet
         self.seen_changes, self.seen_commit = -1, -1
         self.running = self.released()
-        self.before, self.switched_at = self.running, 0  # what ran before the last switch, and when that was
+        self.before, self.switched_at = (
+            self.running,
+            0,
+        )  # what ran before the last switch, and when that was
         self.switching, self.refusal = False, ""
         self.avoid: str | None = None  # a file that cut this process off
         self.refused: str | None = None  # one that it does not take
@@ -121,11 +150,23 @@
             copy = replayed(notes)
         except (ValueError, TypeError, IndexError) as fault:
             self.journal.close()
-            raise Torn(f"{self.journal.path}: {fault}; move it away to begin as a new voter") from None
+            raise Torn(
+                f"{self.journal.path}: {fault}; move it away to begin as a new voter"
+            ) from None
         if self.journal.cut:
-            log.warn("agreement_torn", file=self.journal.path, kept=self.journal.size, cut=self.journal.cut)
-        log.say("agreement", record=f"{copy.record:x}", disk=f"{copy.disk:x}", term=copy.term,
-                lines=copy.start + len(copy.lines))
+            log.warn(
+                "agreement_torn",
+                file=self.journal.path,
+                kept=self.journal.size,
+                cut=self.journal.cut,
+            )
+        log.say(
+            "agreement",
+            record=f"{copy.record:x}",
+            disk=f"{copy.disk:x}",
+            term=copy.term,
+            lines=copy.start + len(copy.lines),
+        )
         return copy
 
     def released(self) -> str:
@@ -155,7 +196,8 @@
         agreement, journal = self.agreement, self.journal
         notes, count, stamp = list(agreement.notes), agreement.noted, stamp_of(agreement)
         anew = any(note[0] in (raft.WHO, raft.BASE) for note in notes) or (
-            journal.size > LEAST + LIVE * len(agreement.state))
+            journal.size > LEAST + LIVE * len(agreement.state)
+        )
         whole = compacted(agreement.copy()) if anew else []
         try:
             if anew:
@@ -170,7 +212,7 @@
         if self.fault:
             log.say("agreement_disk_well", file=journal.path)
             self.fault = ""
-        del agreement.notes[:len(notes)]
+        del agreement.notes[: len(notes)]
         self.stamp = stamp
         agreement.written(count)
         return True
@@ -239,8 +281,13 @@
         log.warn("agreement_old_disk", disk=f"{agreement.disk:x}", known=talk.one)
         noted, synced, waiting = agreement.noted, agreement.synced, agreement.notes
         self.record.thaw(b"")
-        self.agreement = Agreement(self.link.spec.name, Copy(), self.record, self.loop.clock(),
-                                   Random(self.chance.random()))
+        self.agreement = Agreement(
+            self.link.spec.name,
+            Copy(),
+            self.record,
+            self.loop.clock(),
+            Random(self.chance.random()),
+        )
         self.agreement.noted, self.agreement.synced, self.agreement.notes = noted, synced, waiting
         self.draw_disk()
         self.begun_stamp = 0
@@ -271,7 +318,9 @@
         members = self.link.members
         if self.names_at != members.changes:
             self.names_at = members.changes
-            self.names = {one.card.name: one.id for one in members.members.values() if one.connected}
+            self.names = {
+                one.card.name: one.id for one in members.members.values() if one.connected
+            }
         return self.names
 
     def pass_on(self) -> None:
@@ -329,7 +378,9 @@
         if self.agreement.role == LEADER:
             if self.conduct is None:
                 self.conduct = Conduct(now, self.spec.write_off)
-                self.conduct.known = {name: seat.zone for name, seat in self.seats().items() if seat.here}
+                self.conduct.known = {
+                    name: seat.zone for name, seat in self.seats().items() if seat.here
+                }
             self.lead(now)
         else:
             self.conduct = None
@@ -349,8 +400,11 @@
         if waited or known:
             self.current = True
             if waited:
-                log.warn("agreement_not_heard", waited_ms=(now - self.begun) // MS,
-                         lines=self.agreement.commit)
+                log.warn(
+                    "agreement_not_heard",
+                    waited_ms=(now - self.begun) // MS,
+                    lines=self.agreement.commit,
+                )
             self.obey()
 
     def begin(self) -> None:
@@ -365,14 +419,18 @@
             if name not in there or record or not disk:
                 return
             disks[name] = disk
-        said = Said(self.chance.getrandbits(62) | 1, self.link.spec.name, "as its file has it", wall_ms())
+        said = Said(
+            self.chance.getrandbits(62) | 1, self.link.spec.name, "as its file has it", wall_ms()
+        )
         number = (self.chance.getrandbits(40) | 1) * raft.GENERATIONS
         agreement.begin(number, disks, [(RULES, encode(Rules(said, list(self.spec.permits))))])
         log.say("agreement_begun", record=f"{number:x}", voters=",".join(disks))
 
     def lead(self, now: int) -> None:
         assert self.conduct
-        self.conduct.report(self.link.spec.name, self.link.members.card.id, weighed(self.own_report()), now)
+        self.conduct.report(
+            self.link.spec.name, self.link.members.card.id, weighed(self.own_report()), now
+        )
         for kind, data in self.conduct.turn(now, self.seats(), self.record):
             self.agreement.command(kind, data)
         self.mend_voters()
@@ -421,7 +479,10 @@
         self.life.aside = orders.drained or not self.current
         if self.current and orders.drained != self.drained:
             self.drained = orders.drained
-            self.tell("drain_begins" if self.drained else "drain_ends", revision=self.record.whole.revision)
+            self.tell(
+                "drain_begins" if self.drained else "drain_ends",
+                revision=self.record.whole.revision,
+            )
             self.link.share(not self.drained)
         for pool in self.life.pools.values():
             pool.drain(frozenset(self.record.upstreams(pool.name)))
@@ -430,7 +491,11 @@
         if self.refused is not None and orders.content != self.refused:
             self.refused, self.refusal = None, ""
         wanted = orders.content
-        if self.current and not self.switching and wanted not in (self.running, self.avoid, self.refused):
+        if (
+            self.current
+            and not self.switching
+            and wanted not in (self.running, self.avoid, self.refused)
+        ):
             data = self.record.content(wanted) if wanted else b""
             if data is not None:
                 self.begin_switch(wanted, data)
@@ -516,7 +581,9 @@
                 self.switched_at = 0  # it was tried for long enough
             return
         if now - self.switched_at > self.spec.cut_off:
-            log.warn("release_taken_back", content=self.running, position=self.link.members.position)
+            log.warn(
+                "release_taken_back", content=self.running, position=self.link.members.position
+            )
             self.avoid, self.switched_at = self.running, 0
             data = self.record.content(self.before) if self.before else b""
             self.begin_switch(self.before, data or b"")
@@ -526,11 +593,26 @@
         idle = not life.out() and not any(front.owes() for front in life.fronts)
         clean: list[int] = []
         for pool in life.pools.values():
-            clean += [number for host, number in self.record.upstreams(pool.name).items()
-                      if not pool.out_at(host)]
-        return Report(self.agreement.commit, self.running, self.spec.build, life.ready(), orders.drained,
-                      orders.drained and life.aside and idle, self.refused or "", self.refusal,
-                      tuple(clean[:64]), self.ended, self.on_time, self.scrapped, self.turned_back)
+            clean += [
+                number
+                for host, number in self.record.upstreams(pool.name).items()
+                if not pool.out_at(host)
+            ]
+        return Report(
+            self.agreement.commit,
+            self.running,
+            self.spec.build,
+            life.ready(),
+            orders.drained,
+            orders.drained and life.aside and idle,
+            self.refused or "",
+            self.refusal,
+            tuple(clean[:64]),
+            self.ended,
+            self.on_time,
+            self.scrapped,
+            self.turned_back,
+        )
 
     def report(self) -> None:
         """Tell the leader how this process stands, when something is new, and now and then."""
@@ -592,13 +674,22 @@
     def standing(self) -> dict[str, Any]:
         """How the record stands, for people."""
         agreement, whole = self.agreement, self.record.whole
-        return {"record": f"{agreement.record:x}", "role": raft.ROLES[agreement.role],
-                "leader": agreement.leader, "term": agreement.term, "line": agreement.commit,
-                "revision": whole.revision,
-                "voters": sorted(agreement.config), "votes": agreement.votes_here,
-                "disk": self.fault or "well", "digest": hash_of(self.record.freeze()),
-                "runs": self.running, "build": self.spec.build, "current": self.current,
-                "aside": self.life.aside}
+        return {
+            "record": f"{agreement.record:x}",
+            "role": raft.ROLES[agreement.role],
+            "leader": agreement.leader,
+            "term": agreement.term,
+            "line": agreement.commit,
+            "revision": whole.revision,
+            "voters": sorted(agreement.config),
+            "votes": agreement.votes_here,
+            "disk": self.fault or "well",
+            "digest": hash_of(self.record.freeze()),
+            "runs": self.running,
+            "build": self.spec.build,
+            "current": self.current,
+            "aside": self.life.aside,
+        }
 
 
 def stamp_of(copy: Copy | Agreement) -> int:
@@ -609,8 +700,15 @@
 
 def stands(report: Report) -> tuple[Any, ...]:
     """What of a report the leader is told at once where it changes."""
-    return (report.applied, report.content, report.build, report.ready, report.drained, report.refused,
-            report.clean)
+    return (
+        report.applied,
+        report.content,
+        report.build,
+        report.ready,
+        report.drained,
+        report.refused,
+        report.clean,
+    )
 
 
 def weighed(report: Report) -> Report:
@@ -646,7 +744,11 @@
 def pieces(data: bytes) -> Iterator[dict[str, str | int]]:
     """A file, as `deflated` gives it, as a control socket takes it in: piece by piece."""
     for at in range(0, len(data), PIECE):
-        yield {"at": at, "size": len(data), "data": base64.b64encode(data[at:at + PIECE]).decode()}
+        yield {
+            "at": at,
+            "size": len(data),
+            "data": base64.b64encode(data[at : at + PIECE]).decode(),
+        }
 
 
 def memory() -> int:
@@ -656,5 +758,3 @@
             return int(file.read().split()[1]) * PAGE
     except (OSError, IndexError, ValueError):
         return 0
-
-
--- a/whinpier/bank/agreement.py
+++ b/whinpier/bank/agreement.py
@@ -19,15 +19,35 @@
 
 import msgspec
 
-from whinpier.bank.forms import (APPEND, ASK_EARLY, ASK_VOTE, BEHIND, EARLY, FETCH, FORWARD, HURRY, LINES,
-                                 MOST_LINE, MOST_LINES, MOST_TALK, PIECE, READ, READ_AT, TAKEN, VOTED, Line,
-                                 Talk)
+from whinpier.bank.forms import (
+    APPEND,
+    ASK_EARLY,
+    ASK_VOTE,
+    BEHIND,
+    EARLY,
+    FETCH,
+    FORWARD,
+    HURRY,
+    LINES,
+    MOST_LINE,
+    MOST_LINES,
+    MOST_TALK,
+    PIECE,
+    READ,
+    READ_AT,
+    TAKEN,
+    VOTED,
+    Line,
+    Talk,
+)
 from whinpier.decay import SECOND
 
 MS = SECOND // 1000
 FOLLOWER, EARLY_ASKED, CANDIDATE, LEADER = range(4)
 ROLES = ("follower", "about to ask", "candidate", "leader")
-NOTHING, VOTERS = range(2)  # kinds of lines that mean something to the record itself; others are commands
+NOTHING, VOTERS = range(
+    2
+)  # kinds of lines that mean something to the record itself; others are commands
 MOST_VOTERS = 9  # more only make each line wait for more disks
 COMPACT = 768  # lines after which what they come to is kept instead, but for the last `KEPT`
 KEPT = 256  # lines that whoever is behind by less than that may still be given one by one
@@ -36,7 +56,9 @@
 MOST_STATE = 4 << 20  # bytes of a state that is learned as a whole
 PIECE_SIZE, PIECES = 900, 12  # bytes of one, and how many are sent for each that is asked for
 SERVED = 12  # talks with lines that a member gives learners in one beat: 60 kB a second, however many ask
-GENERATIONS = 256  # a record's number is what it was at first, times this, and how often it was recovered
+GENERATIONS = (
+    256  # a record's number is what it was at first, times this, and how often it was recovered
+)
 
 pack = msgspec.msgpack.Encoder().encode
 unpack = msgspec.msgpack.Decoder().decode
@@ -47,7 +69,9 @@
     """How quick it is. A leader that is killed is followed by the next within two seconds."""
 
     beat: int = 200 * MS  # between a leader's talks
-    patience: int = 900 * MS  # without a leader till one asks for votes; up to twice that, by chance
+    patience: int = (
+        900 * MS
+    )  # without a leader till one asks for votes; up to twice that, by chance
     again: int = 300 * MS  # until what was asked for is asked for again
 
 
@@ -82,13 +106,17 @@
             index, term, what, data = rest
             if not copy.start < index <= copy.start + len(copy.lines) + 1:
                 raise ValueError(f"line {index} behind line {copy.start + len(copy.lines)}")
-            del copy.lines[index - copy.start - 1:]
+            del copy.lines[index - copy.start - 1 :]
             copy.lines.append(Line(term, what, data))
         elif kind == BASE:
             base, state, start, start_term = rest
             there = 0 <= start - copy.start <= len(copy.lines) and start >= copy.start
-            held = copy.lines[start - copy.start:] if there else []
-            if start > copy.start and there and copy.lines[start - copy.start - 1].term != start_term:
+            held = copy.lines[start - copy.start :] if there else []
+            if (
+                start > copy.start
+                and there
+                and copy.lines[start - copy.start - 1].term != start_term
+            ):
                 held = []
             copy.base, copy.state, copy.lines = base, state, held
             copy.start, copy.start_term = start, start_term
@@ -99,10 +127,15 @@
 
 def compacted(copy: Copy) -> list[Note]:
     """The fewest notes that come to the same."""
-    found: list[Note] = [(WHO, copy.record, copy.disk), (TERM, copy.term, copy.voted),
-                         (BASE, copy.base, copy.state, copy.start, copy.start_term)]
-    return found + [(LINE, copy.start + number, line.term, line.kind, line.data)
-                    for number, line in enumerate(copy.lines, 1)]
+    found: list[Note] = [
+        (WHO, copy.record, copy.disk),
+        (TERM, copy.term, copy.voted),
+        (BASE, copy.base, copy.state, copy.start, copy.start_term),
+    ]
+    return found + [
+        (LINE, copy.start + number, line.term, line.kind, line.data)
+        for number, line in enumerate(copy.lines, 1)
+    ]
 
 
 class Machine(Protocol):
@@ -124,19 +157,39 @@
 class Agreement:
     """One member's part in the record."""
 
-    def __init__(self, name: str, copy: Copy, machine: Machine, now: int, chance: Random,
-                 pace: Pace = Pace(), fence: int = 0) -> None:
+    def __init__(
+        self,
+        name: str,
+        copy: Copy,
+        machine: Machine,
+        now: int,
+        chance: Random,
+        pace: Pace = Pace(),
+        fence: int = 0,
+    ) -> None:
         """`fence`: till then it neither votes nor asks: others may say that its disk is old."""
         self.name, self.machine, self.pace, self.now = name, machine, pace, now
         self.random, self.sample = chance.random, chance.sample
-        self.record, self.disk, self.term, self.voted = copy.record, copy.disk, copy.term, copy.voted
+        self.record, self.disk, self.term, self.voted = (
+            copy.record,
+            copy.disk,
+            copy.term,
+            copy.voted,
+        )
         self.start, self.start_term, self.lines = copy.start, copy.start_term, list(copy.lines)
         self.base, self.state = copy.base, copy.state
         self.commit = self.applied = copy.base
-        self.configs: list[tuple[int, dict[str, int]]] = []  # from which line on who votes, with disk
+        self.configs: list[
+            tuple[int, dict[str, int]]
+        ] = []  # from which line on who votes, with disk
         self.notes: list[Note] = []  # for the disk, in order
-        self.noted = self.synced = self.proof = 0  # notes given, on the disk; with which terms and votes are
-        self.durable, self.marks = self.last, deque[tuple[int, int]]()  # lines on the disk; notes to lines
+        self.noted = self.synced = self.proof = (
+            0  # notes given, on the disk; with which terms and votes are
+        )
+        self.durable, self.marks = (
+            self.last,
+            deque[tuple[int, int]](),
+        )  # lines on the disk; notes to lines
         self.waiting: deque[tuple[int, str, Talk]] = deque()  # behind which note, to whom, what
         self.role, self.leader = FOLLOWER, ""
         self.votes: set[str] = set()
@@ -147,7 +200,9 @@
         self.hinted: dict[str, int] = {}  # up to which line it was told that all is agreed
         self.heard: dict[str, int] = {}
         self.round, self.matched, self.told_term = 0, 0, 0
-        self.reads: list[tuple[int, str, int, int]] = []  # by which round, whose, its nonce, which line
+        self.reads: list[
+            tuple[int, str, int, int]
+        ] = []  # by which round, whose, its nonce, which line
         self.read_at: list[tuple[int, int]] = []  # nonce and line of what was asked for here
         self.ahead: dict[str, int] = {}  # who tells of more agreed lines than are here
         self.fetched_at, self.parts = now - pace.again, dict[int, bytes]()
@@ -215,7 +270,7 @@
 
     def cut(self, index: int) -> None:
         assert index > self.commit, "what is agreed stays"
-        del self.lines[index - self.start - 1:]
+        del self.lines[index - self.start - 1 :]
         self.durable = min(self.durable, index - 1)
         self.marks = deque((seq, min(at, index - 1)) for seq, at in self.marks)
         while self.configs and self.configs[-1][0] >= index:
@@ -244,10 +299,30 @@
 
     # Out.
 
-    def say(self, to: str, kind: int, one: int = 0, two: int = 0, three: int = 0, four: int = 0,
-            lines: list[Line] | None = None, data: bytes = b"", term: int | None = None) -> None:
-        talk = Talk(kind, self.record, self.disk, self.term if term is None else term, one, two, three, four,
-                    lines or [], data)
+    def say(
+        self,
+        to: str,
+        kind: int,
+        one: int = 0,
+        two: int = 0,
+        three: int = 0,
+        four: int = 0,
+        lines: list[Line] | None = None,
+        data: bytes = b"",
+        term: int | None = None,
+    ) -> None:
+        talk = Talk(
+            kind,
+            self.record,
+            self.disk,
+            self.term if term is None else term,
+            one,
+            two,
+            three,
+            four,
+            lines or [],
+            data,
+        )
         self.waiting.append((self.barrier(), to, talk))
 
     def barrier(self) -> int:
@@ -322,8 +397,12 @@
         return self.role == LEADER or self.now - self.leader_heard < self.pace.patience
 
     def on_ask_early(self, talk: Talk, sender: str) -> None:
-        good = (talk.term > self.term and self.up_to_date(talk.one, talk.two) and not self.led()
-                and self.now >= self.awake_at)
+        good = (
+            talk.term > self.term
+            and self.up_to_date(talk.one, talk.two)
+            and not self.led()
+            and self.now >= self.awake_at
+        )
         self.say(sender, EARLY, int(good), term=talk.term if good else self.term)
 
     def on_early(self, talk: Talk, sender: str) -> None:
@@ -344,11 +423,19 @@
             self.say(sender, VOTED, 0)
 
     def may_vote(self, talk: Talk) -> bool:
-        return (self.voted in (0, talk.disk) and self.now >= self.awake_at
-                and self.up_to_date(talk.one, talk.two))
+        return (
+            self.voted in (0, talk.disk)
+            and self.now >= self.awake_at
+            and self.up_to_date(talk.one, talk.two)
+        )
 
     def on_voted(self, talk: Talk, sender: str) -> None:
-        if self.role == CANDIDATE and talk.term == self.term and talk.one and self.counts_as(talk, sender):
+        if (
+            self.role == CANDIDATE
+            and talk.term == self.term
+            and talk.one
+            and self.counts_as(talk, sender)
+        ):
             self.votes.add(sender)
             self.count_votes()
 
@@ -449,7 +536,9 @@
 
     def fits(self, talk: Talk) -> bool:
         """Whether the line before those that come is the one that the leader has."""
-        return talk.one <= self.last and (talk.one < self.start or self.term_at(talk.one) == talk.two)
+        return talk.one <= self.last and (
+            talk.one < self.start or self.term_at(talk.one) == talk.two
+        )
 
     def hint(self, index: int) -> int:
         """From which line on a leader had better send: the first of the term that differs."""
@@ -516,10 +605,16 @@
         if start <= self.start:
             return
         known = [config for config in self.configs if config[0] <= self.applied]
-        state = pack((self.applied, self.term_at(self.applied), known[-1] if known else (0, {}),
-                      self.machine.freeze()))
+        state = pack(
+            (
+                self.applied,
+                self.term_at(self.applied),
+                known[-1] if known else (0, {}),
+                self.machine.freeze(),
+            )
+        )
         start_term = self.term_at(start)
-        self.lines = self.lines[start - self.start:]
+        self.lines = self.lines[start - self.start :]
         self.start, self.start_term, self.base, self.state = start, start_term, self.applied, state
         self.note(BASE, self.base, state, start, start_term)
         self.configs = known[-1:] + [config for config in self.configs if config[0] > self.applied]
@@ -549,7 +644,9 @@
         self.append(VOTERS, pack(config))
         return ""
 
-    def begin(self, record: int, config: dict[str, int], first: Iterable[tuple[int, bytes]] = ()) -> None:
+    def begin(
+        self, record: int, config: dict[str, int], first: Iterable[tuple[int, bytes]] = ()
+    ) -> None:
         """A record begins, with these voters and lines."""
         assert not self.record and not self.lines
         self.start_anew(record)
@@ -578,7 +675,8 @@
         if self.role != LEADER or self.last - self.commit >= MOST_OPEN or len(data) > MOST_LINE:
             return False
         if not self.machine.knows(data) and not any(
-                line.data == data for line in self.lines[self.commit - self.start:]):
+            line.data == data for line in self.lines[self.commit - self.start :]
+        ):
             self.append(kind, data)
         return True
 
@@ -595,7 +693,11 @@
             self.say(self.leader, READ, nonce)
 
     def on_read(self, talk: Talk, sender: str) -> None:
-        if self.role != LEADER or self.term_at(self.commit) != self.term or len(self.reads) >= MOST_READS:
+        if (
+            self.role != LEADER
+            or self.term_at(self.commit) != self.term
+            or len(self.reads) >= MOST_READS
+        ):
             return  # it asks again
         self.reads.append((self.round + 1, sender, talk.one, self.commit))
         self.broadcast(False)
@@ -606,7 +708,9 @@
         left = []
         for read in self.reads:
             by, sender, nonce, index = read
-            if not self.most([self.name, *(name for name, done in self.rounds.items() if done >= by)]):
+            if not self.most(
+                [self.name, *(name for name, done in self.rounds.items() if done >= by)]
+            ):
                 left.append(read)
             elif sender == self.name:
                 self.read_at.append((nonce, index))
@@ -629,7 +733,9 @@
             del self.ahead[sender]
         if record == self.record and not self.votes_here and leader and term >= self.told_term:
             self.told_term = term
-            self.leader = next((name for name, disk in self.config.items() if disk == leader), self.leader)
+            self.leader = next(
+                (name for name, disk in self.config.items() if disk == leader), self.leader
+            )
 
     def outdone(self, record: int) -> bool:
         """Whether another record is to be gone by: any where there is none, or one recovered since."""
@@ -637,12 +743,23 @@
 
     def news(self, stamp: int) -> bytes:
         """What others are told in passing: which record and disk, how far, who leads, what is promised."""
-        return pack((self.record, self.disk, self.term, self.commit, self.config.get(self.leader, 0), stamp))
+        return pack(
+            (self.record, self.disk, self.term, self.commit, self.config.get(self.leader, 0), stamp)
+        )
 
     def copy(self) -> Copy:
         """What all notes that were given come to."""
-        return Copy(self.record, self.disk, self.term, self.voted, self.start, self.start_term, self.base,
-                    self.state, list(self.lines))
+        return Copy(
+            self.record,
+            self.disk,
+            self.term,
+            self.voted,
+            self.start,
+            self.start_term,
+            self.base,
+            self.state,
+            list(self.lines),
+        )
 
     def start_anew(self, record: int) -> None:
         """Go by another record, of which nothing is known here."""
@@ -683,15 +800,27 @@
             offset = talk.two if talk.three == self.base else 0
             for at in range(offset, min(len(self.state), offset + PIECES * PIECE_SIZE), PIECE_SIZE):
                 if self.may_serve():
-                    self.say(sender, PIECE, self.base, at, len(self.state), 0,
-                             data=self.state[at:at + PIECE_SIZE])
+                    self.say(
+                        sender,
+                        PIECE,
+                        self.base,
+                        at,
+                        len(self.state),
+                        0,
+                        data=self.state[at : at + PIECE_SIZE],
+                    )
             return
         index, talks = talk.one, 0
         while index <= self.commit and talks < PIECES and self.may_serve():
             lines = self.page(index, self.commit)
             index, talks = index + len(lines), talks + 1
-            self.say(sender, LINES, index - len(lines), int(index > self.commit or talks == PIECES),
-                     lines=lines)
+            self.say(
+                sender,
+                LINES,
+                index - len(lines),
+                int(index > self.commit or talks == PIECES),
+                lines=lines,
+            )
 
     def on_lines(self, talk: Talk, sender: str) -> None:
         """Lines that are agreed."""
@@ -742,7 +871,7 @@
         if index <= self.commit:
             return
         fits = self.start <= index <= self.last and self.term_at(index) == term
-        self.lines = self.lines[index - self.start:] if fits else []
+        self.lines = self.lines[index - self.start :] if fits else []
         self.start, self.start_term, self.base, self.state = index, term, index, state
         self.read_configs()
         self.commit = self.applied = index
@@ -763,7 +892,11 @@
             else:
                 self.counts["other_record"] += 1
                 return
-        if talk.kind in (ASK_VOTE, VOTED, APPEND, TAKEN, HURRY) or talk.kind == EARLY and not talk.one:
+        if (
+            talk.kind in (ASK_VOTE, VOTED, APPEND, TAKEN, HURRY)
+            or talk.kind == EARLY
+            and not talk.one
+        ):
             if talk.term > self.term and not self.ignores(talk):
                 self.later_term(talk)
         kind = talk.kind
--- a/whinpier/bank/clocks.py
+++ b/whinpier/bank/clocks.py
@@ -42,7 +42,9 @@
     def settle(self, now: int, members: Iterable[int]) -> None:
         """Look anew, at the clocks of these members and the own one."""
         those = set(members)
-        self.told = {who: one for who, one in self.told.items() if who in those and now - one[2] < KEPT}
+        self.told = {
+            who: one for who, one in self.told.items() if who in those and now - one[2] < KEPT
+        }
         found = [(self.own, self.own)]
         for low, high, at in self.told.values():
             more = (now - at) // DRIFT
