--- a/whinpier/bank/commands.py
+++ b/whinpier/bank/commands.py
@@ -15,15 +15,47 @@
 from whinpier.bank.agreement import LEADER
 from whinpier.bank.conduct import worded
 from whinpier.bank.forms import MOST_LINE
-from whinpier.bank.record import (DRAIN, FORMS, HALT, MOST_TEXT, PUT, RELEASE, RESUME, RULES, STRUCK, UNDO,
-                                  UNDRAIN, About, Drain, Gate, Item, Put, Release, Rollout, Rule, Rules, Said,
-                                  checked, encode, hash_of, shown)
+from whinpier.bank.record import (
+    DRAIN,
+    FORMS,
+    HALT,
+    MOST_TEXT,
+    PUT,
+    RELEASE,
+    RESUME,
+    RULES,
+    STRUCK,
+    UNDO,
+    UNDRAIN,
+    About,
+    Drain,
+    Gate,
+    Item,
+    Put,
+    Release,
+    Rollout,
+    Rule,
+    Rules,
+    Said,
+    checked,
+    encode,
+    hash_of,
+    shown,
+)
 
 if TYPE_CHECKING:
     from whinpier.bank.agreed import Agreed
 
-KINDS = {"drain": DRAIN, "undrain": UNDRAIN, "release": RELEASE, "halt": HALT, "resume": RESUME, "undo": UNDO,
-         "permits": RULES, "strike": STRUCK}
+KINDS = {
+    "drain": DRAIN,
+    "undrain": UNDRAIN,
+    "release": RELEASE,
+    "halt": HALT,
+    "resume": RESUME,
+    "undo": UNDO,
+    "permits": RULES,
+    "strike": STRUCK,
+}
 
 
 class Fault(Exception):
@@ -71,8 +103,16 @@
 
 
 def said(value: dict[str, Any]) -> Said:
-    return msgspec.convert({"id": value.get("id"), "who": value.get("who", ""), "why": value.get("why", ""),
-                            "wall": value.get("wall", 0), "based": value.get("based", -1)}, _Said).made()
+    return msgspec.convert(
+        {
+            "id": value.get("id"),
+            "who": value.get("who", ""),
+            "why": value.get("why", ""),
+            "wall": value.get("wall", 0),
+            "based": value.get("based", -1),
+        },
+        _Said,
+    ).made()
 
 
 class _Said(msgspec.Struct, forbid_unknown_fields=True):
@@ -99,7 +139,13 @@
         given = made(agreed, kind, value, said(value))
         data = encode(given)
         msgspec.msgpack.decode(data, type=FORMS[kind])
-    except (msgspec.ValidationError, msgspec.DecodeError, ValueError, KeyError, OverflowError) as fault:
+    except (
+        msgspec.ValidationError,
+        msgspec.DecodeError,
+        ValueError,
+        KeyError,
+        OverflowError,
+    ) as fault:
         raise Fault(f"{what}: {fault}") from None
     if len(data) > MOST_LINE:
         raise Fault(f"{what}: {len(data)} bytes, {MOST_LINE} at most; name fewer, or say less")
@@ -121,11 +167,20 @@
     if kind == RULES:
         return Rules(who, [rule(text) for text in str(value.get("rules", "")).split(";") if text])
     if kind == RELEASE:
-        gate = Gate(**{key: value[key] for key in Gate.__struct_fields__ if key in value and key != "hold"},
-                    hold=bool(value.get("hold", 0)))
+        gate = Gate(
+            **{key: value[key] for key in Gate.__struct_fields__ if key in value and key != "hold"},
+            hold=bool(value.get("hold", 0)),
+        )
         waves = [wave for wave in str(value.get("waves", "")).split(",") if wave]
-        return Release(who, str(value.get("content", "")), str(value.get("build", "")),
-                       str(value.get("selector", "all")) or "all", waves, gate, agreed.spec.build)
+        return Release(
+            who,
+            str(value.get("content", "")),
+            str(value.get("build", "")),
+            str(value.get("selector", "all")) or "all",
+            waves,
+            gate,
+            agreed.spec.build,
+        )
     return About(who, str(value.get("name", "")))
 
 
@@ -183,39 +238,72 @@
     agreement, config = agreed.agreement, dict(agreed.agreement.config)
     if what := value.get("do"):
         if agreement.role != LEADER:
-            raise Fault(f"voters are changed at the member that leads: {agreement.leader or 'none is known'}")
+            raise Fault(
+                f"voters are changed at the member that leads: {agreement.leader or 'none is known'}"
+            )
         if what == "add":
             disk, told = agreed.told.get(name, (0, 0))
             if not disk or told != agreement.record:
                 raise Fault(f"{name!r} is not here, or has not learned the record")
             config[name] = disk
         elif name in agreed.spec.voters:
-            raise Fault(f"{name!r} stands in bank.agreement.voters of {agreement.name}, which would add it")
+            raise Fault(
+                f"{name!r} stands in bank.agreement.voters of {agreement.name}, which would add it"
+            )
         else:
             config.pop(name, None)
         if fault := agreed.change_voters(config):
             raise Fault(fault)
         agreed.pass_on()
-    return {"leader": agreement.leader, "voters": [
-        {"name": one, "disk": f"{disk:x}", "here": one == agreement.name or one in agreed.by_name(),
-         "same_disk": agreed.told.get(one, (disk, 0))[0] == disk} for one, disk in sorted(config.items())]}
+    return {
+        "leader": agreement.leader,
+        "voters": [
+            {
+                "name": one,
+                "disk": f"{disk:x}",
+                "here": one == agreement.name or one in agreed.by_name(),
+                "same_disk": agreed.told.get(one, (disk, 0))[0] == disk,
+            }
+            for one, disk in sorted(config.items())
+        ],
+    }
 
 
 # What is shown.
 
 
 def row_of(item: Item) -> dict[str, Any]:
-    return {"line": item.number, "wall": item.wall, "who": item.who, "what": item.what, "why": item.why,
-            "good": item.good, "text": item.text, "chain": item.chain.hex()}
+    return {
+        "line": item.number,
+        "wall": item.wall,
+        "who": item.who,
+        "what": item.what,
+        "why": item.why,
+        "good": item.good,
+        "text": item.text,
+        "chain": item.chain.hex(),
+    }
 
 
 def release_row(release: Rollout) -> dict[str, Any]:
     given = release.given
-    return {"number": release.number, "what": given.content or given.build, "parent": release.good,
-            "selector": given.selector, "phase": release.phase, "reason": release.reason,
-            "wave": release.wave + 1, "waves": [len(wave) for wave in release.waves],
-            "runs": sorted(release.met), "waiting": list(release.todo), "failed": dict(release.failed),
-            "undoing": release.undoing, "who": given.said.who, "why": given.said.why, "wall": given.said.wall}
+    return {
+        "number": release.number,
+        "what": given.content or given.build,
+        "parent": release.good,
+        "selector": given.selector,
+        "phase": release.phase,
+        "reason": release.reason,
+        "wave": release.wave + 1,
+        "waves": [len(wave) for wave in release.waves],
+        "runs": sorted(release.met),
+        "waiting": list(release.todo),
+        "failed": dict(release.failed),
+        "undoing": release.undoing,
+        "who": given.said.who,
+        "why": given.said.why,
+        "wall": given.said.wall,
+    }
 
 
 def status(agreed: Agreed) -> Any:
@@ -227,27 +315,57 @@
         left = drain.left
         if conduct and drain.state == agreed_on.DRAINING:
             left = worded(conduct.unconfirmed(key, drain, seats))
-        rows.append({"name": shown(key), "of": "balancers" if key.startswith("b/") else "upstreams",
-                     "state": drain.state, "permit": drain.number, "who": drain.who, "why": drain.why,
-                     "wall": drain.wall, "left": left})
+        rows.append(
+            {
+                "name": shown(key),
+                "of": "balancers" if key.startswith("b/") else "upstreams",
+                "state": drain.state,
+                "permit": drain.number,
+                "who": drain.who,
+                "why": drain.why,
+                "wall": drain.wall,
+                "left": left,
+            }
+        )
     return agreed.standing() | {
-        "drains": rows, "release": release_row(whole.release) if whole.release else None,
+        "drains": rows,
+        "release": release_row(whole.release) if whole.release else None,
         "closed": [release_row(one) for one in whole.closed],
-        "good": whole.good, "good_build": whole.good_build, "lost": sorted(whole.lost),
-        "on_their_way": len(agreed.asks)}
+        "good": whole.good,
+        "good_build": whole.good_build,
+        "lost": sorted(whole.lost),
+        "on_their_way": len(agreed.asks),
+    }
 
 
 def permits(agreed: Agreed) -> Any:
     """Who may be out, and who is."""
     record = agreed.record
     outside = record.outside()
-    rules = [{"name": rule.name, "of": rule.of, "pool": rule.pool, "zone": rule.zone, "may": rule.out,
-              "out": sorted(shown(key) for key, (zone, pool) in outside.items()
-                            if record.holds(rule, key, zone, pool))} for rule in record.whole.rules]
-    outs = [{"name": shown(key), "why": out.why, "permit": out.number}
-            for key, out in record.whole.outs.items()]
-    outs += [{"name": name, "why": "lost", "permit": 0} for name in record.whole.lost
-             if f"b/{name}" not in record.whole.outs]
+    rules = [
+        {
+            "name": rule.name,
+            "of": rule.of,
+            "pool": rule.pool,
+            "zone": rule.zone,
+            "may": rule.out,
+            "out": sorted(
+                shown(key)
+                for key, (zone, pool) in outside.items()
+                if record.holds(rule, key, zone, pool)
+            ),
+        }
+        for rule in record.whole.rules
+    ]
+    outs = [
+        {"name": shown(key), "why": out.why, "permit": out.number}
+        for key, out in record.whole.outs.items()
+    ]
+    outs += [
+        {"name": name, "why": "lost", "permit": 0}
+        for name in record.whole.lost
+        if f"b/{name}" not in record.whole.outs
+    ]
     return {"rules": rules, "out": outs}
 
 
--- a/whinpier/bank/conduct.py
+++ b/whinpier/bank/conduct.py
@@ -13,9 +13,33 @@
 
 from msgspec import Meta, Struct
 
-from whinpier.bank.record import (BACK, CONFIRMED, DRAINING, FAILED, GATE, GATED, LEFT, LOST, OBSERVED, PLAN,
-                                  PLANNING, SWITCHED, UNDRAINING, WRITTEN_OFF, Drained, Judged, Observed,
-                                  Plan, Record, Release, Rollout, Seen, encode, key_of, shown)
+from whinpier.bank.record import (
+    BACK,
+    CONFIRMED,
+    DRAINING,
+    FAILED,
+    GATE,
+    GATED,
+    LEFT,
+    LOST,
+    OBSERVED,
+    PLAN,
+    PLANNING,
+    SWITCHED,
+    UNDRAINING,
+    WRITTEN_OFF,
+    Drained,
+    Judged,
+    Observed,
+    Plan,
+    Record,
+    Release,
+    Rollout,
+    Seen,
+    encode,
+    key_of,
+    shown,
+)
 from whinpier.decay import SECOND
 
 MS = SECOND // 1000
@@ -40,7 +64,9 @@
     drained: bool = False  # and nothing is out, nobody is owed an answer
     refused: Annotated[str, Meta(max_length=64)] = ""  # a file that it does not take
     fault: Annotated[str, Meta(max_length=200)] = ""
-    clean: Annotated[tuple[int, ...], Meta(max_length=64)] = ()  # drains of upstreams where nothing is out
+    clean: Annotated[
+        tuple[int, ...], Meta(max_length=64)
+    ] = ()  # drains of upstreams where nothing is out
     ended: Count = 0  # tasks with their answer
     on_time: Count = 0
     scrapped: Count = 0
@@ -82,14 +108,20 @@
 
 def share(pairs: list[tuple[Report, Report]]) -> Share:
     """From two reports of each of some members."""
+
     def total(key: str) -> int:
         return sum(max(0, getattr(last, key) - getattr(first, key)) for first, last in pairs)
 
     ended = total("ended")
     if not pairs or not ended:
         return Share(0, memory=sum(last.memory for _, last in pairs) / max(1, len(pairs)))
-    return Share(ended, total("on_time") / ended, total("scrapped") / ended, total("turned_back") / ended,
-                 sum(last.memory for _, last in pairs) / len(pairs))
+    return Share(
+        ended,
+        total("on_time") / ended,
+        total("scrapped") / ended,
+        total("turned_back") / ended,
+        sum(last.memory for _, last in pairs) / len(pairs),
+    )
 
 
 class Conduct:
@@ -129,7 +161,7 @@
             elif release.phase == GATED:
                 found += self.gate(now, seats, release)
         for start in range(0, len(seen), EACH):
-            found.append((OBSERVED, encode(Observed(0, seen[start:start + EACH]))))
+            found.append((OBSERVED, encode(Observed(0, seen[start : start + EACH]))))
         return found
 
     def of(self, seat: Seat | None) -> Report | None:
@@ -160,9 +192,13 @@
                 continue  # it may not have been met yet
             since = self.lost_at.setdefault(name, now)
             if name not in whole.lost:
-                found.append(Seen(LOST, key_of(name), 0, gone.zone if gone else self.known.get(name, "")))
+                found.append(
+                    Seen(LOST, key_of(name), 0, gone.zone if gone else self.known.get(name, ""))
+                )
             elif now - since >= self.write_off:
-                found.append(Seen(WRITTEN_OFF, key_of(name), 0, f"lost for {self.write_off // SECOND} s"))
+                found.append(
+                    Seen(WRITTEN_OFF, key_of(name), 0, f"lost for {self.write_off // SECOND} s")
+                )
                 self.known.pop(name, None)
         return found
 
@@ -198,7 +234,9 @@
             name = shown(key)
             report = self.of(seats.get(name))
             if report is None:
-                found[name] = "is not heard" if name in seats and not seats[name].here else "has not said"
+                found[name] = (
+                    "is not heard" if name in seats and not seats[name].here else "has not said"
+                )
             elif report.applied < drain.changed or not report.drained:
                 found[name] = "still has something out"
             return found
@@ -208,7 +246,9 @@
                 found[name] = "is not heard, and may go on sending"
             elif seat.here and report is None:
                 found[name] = "has not said"
-            elif report is not None and (report.applied < drain.changed or drain.number not in report.clean):
+            elif report is not None and (
+                report.applied < drain.changed or drain.number not in report.clean
+            ):
                 found[name] = "still has something out"
         return found
 
@@ -216,8 +256,12 @@
         """Whether what was drained serves again: the balancer, or at all who are heard the upstream."""
         if key.startswith("b/"):
             report = self.of(seats.get(shown(key)))
-            return (report is not None and report.applied >= drain.changed and report.ready
-                    and not report.draining)
+            return (
+                report is not None
+                and report.applied >= drain.changed
+                and report.ready
+                and not report.draining
+            )
         reports = [self.of(seat) for seat in seats.values() if seat.here]
         return all(report is not None and report.applied >= drain.changed for report in reports)
 
@@ -229,14 +273,18 @@
             return []
         self.planned = release.number, now
         # Those with traffic come first: what a canary does is nothing to judge by where it does nothing.
-        names = sorted(chosen(release.given.selector, seats),
-                       key=lambda name: (self.tasks_of(name) < release.given.gate.least, name))
+        names = sorted(
+            chosen(release.given.selector, seats),
+            key=lambda name: (self.tasks_of(name) < release.given.gate.least, name),
+        )
         waves = split(names, release.given.waves)
         found: list[Plan] = []
         for number, wave in enumerate(waves):
             for start in range(0, len(wave), EACH):
-                names = wave[start:start + EACH]
-                found.append(Plan(release.number, number, names, [seats[name].zone for name in names]))
+                names = wave[start : start + EACH]
+                found.append(
+                    Plan(release.number, number, names, [seats[name].zone for name in names])
+                )
         found.append(Plan(release.number, max(0, len(waves) - 1), [], [], True))
         return [(PLAN, encode(plan)) for plan in found]
 
@@ -246,7 +294,9 @@
         first = self.usual_first.get(name)
         return report.ended - first.ended if first else report.ended
 
-    def switches(self, now: int, seats: dict[str, Seat], record: Record, release: Rollout) -> list[Seen]:
+    def switches(
+        self, now: int, seats: dict[str, Seat], record: Record, release: Rollout
+    ) -> list[Seen]:
         """Who runs what it was told to, and who will not."""
         found = []
         whole, file = record.whole, bool(release.given.content)
@@ -263,7 +313,9 @@
                     continue
                 if file and orders.content and report.refused == orders.content:
                     if name not in release.failed:
-                        found.append(Seen(FAILED, key, out.number, f"refuses the file: {report.fault}"[:200]))
+                        found.append(
+                            Seen(FAILED, key, out.number, f"refuses the file: {report.fault}"[:200])
+                        )
                     continue
             if now - since > release.given.gate.back_ms * MS and name not in release.failed:
                 found.append(Seen(FAILED, key, out.number, "did not come back"))
@@ -271,8 +323,11 @@
 
     def since(self, first: dict[str, Report]) -> dict[str, tuple[Report, Report]]:
         """Earlier reports with the last ones of the same members; who has started anew since counts not."""
-        return {name: (report, self.reports[name][2]) for name, report in first.items()
-                if name in self.reports and self.reports[name][2].ended >= report.ended}
+        return {
+            name: (report, self.reports[name][2])
+            for name, report in first.items()
+            if name in self.reports and self.reports[name][2].ended >= report.ended
+        }
 
     def measure_usual(self, now: int) -> None:
         """What is usual while no release is on: what a wave is held against that leaves no rest."""
@@ -297,7 +352,9 @@
             return []
         return [(GATE, encode(Judged(release.number, release.wave, told == "", told[:200])))]
 
-    def verdict(self, now: int, seats: dict[str, Seat], release: Rollout, window: Window) -> str | None:
+    def verdict(
+        self, now: int, seats: dict[str, Seat], release: Rollout, window: Window
+    ) -> str | None:
         """None: it is not over; empty: good; else what is not."""
         gate, met = release.given.gate, set(release.met)
         gone = sorted(name for name in met if name not in seats or not seats[name].here)
@@ -306,7 +363,11 @@
         span = gate.window_ms * MS
         if now - window.began < span + min(LATE, span // 2):
             return None
-        late = [name for name in met if self.reports.get(name, (0, 0, None))[1] < window.began + span // 2]
+        late = [
+            name
+            for name in met
+            if self.reports.get(name, (0, 0, None))[1] < window.began + span // 2
+        ]
         if late and now - window.began < PATIENT * span + LATE:
             return None
         pairs = self.since(window.first)
@@ -360,9 +421,8 @@
         if wave.endswith("%"):
             size = ceil(size * len(names) / 100)
         if at < len(names):
-            found.append(names[at:at + size])
+            found.append(names[at : at + size])
             at += size
     if at < len(names):
         found.append(names[at:])
     return found
-
--- a/whinpier/bank/control.py
+++ b/whinpier/bank/control.py
@@ -31,12 +31,34 @@
 WAITING = 1_000  # events that wait for a watcher; then it is told how many it missed
 PATIENCE = 5.0  # seconds for a caller to take what it asked for, or to ask
 IDLE = 60.0
-LINGER, AFTER = 0.5, 64  # seconds, and pieces, for which a caller whose line is too long is still read
-
-
-ASKS = frozenset(("status", "command", "outcome", "put", "has", "history", "file", "permits", "read",
-                  "voters", "recover"))  # about the bank's record
-GONE_CALLER = (OSError, TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream)
+LINGER, AFTER = (
+    0.5,
+    64,
+)  # seconds, and pieces, for which a caller whose line is too long is still read
+
+
+ASKS = frozenset(
+    (
+        "status",
+        "command",
+        "outcome",
+        "put",
+        "has",
+        "history",
+        "file",
+        "permits",
+        "read",
+        "voters",
+        "recover",
+    )
+)  # about the bank's record
+GONE_CALLER = (
+    OSError,
+    TimeoutError,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    anyio.EndOfStream,
+)
 
 
 class Asked(Struct, forbid_unknown_fields=True):
@@ -129,15 +151,29 @@
         members = link.members
         members.enter(link.loop.clock())
         if asked.ask == "members":
-            return {"self": link.spec.name, "position": members.position, "here": members.count(),
-                    "unheard": members.tally[UNHEARD], "shares": {
-                        name: {"balancers": one.balancers, "number": one.number}
-                        for name, one in link.counting.pools.items()},
-                    "members": list(members.rows())}
+            return {
+                "self": link.spec.name,
+                "position": members.position,
+                "here": members.count(),
+                "unheard": members.tally[UNHEARD],
+                "shares": {
+                    name: {"balancers": one.balancers, "number": one.number}
+                    for name, one in link.counting.pools.items()
+                },
+                "members": list(members.rows()),
+            }
         if asked.ask == "links":
-            return [{"to": row["name"], "state": row["state"], "way": row["way"], "heard_ms": row["heard_ms"],
-                     "address": row["address"], "disputed_by": row["disputed_by"]}
-                    for row in list(members.rows())[1:]]
+            return [
+                {
+                    "to": row["name"],
+                    "state": row["state"],
+                    "way": row["way"],
+                    "heard_ms": row["heard_ms"],
+                    "address": row["address"],
+                    "disputed_by": row["disputed_by"],
+                }
+                for row in list(members.rows())[1:]
+            ]
         if asked.ask == "figures":
             return link.figures()
         if asked.ask == "verdicts":
@@ -158,8 +194,10 @@
                 raise Refused(f"no member {asked.name!r} is lost by silence alone")
             log.say("bank_struck", member=asked.name)
             return {"struck": struck}
-        raise Refused(f"{asked.ask!r} is none of members, links, limits, figures, watch, strike, begin, "
-                      "register, say, " + ", ".join(sorted(ASKS)))
+        raise Refused(
+            f"{asked.ask!r} is none of members, links, limits, figures, watch, strike, begin, "
+            "register, say, " + ", ".join(sorted(ASKS))
+        )
 
     def of_record(self, asked: Asked) -> Any:
         """What is about the bank's record."""
@@ -176,8 +214,10 @@
         """An operator's word to the whole bank."""
         kind, _, name = asked.name.partition("/")
         if not 1_000 <= asked.life_ms <= LONGEST:
-            raise Refused(f"life_ms: {asked.life_ms} is not between 1,000 and {LONGEST}; what is to stay "
-                          "belongs into the files")
+            raise Refused(
+                f"life_ms: {asked.life_ms} is not between 1,000 and {LONGEST}; what is to stay "
+                "belongs into the files"
+            )
         self.check(kind, name, asked.value)
         if not self.link.say(asked.name, dict(asked.value), asked.life_ms * MS):
             raise Refused("the table of what operators said is full, or the word too long")
@@ -228,7 +268,9 @@
 
         self.link.watchers.append(heard)
         try:
-            await say(stream, {"id": asked.id, "ok": True, "result": {"watching": self.link.spec.name}})
+            await say(
+                stream, {"id": asked.id, "ok": True, "result": {"watching": self.link.spec.name}}
+            )
             async with anyio.create_task_group() as group:
                 # Guards against watchers that went long ago and still hold the places of others.
                 group.start_soon(until_gone, stream, group.cancel_scope)
@@ -251,7 +293,7 @@
     data = b""
     while True:
         while (end := data.find(b"\n")) >= 0:
-            line, data = data[:end], data[end + 1:]
+            line, data = data[:end], data[end + 1 :]
             if line.strip():
                 yield line
         if len(data) > LINE:
--- a/whinpier/bank/counting.py
+++ b/whinpier/bank/counting.py
@@ -11,7 +11,9 @@
 from whinpier.bank.members import Members
 from whinpier.decay import SECOND
 
-LASTING = 2 * SECOND  # that there have been fewer before a pool hears of it: a restart is over by then
+LASTING = (
+    2 * SECOND
+)  # that there have been fewer before a pool hears of it: a restart is over by then
 APART = SECOND  # between two changes of one pool
 
 
@@ -52,7 +54,9 @@
         found, floor = [], self.floor(now)
         for pool in self.pools.values():
             shares = self.members.shares(pool.mark)
-            number = next(place for place, (_, one) in enumerate(shares) if one == self.members.card.id)
+            number = next(
+                place for place, (_, one) in enumerate(shares) if one == self.members.card.id
+            )
             balancers = max(len(shares), floor)
             pool.ids = {one: place for place, (_, one) in enumerate(shares)}
             if (balancers, number) == (pool.balancers, pool.number):
--- a/whinpier/bank/division.py
+++ b/whinpier/bank/division.py
@@ -114,7 +114,9 @@
         self.names: dict[int, str] = {}
         self.live: dict[int, None] = {}  # those in which something goes on
         self.pooled = 0  # tasks of strangers that had no part of their own
-        self.pinned = {name for name, _ in said.amounts}  # that stay, whether anything goes on or not
+        self.pinned = {
+            name for name, _ in said.amounts
+        }  # that stay, whether anything goes on or not
         if not said.each:
             self.parts[0] = make(said.limit)
         for name in (*keys, *(name for name, _ in said.amounts)):
@@ -185,10 +187,19 @@
 class Shares:
     """All limits of one member that are divided into homes, and all that are nearly kept."""
 
-    def __init__(self, name: str, those: Iterable[Said], now: int, chance: Random, between: Between,
-                 kept: Mapping[str, Kept] = MappingProxyType({}), lasting: bool = False,
-                 notes: Iterable[Note] = (), since: int = 0,
-                 sinces: Mapping[int, int] = MappingProxyType({})) -> None:
+    def __init__(
+        self,
+        name: str,
+        those: Iterable[Said],
+        now: int,
+        chance: Random,
+        between: Between,
+        kept: Mapping[str, Kept] = MappingProxyType({}),
+        lasting: bool = False,
+        notes: Iterable[Note] = (),
+        since: int = 0,
+        sinces: Mapping[int, int] = MappingProxyType({}),
+    ) -> None:
         """`kept`: what the last run went by; `notes`: what it had of windows, of those since `since` (s).
 
         `sinces`: the same of single limits, by mark, of which an operator said that nothing was used before.
@@ -218,13 +229,22 @@
             name, limit = said.limit.name, said.limit
             if said.nearly:
                 old = nearly.get(name)
-                same = old is not None and old.limit.kind == limit.kind and old.calendar == said.calendar
-                self.nearly[name] = old if same and old else Nearly(limit, said.calendar, now, self.between)
+                same = (
+                    old is not None
+                    and old.limit.kind == limit.kind
+                    and old.calendar == said.calendar
+                )
+                self.nearly[name] = (
+                    old if same and old else Nearly(limit, said.calendar, now, self.between)
+                )
                 self.nearly[name].limit = limit
                 continue
             table = before.get(name)
             if table is None or (table.said.limit.kind, table.said.calendar, table.said.each) != (
-                    limit.kind, said.calendar, said.each):
+                limit.kind,
+                said.calendar,
+                said.each,
+            ):
                 table = Table(said, self.maker(said, now))
             else:
                 table.said = said
@@ -232,8 +252,9 @@
                 for key, part in table.parts.items():
                     part.limit = replace(said.of(table.names[key]) if key else limit, key=key)
             self.tables[name] = table
-        self.epoch = pool_mark("/".join(sorted(f"{table.said.limit.epoch():x}"
-                                               for table in self.tables.values())))
+        self.epoch = pool_mark(
+            "/".join(sorted(f"{table.said.limit.epoch():x}" for table in self.tables.values()))
+        )
         self.sure = self.sure or self.begun and not before
         self.agreed = not self.tables or self.agreed and self.epoch == self.told
         self.settle(now)
@@ -243,8 +264,12 @@
         for name, table in tables.items():
             kept, limit = self.kept.get(name), table.said.limit
             least = min(kept.home, limit.home(self.name)) if kept else limit.home(self.name)
-            self.kept[name] = Kept(0, least, kept.homes if kept else limit.homes,
-                                   max(kept.span if kept else 0, limit.span))
+            self.kept[name] = Kept(
+                0,
+                least,
+                kept.homes if kept else limit.homes,
+                max(kept.span if kept else 0, limit.span),
+            )
 
     def maker(self, said: Said, now: int) -> Callable[[Limit], Held]:
         kept = self.kept.get(said.limit.name)
@@ -258,13 +283,22 @@
                 part: Held = Share(limit, self.name, now, self.chance, left)
             else:
                 assert said.calendar is not None
-                part = Units(limit, said.calendar, self.name, now, self.chance, self.between, self.lasting,
-                             left)
+                part = Units(
+                    limit,
+                    said.calendar,
+                    self.name,
+                    now,
+                    self.chance,
+                    self.between,
+                    self.lasting,
+                    left,
+                )
                 part.recall(self.notes, self.sinces.get(limit.mark, self.since))
             if isinstance(part, Share):
                 part.spans(kept.span if kept else 0)
             part.rehome(self.home(limit) if limit.name in self.tables else 0, now, True)
             return part
+
         return made
 
     # By which division.
@@ -293,8 +327,9 @@
                 if (home := self.home(part.limit)) != part.home:
                     part.rehome(home, now, at_once)
 
-    def look(self, now: int, there: set[str], apart: set[str], silent: set[str],
-             voices: int = 1 << 30) -> bool:
+    def look(
+        self, now: int, there: set[str], apart: set[str], silent: set[str], voices: int = 1 << 30
+    ) -> bool:
         """Who goes by this division; whether it is agreed from now on.
 
         `there`: members heard to go by this epoch, `apart`: heard to go by another, `silent`: reckoned with
@@ -308,8 +343,10 @@
             last = [set(kept.homes) for kept in self.kept.values() if kept.homes]
             last = last or [set(table.said.limit.homes) for table in self.tables.values()]
             timed = any(table.said.calendar for table in self.tables.values())
-            if all(2 * len(homes & mine) > len(homes) and (not timed or 2 * voices > len(homes))
-                   for homes in last):
+            if all(
+                2 * len(homes & mine) > len(homes) and (not timed or 2 * voices > len(homes))
+                for homes in last
+            ):
                 self.sure = True
                 if self.since == NEVER:
                     self.since = self.between(now)[1] // SECOND + 1
@@ -322,9 +359,15 @@
         if self.told != self.epoch or not homes <= mine or in_the_way:
             return False
         self.agreed = self.sure = True
-        self.kept = {name: Kept(table.said.limit.epoch(), table.said.limit.home(self.name),
-                                table.said.limit.homes, table.said.limit.span)
-                     for name, table in self.tables.items()}
+        self.kept = {
+            name: Kept(
+                table.said.limit.epoch(),
+                table.said.limit.home(self.name),
+                table.said.limit.homes,
+                table.said.limit.span,
+            )
+            for name, table in self.tables.items()
+        }
         self.settle(now)
         self.departed.clear()
         return True
@@ -332,8 +375,9 @@
     def tell(self, now: int) -> bool:
         """Whether this member goes by its file by now, so that the others may hear of it."""
         # Guards against a raise elsewhere while something is still out here that the file no longer allows.
-        if self.told == self.epoch or not all(part.within(now) for table in self.tables.values()
-                                              for part in table.parts.values()):
+        if self.told == self.epoch or not all(
+            part.within(now) for table in self.tables.values() for part in table.parts.values()
+        ):
             return False
         # The others may raise theirs from here on: going back to the last division is a change like any.
         self.hold_to(self.tables)
@@ -380,15 +424,21 @@
             part.void(now)
 
     def units(self) -> list[Units]:
-        return [part for table in self.tables.values() for part in table.parts.values()
-                if isinstance(part, Units)]
+        return [
+            part
+            for table in self.tables.values()
+            for part in table.parts.values()
+            if isinstance(part, Units)
+        ]
 
     def begin(self, name: str, now: int) -> bool:
         """An operator says that nothing was used of the window that is on; whether there is such a count."""
         table = self.tables.get(name)
         if table is None or table.said.calendar is None:
             return False
-        self.sinces[table.said.limit.mark] = table.said.calendar.bounds(self.between(now)[0] // SECOND)[0]
+        self.sinces[table.said.limit.mark] = table.said.calendar.bounds(
+            self.between(now)[0] // SECOND
+        )[0]
         for part in table.parts.values():
             assert isinstance(part, Units)
             part.begin(now)
@@ -409,15 +459,34 @@
         for name, table in self.tables.items():
             for key in list(table.live)[:MOST_ROWS] if table.said.each else [0]:
                 part = table.parts[key]
-                found.append({"limit": name, "of": table.names.get(key, ""), "kind": part.limit.kind,
-                              "promise": "never over", "amount": part.limit.amount, **part.row(now),
-                              "passed": part.passed, "turned_back": part.turned_back, "agreed": self.agreed,
-                              "fenced_ms": max(0, part.fenced_till - now) * 1000 // SECOND,
-                              "pooled": table.pooled})
+                found.append(
+                    {
+                        "limit": name,
+                        "of": table.names.get(key, ""),
+                        "kind": part.limit.kind,
+                        "promise": "never over",
+                        "amount": part.limit.amount,
+                        **part.row(now),
+                        "passed": part.passed,
+                        "turned_back": part.turned_back,
+                        "agreed": self.agreed,
+                        "fenced_ms": max(0, part.fenced_till - now) * 1000 // SECOND,
+                        "pooled": table.pooled,
+                    }
+                )
         for name, one in self.nearly.items():
-            found.append({"limit": name, "of": "", "kind": one.limit.kind, "promise": "nearly",
-                          "amount": one.limit.amount, **one.row(now), "passed": one.passed,
-                          "turned_back": one.turned_back, "agreed": True, "fenced_ms": 0})
+            found.append(
+                {
+                    "limit": name,
+                    "of": "",
+                    "kind": one.limit.kind,
+                    "promise": "nearly",
+                    "amount": one.limit.amount,
+                    **one.row(now),
+                    "passed": one.passed,
+                    "turned_back": one.turned_back,
+                    "agreed": True,
+                    "fenced_ms": 0,
+                }
+            )
         return found
-
-
--- a/whinpier/bank/explain.py
+++ b/whinpier/bank/explain.py
@@ -25,15 +25,20 @@
 def explained(said: Said, members: int) -> dict[str, Any]:
     """One limit: over, unused, when. `members`: how many share it, where it has no homes."""
     limit, found = said.limit, dict[str, Any]()
-    found |= {"limit": limit.name, "promise": "nearly" if said.nearly else "never over",
-              "amount": shown(limit.amount, limit.kind)}
+    found |= {
+        "limit": limit.name,
+        "promise": "nearly" if said.nearly else "never over",
+        "amount": shown(limit.amount, limit.kind),
+    }
     if said.each:
         found["of"] = f"each {said.each}"
     if limit.window:
         found["window"] = limit.window.partition("/")[0]
     found |= nearly(said, members) if said.nearly else never_over(said)
     if said.each == "tenant":
-        found["pooled"] = f"strangers beyond {said.most} tenants share 16 parts, each of one tenant's amount"
+        found["pooled"] = (
+            f"strangers beyond {said.most} tenants share 16 parts, each of one tenant's amount"
+        )
     return found
 
 
@@ -43,15 +48,21 @@
     found = {"over, words in time": "0"}
     if limit.kind == RATE:
         over = limit.amount / 1000 * unheard / 2 + limit.burst
-        found["over, cut into halves"] = (f"{over:.0f} tasks at most in the {unheard:.1f} s until the parts "
-                                          "know of it, none from then on")
+        found["over, cut into halves"] = (
+            f"{over:.0f} tasks at most in the {unheard:.1f} s until the parts "
+            "know of it, none from then on"
+        )
     elif limit.kind == IN_FLIGHT:
         found["over, cut into halves"] = f"{limit.amount // 2} at most for {unheard:.1f} s"
     else:
         found["over, words in time"] = f"what is asked for in {age:.1f} s"
-        found["over, cut into halves"] = "what the other part passes from then on, at most its even share"
-    return found | {"a part grows": f"{age:.1f} s after it is asked for ({members} members)",
-                    "cut off": "an even share for each that is unheard stays unused"}
+        found["over, cut into halves"] = (
+            "what the other part passes from then on, at most its even share"
+        )
+    return found | {
+        "a part grows": f"{age:.1f} s after it is asked for ({members} members)",
+        "cut off": "an even share for each that is unheard stays unused",
+    }
 
 
 def never_over(said: Said) -> dict[str, Any]:
@@ -69,11 +80,14 @@
         return found | {
             "unused, a home away": f"what it has left of each window; {home} at most",
             "unused, a kill": f"what was written ahead: {AHEAD / SECOND:g} s of its tasks, {LEAST_AHEAD} "
-                              "at least",
+            "at least",
             "unused, a hand-over lost": "what was handed over, till the window ends",
             "unused, without bank.state": "a home's part of the window in which it starts",
-            "at a close": "a task counts in both windows while clocks are not sure, 0.1 s at least"}
-    return found | {"unused, a home away": f"{away} and {span:.2f} s after it is back",
-                    "unused, a borrower dead": f"what it had borrowed, for {span:.2f} s",
-                    "unused, a message lost": f"what it lent, for {span:.2f} s",
-                    "demand moves": "found by whoever asks after about a second"}
+            "at a close": "a task counts in both windows while clocks are not sure, 0.1 s at least",
+        }
+    return found | {
+        "unused, a home away": f"{away} and {span:.2f} s after it is back",
+        "unused, a borrower dead": f"what it had borrowed, for {span:.2f} s",
+        "unused, a message lost": f"what it lent, for {span:.2f} s",
+        "demand moves": "found by whoever asks after about a second",
+    }
--- a/whinpier/bank/forms.py
+++ b/whinpier/bank/forms.py
@@ -26,11 +26,29 @@
 
 # What a datagram is.
 PING, ACK, ASK, STANDS, EXCHANGE, WANT, DEALS = range(7)
-ASK_FOR, LEND, BACK, ASK_UNITS, UNITS, OLD = range(6)  # deals about a part of a limit, and a state file
+ASK_FOR, LEND, BACK, ASK_UNITS, UNITS, OLD = range(
+    6
+)  # deals about a part of a limit, and a state file
 HEARING, EVIDENCE, VOTE_FOR, VOTE, REST = range(5)  # pleas about an upstream
 # What keeps the bank's record: elections, copies, learning, commands, reads, what a member reports.
-(ASK_EARLY, EARLY, ASK_VOTE, VOTED, APPEND, TAKEN, BEHIND, FETCH, LINES, PIECE, FORWARD, READ, READ_AT, HURRY,
- STALE, REPORT) = range(16)
+(
+    ASK_EARLY,
+    EARLY,
+    ASK_VOTE,
+    VOTED,
+    APPEND,
+    TAKEN,
+    BEHIND,
+    FETCH,
+    LINES,
+    PIECE,
+    FORWARD,
+    READ,
+    READ_AT,
+    HURRY,
+    STALE,
+    REPORT,
+) = range(16)
 # What is believed of a member; the order in which one word of the same life outdoes another.
 HERE, LEAVING, SUSPECT, LOST, LEFT, REPLACED = range(6)
 STATES = ("here", "leaving", "suspect", "lost", "left", "replaced")
@@ -43,10 +61,18 @@
 Name = Annotated[str, Meta(min_length=1, max_length=63)]
 Short = Annotated[str, Meta(max_length=63)]
 MOST_POOLS = 64  # of a member: with its card they still fit into one datagram
-MOST_WORDS, MOST_CARDS, MOST_SAID, MOST_IDS = 60, 16, 16, 100  # what fits into a datagram, and a little more
+MOST_WORDS, MOST_CARDS, MOST_SAID, MOST_IDS = (
+    60,
+    16,
+    16,
+    100,
+)  # what fits into a datagram, and a little more
 MOST_DEALS, MOST_ENTRIES, MOST_PLEAS = 24, 16, 24
 MOST_LINES, MOST_TALKS = 32, 8
-MOST_LINE, MOST_TALK = 880, 980  # bytes of one line of the record, and of all that goes with one talk
+MOST_LINE, MOST_TALK = (
+    880,
+    980,
+)  # bytes of one line of the record, and of all that goes with one talk
 MOST_CONTENTS = 64  # bytes that a pool's decisions may tell at once
 
 
@@ -69,7 +95,9 @@
     build: Short = ""
     zone: Short = ""
     revision: Short = ""  # of its operator's file
-    pools: Annotated[tuple[Small, ...], Meta(max_length=MOST_POOLS)] = ()  # that it shares, by `pool_mark`
+    pools: Annotated[
+        tuple[Small, ...], Meta(max_length=MOST_POOLS)
+    ] = ()  # that it shares, by `pool_mark`
     limits: Small = 0  # how limits of the whole bank are divided, by its file
 
     @property
@@ -104,7 +132,9 @@
     limit: Small  # by its mark
     nonce: Id  # of the loan; of a state file that is old, how many notes the last one had
     amount: Annotated[int, Meta(ge=0, le=2**48)]
-    turn: Small  # how often it was asked for anew; of a window, its start in seconds since the epoch
+    turn: (
+        Small  # how often it was asked for anew; of a window, its start in seconds since the epoch
+    )
     key: Small = 0  # of which of many, where each tenant or upstream has the limit for itself
 
 
@@ -118,7 +148,9 @@
     pool: Small  # by its mark
     key: Small  # of the upstream
     nonce: Id
-    one: Plain = 0  # hundredths of answers; a slot; whether it is voted for; ns from asking to the vote
+    one: Plain = (
+        0  # hundredths of answers; a slot; whether it is voted for; ns from asking to the vote
+    )
     two: Plain = 0  # hundredths of the usual latency; a zone; how often it has rested
     three: Plain = 0  # whether whoever says it stands well; a zone's slot
 
@@ -157,8 +189,10 @@
     digest: Id = 0  # of the sender's whole view
     words: Annotated[list[Word], Meta(max_length=MOST_WORDS)] = []
     cards: Annotated[list[Card], Meta(max_length=MOST_CARDS)] = []
-    said: Annotated[list[tuple[Small, Annotated[bytes, Meta(max_length=MOST_CONTENTS)]]],
-                    Meta(max_length=MOST_SAID)] = []  # by pool
+    said: Annotated[
+        list[tuple[Small, Annotated[bytes, Meta(max_length=MOST_CONTENTS)]]],
+        Meta(max_length=MOST_SAID),
+    ] = []  # by pool
     ids: Annotated[list[Id], Meta(max_length=MOST_IDS)] = []  # whose cards are wanted
     deals: Annotated[list[Deal], Meta(max_length=MOST_DEALS)] = []
     wall: Id = 0  # the sender's wall clock, in nanoseconds since the epoch; 0: it tells none
@@ -182,7 +216,9 @@
 
 def pool_mark(name: str) -> int:
     """A pool's name in four bytes."""
-    return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=4, person=b"pool").digest(), "big")
+    return int.from_bytes(
+        hashlib.blake2b(name.encode(), digest_size=4, person=b"pool").digest(), "big"
+    )
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -199,8 +235,12 @@
 WORD_SIZE = len(_encode(Word(2**64 - 1, 2**32 - 1, REPLACED, STRUCK, 2**64 - 1)))
 # Of a datagram, without what it carries.
 _LONG = 2**63 - 1
-EMPTY_SIZE = HEAD + TAG + 7 + len(_encode(Plainly(WANT, _LONG, _LONG, _LONG, _LONG, _LONG, wall=_LONG,
-                                                  register=_LONG)))
+EMPTY_SIZE = (
+    HEAD
+    + TAG
+    + 7
+    + len(_encode(Plainly(WANT, _LONG, _LONG, _LONG, _LONG, _LONG, wall=_LONG, register=_LONG)))
+)
 
 
 RECORD_NEWS = pool_mark("record/news")  # under which members tell how far they know the record
--- a/whinpier/bank/gates.py
+++ b/whinpier/bank/gates.py
@@ -18,7 +18,9 @@
 if TYPE_CHECKING:
     from whinpier.runtime.loop import Loop
 
-MOST_TICKETS = 65_536  # of tasks that tenants' limits have counted, remembered to know their repeats
+MOST_TICKETS = (
+    65_536  # of tasks that tenants' limits have counted, remembered to know their repeats
+)
 REMEMBERED = 30 * SECOND  # for longer no client waits and asks again
 NOBODY = "none"  # whose tasks name no tenant
 
@@ -108,7 +110,9 @@
         self.shares, self.loop = shares, loop
         self.tickets: dict[int, int] = {}  # hashed: until when
         self.at_upstreams: dict[str, list[Table]] = {}  # by pool
-        self.closed: dict[tuple[str, str], int] = {}  # routes and tenants, by an operator's word: until when
+        self.closed: dict[
+            tuple[str, str], int
+        ] = {}  # routes and tenants, by an operator's word: until when
 
     def put(self, pools: Iterable[Pool], those: Iterable[Said]) -> None:
         """Where pools look from now on."""
@@ -117,7 +121,9 @@
             own = [said for said in listed if pool.name in said.pools]
             door = Door(self, [said for said in own if said.each != "upstream"])
             pool.gates, pool.further = door.everywhere(), door.of if door.asks() else None
-            tables = [self.shares.tables[said.limit.name] for said in own if said.each == "upstream"]
+            tables = [
+                self.shares.tables[said.limit.name] for said in own if said.each == "upstream"
+            ]
             self.at_upstreams[pool.name] = tables
             pool.met = self.meeter(tables) if tables else None
             for peer in pool.peers():
@@ -127,8 +133,10 @@
         """What stands before a task whose route or tenant is closed."""
         if not self.closed:
             return None
-        until = max(self.closed.get(("route", route), 0),
-                    self.closed.get(("tenant", tenant.decode("latin-1") or NOBODY), 0))
+        until = max(
+            self.closed.get(("route", route), 0),
+            self.closed.get(("tenant", tenant.decode("latin-1") or NOBODY), 0),
+        )
         return Shut(until) if until > self.loop.clock() else None
 
     # Upstreams.
@@ -138,8 +146,11 @@
 
     def meet(self, peer: Peer, tables: list[Table]) -> None:
         """An upstream is there, or its limits are others."""
-        peer.passes = tuple(Narrow(peer, table.named(peer.host)) for table in tables  # type: ignore[arg-type]
-                            if table.said.limit.kind != CONNECTIONS)
+        peer.passes = tuple(
+            Narrow(peer, table.named(peer.host))  # type: ignore[arg-type]
+            for table in tables
+            if table.said.limit.kind != CONNECTIONS
+        )
         parts = [table.named(peer.host) for table in tables if table.said.limit.kind == CONNECTIONS]
         peer.most_links = min((part.home for part in parts), default=None)
         self.settle(peer, self.loop.clock())
@@ -160,8 +171,12 @@
         for tables in self.at_upstreams.values():
             for table in tables:
                 # What is no longer listed goes once nothing of it is out.
-                table.pinned = {peer.host for pool in listed if table in self.at_upstreams.get(pool.name, ())
-                                for peer in pool.peers()}
+                table.pinned = {
+                    peer.host
+                    for pool in listed
+                    if table in self.at_upstreams.get(pool.name, ())
+                    for peer in pool.peers()
+                }
         for pool in listed:
             for table in self.at_upstreams.get(pool.name, ()):
                 if table.said.limit.kind == CONNECTIONS:
--- a/whinpier/bank/keeper.py
+++ b/whinpier/bank/keeper.py
@@ -29,7 +29,9 @@
 
     def __init__(self, path: str) -> None:
         self.journal = Journal(path, MAGIC)
-        self.live: dict[tuple[Any, ...], tuple[Any, ...]] = {}  # the newest note of each key, as on the disk
+        self.live: dict[
+            tuple[Any, ...], tuple[Any, ...]
+        ] = {}  # the newest note of each key, as on the disk
         self.fault = ""
         self.stamp = 0  # notes that were ever written to it
         self.batches: Callable[[], Iterable[Batch]] = lambda: ()  # what there is to write now
@@ -44,10 +46,16 @@
                 self.stamp = int(stamp)
             except (TypeError, ValueError):
                 self.journal.close()
-                raise Torn(f"{self.journal.path}: a note of another build; move it away to begin "
-                           "without") from None
+                raise Torn(
+                    f"{self.journal.path}: a note of another build; move it away to begin without"
+                ) from None
         if self.journal.cut:
-            log.warn("bank_state_torn", file=self.journal.path, kept=self.journal.size, cut=self.journal.cut)
+            log.warn(
+                "bank_state_torn",
+                file=self.journal.path,
+                kept=self.journal.size,
+                cut=self.journal.cut,
+            )
         return self.live
 
     def wake(self) -> None:
@@ -67,8 +75,12 @@
         finally:
             self.journal.close()
 
-    async def write(self, notes: dict[tuple[Any, ...], tuple[Any, ...]], done: Callable[[], None],
-                    failed: Callable[[], None]) -> None:
+    async def write(
+        self,
+        notes: dict[tuple[Any, ...], tuple[Any, ...]],
+        done: Callable[[], None],
+        failed: Callable[[], None],
+    ) -> None:
         """Some notes at once; each stands for itself."""
         stamp = self.stamp + 1
         data = b"".join(framed((key, value, stamp)) for key, value in notes.items())
--- a/whinpier/bank/limits.py
+++ b/whinpier/bank/limits.py
@@ -62,8 +62,10 @@
         """The same number for the same division."""
         window = f"/{self.window}" * bool(self.window)
         span = f"/{self.span}" * (self.span != SPAN)
-        return pool_mark(f"{self.name}/{self.kind}/{self.amount}/{self.burst}/{','.join(self.homes)}"
-                         f"{window}{span}")
+        return pool_mark(
+            f"{self.name}/{self.kind}/{self.amount}/{self.burst}/{','.join(self.homes)}"
+            f"{window}{span}"
+        )
 
 
 @dataclass(slots=True)
@@ -104,7 +106,10 @@
         self.wanted, self.refused, self.wanted_at = Sum(LOOK, now), Sum(LOOK, now), now
         self.asks, self.refusals = 0, 0  # since last added: sums that fade cost more
         self.cap = 0  # of the bucket
-        self.sure, self.sure_till = 0, now  # in flight: what lasts over `horizon`, till when that holds
+        self.sure, self.sure_till = (
+            0,
+            now,
+        )  # in flight: what lasts over `horizon`, till when that holds
         self.horizon = limit.span // 3  # of patience: tasks of usual length
         self.nothing: dict[int, int] = {}  # who had nothing to lend: when
         self.passed, self.turned_back = 0, 0
@@ -121,7 +126,9 @@
         """What may be used now, and, of loans, still at `ends`."""
         home = self.home if now >= self.fenced_till else 0
         lent = sum(loan.amount for loan in self.lent.values() if loan.until > now)
-        borrowed = sum(loan.amount for loan in self.borrowed.values() if loan.until > max(now, ends))
+        borrowed = sum(
+            loan.amount for loan in self.borrowed.values() if loan.until > max(now, ends)
+        )
         return max(0, home - lent) + borrowed
 
     def known(self, now: int) -> int:
@@ -143,7 +150,11 @@
             self.mine = self.count(at)
             self.cap = self.capacity(self.mine)
             self.level = min(self.level, self.cap)
-            ends = [loan.until for loan in (*self.lent.values(), *self.borrowed.values()) if loan.until > at]
+            ends = [
+                loan.until
+                for loan in (*self.lent.values(), *self.borrowed.values())
+                if loan.until > at
+            ]
             if self.fenced_till > at:
                 ends.append(self.fenced_till)
             self.mine_till = min(ends, default=at + SPAN)
@@ -193,7 +204,9 @@
         if now >= self.sure_till:
             later = now + self.horizon
             self.sure = self.count(now, later)
-            changes = [loan.until - self.horizon for loan in self.borrowed.values() if loan.until > later]
+            changes = [
+                loan.until - self.horizon for loan in self.borrowed.values() if loan.until > later
+            ]
             changes += [loan.until for loan in self.lent.values() if loan.until > now]
             if self.fenced_till > now:
                 changes.append(self.fenced_till)
@@ -237,10 +250,16 @@
         self.fold(now)
         asked = self.wanted.read(now)
         if (now - self.wanted_at) * asked > GAP * LOOK:
-            return self.used  # a pause that chance does not make: whoever asked here now asks elsewhere
+            return (
+                self.used
+            )  # a pause that chance does not make: whoever asked here now asks elsewhere
         if self.limit.kind == IN_FLIGHT:
             more = self.refused.read(now)
-            return int(self.used + more + 2 * sqrt(self.used + more) + (asked > 0.05)) if asked > 0.05 else 0
+            return (
+                int(self.used + more + 2 * sqrt(self.used + more) + (asked > 0.05))
+                if asked > 0.05
+                else 0
+            )
         if asked < 0.05:
             return 0
         rate = int((asked + 2 * sqrt(asked) + 0.5) * 1000 * SECOND / LOOK)
@@ -273,8 +292,11 @@
                 loan.turn += 1
                 self.ask(now, loan.other, loan.amount, nonce, loan.turn)
         self.changed(now)
-        lacking = need - self.known(now) - sum(
-            asked.amount for nonce, asked in self.asked.items() if nonce not in self.borrowed)
+        lacking = (
+            need
+            - self.known(now)
+            - sum(asked.amount for nonce, asked in self.asked.items() if nonce not in self.borrowed)
+        )
         if lacking > 0:
             self.look_for(now, lacking, there)
 
@@ -345,7 +367,9 @@
         until = asked.at + self.borrows_for
         held = self.borrowed.get(deal.nonce)
         if until > now and (held or not asked.turn):
-            self.borrowed[deal.nonce] = Loan(other, min(deal.amount, asked.amount), until, deal.turn)
+            self.borrowed[deal.nonce] = Loan(
+                other, min(deal.amount, asked.amount), until, deal.turn
+            )
             self.changed(now)
 
     # Another division.
@@ -368,12 +392,25 @@
 
     def idle(self, now: int) -> bool:
         """Whether nothing is lost if this one is forgotten: it is as it would begin."""
-        quiet = not (self.lent or self.borrowed or self.asked or self.used) and now >= self.fenced_till
-        return quiet and now - self.wanted_at > SPAN and (
-            self.limit.kind != RATE or self.level + self.mine * (now - self.level_at) >= self.cap)
+        quiet = (
+            not (self.lent or self.borrowed or self.asked or self.used) and now >= self.fenced_till
+        )
+        return (
+            quiet
+            and now - self.wanted_at > SPAN
+            and (
+                self.limit.kind != RATE
+                or self.level + self.mine * (now - self.level_at) >= self.cap
+            )
+        )
 
     def row(self, now: int) -> dict[str, Any]:
         """How it stands, for people."""
-        return {"home": self.home, "mine": self.known(now), "need": self.need(now), "used": self.used,
-                "lent": sum(one.amount for one in self.lent.values()),
-                "borrowed": sum(one.amount for one in self.borrowed.values())}
+        return {
+            "home": self.home,
+            "mine": self.known(now),
+            "need": self.need(now),
+            "used": self.used,
+            "lent": sum(one.amount for one in self.lent.values()),
+            "borrowed": sum(one.amount for one in self.borrowed.values()),
+        }
--- a/whinpier/bank/link.py
+++ b/whinpier/bank/link.py
@@ -48,7 +48,9 @@
 COUNT = SECOND // 4  # between looks at how many share each pool: what lasts is seen then
 FORGET = 10 * SECOND  # between looks at notes of windows that are over
 REMEMBER = 2.0  # seconds between looks at whether where members are has changed
-STAMP = pool_mark("state/stamp")  # under which members tell how many notes their state files have had
+STAMP = pool_mark(
+    "state/stamp"
+)  # under which members tell how many notes their state files have had
 BEGUN, WINDOW = "begun", "window"  # notes of the state file: since when it knows all; of one window
 
 
@@ -60,22 +62,43 @@
         self.now = self.loop.clock()
         self.first_notes: dict[tuple[Any, ...], tuple[Any, ...]] = {}
         self.begun_stamp = 0  # notes that the state file had ever held when this run began
-        self.stamps: dict[str, tuple[int, int]] = {}  # of the others' files, by name: whose run, how many
+        self.stamps: dict[
+            str, tuple[int, int]
+        ] = {}  # of the others' files, by name: whose run, how many
         chance = Random(life.chance.getrandbits(64))
         build = spec.agreement.build if spec.agreement else BUILD
-        card = Card(spec.name, Random().getrandbits(63), 1, *spec.advertise, build, spec.zone,
-                    life.spec.revision, tuple(pool_mark(name) for name in spec.pools))
+        card = Card(
+            spec.name,
+            Random().getrandbits(63),
+            1,
+            *spec.advertise,
+            build,
+            spec.zone,
+            life.spec.revision,
+            tuple(pool_mark(name) for name in spec.pools),
+        )
         recalled, kept = self.recalled()
         self.clocks = Clocks(time.time_ns() - self.now)
         self.keeper = Keeper(spec.state) if spec.state else None
         notes, since, sinces = self.taken_up()
-        self.shares = Shares(spec.name, spec.limits, self.now, chance, self.clocks.between, kept,
-                             self.keeper is not None, notes, since, sinces)
+        self.shares = Shares(
+            spec.name,
+            spec.limits,
+            self.now,
+            chance,
+            self.clocks.between,
+            kept,
+            self.keeper is not None,
+            notes,
+            since,
+            sinces,
+        )
         self.gates = Gates(self.shares, self.loop)
         self.watching: Watching | None = None
         card = msgspec.structs.replace(card, limits=self.shares.epoch if self.shares.tables else 0)
-        self.members = Members(card, spec.seeds, Seal(spec.keys), spec.times, chance, self.now,
-                               recalled=recalled)
+        self.members = Members(
+            card, spec.seeds, Seal(spec.keys), spec.times, chance, self.now, recalled=recalled
+        )
         self.counting = Counting(self.members, spec.pools)
         if spec.verdicts:
             self.watching = Watching(spec.verdicts, self.members, self.loop, chance, self.say_event)
@@ -108,10 +131,15 @@
         self.keeper.batches = self.to_write
         live = self.keeper.open()
         begun = live.get((BEGUN,), (NEVER,))
-        log.say("bank_state", file=self.keeper.journal.path, notes=len(live), stamp=self.keeper.stamp)
+        log.say(
+            "bank_state", file=self.keeper.journal.path, notes=len(live), stamp=self.keeper.stamp
+        )
         self.begun_stamp = self.keeper.stamp
-        return ([(*key[1:], *value) for key, value in live.items() if key[0] == WINDOW], begun[0],
-                {key[1]: value[0] for key, value in live.items() if key[0] == BEGUN and len(key) == 2})
+        return (
+            [(*key[1:], *value) for key, value in live.items() if key[0] == WINDOW],
+            begun[0],
+            {key[1]: value[0] for key, value in live.items() if key[0] == BEGUN and len(key) == 2},
+        )
 
     def to_write(self) -> list[Batch]:
         """What is to be on the disk, each with whom to tell."""
@@ -122,8 +150,13 @@
         for part in self.shares.units():
             if part.notes:
                 said, notes = part.take_notes()
-                found.append(({(WINDOW, *note[:3]): note[3:] for note in notes},
-                              partial(self.written, part, said, notes), partial(part.not_written, notes)))
+                found.append(
+                    (
+                        {(WINDOW, *note[:3]): note[3:] for note in notes},
+                        partial(self.written, part, said, notes),
+                        partial(part.not_written, notes),
+                    )
+                )
         return found
 
     def written(self, part: Units, said: int, notes: list[Note]) -> None:
@@ -194,8 +227,15 @@
         if "limits" in keys:
             self.shares.follow(self.said_limits(), self.loop.clock())
         self.attach()
-        self.members.change(self.loop.clock(), spec.seeds, Seal(spec.keys), spec.times, zone=spec.zone,
-                            revision=self.life.spec.revision, pools=self.marks())
+        self.members.change(
+            self.loop.clock(),
+            spec.seeds,
+            Seal(spec.keys),
+            spec.times,
+            zone=spec.zone,
+            revision=self.life.spec.revision,
+            pools=self.marks(),
+        )
         if keys:
             log.say("bank_changed", keys=",".join(keys))
         if not self.dealing:
@@ -211,8 +251,13 @@
     def share(self, on: bool) -> None:
         """Others count this one among those who share its pools, or no longer."""
         self.shared = on
-        self.members.change(self.loop.clock(), self.spec.seeds, Seal(self.spec.keys), self.spec.times,
-                            pools=self.marks())
+        self.members.change(
+            self.loop.clock(),
+            self.spec.seeds,
+            Seal(self.spec.keys),
+            self.spec.times,
+            pools=self.marks(),
+        )
 
     def say_event(self, name: str, pairs: dict[str, Any]) -> None:
         """Something that has happened beside membership, to the log and to watchers."""
@@ -230,8 +275,12 @@
 
     def figures(self) -> dict[str, int]:
         members = self.members
-        return {"bank_here": members.count(), "bank_unheard": members.tally[UNHEARD],
-                **members.counts, **self.counts}
+        return {
+            "bank_here": members.count(),
+            "bank_unheard": members.tally[UNHEARD],
+            **members.counts,
+            **self.counts,
+        }
 
     # In and out.
 
@@ -337,7 +386,9 @@
 
     def happened(self, event: Event) -> None:
         self.counts[event.name] += 1
-        at = event.at - self.loop.offset  # on the machine's monotonic clock, as every process has it
+        at = (
+            event.at - self.loop.offset
+        )  # on the machine's monotonic clock, as every process has it
         run = f"{self.members.card.run:x}"
         pairs = {"process": self.spec.name, "process_run": run, "mono_ns": at} | event.pairs
         log.say(event.name, **pairs)
@@ -353,7 +404,9 @@
     def strike(self, name: str) -> int:
         """An operator says that a member is dead: one that is unheard, or a home that was never met."""
         struck = self.members.strike(name, self.loop.clock())
-        gone = not any(one.card.name == name and one.connected for one in self.members.members.values())
+        gone = not any(
+            one.card.name == name and one.connected for one in self.members.members.values()
+        )
         if gone and any(name in kept.homes for kept in self.shares.kept.values()):
             self.shares.departed.add(name)
             struck = max(struck, 1)
@@ -381,14 +434,19 @@
             except (msgspec.DecodeError, KeyError, TypeError, ValueError):
                 log.warn("bank_said_fault", key=f"limit/{name}")
         words = self.members.register.words
-        closed = {(kind, name): words[f"{kind}/{name}"].until for kind in ("route", "tenant")
-                  for name in self.members.register.values(kind + "/")}
+        closed = {
+            (kind, name): words[f"{kind}/{name}"].until
+            for kind in ("route", "tenant")
+            for name in self.members.register.values(kind + "/")
+        }
         if closed != self.gates.closed:
             self.gates.closed = closed
             self.attach()
         if self.watching:
-            self.watching.by_hand = {tuple(name.partition("/")[::2]): words["rest/" + name].until
-                                     for name in self.members.register.values("rest/")}
+            self.watching.by_hand = {
+                tuple(name.partition("/")[::2]): words["rest/" + name].until
+                for name in self.members.register.values("rest/")
+            }
         if amounts != self.amounts:
             self.amounts = amounts
             self.shares.follow(self.said_limits(), self.loop.clock())
@@ -399,8 +457,10 @@
     def said_limits(self) -> tuple[Said, ...]:
         """The limits of the file, with the amounts that operators have said for a while."""
         amounts = self.amounts
-        return tuple(said.with_amount(amounts[said.limit.name]) if said.limit.name in amounts else said
-                     for said in self.spec.limits)
+        return tuple(
+            said.with_amount(amounts[said.limit.name]) if said.limit.name in amounts else said
+            for said in self.spec.limits
+        )
 
     def register(self) -> dict[str, Any]:
         """What operators have said, and who of those who are there holds it."""
@@ -408,15 +468,33 @@
         rows = []
         for key, word in register.words.items():
             try:
-                value = msgspec.json.decode(word.entry.value) if word.entry.value else {"lifted": True}
+                value = (
+                    msgspec.json.decode(word.entry.value) if word.entry.value else {"lifted": True}
+                )
             except msgspec.DecodeError:
                 value = {}
-            rows.append({"key": key, **(value if isinstance(value, dict) else {}),
-                         "at": self.members.name_of(word.entry.by), "left_ms": (word.until - now) // MS})
-        return {"words": rows, "members": [
-            {"name": one.card.name, "run": f"{one.card.run:x}", "holds": one.register == register.digest,
-             "limits": one.card.limits == self.shares.epoch or not self.shares.tables}
-            for one in self.members.members.values() if one.connected], "agreed": self.shares.agreed}
+            rows.append(
+                {
+                    "key": key,
+                    **(value if isinstance(value, dict) else {}),
+                    "at": self.members.name_of(word.entry.by),
+                    "left_ms": (word.until - now) // MS,
+                }
+            )
+        return {
+            "words": rows,
+            "members": [
+                {
+                    "name": one.card.name,
+                    "run": f"{one.card.run:x}",
+                    "holds": one.register == register.digest,
+                    "limits": one.card.limits == self.shares.epoch or not self.shares.tables,
+                }
+                for one in self.members.members.values()
+                if one.connected
+            ],
+            "agreed": self.shares.agreed,
+        }
 
     def begin(self, name: str) -> bool:
         """An operator says that nothing was used of the window of a count that is on."""
@@ -461,16 +539,25 @@
         for member, wall, sent, at in self.members.heard_walls:
             self.clocks.heard(member, wall - at, wall - sent, now)
         self.members.heard_walls.clear()
-        self.members.wall = self.clocks.own if any(said.calendar for said in self.spec.limits) else 0
-        self.clocks.settle(now, [one.id for one in self.members.members.values() if one.kind != GONE])
+        self.members.wall = (
+            self.clocks.own if any(said.calendar for said in self.spec.limits) else 0
+        )
+        self.clocks.settle(
+            now, [one.id for one in self.members.members.values() if one.kind != GONE]
+        )
 
     def look_at_division(self, now: int, others: list[Member]) -> None:
         shares = self.shares
         if shares.agreed and shares.told == shares.epoch:
             return
         if shares.tell(now):
-            self.members.change(now, self.spec.seeds, Seal(self.spec.keys), self.spec.times,
-                                limits=shares.epoch if shares.tables else 0)
+            self.members.change(
+                now,
+                self.spec.seeds,
+                Seal(self.spec.keys),
+                self.spec.times,
+                limits=shares.epoch if shares.tables else 0,
+            )
         heard = [one for one in others if one.connected]
         there = {one.card.name for one in heard if one.card.limits == shares.epoch}
         apart = {one.card.name for one in heard if one.card.limits != shares.epoch}
@@ -524,8 +611,13 @@
         """Another knows that this process's last run had written more than its state file holds."""
         if self.keeper is None or deal.nonce <= self.begun_stamp:
             return
-        log.warn("bank_state_old", file=self.keeper.journal.path, notes=self.begun_stamp, known=deal.nonce,
-                 by=self.members.name_of(sender))
+        log.warn(
+            "bank_state_old",
+            file=self.keeper.journal.path,
+            notes=self.begun_stamp,
+            known=deal.nonce,
+            by=self.members.name_of(sender),
+        )
         self.begun_stamp = deal.nonce
         self.keeper.stamp = max(self.keeper.stamp, deal.nonce)
         self.shares.void(self.loop.clock())
@@ -567,4 +659,9 @@
             if pool is not None:
                 pool.shared(counted.balancers, counted.number)
                 self.said.clear()  # by other numbers now
-                log.say("bank_shares", pool=counted.name, balancers=counted.balancers, number=counted.number)
+                log.say(
+                    "bank_shares",
+                    pool=counted.name,
+                    balancers=counted.balancers,
+                    number=counted.number,
+                )
--- a/whinpier/bank/members.py
+++ b/whinpier/bank/members.py
@@ -19,15 +19,45 @@
 from typing import Any
 
 from whinpier.bank import forms
-from whinpier.bank.forms import (ACK, ASK, DEALS, EXCHANGE, HERE, LEAVING, LEFT, LOST, PING, REFUSED, RENAMED,
-                                 REPLACED, SAID, SILENT, STANDS, STATES, STRUCK, SUSPECT, WANT, WHY, Card,
-                                 Datagram, Deal, Plainly, Plea, Seal, Talk, Unread, Word)
+from whinpier.bank.forms import (
+    ACK,
+    ASK,
+    DEALS,
+    EXCHANGE,
+    HERE,
+    LEAVING,
+    LEFT,
+    LOST,
+    PING,
+    REFUSED,
+    RENAMED,
+    REPLACED,
+    SAID,
+    SILENT,
+    STANDS,
+    STATES,
+    STRUCK,
+    SUSPECT,
+    WANT,
+    WHY,
+    Card,
+    Datagram,
+    Deal,
+    Plainly,
+    Plea,
+    Seal,
+    Talk,
+    Unread,
+    Word,
+)
 from whinpier.bank.register import Entry, Register
 from whinpier.decay import SECOND
 
 MS = SECOND // 1000
 Address = tuple[str, int]
-Alarm = tuple[int, int, Callable[..., None], tuple[Any, ...], int]  # at, number, call, arguments, nonce
+Alarm = tuple[
+    int, int, Callable[..., None], tuple[Any, ...], int
+]  # at, number, call, arguments, nonce
 
 MOST = 4_096  # members of a table: four times the largest bank that was tried
 MOST_TOMBS = 4_096  # of those that have gone for good
@@ -38,7 +68,9 @@
 HELPERS = 3  # asked to ping whom this one can't reach: with 10% loss four in a hundred such rounds still fail
 ASK_FIRST = 0.4  # of the time to answer, after which others are asked as well
 FRESH = SECOND  # for so long having heard it oneself outweighs a word that it is lost
-STOPPED = SECOND // 2  # a call that comes so late: this process stood still, and its timers say nothing
+STOPPED = (
+    SECOND // 2
+)  # a call that comes so late: this process stood still, and its timers say nothing
 SLOW = SECOND // 4  # of lateness that doubles this one's timers, up to `MOST_SLOW` times
 MOST_SLOW, SLOW_FOR = 4.0, 5 * SECOND
 WINDOW = 1_024  # datagrams of one sender that may come out of order: 3 s late at 300 a second
@@ -46,12 +78,21 @@
 BYTES, BURST = 64_000, 64_000  # a second, and at once: what goes beyond waits for another turn
 KNOCKS = 400.0  # a second that are answered of those who are not known: a bank of hundreds starts at once
 RETRY = SECOND // 4  # between pings to one of those that are lost
-PRESENTED = 6  # members that a new one is told of: three hundred met so learn of each other within a second
+PRESENTED = (
+    6  # members that a new one is told of: three hundred met so learn of each other within a second
+)
 SEEDS_AT_ONCE = 3  # pinged each period while nobody has answered yet
-SEED_SOON, YOUNG = SECOND // 2, 10 * SECOND  # so often while nobody is there, and in the first seconds
-SEED_NOW_AND_THEN = 5 * SECOND  # and one by one for good: a part of the bank that only the file knows
+SEED_SOON, YOUNG = (
+    SECOND // 2,
+    10 * SECOND,
+)  # so often while nobody is there, and in the first seconds
+SEED_NOW_AND_THEN = (
+    5 * SECOND
+)  # and one by one for good: a part of the bank that only the file knows
 EXCHANGE_APART, EXCHANGE_SOON = SECOND, SECOND // 4  # between exchanges; where somebody is lost
-TALK_ROOM = forms.LARGEST - forms.EMPTY_SIZE - forms.WORD_SIZE - 1  # bytes of a datagram that talks may take
+TALK_ROOM = (
+    forms.LARGEST - forms.EMPTY_SIZE - forms.WORD_SIZE - 1
+)  # bytes of a datagram that talks may take
 MASK = 2**64 - 1
 CONNECTED, UNHEARD, GONE = range(3)  # as which a member is counted
 
@@ -80,14 +121,35 @@
 class Member:
     """What is known of one other member."""
 
-    __slots__ = ("card", "id", "word", "since", "heard", "high", "seen", "told", "refusals",
-                 "refused_since", "disputes", "via", "direct", "introduced", "twice", "said", "mark", "kind",
-                 "register")
+    __slots__ = (
+        "card",
+        "id",
+        "word",
+        "since",
+        "heard",
+        "high",
+        "seen",
+        "told",
+        "refusals",
+        "refused_since",
+        "disputes",
+        "via",
+        "direct",
+        "introduced",
+        "twice",
+        "said",
+        "mark",
+        "kind",
+        "register",
+    )
 
     def __init__(self, card: Card, word: Word, now: int) -> None:
         self.card, self.id, self.word, self.since = card, card.id, word, now
         self.heard = 0  # when something fresh last came from it itself; 0: never
-        self.high, self.seen = -1, 0  # the highest count, and which of the `WINDOW` below it have come
+        self.high, self.seen = (
+            -1,
+            0,
+        )  # the highest count, and which of the `WINDOW` below it have come
         self.told = 0  # when it was last told what is said of it
         self.refusals, self.refused_since = 0, 0
         self.disputes: dict[int, int] = {}  # who calls it lost though it is heard here: when
@@ -130,8 +192,15 @@
 
     __slots__ = ("target", "address", "at", "asker", "asked", "card")
 
-    def __init__(self, target: int, address: Address, at: int, asker: int = 0, asked: int = 0,
-                 card: Card | None = None) -> None:
+    def __init__(
+        self,
+        target: int,
+        address: Address,
+        at: int,
+        asker: int = 0,
+        asked: int = 0,
+        card: Card | None = None,
+    ) -> None:
         self.target, self.address, self.at = target, address, at
         self.asker, self.asked = asker, asked  # for whom, and the nonce of its own ping
         self.card = card  # of one that is not known yet, and has to prove that it is there
@@ -140,8 +209,17 @@
 class Members:
     """One member's view of the bank."""
 
-    def __init__(self, card: Card, seeds: Iterable[Address], seal: Seal, times: Times, chance: Random,
-                 now: int, most: int = MOST, recalled: Iterable[Address] = ()) -> None:
+    def __init__(
+        self,
+        card: Card,
+        seeds: Iterable[Address],
+        seal: Seal,
+        times: Times,
+        chance: Random,
+        now: int,
+        most: int = MOST,
+        recalled: Iterable[Address] = (),
+    ) -> None:
         self.card, self.seal, self.times, self.most = card, seal, times, most
         self.random, self.bits, self.shuffle = chance.random, chance.getrandbits, chance.shuffle
         self.sample = chance.sample
@@ -161,13 +239,17 @@
         self.cards: deque[list[Any]] = deque()  # [id, times sent]
         self.says: dict[int, bytes] = {}  # by pool: what our decisions tell
         self.said_turn = 0
-        self.heard_said: list[tuple[int, int, bytes]] = []  # member, pool, contents: for whoever hosts this
+        self.heard_said: list[
+            tuple[int, int, bytes]
+        ] = []  # member, pool, contents: for whoever hosts this
         self.heard_deals: list[tuple[int, Deal]] = []  # from whom, for whoever hosts this
         self.heard_pleas: list[tuple[int, Plea]] = []  # the same
         self.heard_talks: list[tuple[int, Talk]] = []  # the same
         self.register = Register()
         self.wall = 0  # the wall clock less this one's; 0: it tells none
-        self.heard_walls: list[tuple[int, int, int, int]] = []  # member, its wall, when asked, when answered
+        self.heard_walls: list[
+            tuple[int, int, int, int]
+        ] = []  # member, its wall, when asked, when answered
         self.digest, self.own_mark = 0, 0
         self.tally = [0, 0, 0]  # members as they are counted
         self.changes = 0  # of who is reckoned with, for whoever hosts this
@@ -215,7 +297,10 @@
             self.alarms = [(alarm[0] + late, *alarm[1:]) for alarm in self.alarms]
             self.event("bank_stood_still", for_ms=late // MS)
         if late > SLOW // 4:
-            self.slow, self.slow_at = max(self.slowness(), min(late / SLOW, MOST_SLOW - 1.0)), self.now
+            self.slow, self.slow_at = (
+                max(self.slowness(), min(late / SLOW, MOST_SLOW - 1.0)),
+                self.now,
+            )
 
     def slowness(self) -> float:
         """How late this process was of late; fades in a straight line."""
@@ -266,7 +351,9 @@
 
     def others(self, *but: int) -> list[Member]:
         """Members that are taken to be reachable."""
-        return [member for member in self.members.values() if member.connected and member.id not in but]
+        return [
+            member for member in self.members.values() if member.connected and member.id not in but
+        ]
 
     def count(self) -> int:
         return 1 + self.tally[CONNECTED]
@@ -277,11 +364,22 @@
 
     # Out.
 
-    def send(self, kind: int, address: Address, to: Member | None, nonce: int = 0, target: int = 0,
-             words: list[Word] | None = None, cards: list[Card] | None = None, ids: list[int] | None = None,
-             introduce: bool = False, deals: list[Deal] | None = None,
-             pages: list[Entry] | None = None, pleas: list[Plea] | None = None,
-             talks: list[Talk] | None = None) -> None:
+    def send(
+        self,
+        kind: int,
+        address: Address,
+        to: Member | None,
+        nonce: int = 0,
+        target: int = 0,
+        words: list[Word] | None = None,
+        cards: list[Card] | None = None,
+        ids: list[int] | None = None,
+        introduce: bool = False,
+        deals: list[Deal] | None = None,
+        pages: list[Entry] | None = None,
+        pleas: list[Plea] | None = None,
+        talks: list[Talk] | None = None,
+    ) -> None:
         """One datagram, filled up with news."""
         words, cards = list(words or ()), list(cards or ())
         if not talks and (introduce or to is None or to.introduced < 3):
@@ -312,8 +410,23 @@
         if to is not None and kind != DEALS and not pages and (kind != EXCHANGE or not words):
             # The less may be sent the less news goes with it: what is asked is answered in any case.
             self.add_news(words, cards, min(room, int(self.tokens * forms.LARGEST / BURST)))
-        plain = (kind, self.card.id, self.sent, nonce, target, self.digest, words, cards, said, ids, deals,
-                 self.now + self.wall if self.wall else 0, self.register.digest, entries, pleas or [])
+        plain = (
+            kind,
+            self.card.id,
+            self.sent,
+            nonce,
+            target,
+            self.digest,
+            words,
+            cards,
+            said,
+            ids,
+            deals,
+            self.now + self.wall if self.wall else 0,
+            self.register.digest,
+            entries,
+            pleas or [],
+        )
         data = self.seal.seal(Datagram(*plain, talks) if talks else Plainly(*plain))
         # Guards against a seed that spends all on views and strangers, and seems dead to those who know it.
         if kind == EXCHANGE:
@@ -346,7 +459,9 @@
             if item[1] < TIMES:  # who gets the word without it asks for it
                 self.cards.append(item)
         there = {word.id for word in words}
-        for _ in range(min(len(self.news), max(0, room // forms.WORD_SIZE), forms.MOST_WORDS - len(words))):
+        for _ in range(
+            min(len(self.news), max(0, room // forms.WORD_SIZE), forms.MOST_WORDS - len(words))
+        ):
             item = self.news.popleft()
             word = item[0]
             if word is None:
@@ -360,8 +475,15 @@
             elif self.fresh_news.get(word.id) is item:
                 del self.fresh_news[word.id]
 
-    def ping(self, address: Address, to: Member | None, target: int = 0, asker: int = 0, asked: int = 0,
-             card: Card | None = None) -> int:
+    def ping(
+        self,
+        address: Address,
+        to: Member | None,
+        target: int = 0,
+        asker: int = 0,
+        asked: int = 0,
+        card: Card | None = None,
+    ) -> int:
         """Ask whether somebody is there; its nonce, 0 where too many are out."""
         if len(self.probes) >= MOST_PROBES:
             self.counts["probes_full"] += 1
@@ -377,7 +499,9 @@
         often = self.times.probe
         if len(self.suspected) >= 2 and self.now - self.suspected[-2] < 2 * SECOND:
             often //= 2  # several at once: a part is cut off, and all of it is to be looked at
-        elif self.now - self.began < YOUNG and all(one.card.address in self.seeds for one in self.others()):
+        elif self.now - self.began < YOUNG and all(
+            one.card.address in self.seeds for one in self.others()
+        ):
             often = SEED_SOON  # hundreds may have started at once that know the same seeds and nobody else
         self.at(self.now + often, self.probe_next)
         for _ in range(len(self.turn) + 1):
@@ -427,12 +551,21 @@
         member = self.members.get(member_id)
         if member is not None and member.state == SUSPECT and member.word.life == life:
             self.tell(member)
-            self.at(self.now + self.patient(self.times.suspect) // REMINDERS, self.remind, member_id, life)
+            self.at(
+                self.now + self.patient(self.times.suspect) // REMINDERS,
+                self.remind,
+                member_id,
+                life,
+            )
 
     def judge(self, member_id: int, life: int, why: int, span: int) -> None:
         """The time to refute is over."""
         member = self.members.get(member_id)
-        if member is None or (member.state, member.word.life, member.word.why) != (SUSPECT, life, why):
+        if member is None or (member.state, member.word.life, member.word.why) != (
+            SUSPECT,
+            life,
+            why,
+        ):
             return
         if member.heard and self.now - member.heard < min(FRESH, span):
             # Heard all the same: it has not been told, or its answer has not come.
@@ -470,7 +603,9 @@
         # Guards against parts that each gathered round another seed, and one whose first tries met a cut.
         young = self.count() == 1 or self.now - self.began < YOUNG
         if self.recalled and not young:
-            self.seeds = {seed: how for seed, how in self.seeds.items() if seed not in self.recalled}
+            self.seeds = {
+                seed: how for seed, how in self.seeds.items() if seed not in self.recalled
+            }
             self.recalled.clear()
         span = self.times.probe if early else SEED_SOON if young else SEED_NOW_AND_THEN
         self.at(self.now + span, self.try_seeds)
@@ -527,8 +662,15 @@
             return
         self.hear(member)
         self.learn(datagram, member)
-        handler = (self.on_ping, self.on_ack, self.on_ask, self.on_stands, self.on_exchange,
-                   self.on_want, self.on_deals)[datagram.kind]
+        handler = (
+            self.on_ping,
+            self.on_ack,
+            self.on_ask,
+            self.on_stands,
+            self.on_exchange,
+            self.on_want,
+            self.on_deals,
+        )[datagram.kind]
         handler(datagram, member)
         if datagram.digest != self.digest:
             self.differ(member)
@@ -542,7 +684,9 @@
         if card is None and probe is not None and probe.card and probe.card.id == datagram.sender:
             card = probe.card
         if card is not None and probe is not None:
-            member = self.admit(card, Word(card.id, 0, HERE, SAID, self.card.id), datagram.count, True)
+            member = self.admit(
+                card, Word(card.id, 0, HERE, SAID, self.card.id), datagram.count, True
+            )
             if member is not None and probe.card is not None:
                 self.present(member)
             return member
@@ -575,8 +719,13 @@
         others = self.others(member.id)
         some = self.sample(others, min(PRESENTED, len(others)))
         if some:
-            self.send(EXCHANGE, member.card.address, member, words=[one.word for one in some],
-                      cards=[one.card for one in some])
+            self.send(
+                EXCHANGE,
+                member.card.address,
+                member,
+                words=[one.word for one in some],
+                cards=[one.card for one in some],
+            )
 
     def admit(self, card: Card, word: Word, count: int, proved: bool) -> Member | None:
         """Take up a member that was not known; `proved` if it answered a ping of this one."""
@@ -589,7 +738,9 @@
             self.event("bank_table_full", name=card.name, most=self.most)
             return None
         if tomb is not None and word.life <= tomb[1]:
-            word = Word(word.id, tomb[1], LOST, tomb[2].why, tomb[2].by)  # till it says more of itself
+            word = Word(
+                word.id, tomb[1], LOST, tomb[2].why, tomb[2].by
+            )  # till it says more of itself
         member = Member(card, word, self.now)
         self.members[card.id] = member
         self.tally[GONE] += 1
@@ -647,7 +798,7 @@
             if known is None or known.word != word:  # nothing new, in most cases
                 self.believe(word, sender, unknown)
         if unknown:
-            self.send(WANT, sender.card.address, sender, ids=unknown[:forms.MOST_IDS])
+            self.send(WANT, sender.card.address, sender, ids=unknown[: forms.MOST_IDS])
         self.heard_deals += [(sender.id, deal) for deal in datagram.deals]
         self.heard_pleas += [(sender.id, plea) for plea in datagram.pleas]
         self.heard_talks += [(sender.id, talk) for talk in datagram.talks]
@@ -686,7 +837,9 @@
             tomb = self.tombs.get(word.id)
             if tomb is None and word.state >= LEFT:
                 self.bury(word)
-            elif word.state < LEFT and (tomb is None or tomb[2].state < LEFT and word.life > tomb[1]):
+            elif word.state < LEFT and (
+                tomb is None or tomb[2].state < LEFT and word.life > tomb[1]
+            ):
                 if not (word.state == LOST and word.why != SILENT):
                     unknown.append(word.id)
             return
@@ -719,8 +872,13 @@
             self.life = word.life + 1
             self.counts["refuted"] += 1
             if word.state >= SUSPECT:
-                self.event("member_refuted", state=STATES[word.state], why=WHY[word.why],
-                           by=self.name_of(word.by), life=self.life)
+                self.event(
+                    "member_refuted",
+                    state=STATES[word.state],
+                    why=WHY[word.why],
+                    by=self.name_of(word.by),
+                    life=self.life,
+                )
             self.sign()
         elif word.state >= SUSPECT:
             self.spread(self.word())  # it speaks of a life that is over
@@ -730,15 +888,26 @@
         if self.state != HERE:
             return
         before = self.card.run
-        self.card = Card(self.card.name, self.bits(63), self.card.version, self.card.host, self.card.port,
-                         self.card.build, self.card.zone, self.card.revision, self.card.pools,
-                         self.card.limits)
+        self.card = Card(
+            self.card.name,
+            self.bits(63),
+            self.card.version,
+            self.card.host,
+            self.card.port,
+            self.card.build,
+            self.card.zone,
+            self.card.revision,
+            self.card.pools,
+            self.card.limits,
+        )
         self.life, self.sent = 0, 0
         for member in self.members.values():
             member.introduced = 0
         self.sign()
         self.spread_card(self.card)
-        self.event("member_renewed", run=f"{self.card.run:x}", before=f"{before:x}", by=sender.card.name)
+        self.event(
+            "member_renewed", run=f"{self.card.run:x}", before=f"{before:x}", by=sender.card.name
+        )
 
     def adopt(self, member: Member, word: Word) -> None:
         """Believe a word, and pass it on."""
@@ -746,16 +915,25 @@
         if word.state >= LEFT:
             self.spread(word)
             self.forget(member, word)
-            self.told(member, "member_" + STATES[word.state], by=self.name_of(word.by), why=WHY[word.why])
+            self.told(
+                member, "member_" + STATES[word.state], by=self.name_of(word.by), why=WHY[word.why]
+            )
             self.place()
             return
         self.mark(member)
         self.spread(word)
         if (before.state, before.why) != (word.state, word.why):
             since, member.since = member.since, self.now
-            pairs = {"by": self.name_of(word.by), "why": WHY[word.why]} if word.state != HERE else {}
-            self.told(member, "member_" + STATES[word.state], after_ms=(self.now - since) // MS,
-                      was=STATES[before.state], **pairs)
+            pairs = (
+                {"by": self.name_of(word.by), "why": WHY[word.why]} if word.state != HERE else {}
+            )
+            self.told(
+                member,
+                "member_" + STATES[word.state],
+                after_ms=(self.now - since) // MS,
+                was=STATES[before.state],
+                **pairs,
+            )
         if word.state == SUSPECT:
             self.suspected.append(self.now)
             self.wait_for(member)
@@ -858,8 +1036,9 @@
     def on_deals(self, datagram: Datagram, member: Member) -> None:
         """What is in it was heard already, as of any datagram."""
 
-    def send_deals(self, deals: Iterable[tuple[int, Deal]], now: int,
-                   pleas: Iterable[tuple[int, Plea]] = ()) -> None:
+    def send_deals(
+        self, deals: Iterable[tuple[int, Deal]], now: int, pleas: Iterable[tuple[int, Plea]] = ()
+    ) -> None:
         """Deals and pleas to whom they are for; one that is not there gets none."""
         self.enter(now)
         each: dict[int, list[Deal]] = {}
@@ -868,14 +1047,24 @@
         for other, those in each.items():
             if member := self.members.get(other):
                 for start in range(0, len(those), forms.MOST_DEALS):
-                    self.send(DEALS, member.card.address, member, deals=those[start:start + forms.MOST_DEALS])
+                    self.send(
+                        DEALS,
+                        member.card.address,
+                        member,
+                        deals=those[start : start + forms.MOST_DEALS],
+                    )
         said: dict[int, list[Plea]] = {}
         for other, plea in pleas:
             said.setdefault(other, []).append(plea)
         for other, words in said.items():
             if member := self.members.get(other):
                 for start in range(0, len(words), forms.MOST_PLEAS):
-                    self.send(DEALS, member.card.address, member, pleas=words[start:start + forms.MOST_PLEAS])
+                    self.send(
+                        DEALS,
+                        member.card.address,
+                        member,
+                        pleas=words[start : start + forms.MOST_PLEAS],
+                    )
 
     def send_talks(self, talks: Iterable[tuple[int, Talk]], now: int) -> None:
         """Talks about the record, as many to one as fit into a datagram; one that is not there gets none."""
@@ -914,12 +1103,22 @@
         """Tell a member all of this one's view, in pages; `answer`: it is to tell its own."""
         if self.tokens < BURST // 2:
             return  # it would not be sent
-        words = [other.word for other in self.members.values() if other.id != member.id] + [self.word()]
+        words = [other.word for other in self.members.values() if other.id != member.id] + [
+            self.word()
+        ]
         self.shuffle(words)  # what is not sent for want of room comes another time
         self.counts["exchanges"] += 1
-        page = min(forms.MOST_WORDS - 1, (forms.LARGEST - forms.EMPTY_SIZE - 700) // forms.WORD_SIZE)
+        page = min(
+            forms.MOST_WORDS - 1, (forms.LARGEST - forms.EMPTY_SIZE - 700) // forms.WORD_SIZE
+        )
         for start in range(0, len(words), page):
-            self.send(EXCHANGE, member.card.address, member, int(answer), words=words[start:start + page])
+            self.send(
+                EXCHANGE,
+                member.card.address,
+                member,
+                int(answer),
+                words=words[start : start + page],
+            )
             answer = False
 
     # Evidence from the network and from people.
@@ -931,7 +1130,9 @@
             self.seeds[address] = "refused"
         member = self.members.get(self.at_address.get(address, 0))
         if member is None or member.card.address != address:
-            member = next((one for one in self.members.values() if one.card.address == address), None)
+            member = next(
+                (one for one in self.members.values() if one.card.address == address), None
+            )
         if member is None or member.state > LOST:
             return
         # Guards against one answer that was late on its way: twice, apart, with nothing heard between.
@@ -954,22 +1155,30 @@
     def strike(self, name: str, now: int) -> int:
         """An operator says that an unheard member is dead; how many were struck."""
         self.enter(now)
-        found = [member for member in self.members.values() if member.card.name == name and member.unheard]
+        found = [
+            member
+            for member in self.members.values()
+            if member.card.name == name and member.unheard
+        ]
         for member in found:
             self.adopt(member, Word(member.id, member.word.life, LOST, STRUCK, self.card.id))
         return len(found)
 
     # This member's own doings.
 
-    def change(self, now: int, seeds: Iterable[Address], seal: Seal, times: Times, **card: Any) -> None:
+    def change(
+        self, now: int, seeds: Iterable[Address], seal: Seal, times: Times, **card: Any
+    ) -> None:
         """Go on by another configuration."""
         self.enter(now)
         self.seal, self.times = seal, times
         self.reseed(seeds)
         new = Card(**{key: getattr(self.card, key) for key in Card.__struct_fields__} | card)
         if new != self.card:
-            self.card = Card(**{key: getattr(new, key) for key in Card.__struct_fields__}
-                             | {"version": self.card.version + 1})
+            self.card = Card(
+                **{key: getattr(new, key) for key in Card.__struct_fields__}
+                | {"version": self.card.version + 1}
+            )
             self.spread_card(self.card)
             for member in self.members.values():
                 member.introduced = 0  # each hears it from this one itself, however it was spread
@@ -977,7 +1186,9 @@
 
     def carry(self, mark: int, contents: bytes) -> None:
         """What a pool's decisions tell the others of that pool, till they say something else."""
-        if len(contents) <= forms.MOST_CONTENTS and (mark in self.says or len(self.says) < forms.MOST_POOLS):
+        if len(contents) <= forms.MOST_CONTENTS and (
+            mark in self.says or len(self.says) < forms.MOST_POOLS
+        ):
             self.says[mark] = contents
 
     def tell_all_now(self, now: int) -> None:
@@ -1032,7 +1243,9 @@
         if position != self.position:
             before, self.position = self.position, position
             known = self.count() + self.tally[UNHEARD]
-            self.event("bank_position", position=position, was=before, here=self.count(), known=known)
+            self.event(
+                "bank_position", position=position, was=before, here=self.count(), known=known
+            )
 
     def where(self) -> str:
         """whole: none is unheard; else larger (over half are heard), smaller (half at most), alone."""
@@ -1050,13 +1263,18 @@
         By a hash of the name, so that a restart keeps its place and one that comes or goes moves each other's
         place by no more than its own width.
         """
-        found = [(place_of(member.card.name), member.id) for member in self.members.values()
-                 if (member.connected or member.unheard) and mark in member.card.pools]
+        found = [
+            (place_of(member.card.name), member.id)
+            for member in self.members.values()
+            if (member.connected or member.unheard) and mark in member.card.pools
+        ]
         return sorted([*found, (place_of(self.card.name), self.card.id)])
 
     def addresses(self) -> list[Address]:
         """Where members are that may be met again: what the next run of this process starts from."""
-        return sorted(member.card.address for member in self.members.values() if member.kind != GONE)
+        return sorted(
+            member.card.address for member in self.members.values() if member.kind != GONE
+        )
 
     def name_of(self, member_id: int) -> str:
         if member_id == self.card.id:
@@ -1073,19 +1291,40 @@
     def rows(self) -> Iterator[dict[str, Any]]:
         """Everybody, for people: who is where, since when, by whose word, who disagrees."""
         own = self.card
-        yield {"name": own.name, "run": f"{own.run:x}", "state": STATES[self.state], "since_ms":
-               (self.now - self.began) // MS, "by": own.name, "why": "self", "life": self.life,
-               "address": "%s:%d" % own.address, "zone": own.zone, "build": own.build,
-               "revision": own.revision, "heard_ms": 0, "way": "self", "disputed_by": []}
+        yield {
+            "name": own.name,
+            "run": f"{own.run:x}",
+            "state": STATES[self.state],
+            "since_ms": (self.now - self.began) // MS,
+            "by": own.name,
+            "why": "self",
+            "life": self.life,
+            "address": "%s:%d" % own.address,
+            "zone": own.zone,
+            "build": own.build,
+            "revision": own.revision,
+            "heard_ms": 0,
+            "way": "self",
+            "disputed_by": [],
+        }
         for member in sorted(self.members.values(), key=lambda one: one.card.name):
             card, word = member.card, member.word
-            yield {"name": card.name, "run": f"{card.run:x}", "state": STATES[word.state],
-                   "since_ms": (self.now - member.since) // MS, "by": self.name_of(word.by),
-                   "why": WHY[word.why], "life": word.life, "address": "%s:%d" % card.address,
-                   "zone": card.zone, "build": card.build, "revision": card.revision,
-                   "heard_ms": (self.now - member.heard) // MS if member.heard else None,
-                   "way": self.way(member),
-                   "disputed_by": sorted(self.name_of(by) for by in member.disputes)}
+            yield {
+                "name": card.name,
+                "run": f"{card.run:x}",
+                "state": STATES[word.state],
+                "since_ms": (self.now - member.since) // MS,
+                "by": self.name_of(word.by),
+                "why": WHY[word.why],
+                "life": word.life,
+                "address": "%s:%d" % card.address,
+                "zone": card.zone,
+                "build": card.build,
+                "revision": card.revision,
+                "heard_ms": (self.now - member.heard) // MS if member.heard else None,
+                "way": self.way(member),
+                "disputed_by": sorted(self.name_of(by) for by in member.disputes),
+            }
 
     def way(self, member: Member) -> str:
         """How this one reaches it: direct, via another, or not."""
--- a/whinpier/bank/nearly.py
+++ b/whinpier/bank/nearly.py
@@ -25,7 +25,9 @@
 
 FORM, WORD = 1, Struct("<BQQI")  # demand, used in the window, the window
 TELL = SECOND // 2  # between words to all at once, while demand changes
-TELL_EACH = SECOND // 200  # and longer by so much for each member: 200 of them cost 26 kB/s while it changes
+TELL_EACH = (
+    SECOND // 200
+)  # and longer by so much for each member: 200 of them cost 26 kB/s while it changes
 CHANGE = 0.1  # of demand that is worth a word
 LOOK = SECOND // 2  # over which demand is counted
 UNHEARD = 3 * SECOND  # without a word, after which a member counts for an even share at the least
@@ -64,7 +66,10 @@
 
     def hear(self, demand: int, used: int, window: int, now: int) -> None:
         if window > self.window or window == self.window and used > self.used:
-            self.used, self.window = used, window  # words may pass each other: what is used only grows
+            self.used, self.window = (
+                used,
+                window,
+            )  # words may pass each other: what is used only grows
         if not self.words or self.words[-1][1] != demand:
             self.words.append((now, demand))
         self.at = now
@@ -79,7 +84,9 @@
 class Nearly:
     """One member's part of one limit."""
 
-    def __init__(self, limit: Limit, calendar: Calendar | None, now: int, between: Any = None) -> None:
+    def __init__(
+        self, limit: Limit, calendar: Calendar | None, now: int, between: Any = None
+    ) -> None:
         self.limit, self.calendar, self.between = limit, calendar, between
         self.others: dict[int, Told] = {}
         self.own: deque[tuple[int, int]] = deque()  # when told, demand
@@ -132,7 +139,9 @@
             return max(SECOND // 10, self.window_end - now)
         if self.limit.kind == RATE and self.part:
             due = max(0, TASK - self.level) // self.part
-            others = self.refused.read(now) * TASK / self.part / 2  # who asked before it, and asks again
+            others = (
+                self.refused.read(now) * TASK / self.part / 2
+            )  # who asked before it, and asks again
             return int(max(SECOND // 100, min(due + others, 10 * SECOND)))
         return SECOND // 4
 
@@ -221,7 +230,9 @@
         rest += [even] * (self.expected - 1 - len(rest))
         level = fill(amount, [mine, *rest])
         # What nobody asks for is there for all alike: a burst need not wait till it is known.
-        slack = max(0.0, amount - mine - sum(rest)) / self.expected if level == float("inf") else 0.0
+        slack = (
+            max(0.0, amount - mine - sum(rest)) / self.expected if level == float("inf") else 0.0
+        )
         part = min(mine, level) + slack
         if self.limit.kind == RATE:
             self.level = min(self.level + self.part * (now - self.level_at), self.cap)
@@ -236,8 +247,14 @@
 
     def row(self, now: int) -> dict[str, Any]:
         """How it stands, for people."""
-        found = {"home": None, "mine": self.part, "need": max(0, self.told_demand), "used": self.used,
-                 "sharing": self.members, "unheard": self.unheard}
+        found = {
+            "home": None,
+            "mine": self.part,
+            "need": max(0, self.told_demand),
+            "used": self.used,
+            "sharing": self.members,
+            "unheard": self.unheard,
+        }
         if self.limit.kind == COUNT:
             found |= {"used": self.spent, "window": self.window, "left": self.left()}
         return found
--- a/whinpier/bank/record.py
+++ b/whinpier/bank/record.py
@@ -21,8 +21,16 @@
 
 # Kinds of lines; the first two are the record's own.
 RULES, DRAIN, UNDRAIN, OBSERVED, PUT, RELEASE, PLAN, GATE, HALT, RESUME, UNDO, STRUCK = range(2, 14)
-SAID = {RULES: "permits", DRAIN: "drain", UNDRAIN: "undrain", RELEASE: "release", HALT: "halt",
-        RESUME: "resume", UNDO: "undo", STRUCK: "strike"}  # what operators say
+SAID = {
+    RULES: "permits",
+    DRAIN: "drain",
+    UNDRAIN: "undrain",
+    RELEASE: "release",
+    HALT: "halt",
+    RESUME: "resume",
+    UNDO: "undo",
+    STRUCK: "strike",
+}  # what operators say
 BALANCERS, UPSTREAMS = "balancers", "upstreams"
 # What a leader has seen. LOST: without asking. BACK: it serves again. CONFIRMED: a drain is done. SWITCHED:
 # it runs what it was told to. FAILED: it refuses, or did not come back. WRITTEN_OFF: lost for so long that it
@@ -32,7 +40,14 @@
 BANK = "bank"  # who did what no operator said
 DRAINING, DONE, UNDRAINING = "draining", "done", "undraining"
 PLANNING, WAVES, GATED, HALTED, UNDOING, UNDONE, RELEASED = (
-    "planning", "waves", "gate", "halted", "undoing", "undone", "released")
+    "planning",
+    "waves",
+    "gate",
+    "halted",
+    "undoing",
+    "undone",
+    "released",
+)
 ACTIVE = (PLANNING, WAVES, GATED, HALTED, UNDOING)
 
 MOST_RULES, MOST_DRAINS, MOST_MEMBERS = 64, 256, 4_096
@@ -124,7 +139,9 @@
     content: Name = ""  # a file by its hash; empty: a build
     build: Name = ""
     selector: Name = "all"  # all, zone=Z, or names with commas between
-    waves: Annotated[list[str], Meta(max_length=16)] = []  # numbers, or parts of all as 25%; then the rest
+    waves: Annotated[
+        list[str], Meta(max_length=16)
+    ] = []  # numbers, or parts of all as 25%; then the rest
     gate: Gate = Gate()
     before: Name = ""  # the build that its operator's process is
 
@@ -156,8 +173,19 @@
 
 
 FORMS: dict[int, type[Struct]] = {
-    RULES: Rules, DRAIN: Drain, UNDRAIN: Drain, OBSERVED: Observed, PUT: Put, RELEASE: Release, PLAN: Plan,
-    GATE: Judged, HALT: About, RESUME: About, UNDO: About, STRUCK: About}
+    RULES: Rules,
+    DRAIN: Drain,
+    UNDRAIN: Drain,
+    OBSERVED: Observed,
+    PUT: Put,
+    RELEASE: Release,
+    PLAN: Plan,
+    GATE: Judged,
+    HALT: About,
+    RESUME: About,
+    UNDO: About,
+    STRUCK: About,
+}
 encode = msgspec.msgpack.Encoder().encode
 _decoders: dict[int, Any] = {kind: msgspec.msgpack.Decoder(form) for kind, form in FORMS.items()}
 
@@ -341,14 +369,19 @@
         return str(given.name)
 
     def changed_since(self, based: int) -> str:
-        later = [item for item in self.whole.history
-                 if item.number > based and item.good and item.who != BANK]
+        later = [
+            item
+            for item in self.whole.history
+            if item.number > based and item.good and item.who != BANK
+        ]
         if not later:
             return f"it has changed since {based}: it is at {self.whole.revision} now"
         item = later[-1]
         return f"changed since {based}: at {item.number} {item.who} said {item.what}"
 
-    def note(self, index: int, wall: int, who: str, what: str, why: str, good: bool, text: str) -> None:
+    def note(
+        self, index: int, wall: int, who: str, what: str, why: str, good: bool, text: str
+    ) -> None:
         """One more line of the history, each bound to all before it."""
         history = self.whole.history
         plain = (index, wall, who, what, why, good, text)
@@ -370,7 +403,9 @@
         whole, key = self.whole, key_of(given.name, given.pool)
         if (drain := whole.drains.get(key)) is not None:
             if drain.state != UNDRAINING:
-                raise Refused(f"{shown(key)} is {drain.state} already, since {drain.number} by {drain.who}")
+                raise Refused(
+                    f"{shown(key)} is {drain.state} already, since {drain.number} by {drain.who}"
+                )
         elif len(whole.drains) >= MOST_DRAINS:
             raise Refused(f"{MOST_DRAINS} are drained already")
         out = whole.outs.get(key)
@@ -381,8 +416,9 @@
             raise Refused(why)
         whole.permits += 1
         whole.outs[key] = Out(whole.permits, index, "drain", given.zone, given.pool)
-        whole.drains[key] = Drained(whole.permits, DRAINING, given.said.who, given.said.why, given.said.wall,
-                                    index)
+        whole.drains[key] = Drained(
+            whole.permits, DRAINING, given.said.who, given.said.why, given.said.wall, index
+        )
         return f"permit {whole.permits}"
 
     def do_undrain(self, index: int, given: Drain) -> str:
@@ -418,7 +454,9 @@
             count = sorted(one for one, (at, of) in those.items() if self.holds(rule, one, at, of))
             if len(count) > rule.out:
                 others = [shown(one) for one in count if one != key]
-                return f"{rule.name}: {rule.out} may be out; out are {', '.join(others[:6]) or 'none'}"
+                return (
+                    f"{rule.name}: {rule.out} may be out; out are {', '.join(others[:6]) or 'none'}"
+                )
         return ""
 
     @staticmethod
@@ -539,7 +577,10 @@
             if data is None or hash_of(data) != given.content:
                 raise Refused(f"the file {given.content} is not whole in the record")
         for wave in given.waves:
-            if not wave.removesuffix("%").isdigit() or not 0 < int(wave.removesuffix("%")) <= MOST_MEMBERS:
+            if (
+                not wave.removesuffix("%").isdigit()
+                or not 0 < int(wave.removesuffix("%")) <= MOST_MEMBERS
+            ):
                 raise Refused(f"{wave!r} is no wave: a number, or a part of all as 25%")
         good = whole.good if given.content else whole.good_build or given.before
         whole.release = Rollout(index, given, good=good)
@@ -551,8 +592,9 @@
             return
         while len(release.waves) <= given.wave:
             release.waves.append([])
-        release.waves[given.wave] += [name for name in given.names
-                                      if not any(name in wave for wave in release.waves)]
+        release.waves[given.wave] += [
+            name for name in given.names if not any(name in wave for wave in release.waves)
+        ]
         for name, zone in zip(given.names, given.zones):
             release.zones[name] = zone
         if given.last:
@@ -565,8 +607,12 @@
 
     def judged(self, given: Judged) -> None:
         release = self.whole.release
-        if (release is None or release.number != given.number or release.phase != GATED
-                or release.wave != given.wave):
+        if (
+            release is None
+            or release.number != given.number
+            or release.phase != GATED
+            or release.wave != given.wave
+        ):
             return
         if not given.good:
             self.halt(release, f"gate of wave {given.wave + 1}: {given.text}")
@@ -580,7 +626,9 @@
     def halt(self, release: Rollout, reason: str) -> None:
         """No more is told; what has it goes back, or is held, as the release says."""
         release.reason = reason[:MOST_TEXT]
-        self.note(self.whole.applied, 0, BANK, f"halted {release.number}", reason[:MOST_TEXT], True, "")
+        self.note(
+            self.whole.applied, 0, BANK, f"halted {release.number}", reason[:MOST_TEXT], True, ""
+        )
         if release.given.gate.hold:
             release.phase, release.undoing = HALTED, False
         else:
@@ -659,7 +707,11 @@
                 self.close(release, UNDONE)
 
     def switching(self, but: Any = ()) -> list[str]:
-        return [key for key, out in self.whole.outs.items() if out.why == "release" and shown(key) not in but]
+        return [
+            key
+            for key, out in self.whole.outs.items()
+            if out.why == "release" and shown(key) not in but
+        ]
 
     def tell(self, index: int, release: Rollout, names: list[str], what: str | None) -> list[str]:
         """Who of these may be out now is told what to run; who may not yet is left."""
@@ -674,7 +726,9 @@
             if out is not None and out.why == "drain":
                 # It is out already, and switches as it is: it takes no permit, and nobody waits for it.
                 told[name] = release.before.get(name, release.good) if what is None else what
-                release.met = [one for one in release.met if one != name] + [name] * (what is not None)
+                release.met = [one for one in release.met if one != name] + [name] * (
+                    what is not None
+                )
                 continue
             if out is None and self.over(key, release.zones.get(name, "")):
                 left.append(name)
@@ -698,9 +752,16 @@
             if told.get(name) == good:
                 del told[name]
         whole.release = None
-        whole.closed = [*whole.closed[1 - CLOSED:], release]
-        self.note(whole.applied, 0, BANK, f"{phase} {release.number}", release.reason, not release.failed,
-                  ", ".join(f"{name}: {why}" for name, why in release.failed.items())[:MOST_TEXT])
+        whole.closed = [*whole.closed[1 - CLOSED :], release]
+        self.note(
+            whole.applied,
+            0,
+            BANK,
+            f"{phase} {release.number}",
+            release.reason,
+            not release.failed,
+            ", ".join(f"{name}: {why}" for name, why in release.failed.items())[:MOST_TEXT],
+        )
 
     # What follows for members.
 
@@ -708,14 +769,20 @@
         """What one member is to do."""
         whole = self.whole
         drain = whole.drains.get(key_of(name))
-        return Orders(drain is not None and drain.state != UNDRAINING, whole.told.get(name, whole.good),
-                      whole.told_build.get(name, whole.good_build))
+        return Orders(
+            drain is not None and drain.state != UNDRAINING,
+            whole.told.get(name, whole.good),
+            whole.told_build.get(name, whole.good_build),
+        )
 
     def upstreams(self, pool: str) -> dict[str, int]:
         """Which upstreams of a pool are to get nothing new, with the line that says so."""
         start = f"u/{pool}/"
-        return {key[len(start):]: drain.number for key, drain in self.whole.drains.items()
-                if key.startswith(start) and drain.state != UNDRAINING}
+        return {
+            key[len(start) :]: drain.number
+            for key, drain in self.whole.drains.items()
+            if key.startswith(start) and drain.state != UNDRAINING
+        }
 
     def waiting(self) -> Iterator[tuple[str, Drained]]:
         """Drains that are not through, one way or the other."""
--- a/whinpier/bank/register.py
+++ b/whinpier/bank/register.py
@@ -98,8 +98,11 @@
 
     def values(self, prefix: str) -> dict[str, bytes]:
         """What is said by keys that begin so, without what is lifted."""
-        return {key[len(prefix):]: word.entry.value for key, word in self.words.items()
-                if key.startswith(prefix) and word.entry.value}
+        return {
+            key[len(prefix) :]: word.entry.value
+            for key, word in self.words.items()
+            if key.startswith(prefix) and word.entry.value
+        }
 
     # On the way.
 
--- a/whinpier/bank/spec.py
+++ b/whinpier/bank/spec.py
@@ -12,7 +12,16 @@
 
 RELEASED = "released.toml"  # the file's name in the folder of what is agreed
 CALLERS = 16  # on the control socket at once
-TILL_RESTART = ("name", "listen", "advertise", "control", "recall", "state", "verdicts", "agreement")
+TILL_RESTART = (
+    "name",
+    "listen",
+    "advertise",
+    "control",
+    "recall",
+    "state",
+    "verdicts",
+    "agreement",
+)
 
 
 @dataclass(frozen=True)
@@ -50,8 +59,12 @@
     @property
     def descriptors(self) -> int:
         """What it may hold: its datagrams' socket, the control socket and who calls there, the state file."""
-        return 1 + (1 + CALLERS if self.control else 0) + (3 if self.state else 0) \
+        return (
+            1
+            + (1 + CALLERS if self.control else 0)
+            + (3 if self.state else 0)
             + (5 if self.agreement else 0)
+        )
 
     @property
     def till_restart(self) -> dict[str, object]:
@@ -63,4 +76,8 @@
         return replace(self, **{key: getattr(old, key) for key in TILL_RESTART})
 
     def differs(self, other: BankSpec) -> list[str]:
-        return [one.name for one in fields(BankSpec) if getattr(self, one.name) != getattr(other, one.name)]
+        return [
+            one.name
+            for one in fields(BankSpec)
+            if getattr(self, one.name) != getattr(other, one.name)
+        ]
--- a/whinpier/bank/tables.py
+++ b/whinpier/bank/tables.py
@@ -107,12 +107,16 @@
 
 
 def times(table: TimesTable, at: str) -> Times:
-    found = {one.name: duration(getattr(table, one.name), f"{at}.{one.name}", 10 * MS)
-             for one in fields(Times)}
+    found = {
+        one.name: duration(getattr(table, one.name), f"{at}.{one.name}", 10 * MS)
+        for one in fields(Times)
+    }
     if found["answer"] < found["probe"]:
         raise ConfigFault(f"{at}.answer: is shorter than probe")
     if found["suspect"] < found["answer"]:
-        raise ConfigFault(f"{at}.suspect: is shorter than answer; who is suspected needs time to refute")
+        raise ConfigFault(
+            f"{at}.suspect: is shorter than answer; who is suspected needs time to refute"
+        )
     if found["reckon"] < 10 * found["suspect"]:
         raise ConfigFault(f"{at}.reckon: is shorter than ten times suspect")
     return Times(**found)
@@ -125,8 +129,10 @@
     for index, path in enumerate(paths):
         key = kept_secret(path, f"{at}[{index}]")
         if not forms.KEY_LEAST <= len(key) <= forms.KEY_MOST:
-            raise ConfigFault(f"{at}[{index}]: {path} holds {len(key)} bytes; {forms.KEY_LEAST} to "
-                              f"{forms.KEY_MOST} are a key")
+            raise ConfigFault(
+                f"{at}[{index}]: {path} holds {len(key)} bytes; {forms.KEY_LEAST} to "
+                f"{forms.KEY_MOST} are a key"
+            )
         found.append(key)
     return tuple(found)
 
@@ -137,9 +143,13 @@
     table = part(value, LimitTable, at)
     nearly = table.promise == "nearly"
     if nearly and table.homes:
-        raise ConfigFault(f"{at}.homes: only what is never over has homes; nearly goes by what all tell")
+        raise ConfigFault(
+            f"{at}.homes: only what is never over has homes; nearly goes by what all tell"
+        )
     if not nearly and not 1 <= len(table.homes) <= MOST_HOMES:
-        raise ConfigFault(f"{at}.homes: {len(table.homes)} of them; 1 to {MOST_HOMES} members hold a limit")
+        raise ConfigFault(
+            f"{at}.homes: {len(table.homes)} of them; 1 to {MOST_HOMES} members hold a limit"
+        )
     for index, home in enumerate(table.homes):
         named(home, f"{at}.homes[{index}]")
     if len(set(table.homes)) < len(table.homes):
@@ -147,30 +157,39 @@
     for key, those, known in (("pools", table.pools, pools), ("routes", table.routes, routes)):
         for index, one in enumerate(those):
             if one not in known:
-                raise ConfigFault(f"{at}.{key}[{index}]: {one!r} is none of {', '.join(known) or 'none'}")
+                raise ConfigFault(
+                    f"{at}.{key}[{index}]: {one!r} is none of {', '.join(known) or 'none'}"
+                )
     chosen = tuple(table.pools) or tuple(pools)
     for index, one in enumerate(table.routes):
         if routes[one] not in chosen:
-            raise ConfigFault(f"{at}.routes[{index}]: {one!r} leads to {routes[one]}, which is not in pools")
+            raise ConfigFault(
+                f"{at}.routes[{index}]: {one!r} leads to {routes[one]}, which is not in pools"
+            )
     if (table.kind == COUNT) != (table.window is not None):
         raise ConfigFault(f"{at}.window: a count has one, and nothing else")
     if table.kind == CONNECTIONS and table.each != "upstream":
         raise ConfigFault(f"{at}.each: connections are limited at each upstream")
     if table.each == "upstream" and (table.kind not in (IN_FLIGHT, CONNECTIONS) or table.routes):
-        raise ConfigFault(f"{at}.each: at each upstream what is in flight and connections are limited, "
-                          "whatever route they come by")
+        raise ConfigFault(
+            f"{at}.each: at each upstream what is in flight and connections are limited, "
+            "whatever route they come by"
+        )
     if table.each and nearly:
-        raise ConfigFault(f"{at}.promise: each tenant's and upstream's limit is never_over; nearly is for "
-                          "all together")
+        raise ConfigFault(
+            f"{at}.promise: each tenant's and upstream's limit is never_over; nearly is for "
+            "all together"
+        )
     if table.tenants and table.each != "tenant":
-        raise ConfigFault(f"{at}.tenants: only with each = \"tenant\"")
+        raise ConfigFault(f'{at}.tenants: only with each = "tenant"')
     calendar = None
     if table.window is not None:
         try:
             calendar = Calendar(table.window, table.time_zone)
         except (KeyError, ValueError, OSError):
-            raise ConfigFault(f"{at}.time_zone: {table.time_zone!r} is no time zone that this machine "
-                              "knows") from None
+            raise ConfigFault(
+                f"{at}.time_zone: {table.time_zone!r} is no time zone that this machine knows"
+            ) from None
     amount, burst, span = whole(table.amount, table.kind, f"{at}.amount"), 0, SPAN
     if table.kind == RATE:
         burst = table.burst or max(1, ceil(table.amount))
@@ -180,12 +199,21 @@
         span = max(SPAN, 3 * max(pools[pool] for pool in chosen))
     window = f"{table.window} {table.time_zone}" if table.window else ""
     scope = "/".join(("", *sorted(table.pools), "", *sorted(table.routes), "", table.each or ""))
-    amounts = tuple((tenant, whole(one, table.kind, f"{at}.tenants.{tenant}"))
-                    for tenant, one in sorted(table.tenants.items()))
+    amounts = tuple(
+        (tenant, whole(one, table.kind, f"{at}.tenants.{tenant}"))
+        for tenant, one in sorted(table.tenants.items())
+    )
     window += scope * bool(scope.strip("/")) + str(amounts) * bool(amounts)
-    return Said(Limit(name, table.kind, amount, tuple(table.homes), burst, span, window), chosen, nearly,
-                calendar, tuple(table.routes), table.each or "", amounts,
-                table.most if table.each == "tenant" else 0)
+    return Said(
+        Limit(name, table.kind, amount, tuple(table.homes), burst, span, window),
+        chosen,
+        nearly,
+        calendar,
+        tuple(table.routes),
+        table.each or "",
+        amounts,
+        table.most if table.each == "tenant" else 0,
+    )
 
 
 def whole(amount: float, kind: str, at: str) -> int:
@@ -202,8 +230,10 @@
 def verdicts(table: VerdictsTable | None) -> Rules | None:
     if table is None:
         return None
-    spans = {key: duration(getattr(table, key), f"bank.verdicts.{key}", SECOND // 10)
-             for key in ("life", "term", "most_term", "back")}
+    spans = {
+        key: duration(getattr(table, key), f"bank.verdicts.{key}", SECOND // 10)
+        for key in ("life", "term", "most_term", "back")
+    }
     if spans["most_term"] < spans["term"]:
         raise ConfigFault("bank.verdicts.most_term: is shorter than term")
     if spans["life"] < 2 * SECOND:
@@ -228,15 +258,20 @@
         if rule.pool and rule.of == BALANCERS:
             raise ConfigFault(f"{at}.permits.{key}.pool: balancers are of no pool")
         rules.append(Rule(named(key, f"{at}.permits"), rule.of, rule.out, rule.pool, rule.zone))
-    spans = {key: duration(getattr(table, key), f"{at}.{key}", SECOND // 10)
-             for key in ("wait", "write_off", "cut_off")}
+    spans = {
+        key: duration(getattr(table, key), f"{at}.{key}", SECOND // 10)
+        for key in ("wait", "write_off", "cut_off")
+    }
     if spans["cut_off"] < 5 * SECOND:
         raise ConfigFault(f"{at}.cut_off: is shorter than 5s; it takes 3 s to know who is lost")
-    return AgreementSpec(tuple(table.voters), table.folder, tuple(rules), build=table.build, **spans)
+    return AgreementSpec(
+        tuple(table.voters), table.folder, tuple(rules), build=table.build, **spans
+    )
 
 
-def bank(value: Any, name: str, pools: tuple[str, ...], every: dict[str, int],
-         routes: dict[str, str]) -> BankSpec:
+def bank(
+    value: Any, name: str, pools: tuple[str, ...], every: dict[str, int], routes: dict[str, str]
+) -> BankSpec:
     """What the bank's part of the process runs by, or a ConfigFault that names the key.
 
     `pools` are shared by as many as the bank says; `every` pool has its longest patience, in nanoseconds;
@@ -246,19 +281,28 @@
     if len(table.seeds) > MOST_SEEDS:
         raise ConfigFault(f"bank.seeds: {len(table.seeds)} of them; {MOST_SEEDS} at most")
     if len(pools) > forms.MOST_POOLS:
-        raise ConfigFault(f"bank: {len(pools)} pools would be shared by it, {forms.MOST_POOLS} at most; "
-                          "say balancers in the others")
+        raise ConfigFault(
+            f"bank: {len(pools)} pools would be shared by it, {forms.MOST_POOLS} at most; "
+            "say balancers in the others"
+        )
     if len(os.fsencode(table.control)) > LONGEST_PATH or "\0" in table.control:
-        raise ConfigFault(f"bank.control: {table.control!r} is no path of {LONGEST_PATH} bytes at most")
+        raise ConfigFault(
+            f"bank.control: {table.control!r} is no path of {LONGEST_PATH} bytes at most"
+        )
     listen = address(table.listen, "bank.listen")
     advertise = address(table.advertise, "bank.advertise") if table.advertise else listen
     if advertise[0] == "0.0.0.0":
-        raise ConfigFault(f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is where nobody is "
-                          "reached; say an address in bank.advertise")
+        raise ConfigFault(
+            f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is where nobody is "
+            "reached; say an address in bank.advertise"
+        )
     if len(table.zone) > 63:
         raise ConfigFault("bank.zone: has over 63 characters")
-    seeds = tuple(dict.fromkeys(address(text, f"bank.seeds[{index}]")
-                                for index, text in enumerate(table.seeds)))
+    seeds = tuple(
+        dict.fromkeys(
+            address(text, f"bank.seeds[{index}]") for index, text in enumerate(table.seeds)
+        )
+    )
     if len(table.limits) > MOST_LIMITS:
         raise ConfigFault(f"bank.limits: {len(table.limits)} of them; {MOST_LIMITS} at most")
     for key in ("recall", "state"):
@@ -266,8 +310,19 @@
             raise ConfigFault(f"bank.{key}: is no path")
     if table.state and not table.state.startswith("/"):
         raise ConfigFault(f"bank.state: {table.state!r} is no whole path")
-    return BankSpec(named(table.name or name, "bank.name" if table.name else "name"), listen, advertise,
-                    keys(table.key_files, "bank.key_files"), seeds, table.control, table.recall, table.state,
-                    table.zone, times(table.times, "bank.times"), pools,
-                    tuple(limit(key, inner, every, routes) for key, inner in table.limits.items()),
-                    verdicts(table.verdicts), agreement(table.agreement))
+    return BankSpec(
+        named(table.name or name, "bank.name" if table.name else "name"),
+        listen,
+        advertise,
+        keys(table.key_files, "bank.key_files"),
+        seeds,
+        table.control,
+        table.recall,
+        table.state,
+        table.zone,
+        times(table.times, "bank.times"),
+        pools,
+        tuple(limit(key, inner, every, routes) for key, inner in table.limits.items()),
+        verdicts(table.verdicts),
+        agreement(table.agreement),
+    )
--- a/whinpier/bank/verdicts.py
+++ b/whinpier/bank/verdicts.py
@@ -22,10 +22,15 @@
 from whinpier.decay import SECOND, Sum
 
 MS = SECOND // 1000
-SPAN = 4 * SECOND // 5  # over which answers count: with longer ones good answers of before outweigh bad ones
+SPAN = (
+    4 * SECOND // 5
+)  # over which answers count: with longer ones good answers of before outweigh bad ones
 CAP = 10.0  # times the usual: one answer says no more, however late
 OVERDUE = 4.0  # times the usual, after which what has no answer counts as one by its age
-DRIFT, TRIGGER = 1.5, 6.0  # of the sum by which one suspects: one answer ten times late, or a few slow ones
+DRIFT, TRIGGER = (
+    1.5,
+    6.0,
+)  # of the sum by which one suspects: one answer ten times late, or a few slow ones
 HEARD_AGAIN = SECOND // 4  # between two rounds of one hearing
 HEARING_FOR = 3 * SECOND  # without a verdict
 MOST_HEARINGS = 8  # at once, of one member
@@ -34,7 +39,9 @@
 LEAST = 5.0  # answers, over all: by chance their mean is three times the usual once in a thousand
 WEIGHT = 3.0  # answers that one member's word counts for at most
 WITNESS = 2.0  # times the usual: whoever saw that is a witness
-STANDING = 1 / 3  # of the upstreams that one tried may look bad to it: with more it is its own trouble
+STANDING = (
+    1 / 3
+)  # of the upstreams that one tried may look bad to it: with more it is its own trouble
 VOTES_IN = SECOND // 2  # that votes are waited for
 SLACK = SECOND // 4  # that a voter waits longer: a late loop, clocks that run apart
 FORGET = 600 * SECOND  # after which an upstream's earlier rests count no longer
@@ -73,7 +80,9 @@
     began: int
     asked: int = 0
     nonce: int = 0
-    words: dict[int, tuple[float, float, bool]] = field(default_factory=dict)  # answers, ratio, standing
+    words: dict[int, tuple[float, float, bool]] = field(
+        default_factory=dict
+    )  # answers, ratio, standing
 
 
 @dataclass(slots=True)
@@ -119,7 +128,9 @@
         self.seen: dict[tuple[int, int], Seen] = {}
         self.zones: dict[tuple[int, int], int] = {}  # of upstreams that are listed
         self.hearings: dict[tuple[int, int], Hearing] = {}
-        self.others: dict[tuple[int, int], int] = {}  # hearings of others: until when they hold back our own
+        self.others: dict[
+            tuple[int, int], int
+        ] = {}  # hearings of others: until when they hold back our own
         self.cases: dict[tuple[int, int], Case] = {}
         self.given: dict[Slot, Given] = {}
         self.rests: dict[tuple[int, int], int] = {}  # what rests here: until when
@@ -137,7 +148,9 @@
         for key, zone in list(upstreams.items())[:MOST_KNOWN]:
             self.zones[pool, key] = zone
         self.seen = {known: seen for known, seen in self.seen.items() if known in self.zones}
-        for known in [known for known in self.rests if known[0] == pool and known not in self.zones]:
+        for known in [
+            known for known in self.rests if known[0] == pool and known not in self.zones
+        ]:
             self.lift(known, 0)
 
     def sent(self, pool: int, key: int, number: int, now: int) -> None:
@@ -179,7 +192,7 @@
     def stands(self, pool: int, usual: float, now: int) -> bool:
         """Whether this member's own ways are good: most that it tried does not look bad to it."""
         tried = bad = 0
-        for (other, key) in self.zones:
+        for other, key in self.zones:
             if other == pool:
                 answers, ratio = self.measured(pool, key, usual, now)
                 tried += answers >= 0.3
@@ -199,8 +212,14 @@
     def suspect(self, pool: int, key: int, now: int) -> None:
         """Ask the others what they have seen."""
         known = pool, key
-        if (known in self.hearings or known in self.rests or known in self.cases or known in self.returns
-                or len(self.hearings) >= MOST_HEARINGS or self.others.get(known, 0) > now):
+        if (
+            known in self.hearings
+            or known in self.rests
+            or known in self.cases
+            or known in self.returns
+            or len(self.hearings) >= MOST_HEARINGS
+            or self.others.get(known, 0) > now
+        ):
             return
         self.counts["hearings"] += 1
         self.hearings[known] = Hearing(pool, key, now)
@@ -215,8 +234,11 @@
 
     def weigh(self, words: Iterable[tuple[float, float, bool]]) -> tuple[int, int, float, float]:
         """Of what members saw: who tried it and stands well, the witnesses, their weight, the mean ratio."""
-        tried = [(min(answers, WEIGHT), ratio) for answers, ratio, stands in words
-                 if stands and answers >= FRESH]
+        tried = [
+            (min(answers, WEIGHT), ratio)
+            for answers, ratio, stands in words
+            if stands and answers >= FRESH
+        ]
         weight = sum(each for each, _ in tried)
         witnesses = sum(ratio >= WITNESS for _, ratio in tried)
         mean = sum(each * ratio for each, ratio in tried) / weight if weight else 0.0
@@ -225,14 +247,20 @@
     def convicts(self, words: Iterable[tuple[float, float, bool]]) -> bool:
         """Whether what members saw is enough."""
         tried, witnesses, weight, mean = self.weigh(words)
-        return (weight >= LEAST and mean >= self.rules.slow and witnesses >= self.rules.witnesses
-                and 2 * witnesses >= tried)
+        return (
+            weight >= LEAST
+            and mean >= self.rules.slow
+            and witnesses >= self.rules.witnesses
+            and 2 * witnesses >= tried
+        )
 
     # Slots.
 
     def slots(self, pool: int, zone: int = 0) -> int:
         """How many upstreams of a pool, or of one of its zones, may rest at once."""
-        listed = sum(other == pool and (not zone or at == zone) for (other, _), at in self.zones.items())
+        listed = sum(
+            other == pool and (not zone or at == zone) for (other, _), at in self.zones.items()
+        )
         return int(self.rules.part * listed) if not zone or listed > 1 else 0
 
     def free(self, pool: int, zone: int, key: int, now: int) -> int | None:
@@ -243,7 +271,9 @@
                 return number
         return None
 
-    def open_case(self, pool: int, key: int, now: int, term: int = 0, by_hand: bool = False) -> bool:
+    def open_case(
+        self, pool: int, key: int, now: int, term: int = 0, by_hand: bool = False
+    ) -> bool:
         """Ask for votes that an upstream may rest; whether there is a slot for it."""
         known, zone = (pool, key), self.zones.get((pool, key), 0)
         if known in self.cases:
@@ -256,7 +286,9 @@
         strikes, last = self.strikes.get(known, (0, 0))
         strikes = strikes if now - last < FORGET else 0
         term = term or min(self.rules.term << min(strikes, 16), self.rules.most_term)
-        self.cases[known] = Case(pool, key, zone, slot, zone_slot, now + term, strikes + 1, by_hand=by_hand)
+        self.cases[known] = Case(
+            pool, key, zone, slot, zone_slot, now + term, strikes + 1, by_hand=by_hand
+        )
         self.ask_votes(self.cases[known], now)
         return True
 
@@ -280,12 +312,19 @@
                 return False
         for slot, given in self.given.items():
             # One that holds a slot already needs no second one.
-            if given.key == plea.key and slot[0] == plea.pool and given.until > now and slot not in slots:
+            if (
+                given.key == plea.key
+                and slot[0] == plea.pool
+                and given.until > now
+                and slot not in slots
+            ):
                 return False
         if now < self.fenced_till or len(self.given) >= MOST_KNOWN:
             return False
         for slot in slots:
-            self.given[slot] = Given(plea.key, now + self.rules.life + SLACK, now, plea.nonce, judge)
+            self.given[slot] = Given(
+                plea.key, now + self.rules.life + SLACK, now, plea.nonce, judge
+            )
         return True
 
     # What others say.
@@ -296,8 +335,20 @@
         if plea.kind == HEARING:
             self.others[known] = now + APART
             answers, ratio, stands = self.word(plea.pool, plea.key, usual, now)
-            self.out.append((sender, Plea(EVIDENCE, plea.pool, plea.key, plea.nonce, int(answers * 100),
-                                          int(ratio * 100), int(stands))))
+            self.out.append(
+                (
+                    sender,
+                    Plea(
+                        EVIDENCE,
+                        plea.pool,
+                        plea.key,
+                        plea.nonce,
+                        int(answers * 100),
+                        int(ratio * 100),
+                        int(stands),
+                    ),
+                )
+            )
         elif plea.kind == EVIDENCE:
             hearing = self.hearings.get(known)
             if hearing is not None and plea.nonce == hearing.nonce:
@@ -318,8 +369,17 @@
     def told_to_rest(self, plea: Plea, judge: int, now: int) -> None:
         """Most have voted for it: it rests here too, for as long as this member's own vote lets it."""
         known = plea.pool, plea.key
-        given = next((given for slot, given in self.given.items() if slot[:2] == (plea.pool, 0)
-                      and given.key == plea.key and given.nonce == plea.nonce and given.judge == judge), None)
+        given = next(
+            (
+                given
+                for slot, given in self.given.items()
+                if slot[:2] == (plea.pool, 0)
+                and given.key == plea.key
+                and given.nonce == plea.nonce
+                and given.judge == judge
+            ),
+            None,
+        )
         if given is None:
             return
         # Its vote was given after it was asked for, and came back `one` after that: by so much its own clock
@@ -338,8 +398,12 @@
         self.returns.pop(known, None)
         if fresh:
             self.counts["rests"] += 1
-            self.events.append(("verdict_rests", {"pool": known[0], "key": known[1], "by": judge,
-                                                  "times": strikes}))
+            self.events.append(
+                (
+                    "verdict_rests",
+                    {"pool": known[0], "key": known[1], "by": judge, "times": strikes},
+                )
+            )
 
     def lift(self, known: tuple[int, int], now: int) -> None:
         """It rests no longer: this member takes it up at a moment of its own."""
@@ -353,8 +417,9 @@
 
     # Time.
 
-    def turn(self, now: int, usual: Callable[[int], float],
-             members: Callable[[int], tuple[int, int]]) -> None:
+    def turn(
+        self, now: int, usual: Callable[[int], float], members: Callable[[int], tuple[int, int]]
+    ) -> None:
         """Once in a while. `members`: of a pool, how many are reckoned with, and how many are heard."""
         for known in [known for known, until in self.rests.items() if until <= now]:
             self.lift(known, now)
@@ -375,15 +440,36 @@
         own = self.word(hearing.pool, hearing.key, usual, now)
         if self.convicts([own, *hearing.words.values()]):
             if self.open_case(hearing.pool, hearing.key, now):
-                self.events.append(("verdict_asked", {"pool": hearing.pool, "key": hearing.key,
-                                                      "witnesses": len(hearing.words) + 1}))
+                self.events.append(
+                    (
+                        "verdict_asked",
+                        {
+                            "pool": hearing.pool,
+                            "key": hearing.key,
+                            "witnesses": len(hearing.words) + 1,
+                        },
+                    )
+                )
             del self.hearings[known]
-        elif (now - hearing.began > HEARING_FOR or known not in self.zones
-              or members[0] < self.rules.witnesses):
+        elif (
+            now - hearing.began > HEARING_FOR
+            or known not in self.zones
+            or members[0] < self.rules.witnesses
+        ):
             tried, witnesses, weight, mean = self.weigh([own, *hearing.words.values()])
-            self.events.append(("verdict_none", {
-                "pool": hearing.pool, "key": hearing.key, "tried": tried, "witnesses": witnesses,
-                "answers": round(weight, 1), "ratio": round(mean, 2)}))
+            self.events.append(
+                (
+                    "verdict_none",
+                    {
+                        "pool": hearing.pool,
+                        "key": hearing.key,
+                        "tried": tried,
+                        "witnesses": witnesses,
+                        "answers": round(weight, 1),
+                        "ratio": round(mean, 2),
+                    },
+                )
+            )
             del self.hearings[known]
             if seen := self.seen.get(known):
                 seen.suspicion = 0.0
--- a/whinpier/bank/watching.py
+++ b/whinpier/bank/watching.py
@@ -46,8 +46,12 @@
             self.keys = {host: key_of(peer) for host, peer in self.pool.held.items()}
             self.hosts = {key: host for host, key in self.keys.items()}
             names = self.pool.spec.zones
-            zones = {self.keys[host]: pool_mark("zone/" + names[peer.zone]) if peer.zone < len(names) else 0
-                     for host, peer in self.pool.held.items()}
+            zones = {
+                self.keys[host]: pool_mark("zone/" + names[peer.zone])
+                if peer.zone < len(names)
+                else 0
+                for host, peer in self.pool.held.items()
+            }
             self.court.listed(self.mark, zones)
 
     def usual(self) -> float:
@@ -73,13 +77,21 @@
 class Watching:
     """All pools."""
 
-    def __init__(self, rules: Rules, members: Members, loop: Loop, chance: Any,
-                 tell: Callable[[str, dict[str, Any]], None]) -> None:
+    def __init__(
+        self,
+        rules: Rules,
+        members: Members,
+        loop: Loop,
+        chance: Any,
+        tell: Callable[[str, dict[str, Any]], None],
+    ) -> None:
         """`tell`: what has happened, to the log and to whoever watches."""
         self.members, self.loop, self.tell = members, loop, tell
         self.court = Court(rules, members.card.id, loop.clock(), chance, rules.life + SLACK)
         self.watchers: dict[int, Watcher] = {}
-        self.by_hand: dict[tuple[str, ...], int] = {}  # pool and upstream that operators let rest: until when
+        self.by_hand: dict[
+            tuple[str, ...], int
+        ] = {}  # pool and upstream that operators let rest: until when
         self.missed: dict[tuple[str, ...], int] = {}  # of those: since when one does not rest here
 
     def put(self, pools: Iterable[Pool], shared: tuple[str, ...]) -> None:
@@ -151,8 +163,16 @@
             if watcher and host and name in ("verdict_rests", "verdict_back"):
                 watcher.pool.rest(host, name == "verdict_rests")
             by = {"by": self.members.name_of(pairs["by"])} if "by" in pairs else {}
-            self.tell(name, pairs | by | {"pool": watcher.pool.name if watcher else "", "upstream": host,
-                                          "key": f"{pairs['key']:08x}"})
+            self.tell(
+                name,
+                pairs
+                | by
+                | {
+                    "pool": watcher.pool.name if watcher else "",
+                    "upstream": host,
+                    "key": f"{pairs['key']:08x}",
+                },
+            )
 
     def take_out(self) -> list[tuple[int, Plea]]:
         """What is to be sent, and to whom."""
@@ -162,8 +182,11 @@
             if other:
                 found.append((other, plea))
             else:
-                found += [(one.id, plea) for one in self.members.members.values()
-                          if one.connected and plea.pool in one.card.pools]
+                found += [
+                    (one.id, plea)
+                    for one in self.members.members.values()
+                    if one.connected and plea.pool in one.card.pools
+                ]
         return found
 
     def rows(self) -> list[dict[str, Any]]:
@@ -172,11 +195,24 @@
         for known in {*court.rests, *court.returns, *court.cases, *court.hearings}:
             watcher = self.watchers.get(known[0])
             until = court.rests.get(known) or court.returns.get(known) or 0
-            state = ("rests" if known in court.rests else "comes back" if known in court.returns else
-                     "voted on" if known in court.cases else "heard")
-            found.append({
-                "pool": watcher.pool.name if watcher else "", "upstream": watcher.hosts.get(known[1], "")
-                if watcher else "", "state": state, "left_ms": max(0, until - now) // 1_000_000,
-                "kept_up_here": known in court.cases, "times": court.strikes.get(known, (0, 0))[0],
-                "slots": court.slots(known[0])})
+            state = (
+                "rests"
+                if known in court.rests
+                else "comes back"
+                if known in court.returns
+                else "voted on"
+                if known in court.cases
+                else "heard"
+            )
+            found.append(
+                {
+                    "pool": watcher.pool.name if watcher else "",
+                    "upstream": watcher.hosts.get(known[1], "") if watcher else "",
+                    "state": state,
+                    "left_ms": max(0, until - now) // 1_000_000,
+                    "kept_up_here": known in court.cases,
+                    "times": court.strikes.get(known, (0, 0))[0],
+                    "slots": court.slots(known[0]),
+                }
+            )
         return sorted(found, key=lambda row: (row["pool"], row["upstream"]))
--- a/whinpier/bank/windows.py
+++ b/whinpier/bank/windows.py
@@ -34,7 +34,9 @@
 AGAIN = 3 * SECOND // 10  # until an ask without an answer goes once more, with the same number
 TRIES = 4
 HELD_OFF = SECOND  # that one who had nothing is not asked again
-MOST_GRANTED = 1_024  # hand-overs that are remembered, to answer an ask that comes again as it was answered
+MOST_GRANTED = (
+    1_024  # hand-overs that are remembered, to answer an ask that comes again as it was answered
+)
 MOST_KNOWN = 4  # windows: that before a close, that behind it, and two more should clocks go back
 
 
@@ -116,8 +118,17 @@
 
     least_ahead = LEAST_AHEAD
 
-    def __init__(self, limit: Limit, calendar: Calendar, name: str, now: int, chance: Random,
-                 between: Callable[[int], tuple[int, int]], lasting: bool, fence: int = 0) -> None:
+    def __init__(
+        self,
+        limit: Limit,
+        calendar: Calendar,
+        name: str,
+        now: int,
+        chance: Random,
+        between: Callable[[int], tuple[int, int]],
+        lasting: bool,
+        fence: int = 0,
+    ) -> None:
         """`between`: the earliest and latest that it may be, in ns since the epoch; `lasting`: has a disk."""
         self.limit, self.calendar, self.name, self.between = limit, calendar, name, between
         self.bits, self.shuffle = chance.getrandbits, chance.shuffle
@@ -134,7 +145,9 @@
         self.notes: dict[int, Note] = {}  # to be written, by window
         self.held: list[tuple[int, int, Deal]] = []  # goes out once so many notes are written
         self.said = 0  # notes, in all
-        self.blind_till = 0  # of windows that began sooner nothing is known: seconds since the epoch
+        self.blind_till = (
+            0  # of windows that began sooner nothing is known: seconds since the epoch
+        )
         self.apart = False  # whether clocks are so far apart that no window can be told
 
     # What the disk says.
@@ -168,8 +181,14 @@
             self.write(slot)
 
     def write(self, slot: Slot) -> None:
-        self.notes[slot.start] = (self.limit.mark, self.limit.key, slot.start, slot.home, slot.moved,
-                                  slot.asked)
+        self.notes[slot.start] = (
+            self.limit.mark,
+            self.limit.key,
+            slot.start,
+            slot.home,
+            slot.moved,
+            slot.asked,
+        )
         self.said += 1
         if not self.lasting:
             self.written(*self.take_notes())
@@ -288,8 +307,11 @@
             if self.rate(now):
                 self.ahead(slot, now)
             lacking = self.foreseen(slot, now, FORESEEN) - slot.left
-            lacking -= sum(ask.amount for ask in self.asks.values()
-                           if ask.start == slot.start and now - ask.at <= AGAIN)
+            lacking -= sum(
+                ask.amount
+                for ask in self.asks.values()
+                if ask.start == slot.start and now - ask.at <= AGAIN
+            )
             if lacking > 0 and now >= self.fenced_till:
                 self.look_for(slot, now, lacking, there)
 
@@ -375,12 +397,20 @@
         """Whether nothing is lost if this one is forgotten: it is as it would begin."""
         self.settle(now)
         return not (self.asks or self.held or self.notes or self.counted) and not any(
-            slot.used or slot.moved for slot in self.slots)
+            slot.used or slot.moved for slot in self.slots
+        )
 
     def row(self, now: int) -> dict[str, Any]:
         """How it stands, for people."""
         self.settle(now)
         slot = self.slots[-1]
-        return {"home": slot.home, "mine": slot.left, "need": self.foreseen(slot, now, FORESEEN),
-                "used": slot.used, "moved": slot.moved, "window": slot.start,
-                "window_ends_s": slot.end - self.between(now)[0] // SECOND, "clocks_apart": self.apart}
+        return {
+            "home": slot.home,
+            "mine": slot.left,
+            "need": self.foreseen(slot, now, FORESEEN),
+            "used": slot.used,
+            "moved": slot.moved,
+            "window": slot.start,
+            "window_ends_s": slot.end - self.between(now)[0] // SECOND,
+            "clocks_apart": self.apart,
+        }
--- a/whinpier/check/countfaults.py
+++ b/whinpier/check/countfaults.py
@@ -153,9 +153,28 @@
         self.home += 1
 
 
-FAULTS: dict[str, type[Wishful]] = {fault.__name__: fault for fault in (
-    SendsBeforeItIsWritten, SendsWithWhateverIsWritten, HandsOverWithoutTakingOff, AddsWhatItAskedFor,
-    AddsTwice, TakesUnitsOfAnotherWindow, TakesAnybodysUnits, UsesBeforeItIsWritten, WritesWhatIsUsedNow,
-    BelievesAllIsWritten, TakesAFailureForDone, ForgetsWhatFailed, ForgetsWhatWasUsed,
-    ForgetsWhatItHandedOver, TakesNoDiskForAnUnusedWindow, CountsOneWindowOfTwo, CountsTheLaterOfTwo,
-    GivesBackInAnyWindow, GivesBackWhatRan, RoundsItsHomeUp)}
+FAULTS: dict[str, type[Wishful]] = {
+    fault.__name__: fault
+    for fault in (
+        SendsBeforeItIsWritten,
+        SendsWithWhateverIsWritten,
+        HandsOverWithoutTakingOff,
+        AddsWhatItAskedFor,
+        AddsTwice,
+        TakesUnitsOfAnotherWindow,
+        TakesAnybodysUnits,
+        UsesBeforeItIsWritten,
+        WritesWhatIsUsedNow,
+        BelievesAllIsWritten,
+        TakesAFailureForDone,
+        ForgetsWhatFailed,
+        ForgetsWhatWasUsed,
+        ForgetsWhatItHandedOver,
+        TakesNoDiskForAnUnusedWindow,
+        CountsOneWindowOfTwo,
+        CountsTheLaterOfTwo,
+        GivesBackInAnyWindow,
+        GivesBackWhatRan,
+        RoundsItsHomeUp,
+    )
+}
--- a/whinpier/check/counts.py
+++ b/whinpier/check/counts.py
@@ -37,9 +37,20 @@
 class Counting(Network):
     """Members, the network between them, their disks, and what has passed."""
 
-    def __init__(self, members: int = 2, amount: int = 2, messages: int = 3, times: int = 5,
-                 crashes: int = 1, copies: int = 1, make: type[Wishful] = Wishful, unsure: int = 0,
-                 failures: int = 0, lasting: bool = True, ahead: int = 1) -> None:
+    def __init__(
+        self,
+        members: int = 2,
+        amount: int = 2,
+        messages: int = 3,
+        times: int = 5,
+        crashes: int = 1,
+        copies: int = 1,
+        make: type[Wishful] = Wishful,
+        unsure: int = 0,
+        failures: int = 0,
+        lasting: bool = True,
+        ahead: int = 1,
+    ) -> None:
         super().__init__(members, messages, crashes, copies)
         self.limit = Limit("x", COUNT, amount, tuple(f"m{n}" for n in range(members)))
         self.make, self.left, self.unsure, self.failures = make, times, unsure, failures
@@ -47,7 +58,9 @@
         self.disks: list[dict[int, Note]] = [{} for _ in range(members)]
         self.writing: list[tuple[int, list[Note]] | None] = [None] * members
         self.passed: Counter[int] = Counter()  # by window
-        self.out: list[list[tuple[int, Slot | Both]]] = [[] for _ in range(members)]  # window, what took it
+        self.out: list[list[tuple[int, Slot | Both]]] = [
+            [] for _ in range(members)
+        ]  # window, what took it
         self.parts: list[Wishful] = [self.started(place, False) for place in range(members)]
 
     def party(self, place: int) -> Wishful:
@@ -61,8 +74,9 @@
         return wall - self.unsure * STEP, wall + self.unsure * STEP
 
     def started(self, place: int, again: bool) -> Wishful:
-        part = self.make(self.limit, CALENDAR, f"m{place}", self.now, self.chance(), self.between,
-                         self.lasting)
+        part = self.make(
+            self.limit, CALENDAR, f"m{place}", self.now, self.chance(), self.between, self.lasting
+        )
         part.least_ahead = self.ahead
         if again:
             since = 0 if self.lasting else self.between(self.now)[1] // SECOND + 1
@@ -155,22 +169,53 @@
     def mark(self) -> Hashable:
         name = Named()
         parts = tuple(
-            (part.wish, part.blind_till,
-             tuple((slot.start, slot.home, slot.moved, slot.used, slot.kept, slot.asked)
-                   for slot in part.known.values()),
-             tuple((name(nonce), ask.other, ask.amount, ask.start, self.now - ask.at, ask.tries)
-                   for nonce, ask in part.asks.items()),
-             tuple((name(nonce), amount) for nonce, amount in part.granted.items()),
-             tuple((said - part.said, other, name(deal.nonce), deal.amount)
-                   for said, other, deal in part.held),
-             tuple(part.notes.values()), tuple(sorted(who for who, at in part.nothing.items()
-                                                      if at == self.now)))
-            for part in self.parts)
-        network = tuple(sorted((sender, to, deal.kind, name(deal.nonce), deal.amount, deal.turn)
-                               for sender, to, deal in self.network))
-        disks = tuple((tuple(disk.values()), batch and (part.said - batch[0], tuple(batch[1])))
-                      for disk, batch, part in zip(self.disks, self.writing, self.parts))
-        out = tuple(tuple((window, tuple(slot.start for slot in getattr(given, "slots", [given])))
-                          for window, given in those) for those in self.out)
-        return (parts, network, disks, out, tuple(sorted(self.passed.items())), tuple(self.runs), self.left,
-                self.crashes, self.copies, self.failures)
+            (
+                part.wish,
+                part.blind_till,
+                tuple(
+                    (slot.start, slot.home, slot.moved, slot.used, slot.kept, slot.asked)
+                    for slot in part.known.values()
+                ),
+                tuple(
+                    (name(nonce), ask.other, ask.amount, ask.start, self.now - ask.at, ask.tries)
+                    for nonce, ask in part.asks.items()
+                ),
+                tuple((name(nonce), amount) for nonce, amount in part.granted.items()),
+                tuple(
+                    (said - part.said, other, name(deal.nonce), deal.amount)
+                    for said, other, deal in part.held
+                ),
+                tuple(part.notes.values()),
+                tuple(sorted(who for who, at in part.nothing.items() if at == self.now)),
+            )
+            for part in self.parts
+        )
+        network = tuple(
+            sorted(
+                (sender, to, deal.kind, name(deal.nonce), deal.amount, deal.turn)
+                for sender, to, deal in self.network
+            )
+        )
+        disks = tuple(
+            (tuple(disk.values()), batch and (part.said - batch[0], tuple(batch[1])))
+            for disk, batch, part in zip(self.disks, self.writing, self.parts)
+        )
+        out = tuple(
+            tuple(
+                (window, tuple(slot.start for slot in getattr(given, "slots", [given])))
+                for window, given in those
+            )
+            for those in self.out
+        )
+        return (
+            parts,
+            network,
+            disks,
+            out,
+            tuple(sorted(self.passed.items())),
+            tuple(self.runs),
+            self.left,
+            self.crashes,
+            self.copies,
+            self.failures,
+        )
--- a/whinpier/check/explore.py
+++ b/whinpier/check/explore.py
@@ -75,7 +75,9 @@
     return found
 
 
-def walk(make: Callable[[int], World], seed: int, steps: int, length: int = 400, fair: bool = False) -> Found:
+def walk(
+    make: Callable[[int], World], seed: int, steps: int, length: int = 400, fair: bool = False
+) -> Found:
     """At random, in walks of so many steps, each from a world of its own.
 
     `fair`: first what kind of step, then which: many messages do not crowd out what happens seldom.
@@ -90,7 +92,9 @@
             if fair:
                 kinds: dict[Hashable, list[tuple[str, Hashable]]] = {}
                 for choice in choices:
-                    kinds.setdefault(choice[1][0] if isinstance(choice[1], tuple) else "", []).append(choice)
+                    kinds.setdefault(
+                        choice[1][0] if isinstance(choice[1], tuple) else "", []
+                    ).append(choice)
                 choices = list(kinds.values())[int(chance.random() * len(kinds))]
             name, step = choices[int(chance.random() * len(choices))]
             world.do(step)
@@ -132,7 +136,7 @@
     while size:
         at, before = 0, len(path)
         while at < len(path):
-            if found := breaks(make, path[:at] + path[at + size:]):
+            if found := breaks(make, path[:at] + path[at + size :]):
                 path = found
             else:
                 at += size
--- a/whinpier/check/records.py
+++ b/whinpier/check/records.py
@@ -10,8 +10,20 @@
 from collections.abc import Hashable
 from typing import Any
 
-from whinpier.bank.agreement import (CANDIDATE, LEADER, LINE, TERM, VOTERS, WHO, Agreement, Copy, Pace, pack,
-                                     replayed, unpack)
+from whinpier.bank.agreement import (
+    CANDIDATE,
+    LEADER,
+    LINE,
+    TERM,
+    VOTERS,
+    WHO,
+    Agreement,
+    Copy,
+    Pace,
+    pack,
+    replayed,
+    unpack,
+)
 from whinpier.bank.forms import TAKEN, VOTED, Line, Talk
 from whinpier.check.network import Network
 from whinpier.decay import SECOND
@@ -19,8 +31,24 @@
 STEP = SECOND
 PACE = Pace(STEP, STEP, STEP)
 RECORD, COMMAND = 256, 9
-NAMES = ("asks early", "early", "asks for votes", "vote", "append", "taken", "behind", "fetch", "lines",
-         "piece", "forward", "read", "read at", "hurry", "stale", "report")
+NAMES = (
+    "asks early",
+    "early",
+    "asks for votes",
+    "vote",
+    "append",
+    "taken",
+    "behind",
+    "fetch",
+    "lines",
+    "piece",
+    "forward",
+    "read",
+    "read at",
+    "hurry",
+    "stale",
+    "report",
+)
 
 
 class Lines:
@@ -45,10 +73,24 @@
 class Recording(Network):
     """Voters by place, the network between them, their disks."""
 
-    def __init__(self, members: int = 3, messages: int = 4, times: int = 3, crashes: int = 1, copies: int = 0,
-                 commands: int = 2, reads: int = 0, spare: int = 0, changes: int = 0, compacts: int = 0,
-                 make: type[Agreement] = Agreement, led: bool = False, disks: bool = True,
-                 losing: bool = True, lines: int = 32) -> None:
+    def __init__(
+        self,
+        members: int = 3,
+        messages: int = 4,
+        times: int = 3,
+        crashes: int = 1,
+        copies: int = 0,
+        commands: int = 2,
+        reads: int = 0,
+        spare: int = 0,
+        changes: int = 0,
+        compacts: int = 0,
+        make: type[Agreement] = Agreement,
+        led: bool = False,
+        disks: bool = True,
+        losing: bool = True,
+        lines: int = 32,
+    ) -> None:
         """`spare`: members that do not vote at first; `led`: the first leads already; `disks`: sync late."""
         super().__init__(members, messages, crashes, copies)
         self.losing, self.lines = losing, lines
@@ -58,13 +100,19 @@
         config = {f"m{place}": place + 1 for place in range(self.voters)}
         first = Line(1, VOTERS, pack(config))
         self.disk_notes: list[list[Any]] = [
-            [(TERM, 1, 0), *([(LINE, 1, first.term, first.kind, first.data)] if place < self.voters else [])]
-            for place in range(members)]
+            [
+                (TERM, 1, 0),
+                *([(LINE, 1, first.term, first.kind, first.data)] if place < self.voters else []),
+            ]
+            for place in range(members)
+        ]
         self.parties = [self.started(place) for place in range(members)]
         self.chosen: dict[int, tuple[int, bytes]] = {}
         self.agreed_in: dict[int, int] = {}  # in which term each of them was agreed
         self.leaders: dict[int, str] = {}
-        self.floors: dict[int, int] = {}  # of reads: what was agreed anywhere when each was asked for
+        self.floors: dict[
+            int, int
+        ] = {}  # of reads: what was agreed anywhere when each was asked for
         self.fault = ""
         if led:
             self.lead_first()
@@ -83,7 +131,7 @@
     def lead_first(self) -> None:
         """The first has been voted for by all; nothing else has come yet."""
         self.now += 2 * STEP
-        for party in self.parties[:self.voters]:
+        for party in self.parties[: self.voters]:
             party.now = self.now
             party.settle_term(2, 1)
         for place in range(len(self.parties)):
@@ -128,11 +176,16 @@
         return found
 
     def change_steps(self, place: int) -> list[tuple[str, Hashable]]:
-        return [(f"m{place} is to change whether m{other} votes", ("change", place, other))
-                for other in range(len(self.parties)) if other != place]
+        return [
+            (f"m{place} is to change whether m{other} votes", ("change", place, other))
+            for other in range(len(self.parties))
+            if other != place
+        ]
 
     def describe(self, message: Talk) -> str:
-        return f"{NAMES[message.kind]} {message.term}/{message.one}/{message.two}+{len(message.lines)}"
+        return (
+            f"{NAMES[message.kind]} {message.term}/{message.one}/{message.two}+{len(message.lines)}"
+        )
 
     def deliver(self, place: int, message: Talk, sender: int) -> None:
         self.parties[place].hear(message, f"m{(sender - 1) % 100}", self.now)
@@ -233,9 +286,14 @@
             for index, (term, data) in self.chosen.items():
                 if self.agreed_in[index] >= party.term:
                     continue  # it may lead no more and not know it
-                if index > party.last or index > party.start and (
-                        party.line(index).term, party.line(index).data) != (term, data):
-                    self.fault = f"{party.name} leads in term {party.term} without agreed line {index}"
+                if (
+                    index > party.last
+                    or index > party.start
+                    and (party.line(index).term, party.line(index).data) != (term, data)
+                ):
+                    self.fault = (
+                        f"{party.name} leads in term {party.term} without agreed line {index}"
+                    )
         for index in range(max(party.start, 0) + 1, min(party.applied, party.last) + 1):
             line = party.line(index)
             self.agreed_in.setdefault(index, party.term)  # whoever led is the first to know
@@ -247,8 +305,11 @@
         for index, data in own:
             if index in self.chosen and self.chosen[index][1] != data:
                 self.fault = f"{party.name} acts on another line {index} than was agreed"
-        numbers = [index for index, line in sorted(self.chosen.items()) if line[1][:1] == b"c"
-                   and index <= party.applied]
+        numbers = [
+            index
+            for index, line in sorted(self.chosen.items())
+            if line[1][:1] == b"c" and index <= party.applied
+        ]
         if [index for index, _ in own] != numbers:
             self.fault = f"{party.name} has not acted on each agreed command once, in order"
         for nonce, index in party.read_at:
@@ -268,27 +329,91 @@
     def mark(self) -> Hashable:
         parties = []
         for party in self.parties:
-            waiting = tuple((barrier - party.synced, to, talk.kind, talk.term, talk.one, talk.two, talk.three,
-                             talk.four, talk.data) for barrier, to, talk in party.waiting)
-            parties.append((
-                party.role, party.term, party.voted, party.leader, tuple(sorted(party.votes)),
-                tuple((line.term, line.data) for line in party.lines), party.start, party.base, party.commit,
-                party.durable, party.matched, party.noted - party.synced, party.proof - party.synced,
-                tuple((seq - party.synced, at) for seq, at in party.marks),
-                tuple(sorted(party.next.items())), tuple(sorted(party.match.items())),
-                tuple(sorted(party.rounds.items())) if self.floors else (), party.round if self.floors else 0,
-                tuple(party.reads), tuple(sorted(party.flying)),
-                tuple(sorted(party.hinted.items())), max(0, party.doubt_at - self.now),
-                max(-PACE.patience, party.leader_heard - self.now), waiting,
-                tuple(sorted(party.ahead.items()))))
-        network = tuple(sorted((sender, to, talk.kind, talk.term, talk.one, talk.two, talk.three, talk.four,
-                                tuple((line.term, line.data) for line in talk.lines), talk.data)
-                               for sender, to, talk in self.network))
+            waiting = tuple(
+                (
+                    barrier - party.synced,
+                    to,
+                    talk.kind,
+                    talk.term,
+                    talk.one,
+                    talk.two,
+                    talk.three,
+                    talk.four,
+                    talk.data,
+                )
+                for barrier, to, talk in party.waiting
+            )
+            parties.append(
+                (
+                    party.role,
+                    party.term,
+                    party.voted,
+                    party.leader,
+                    tuple(sorted(party.votes)),
+                    tuple((line.term, line.data) for line in party.lines),
+                    party.start,
+                    party.base,
+                    party.commit,
+                    party.durable,
+                    party.matched,
+                    party.noted - party.synced,
+                    party.proof - party.synced,
+                    tuple((seq - party.synced, at) for seq, at in party.marks),
+                    tuple(sorted(party.next.items())),
+                    tuple(sorted(party.match.items())),
+                    tuple(sorted(party.rounds.items())) if self.floors else (),
+                    party.round if self.floors else 0,
+                    tuple(party.reads),
+                    tuple(sorted(party.flying)),
+                    tuple(sorted(party.hinted.items())),
+                    max(0, party.doubt_at - self.now),
+                    max(-PACE.patience, party.leader_heard - self.now),
+                    waiting,
+                    tuple(sorted(party.ahead.items())),
+                )
+            )
+        network = tuple(
+            sorted(
+                (
+                    sender,
+                    to,
+                    talk.kind,
+                    talk.term,
+                    talk.one,
+                    talk.two,
+                    talk.three,
+                    talk.four,
+                    tuple((line.term, line.data) for line in talk.lines),
+                    talk.data,
+                )
+                for sender, to, talk in self.network
+            )
+        )
         disks = [self.on_disk(place) for place in range(len(self.parties) if self.crashes else 0)]
-        return (tuple(parties), network, tuple(self.runs), self.left, self.crashes, self.copies,
-                self.commands, self.reads, self.changes, self.compacts, tuple(sorted(self.floors.items())),
-                tuple(sorted(self.agreed_in.items())), tuple((copy.term, copy.voted, copy.start, copy.base,
-                       tuple((line.term, line.data) for line in copy.lines)) for copy in disks))
+        return (
+            tuple(parties),
+            network,
+            tuple(self.runs),
+            self.left,
+            self.crashes,
+            self.copies,
+            self.commands,
+            self.reads,
+            self.changes,
+            self.compacts,
+            tuple(sorted(self.floors.items())),
+            tuple(sorted(self.agreed_in.items())),
+            tuple(
+                (
+                    copy.term,
+                    copy.voted,
+                    copy.start,
+                    copy.base,
+                    tuple((line.term, line.data) for line in copy.lines),
+                )
+                for copy in disks
+            ),
+        )
 
 
 class Coarse(Recording):
@@ -306,7 +431,9 @@
                 if other == place or not self.left:
                     continue
                 if party.role != LEADER and party.votes_here and f"m{other}" in party.config:
-                    found.append((f"m{place} stands, m{other} hears of it", ("elect", place, other)))
+                    found.append(
+                        (f"m{place} stands, m{other} hears of it", ("elect", place, other))
+                    )
                 if party.role == LEADER and f"m{other}" in party.config:
                     found.append((f"m{place} copies to m{other}", ("copy_to", place, other)))
                 if party.commit < self.parties[other].commit and not party.votes_here:
@@ -514,7 +641,9 @@
 
 class CountsAVoteAgain(Agreement):
     def on_voted(self, talk: Talk, sender: str) -> None:
-        self.again = getattr(self, "again", 0) + (talk.kind == VOTED and talk.one and sender in self.votes)
+        self.again = getattr(self, "again", 0) + (
+            talk.kind == VOTED and talk.one and sender in self.votes
+        )
         super().on_voted(talk, sender)
         if self.again and self.role == CANDIDATE:
             self.lead()
@@ -547,14 +676,30 @@
 
 class TakesWordOfOtherTerms(Agreement):
     def on_taken(self, talk: Talk, sender: str) -> None:
-        super().on_taken(Talk(TAKEN, talk.record, talk.disk, self.term, talk.one, talk.two, talk.three,
-                              talk.four), sender)
+        super().on_taken(
+            Talk(
+                TAKEN, talk.record, talk.disk, self.term, talk.one, talk.two, talk.three, talk.four
+            ),
+            sender,
+        )
 
 
 class TakesOldAppends(Agreement):
     def on_append(self, talk: Talk, sender: str) -> None:
-        super().on_append(Talk(talk.kind, talk.record, talk.disk, self.term, talk.one, talk.two, talk.three,
-                               talk.four, talk.lines), sender)
+        super().on_append(
+            Talk(
+                talk.kind,
+                talk.record,
+                talk.disk,
+                self.term,
+                talk.one,
+                talk.two,
+                talk.three,
+                talk.four,
+                talk.lines,
+            ),
+            sender,
+        )
 
 
 class TeachesWhatIsNotAgreed(Agreement):
@@ -603,11 +748,39 @@
         self.applied = self.commit = self.start
 
 
-FAULTS: dict[str, type[Agreement]] = {fault.__name__: fault for fault in (
-    ForgetsItsVote, VotesWithoutNote, SaysBeforeTheDisk, VotesForAnyLog, VotesByLength, VotesByTerm,
-    CountsOlderTerms, HalfIsMost, TellsWhatIsNotSynced, CountsItselfUnsynced, LooksAtNothingBefore,
-    CutsAtOldAppends, KeepsWhatDiffers, AgreesBeyondWhatCame, LeadsOnInLaterTerms, NotesNoTerm,
-    CountsVotesOfBefore, CountsEarlyVotes, CountsAVoteAgain, CountsRefusals, ReadsWithoutAsking,
-    ReadsBeforeItsOwnLine, ReadsByOldRounds, TakesWordOfOtherTerms, TakesOldAppends, TeachesWhatIsNotAgreed,
-    LearnsWithoutTheTerm, ChangesVotersAtOnce, GoesByAgreedVotersOnly, ForgetsVotersWhenItCompacts,
-    StartsBehindItsState)}
+FAULTS: dict[str, type[Agreement]] = {
+    fault.__name__: fault
+    for fault in (
+        ForgetsItsVote,
+        VotesWithoutNote,
+        SaysBeforeTheDisk,
+        VotesForAnyLog,
+        VotesByLength,
+        VotesByTerm,
+        CountsOlderTerms,
+        HalfIsMost,
+        TellsWhatIsNotSynced,
+        CountsItselfUnsynced,
+        LooksAtNothingBefore,
+        CutsAtOldAppends,
+        KeepsWhatDiffers,
+        AgreesBeyondWhatCame,
+        LeadsOnInLaterTerms,
+        NotesNoTerm,
+        CountsVotesOfBefore,
+        CountsEarlyVotes,
+        CountsAVoteAgain,
+        CountsRefusals,
+        ReadsWithoutAsking,
+        ReadsBeforeItsOwnLine,
+        ReadsByOldRounds,
+        TakesWordOfOtherTerms,
+        TakesOldAppends,
+        TeachesWhatIsNotAgreed,
+        LearnsWithoutTheTerm,
+        ChangesVotersAtOnce,
+        GoesByAgreedVotersOnly,
+        ForgetsVotersWhenItCompacts,
+        StartsBehindItsState,
+    )
+}
--- a/whinpier/check/sharedays.py
+++ b/whinpier/check/sharedays.py
@@ -8,17 +8,33 @@
 from whinpier.check.shares import Sharing
 
 WHOLE = (
-    Days("renewing: 2 members, limit 2, every order of messages, losses and times",
-         lambda cls: Sharing(2, 2, 2, 18, 0, 0, cls, tasks=False).lent(), 60),
-    Days("messages: 2 members, limit 2, needs that change, to 9 steps",
-         lambda cls: Sharing(2, 2, 2, 4, 0, 1, cls, tasks=False), 9),
-    Days("2 members, limit 2, tasks, a crash, to 7 steps", lambda cls: Sharing(2, 2, 2, 3, 1, 0, cls), 7),
+    Days(
+        "renewing: 2 members, limit 2, every order of messages, losses and times",
+        lambda cls: Sharing(2, 2, 2, 18, 0, 0, cls, tasks=False).lent(),
+        60,
+    ),
+    Days(
+        "messages: 2 members, limit 2, needs that change, to 9 steps",
+        lambda cls: Sharing(2, 2, 2, 4, 0, 1, cls, tasks=False),
+        9,
+    ),
+    Days(
+        "2 members, limit 2, tasks, a crash, to 7 steps",
+        lambda cls: Sharing(2, 2, 2, 3, 1, 0, cls),
+        7,
+    ),
 )
 WALKS = (
     Days("2 members, limit 2, tasks, crashes", lambda cls: Sharing(2, 2, 4, 160, 2, 20, cls)),
     Days("3 members, limit 3, tasks, crashes", lambda cls: Sharing(3, 3, 6, 160, 2, 20, cls)),
-    Days("2 members, limit 4, messages alone", lambda cls: Sharing(2, 4, 5, 200, 0, 40, cls, tasks=False)),
-    Days("3 members, limit 3, messages alone", lambda cls: Sharing(3, 3, 6, 200, 0, 40, cls, tasks=False)),
+    Days(
+        "2 members, limit 4, messages alone",
+        lambda cls: Sharing(2, 4, 5, 200, 0, 40, cls, tasks=False),
+    ),
+    Days(
+        "3 members, limit 3, messages alone",
+        lambda cls: Sharing(3, 3, 6, 200, 0, 40, cls, tasks=False),
+    ),
 )
 
 
--- a/whinpier/check/sharefaults.py
+++ b/whinpier/check/sharefaults.py
@@ -154,9 +154,28 @@
         super().deal(deal, other, now)
 
 
-FAULTS: dict[str, type[Wishing]] = {fault.__name__: fault for fault in (
-    AddsBeforeTheLenderTookOff, LendsWithoutTakingOff, LendsForTooShort, CountsFromWhenItCame, ComparesNoTurn,
-    AsksAgainInTheSameTurn, RenewsWithoutTheLender, StartsWithoutAFence, StartsAfterTooShortAFence,
-    GivesBackWhatItGoesOnUsing, GivesBackWhatTasksHold, LendsWhatTasksHold, LendsWhatIsBorrowed,
-    LendsTheSameTwice, TakesUnderWhatEndsSooner, TakesOneMore, UsesWhatHasEnded, RoundsItsHomeUp,
-    TakesBackTooSoon, AnswersForAnybodysReturn)}
+FAULTS: dict[str, type[Wishing]] = {
+    fault.__name__: fault
+    for fault in (
+        AddsBeforeTheLenderTookOff,
+        LendsWithoutTakingOff,
+        LendsForTooShort,
+        CountsFromWhenItCame,
+        ComparesNoTurn,
+        AsksAgainInTheSameTurn,
+        RenewsWithoutTheLender,
+        StartsWithoutAFence,
+        StartsAfterTooShortAFence,
+        GivesBackWhatItGoesOnUsing,
+        GivesBackWhatTasksHold,
+        LendsWhatTasksHold,
+        LendsWhatIsBorrowed,
+        LendsTheSameTwice,
+        TakesUnderWhatEndsSooner,
+        TakesOneMore,
+        UsesWhatHasEnded,
+        RoundsItsHomeUp,
+        TakesBackTooSoon,
+        AnswersForAnybodysReturn,
+    )
+}
--- a/whinpier/check/shares.py
+++ b/whinpier/check/shares.py
@@ -29,9 +29,17 @@
 class Sharing(Network):
     """Members, the network between them, and what runs at upstreams."""
 
-    def __init__(self, members: int = 2, amount: int = 2, messages: int = 3, times: int = 12,
-                 crashes: int = 1, copies: int = 1, make: type[Wishing] = Wishing,
-                 tasks: bool = True) -> None:
+    def __init__(
+        self,
+        members: int = 2,
+        amount: int = 2,
+        messages: int = 3,
+        times: int = 12,
+        crashes: int = 1,
+        copies: int = 1,
+        make: type[Wishing] = Wishing,
+        tasks: bool = True,
+    ) -> None:
         super().__init__(members, messages, crashes, copies)
         self.limit = Limit("x", IN_FLIGHT, amount, tuple(f"m{n}" for n in range(members)))
         self.make, self.left = make, times
@@ -122,17 +130,41 @@
         """Times as they lie from now, numbers of loans in the order in which they are met."""
         name = Named()
         shares = tuple(
-            (share.used, share.wish, max(0, share.fenced_till - self.now), max(0, share.last_end - self.now),
-             tuple((name(nonce), loan.other, loan.amount, loan.until - self.now, loan.turn)
-                   for nonce, loan in share.lent.items() if loan.until > self.now),
-             tuple((name(nonce), loan.other, loan.amount, loan.until - self.now, loan.turn)
-                   for nonce, loan in share.borrowed.items() if loan.until > self.now),
-             tuple((name(nonce), asked.other, asked.amount, asked.at - self.now, asked.turn)
-                   for nonce, asked in share.asked.items()),
-             tuple((who, at - self.now) for who, at in share.nothing.items() if self.now - at <= STEP))
-            for share in self.shares)
-        network = tuple(sorted((sender, to, deal.kind, name(deal.nonce), deal.amount, deal.turn)
-                               for sender, to, deal in self.network))
-        tasks = tuple(tuple(sorted(ends - self.now for ends in those))
-                      for those in (*self.tasks, self.orphans))
+            (
+                share.used,
+                share.wish,
+                max(0, share.fenced_till - self.now),
+                max(0, share.last_end - self.now),
+                tuple(
+                    (name(nonce), loan.other, loan.amount, loan.until - self.now, loan.turn)
+                    for nonce, loan in share.lent.items()
+                    if loan.until > self.now
+                ),
+                tuple(
+                    (name(nonce), loan.other, loan.amount, loan.until - self.now, loan.turn)
+                    for nonce, loan in share.borrowed.items()
+                    if loan.until > self.now
+                ),
+                tuple(
+                    (name(nonce), asked.other, asked.amount, asked.at - self.now, asked.turn)
+                    for nonce, asked in share.asked.items()
+                ),
+                tuple(
+                    (who, at - self.now)
+                    for who, at in share.nothing.items()
+                    if self.now - at <= STEP
+                ),
+            )
+            for share in self.shares
+        )
+        network = tuple(
+            sorted(
+                (sender, to, deal.kind, name(deal.nonce), deal.amount, deal.turn)
+                for sender, to, deal in self.network
+            )
+        )
+        tasks = tuple(
+            tuple(sorted(ends - self.now for ends in those))
+            for those in (*self.tasks, self.orphans)
+        )
         return shares, network, tasks, tuple(self.runs), self.left, self.crashes, self.copies
--- a/whinpier/check/votes.py
+++ b/whinpier/check/votes.py
@@ -23,17 +23,28 @@
 class Voting(Network):
     """Members, the network between them, and what rests at each."""
 
-    def __init__(self, members: int = 3, upstreams: int = 2, listed: int = 5, messages: int = 4,
-                 times: int = 10, crashes: int = 1, copies: int = 1, zones: int = 0,
-                 make: type[Court] = Court, wishes: tuple[tuple[int, int], ...] = ()) -> None:
+    def __init__(
+        self,
+        members: int = 3,
+        upstreams: int = 2,
+        listed: int = 5,
+        messages: int = 4,
+        times: int = 10,
+        crashes: int = 1,
+        copies: int = 1,
+        zones: int = 0,
+        make: type[Court] = Court,
+        wishes: tuple[tuple[int, int], ...] = (),
+    ) -> None:
         """`wishes`: which member may want which of the upstreams to rest; none: each any."""
         super().__init__(members, messages, crashes, copies)
         self.make, self.left, self.count, self.zones = make, times, members, zones
         self.keys = {100 + number: 1 + number % zones if zones else 0 for number in range(listed)}
         self.looking = set(range(members))
         tried = list(self.keys)[:upstreams] if not zones else [100, 100 + zones]
-        self.wishes = ({(place, tried[number]) for place, number in wishes}
-                       or {(place, key) for place in range(members) for key in tried})
+        self.wishes = {(place, tried[number]) for place, number in wishes} or {
+            (place, key) for place in range(members) for key in tried
+        }
         self.courts: list[Court] = [self.started(place, 0) for place in range(members)]
 
     def party(self, place: int) -> Any:
@@ -62,7 +73,11 @@
         found: list[tuple[str, Hashable]] = []
         for place, court in enumerate(self.courts):
             for who, key in sorted(self.wishes):
-                if who == place and (POOL, key) not in court.cases and len(self.network) < self.messages:
+                if (
+                    who == place
+                    and (POOL, key) not in court.cases
+                    and len(self.network) < self.messages
+                ):
                     found.append((f"m{place} wants {key} to rest", ("want", place, key)))
             if place in self.looking:
                 found.append((f"m{place} looks round", ("turn", place)))
@@ -90,7 +105,12 @@
         self.now += STEP
 
     def broken(self) -> str:
-        rest = {known[1] for court in self.courts for known, until in court.rests.items() if until > self.now}
+        rest = {
+            known[1]
+            for court in self.courts
+            for known, until in court.rests.items()
+            if until > self.now
+        }
         most = int(RULES.part * len(self.keys))
         if len(rest) > most:
             return f"{len(rest)} rest where {most} may"
@@ -103,16 +123,51 @@
     def mark(self) -> Hashable:
         name = Named()
         courts = tuple(
-            (max(0, court.fenced_till - self.now),
-             tuple(sorted((slot, given.key, given.until - self.now, given.at - self.now, name(given.nonce),
-                           given.judge) for slot, given in court.given.items() if given.until > self.now)),
-             tuple(sorted((known[1], case.slot, case.asked - self.now, name(case.nonce), case.holds,
-                           tuple(sorted(case.votes.items()))) for known, case in court.cases.items())),
-             tuple(sorted((known[1], until - self.now) for known, until in court.rests.items()
-                          if until > self.now)))
-            for court in self.courts)
-        network = tuple(sorted((sender, to, plea.kind, plea.key, name(plea.nonce), plea.one, plea.two)
-                               for sender, to, plea in self.network))
+            (
+                max(0, court.fenced_till - self.now),
+                tuple(
+                    sorted(
+                        (
+                            slot,
+                            given.key,
+                            given.until - self.now,
+                            given.at - self.now,
+                            name(given.nonce),
+                            given.judge,
+                        )
+                        for slot, given in court.given.items()
+                        if given.until > self.now
+                    )
+                ),
+                tuple(
+                    sorted(
+                        (
+                            known[1],
+                            case.slot,
+                            case.asked - self.now,
+                            name(case.nonce),
+                            case.holds,
+                            tuple(sorted(case.votes.items())),
+                        )
+                        for known, case in court.cases.items()
+                    )
+                ),
+                tuple(
+                    sorted(
+                        (known[1], until - self.now)
+                        for known, until in court.rests.items()
+                        if until > self.now
+                    )
+                ),
+            )
+            for court in self.courts
+        )
+        network = tuple(
+            sorted(
+                (sender, to, plea.kind, plea.key, name(plea.nonce), plea.one, plea.two)
+                for sender, to, plea in self.network
+            )
+        )
         return courts, network, tuple(self.runs), self.left, self.crashes, self.copies
 
 
@@ -135,7 +190,9 @@
 
 class CountsFromItsVote(Court):
     def told_to_rest(self, plea: Plea, judge: int, now: int) -> None:
-        super().told_to_rest(Plea(plea.kind, plea.pool, plea.key, plea.nonce, 0, plea.two), judge, now)
+        super().told_to_rest(
+            Plea(plea.kind, plea.pool, plea.key, plea.nonce, 0, plea.two), judge, now
+        )
 
 
 class CountsFromTheWord(Court):
@@ -155,8 +212,12 @@
     """The word of an earlier round counts from the vote of a later one, and what it took then."""
 
     def told_to_rest(self, plea: Plea, judge: int, now: int) -> None:
-        nonce = next((given.nonce for given in self.given.values() if given.key == plea.key), plea.nonce)
-        super().told_to_rest(Plea(plea.kind, plea.pool, plea.key, nonce, plea.one, plea.two), judge, now)
+        nonce = next(
+            (given.nonce for given in self.given.values() if given.key == plea.key), plea.nonce
+        )
+        super().told_to_rest(
+            Plea(plea.kind, plea.pool, plea.key, nonce, plea.one, plea.two), judge, now
+        )
 
 
 class OneVoteIsEnough(Court):
@@ -246,8 +307,11 @@
     """A vote is dated back to the first round, so that it ends too soon."""
 
     def vote(self, plea: Plea, judge: int, now: int) -> bool:
-        first = {slot: given.until for slot, given in self.given.items()
-                 if given.key == plea.key and given.until > now}
+        first = {
+            slot: given.until
+            for slot, given in self.given.items()
+            if given.key == plea.key and given.until > now
+        }
         good = super().vote(plea, judge, now)
         for slot, until in first.items():
             if slot in self.given:
@@ -255,8 +319,27 @@
         return good
 
 
-FAULTS: dict[str, type[Court]] = {fault.__name__: fault for fault in (
-    VotesForTwo, VotesForTooShort, CountsFromItsVote, CountsFromTheWord, RestsWithoutItsVote, RestsByAnyRound,
-    OneVoteIsEnough, HalfIsEnough, CountsRefusals, CountsVotesOfBefore, CountsAVoteAgain,
-    KeepsVotesOverRounds, StartsWithoutAFence, GoesOnResting, TakesAnySlot, ForgetsTheZone,
-    RenewsWithoutVotes, ReleasesWithTheTerm, VotesAnew)}
+FAULTS: dict[str, type[Court]] = {
+    fault.__name__: fault
+    for fault in (
+        VotesForTwo,
+        VotesForTooShort,
+        CountsFromItsVote,
+        CountsFromTheWord,
+        RestsWithoutItsVote,
+        RestsByAnyRound,
+        OneVoteIsEnough,
+        HalfIsEnough,
+        CountsRefusals,
+        CountsVotesOfBefore,
+        CountsAVoteAgain,
+        KeepsVotesOverRounds,
+        StartsWithoutAFence,
+        GoesOnResting,
+        TakesAnySlot,
+        ForgetsTheZone,
+        RenewsWithoutVotes,
+        ReleasesWithTheTerm,
+        VotesAnew,
+    )
+}
