--- a/whinpier/choice.py
+++ b/whinpier/choice.py
@@ -18,8 +18,24 @@
 from typing import Any
 
 from whinpier.decay import SECOND, Sum
-from whinpier.model import (ERROR, EXCLUSIVE, FULFILLED, FULL, MOOT, NEVER_RAN, NO_CONNECTION, READY,
-                            RERUNNABLE, TIMED_OUT, WITHDRAWN, HandOff, Host, Task, Upstream, Workload)
+from whinpier.model import (
+    ERROR,
+    EXCLUSIVE,
+    FULFILLED,
+    FULL,
+    MOOT,
+    NEVER_RAN,
+    NO_CONNECTION,
+    READY,
+    RERUNNABLE,
+    TIMED_OUT,
+    WITHDRAWN,
+    HandOff,
+    Host,
+    Task,
+    Upstream,
+    Workload,
+)
 from whinpier.observed import Known, Seen
 from whinpier.peers import Peers
 
@@ -49,33 +65,43 @@
 
     def __init__(self, choice: Choice, settings: dict[str, Any]) -> None:
         self.choice, self.host = choice, choice.host
-        self.held: dict[Workload, deque[Task]] = {workload: deque() for workload in choice.workloads}
-        self.answered = Sum(2 * SECOND, self.host.now)  # follows a fleet that turns slow, not single tasks
+        self.held: dict[Workload, deque[Task]] = {
+            workload: deque() for workload in choice.workloads
+        }
+        self.answered = Sum(
+            2 * SECOND, self.host.now
+        )  # follows a fleet that turns slow, not single tasks
         self.configure(settings)
 
     def configure(self, settings: dict[str, Any]) -> None:
         self.whole = float(settings.get("goal.whole", 1.0))
         self.worst = float(settings.get("goal.worst_class", 0.0))
         self.most = int(settings.get("limits.held", 1 << 30))
-        self.held |= {workload: self.held.get(workload, deque()) for workload in self.choice.workloads}
+        self.held |= {
+            workload: self.held.get(workload, deque()) for workload in self.choice.workloads
+        }
 
     def rank(self) -> None:
         """Order the workloads by what their tasks add for the work they cost, the worst served lifted."""
         here = [kind for kind, tasks in self.held.items() if tasks or kind in self.choice.workloads]
         asked = {workload: workload.known.asked.read(self.host.now) + 1.0 for workload in here}
-        least = min(asked, key=lambda workload: workload.known.kept.read(self.host.now) / asked[workload])
+        least = min(
+            asked, key=lambda workload: workload.known.kept.read(self.host.now) / asked[workload]
+        )
         payoff = sum(workload.payoff * count for workload, count in asked.items())
 
         def worth(workload: Workload) -> float:
             lift = self.worst / asked[workload] if workload is least else 0.0
             return float((self.whole * workload.payoff / payoff + lift) / workload.known.usual)
 
-        self.held = {workload: self.held[workload] for workload in sorted(here, key=worth, reverse=True)}
+        self.held = {
+            workload: self.held[workload] for workload in sorted(here, key=worth, reverse=True)
+        }
 
     def waiting(self, workload: Workload | None = None) -> int:
         """How many are held, or of those how many would go before a new task of a workload."""
         first = list(self.held)
-        first = first[:first.index(workload) + 1] if workload in self.held else first
+        first = first[: first.index(workload) + 1] if workload in self.held else first
         return sum(len(self.held[other]) for other in first)
 
     def take(self, task: Task) -> str:
@@ -85,10 +111,15 @@
         """Keep a task until there is room, unless too many wait for it to be reached in time."""
         now, workload = self.host.now, task.workload
         # 20 ms before its client gives up at the latest, so that its answer is timely.
-        task.held_until = min(task.came + int(self.HOLD * workload.agreed_time), task.ends - SECOND // 50)
+        task.held_until = min(
+            task.came + int(self.HOLD * workload.agreed_time), task.ends - SECOND // 50
+        )
         wait = task.held_until - now
-        if (wait <= 0 or self.waiting(workload) > 3 + self.answered.rate(now) * wait / SECOND
-                or self.waiting() >= self.most):
+        if (
+            wait <= 0
+            or self.waiting(workload) > 3 + self.answered.rate(now) * wait / SECOND
+            or self.waiting() >= self.most
+        ):
             return self.choice.finish(task)
         self.held.setdefault(workload, deque()).append(task)
         self.choice.wake(now + SECOND // 100)
@@ -112,7 +143,9 @@
         now, task = self.host.now, hand_off.task
         if hand_off.outcome == FULFILLED:
             self.answered.add(now)
-            task.workload.known.kept.add(now, float(first and now <= task.came + task.workload.agreed_time))
+            task.workload.known.kept.add(
+                now, float(first and now <= task.came + task.workload.agreed_time)
+            )
         if hand_off.upstream.seen.out < hand_off.upstream.seen.room:
             self.release()
 
@@ -120,7 +153,9 @@
 class Again:
     """Second stage: keeps to what each workload allows when a task is sent more than once."""
 
-    LATE = 2.0  # an answer is late after this many mean latencies: by then an upstream in doubt shows
+    LATE = (
+        2.0  # an answer is late after this many mean latencies: by then an upstream in doubt shows
+    )
     COPIES = 0.1  # second copies and repeats, per task: enough for one bad upstream in ten
 
     def __init__(self, choice: Choice, settings: dict[str, Any]) -> None:
@@ -132,9 +167,14 @@
 
     def configure(self, settings: dict[str, Any]) -> None:
         self.second_copies = settings.get("limits.second_copies", False)
-        self.setup = settings.get("limits.connect_timeout", SECOND // 4) + SECOND // 20  # till it has come
+        self.setup = (
+            settings.get("limits.connect_timeout", SECOND // 4) + SECOND // 20
+        )  # till it has come
         for workload in self.choice.workloads:  # a task keeps what held when it came
-            workload.most, workload.copies = int(settings.get("limits.max_hand_offs", 1)), self.second_copies
+            workload.most, workload.copies = (
+                int(settings.get("limits.max_hand_offs", 1)),
+                self.second_copies,
+            )
             workload.cancelling = settings.get("limits.cancelling", False)
         self.due = self.due if self.second_copies else []  # no copy is sent by settings of before
 
@@ -143,14 +183,20 @@
 
     @staticmethod
     def may_have_run(task: Task) -> HandOff | None:
-        return next((hand_off for hand_off in task.hand_offs if hand_off.outcome not in NEVER_RAN), None)
+        return next(
+            (hand_off for hand_off in task.hand_offs if hand_off.outcome not in NEVER_RAN), None
+        )
 
     def allowed(self, task: Task) -> bool:
         """Whether the rules let the task be sent once more, to whichever upstream `fits`."""
         now, ran, workload = self.host.now, self.may_have_run(task), task.workload
         # A second effect: an exclusive task is never repeated, a ticketed one only while it is remembered.
-        once = (ran is None or workload.kind == RERUNNABLE
-                or workload.kind != EXCLUSIVE and now + self.setup < ran.sent + workload.window)
+        once = (
+            ran is None
+            or workload.kind == RERUNNABLE
+            or workload.kind != EXCLUSIVE
+            and now + self.setup < ran.sent + workload.window
+        )
         return once and len(task.hand_offs) < workload.most and now < task.ends
 
     def fits(self, task: Task, upstream: Upstream) -> bool:
@@ -158,12 +204,21 @@
         ran, group = self.may_have_run(task), task.workload.group
         if ran is None or task.workload.kind == RERUNNABLE or group == "all":
             return True
-        return upstream.zone == ran.upstream.zone if group == "zone" else upstream.cell == ran.upstream.cell
+        return (
+            upstream.zone == ran.upstream.zone
+            if group == "zone"
+            else upstream.cell == ran.upstream.cell
+        )
 
     def harmless(self, task: Task) -> bool:
         """Whether the client may be told that trying again does no harm."""
         kind, everywhere = task.workload.kind, task.workload.group == "all"
-        return kind == RERUNNABLE or self.may_have_run(task) is None or kind != EXCLUSIVE and everywhere
+        return (
+            kind == RERUNNABLE
+            or self.may_have_run(task) is None
+            or kind != EXCLUSIVE
+            and everywhere
+        )
 
     def afford(self) -> bool:
         """Count one repeat, if they are still rare enough not to feed a jam."""
@@ -175,7 +230,12 @@
         """Look again at a repeatable task when its answer is late."""
         workload = hand_off.task.workload
         due = self.host.now + int(self.LATE * workload.known.usual)
-        if workload.kind != EXCLUSIVE and workload.copies and self.second_copies and due < hand_off.task.ends:
+        if (
+            workload.kind != EXCLUSIVE
+            and workload.copies
+            and self.second_copies
+            and due < hand_off.task.ends
+        ):
             heapq.heappush(self.due, (due, next(self.number), hand_off))
             self.choice.wake(due)
 
@@ -216,7 +276,9 @@
     MOST = 6.0  # out at an upstream from all balancers: room for one with a few cores, busy and kept so
     LATE_USE = 0.85  # the part in use that an upstream is kept to whose reports are seconds old
     IN_USE = 0.95  # and one that was asked just now: what waits there beyond it is late
-    MUTE = 20  # answers without a load report, after which an upstream counts as one that gives none
+    MUTE = (
+        20  # answers without a load report, after which an upstream counts as one that gives none
+    )
     PROBES = 0.5  # a task: each upstream of a part some times a second, and 0.3 % of a task's work
     FRESH = SECOND // 2  # a probe's word holds: a few turns of what is in work
     SPEAK = 20.0  # messages a second that each balancer gets at most, however many there are
@@ -237,16 +299,29 @@
         self.total, self.owed, self.usual, self.sharing, self.crowded = 0, 0.0, 0.0, 1.0, False
 
     def configure(self, settings: dict[str, Any]) -> None:
-        self.peers, self.balancers = Peers(), max(1, int(settings.get("balancers", 1)))  # others, other rates
+        self.peers, self.balancers = (
+            Peers(),
+            max(1, int(settings.get("balancers", 1))),
+        )  # others, other rates
         self.reports = "busy" in settings.get("report.columns", [])
-        self.probes = settings.get("limits.probes", False) and settings.get("report.source") == "on_probe"
+        self.probes = (
+            settings.get("limits.probes", False) and settings.get("report.source") == "on_probe"
+        )
         self.tells = bool(settings.get("limits.peers", False)) and self.balancers > 1
         self.number, self.zone = int(settings.get("slot_no", 0)), settings.get("zone", 0)
-        self.cold_from, self.warm_up = settings.get("rules.cold_from", 1.0), settings.get("rules.cold", 0)
-        self.bears, self.fall = settings.get("rules.fall_multiple", 2.0), settings.get("rules.fall", SECOND)
+        self.cold_from, self.warm_up = (
+            settings.get("rules.cold_from", 1.0),
+            settings.get("rules.cold", 0),
+        )
+        self.bears, self.fall = (
+            settings.get("rules.fall_multiple", 2.0),
+            settings.get("rules.fall", SECOND),
+        )
         agreed = [workload.agreed_time / SECOND for workload in self.choice.workloads]
         self.ease = self.ease or min(agreed) / 5  # a start until it is known
-        self.crossing = float(settings.get("prices.cross_zone", 0.0)) * max(agreed)  # its price as time
+        self.crossing = float(settings.get("prices.cross_zone", 0.0)) * max(
+            agreed
+        )  # its price as time
 
     def listed(self, upstreams: list[Upstream]) -> None:
         """Follow the list: what drains or is missing gets nothing new from this moment on."""
@@ -254,11 +329,15 @@
             if upstream.seen is None:
                 wait = int(self.fall * self.random()) if self.ready else 0
                 upstream.seen = Seen(upstream, self.host.now, self.span, wait)
-        ready = sorted((up.seen for up in upstreams if up.state == READY), key=lambda seen: seen.upstream.id)
+        ready = sorted(
+            (up.seen for up in upstreams if up.state == READY), key=lambda seen: seen.upstream.id
+        )
         # Who joins a list is taken up by chance, so that it meets as many balancers as the others.
         part = self.want(len(ready)) / max(1, len(ready)) if self.ready else 0.0
         pool, known, self.ready = set(self.pool), set(self.ready), ready
-        self.pool = [seen for seen in ready if seen in pool or seen not in known and self.random() < part]
+        self.pool = [
+            seen for seen in ready if seen in pool or seen not in known and self.random() < part
+        ]
         self.solve()
 
     def want(self, count: int) -> int:
@@ -277,15 +356,24 @@
         # In steps, with what is connected kept. If most of them are in doubt others are taken besides.
         elif 4 * min(len(pool), 2 * sound) <= 3 * want:
             step, start, held = count // want, self.number * count // self.balancers, set(pool)
-            walk = (self.ready[(start + at) % count] for at in sorted(range(count), key=lambda at: at % step))
+            walk = (
+                self.ready[(start + at) % count]
+                for at in sorted(range(count), key=lambda at: at % step)
+            )
             pool += islice((seen for seen in walk if seen not in held), max(1, want - sound))
         while len(pool) > 1.5 * want:
             self.host.close_idle(pool.pop(int(self.random() * len(pool))).upstream)
         self.pool = pool
 
     def tell(self) -> None:
-        now = self.host.now  # once there is a rate: of nothing, others would think that they are alone
-        if self.tells and now >= self.arrived.begun + PERIOD and self.random() < self.SPEAK / self.balancers:
+        now = (
+            self.host.now
+        )  # once there is a rate: of nothing, others would think that they are alone
+        if (
+            self.tells
+            and now >= self.arrived.begun + PERIOD
+            and self.random() < self.SPEAK / self.balancers
+        ):
             self.host.tell(None, self.peers.pack(self.arrived.rate(now)))
 
     def came(self) -> None:
@@ -304,12 +392,18 @@
         if "busy" in load:
             # Guards against room for six at one of a single core: its room grows and shrinks by e a second
             # for each whole part in use that is missing or too many, to what just keeps it in use.
-            use, span = self.IN_USE if self.probes else self.LATE_USE, min(now - seen.told, SECOND) / SECOND
+            use, span = (
+                self.IN_USE if self.probes else self.LATE_USE,
+                min(now - seen.told, SECOND) / SECOND,
+            )
             seen.wide = min(max(seen.wide * exp((use - load["busy"]) * span), 1.5), self.MOST)
             seen.told, seen.mute = now, 0
 
     def age(self, upstream: Upstream) -> float:
-        old, most = self.host.now - upstream.started if upstream.started else self.warm_up, self.warm_up
+        old, most = (
+            self.host.now - upstream.started if upstream.started else self.warm_up,
+            self.warm_up,
+        )
         return 1.0 if old >= most else self.cold_from + (1.0 - self.cold_from) * max(0, old) / most
 
     def doubted(self, seen: Seen, but: HandOff | None = None) -> bool:
@@ -317,7 +411,8 @@
         seen.watch(now := self.host.now)
         # For `but`, a heavy task must not pass for a silent upstream: without it, one more must be overdue.
         return seen.silence > self.DOUBT and (
-            not but or seen.silence - (now - max(but.sent, seen.heard)) * but.pull > 1.0)
+            not but or seen.silence - (now - max(but.sent, seen.heard)) * but.pull > 1.0
+        )
 
     def sure(self) -> list[Seen]:
         """Those that answer. Where most seem silent at once it is no fault of theirs: then all of them."""
@@ -333,7 +428,10 @@
         self.traffic = (own + 1.0) / (fleet + self.balancers)
         self.choose()
         pool, sure, part = self.pool, self.sure(), len(self.pool) / max(1, len(self.ready))
-        rate, self.sharing = fleet * part, max(1.0, part / self.traffic)  # of all, at these upstreams
+        rate, self.sharing = (
+            fleet * part,
+            max(1.0, part / self.traffic),
+        )  # of all, at these upstreams
         # Latencies fade over the time it takes to hear some thirty answers of each: fewer say little where
         # tasks differ much. Bounds: three seconds, and half of what a trouble usually lasts.
         self.span = int(min(max(30.0 * len(pool) / max(own, 1.0), 3.0), 10.0) * SECOND)
@@ -343,7 +441,10 @@
             self.make_room(seen)
         # What a warm one answers from here in the time that lets a cold one fall is the measure for that one.
         self.cold, even = [seen for seen in pool if seen.cold], own / max(1, len(pool))
-        warm, answers = len(pool) - len(self.cold), [w.known.answers.rate(now) for w in self.choice.workloads]
+        warm, answers = (
+            len(pool) - len(self.cold),
+            [w.known.answers.rate(now) for w in self.choice.workloads],
+        )
         self.usual = (max(sum(answers) / warm, even / 4) if warm else even) * self.fall / SECOND
         # Until latencies and a rate exist the draw is even.
         shares = level(self.costs(sure, mean), rate) if mean and rate >= 1.0 else [1.0] * len(sure)
@@ -363,7 +464,9 @@
         took = answers = 0.0
         for workload in self.choice.workloads:
             known, answered = workload.known, workload.known.answers.read(now)
-            known.usual = max(known.took.read(now) / answered, 1e3) if answered > 0.5 else known.usual
+            known.usual = (
+                max(known.took.read(now) / answered, 1e3) if answered > 0.5 else known.usual
+            )
             answers, took = answers + answered, took + known.took.value
         mean = took / answers / SECOND if answers > 0.5 else 0.0
         # Against fifty answers, and after three seconds: the quickest come first, and a restarted balancer
@@ -404,9 +507,15 @@
         upstream, now = seen.upstream, self.host.now
         if seen.held >= seen.wide and now < seen.probed + self.FRESH:
             return False  # a probe has just said that it holds what all may have out
-        if (seen.out >= seen.room or now < seen.shut_until or upstream.state != READY or upstream.spare < 1
-                or any(sent.upstream is upstream for sent in task.hand_offs)
-                or task.hand_offs and not self.choice.again.fits(task, upstream)):
+        if (
+            seen.out >= seen.room
+            or now < seen.shut_until
+            or upstream.state != READY
+            or upstream.spare < 1
+            or any(sent.upstream is upstream for sent in task.hand_offs)
+            or task.hand_offs
+            and not self.choice.again.fits(task, upstream)
+        ):
             return False
         if (age := self.age(upstream)) >= 1.0:
             return True
@@ -423,24 +532,38 @@
             if seen.silence <= sound:
                 out, parts = out + seen.out, parts + seen.part
         if task.workload.known is next(iter(self.choice.entry.held)).known:
-            out = min(out, task.workload.known.out)  # what adds most for its work is not kept out by the rest
+            out = min(
+                out, task.workload.known.out
+            )  # what adds most for its work is not kept out by the rest
         if out >= max(1.0, parts) - 0.5 * self.crowded:
             return None
         # Trials rather go with tasks that may be repeated: they may meet what answers nothing.
         if self.owed >= (1.0 if task.workload.kind != EXCLUSIVE else 4.0) and not task.hand_offs:
             self.owed = 0.0
-            if idle := [seen for seen in self.pool if seen.out == 0 and self.open_to(seen, task)
-                        and (seen.share == 0.0 or self.doubted(seen))]:
+            if idle := [
+                seen
+                for seen in self.pool
+                if seen.out == 0
+                and self.open_to(seen, task)
+                and (seen.share == 0.0 or self.doubted(seen))
+            ]:
                 return self.pick(idle)
         # After cold ones that are due one, four draws by share: enough to pass by the few that can't have it.
         points = (self.random() * self.bounds[-1] for _ in range(4 if self.drawn else 0))
         warm = (self.drawn[bisect_right(self.bounds, at, 0, len(self.drawn) - 1)] for at in points)
-        fit = (seen for seen in chain(self.cold, warm) if not self.doubted(seen) and self.open_to(seen, task))
+        fit = (
+            seen
+            for seen in chain(self.cold, warm)
+            if not self.doubted(seen) and self.open_to(seen, task)
+        )
         found = next(fit, None)
         if found is not None and found.out > 2.0 * self.total / len(self.pool):
             found = next(fit, found)  # over twice the mean is out there: drawn once more
-        return found or min((seen for seen in self.sure() if self.open_to(seen, task)),
-                            key=lambda seen: seen.out, default=None)
+        return found or min(
+            (seen for seen in self.sure() if self.open_to(seen, task)),
+            key=lambda seen: seen.out,
+            default=None,
+        )
 
     def take(self, task: Task) -> str:
         if (seen := self.find(task)) is None:
@@ -458,7 +581,11 @@
     def back(self, hand_off: HandOff, first: bool) -> None:
         seen, workload, outcome = hand_off.upstream.seen, hand_off.task.workload, hand_off.outcome
         seen.watch(now := self.host.now)
-        seen.out, self.total, workload.known.out = seen.out - 1, self.total - 1, workload.known.out - 1
+        seen.out, self.total, workload.known.out = (
+            seen.out - 1,
+            self.total - 1,
+            workload.known.out - 1,
+        )
         seen.pull = seen.pull - hand_off.pull if seen.out else 0.0
         if outcome in (FULFILLED, ERROR, FULL):
             seen.silence, seen.heard = 0.0, now
@@ -487,7 +614,9 @@
 class Choice:
     """One balancer's decisions."""
 
-    def __init__(self, host: Host, settings: dict[str, Any], workloads: list[Workload], seed: int) -> None:
+    def __init__(
+        self, host: Host, settings: dict[str, Any], workloads: list[Workload], seed: int
+    ) -> None:
         self.host, self.workloads, self.next_wake = host, workloads, 0
         for workload in workloads:
             workload.known = Known(workload, host.now)
@@ -498,17 +627,26 @@
         host.alarm(host.now, SOLVE)
 
     def configure(self, settings: dict[str, Any]) -> None:
-        self.retry_after = bool(settings.get("limits.retry_after", True))  # whether clients are told a wait
+        self.retry_after = bool(
+            settings.get("limits.retry_after", True)
+        )  # whether clients are told a wait
         self.asks = settings.get("discovery") == "subscribe"
-        self.ask_within = int(settings.get("rules.ask_within", 10 * SECOND)) // 2  # with time to spare
+        self.ask_within = (
+            int(settings.get("rules.ask_within", 10 * SECOND)) // 2
+        )  # with time to spare
         self.ask_later()
 
     def ask_later(self) -> None:
         # Guards against a bank that asks in step for a list that can answer only so many: by chance within
         # two seconds, and within twice as long after each call in vain, which may itself take half of that.
         if self.asks and not self.following:
-            within, chance = min(2 * SECOND << min(self.tries, 9), self.ask_within), self.split.random()
-            self.ask_at = self.host.now + int(within * (0.5 + chance / 2 if self.tries else chance)) + 1
+            within, chance = (
+                min(2 * SECOND << min(self.tries, 9), self.ask_within),
+                self.split.random(),
+            )
+            self.ask_at = (
+                self.host.now + int(within * (0.5 + chance / 2 if self.tries else chance)) + 1
+            )
             self.host.alarm(self.ask_at, ASK)
 
     def list_lost(self) -> None:
--- a/whinpier/cli/bank.py
+++ b/whinpier/cli/bank.py
@@ -76,10 +76,16 @@
 
 def options(command: Any) -> Any:
     """What each command has."""
-    for option in (click.option("--json", "as_json", is_flag=True, help="Print it as JSON."),
-                   click.option("--operator", type=FILE, envvar="BALANCER_OPERATOR",
-                                help="The process's operator's file; its bank.control is asked."),
-                   click.option("--socket", "path", type=FILE, help="The control socket itself.")):
+    for option in (
+        click.option("--json", "as_json", is_flag=True, help="Print it as JSON."),
+        click.option(
+            "--operator",
+            type=FILE,
+            envvar="BALANCER_OPERATOR",
+            help="The process's operator's file; its bank.control is asked.",
+        ),
+        click.option("--socket", "path", type=FILE, help="The control socket itself."),
+    ):
         command = option(command)
     return command
 
@@ -108,11 +114,20 @@
     """Who is here, suspect, lost or leaving, since when, by whose word; this one's own position."""
     if (found := asked("members", path, operator, as_json)) is None:
         return
-    click.echo(f"{found['self']}: {found['position']}; {found['here']} here, {found['unheard']} unheard")
+    click.echo(
+        f"{found['self']}: {found['position']}; {found['here']} here, {found['unheard']} unheard"
+    )
     for name, one in found["shares"].items():
         click.echo(f"pool {name}: {one['balancers']} balancers, this one is number {one['number']}")
-    rows = [row | {"since": ago(row["since_ms"]), "heard": ago(row["heard_ms"]),
-                   "disputed by": ", ".join(row["disputed_by"])} for row in found["members"]]
+    rows = [
+        row
+        | {
+            "since": ago(row["since_ms"]),
+            "heard": ago(row["heard_ms"]),
+            "disputed by": ", ".join(row["disputed_by"]),
+        }
+        for row in found["members"]
+    ]
     show([{key: row[key] for key in SHOWN} for row in rows], "members")
 
 
@@ -122,8 +137,10 @@
     """How this process reaches each of the others: itself, by way of another, or not."""
     if (found := asked("links", path, operator, as_json)) is None:
         return
-    rows = [row | {"heard": ago(row["heard_ms"]), "disputed by": ", ".join(row["disputed_by"])}
-            for row in found]
+    rows = [
+        row | {"heard": ago(row["heard_ms"]), "disputed by": ", ".join(row["disputed_by"])}
+        for row in found
+    ]
     shown = ("to", "state", "way", "heard", "address", "disputed by")
     show([{key: row[key] for key in shown} for row in rows], "links")
 
@@ -149,10 +166,25 @@
 def show_limits(path: Path | None, operator: Path | None, as_json: bool) -> None:
     if (found := asked("limits", path, operator, as_json)) is None:
         return
-    shown = ("limit", "of", "kind", "promise", "amount", "home", "mine", "need", "used", "passed",
-             "turned_back", "agreed")
-    show([{key: row.get(key) for key in shown} for row in found],
-         "limits; of a rate in thousandths of a task a second", 2)
+    shown = (
+        "limit",
+        "of",
+        "kind",
+        "promise",
+        "amount",
+        "home",
+        "mine",
+        "need",
+        "used",
+        "passed",
+        "turned_back",
+        "agreed",
+    )
+    show(
+        [{key: row.get(key) for key in shown} for row in found],
+        "limits; of a rate in thousandths of a task a second",
+        2,
+    )
 
 
 @limits.command("show")
@@ -164,8 +196,13 @@
 
 @limits.command("explain")
 @click.argument("file", type=FILE)
-@click.option("--members", default=10, show_default=True, type=click.IntRange(1, 4096),
-              help="How many share what is nearly kept.")
+@click.option(
+    "--members",
+    default=10,
+    show_default=True,
+    type=click.IntRange(1, 4096),
+    help="How many share what is nearly kept.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
 def limits_explain(file: Path, members: int, as_json: bool) -> None:
     """Say what each limit of FILE promises, in figures, without starting anything."""
@@ -199,16 +236,24 @@
 
 def saying(command: Any) -> Any:
     """What each command has that says something to the whole bank."""
-    for option in (click.option("--wait", default=5.0, show_default=True, type=click.FloatRange(0.0, 600.0),
-                                help="Seconds for all members to confirm."),
-                   click.option("--who", default=getpass.getuser, help="Who says so; the user's name."),
-                   click.option("--why", default="", help="Kept beside it.")):
+    for option in (
+        click.option(
+            "--wait",
+            default=5.0,
+            show_default=True,
+            type=click.FloatRange(0.0, 600.0),
+            help="Seconds for all members to confirm.",
+        ),
+        click.option("--who", default=getpass.getuser, help="Who says so; the user's name."),
+        click.option("--why", default="", help="Kept beside it."),
+    ):
         command = option(command)
     return options(command)
 
 
-def confirmed(call: Call, wait: float, done: Callable[[Any, Any], bool], found: Any, as_json: bool,
-              what: str) -> None:
+def confirmed(
+    call: Call, wait: float, done: Callable[[Any, Any], bool], found: Any, as_json: bool, what: str
+) -> None:
     """Wait until all who are there hold what was said; 3 with those who did not say so."""
     ends = time.monotonic() + wait
     while True:
@@ -218,7 +263,9 @@
         time.sleep(0.05)
         found = call.one("register")
     if as_json:
-        click.echo(json.dumps({"said": what, "confirmed": not left, "not_confirmed": left}, indent=1))
+        click.echo(
+            json.dumps({"said": what, "confirmed": not left, "not_confirmed": left}, indent=1)
+        )
     elif not left:
         click.echo(f"{what}: confirmed by {len(found['members']) + 1} members")
     if left:
@@ -236,10 +283,21 @@
 @limits.command("set")
 @click.argument("name")
 @click.argument("amount", type=click.FloatRange(0.0, 1e9, min_open=True))
-@click.option("--for", "life", default="1h", show_default=True, callback=span_of, help="How long it holds.")
+@click.option(
+    "--for", "life", default="1h", show_default=True, callback=span_of, help="How long it holds."
+)
 @saying
-def limits_set(name: str, amount: float, life: int, wait: float, who: str, why: str, path: Path | None,
-               operator: Path | None, as_json: bool) -> None:
+def limits_set(
+    name: str,
+    amount: float,
+    life: int,
+    wait: float,
+    who: str,
+    why: str,
+    path: Path | None,
+    operator: Path | None,
+    as_json: bool,
+) -> None:
     """Have the whole bank go by another AMOUNT of limit NAME for a while; 3 where some did not confirm."""
     call = Call(socket_of(path, operator))
     value = {"amount": amount, "who": who} | ({"why": why} if why else {})
@@ -250,8 +308,15 @@
 @limits.command("lift")
 @click.argument("name")
 @saying
-def limits_lift(name: str, wait: float, who: str, why: str, path: Path | None, operator: Path | None,
-                as_json: bool) -> None:
+def limits_lift(
+    name: str,
+    wait: float,
+    who: str,
+    why: str,
+    path: Path | None,
+    operator: Path | None,
+    as_json: bool,
+) -> None:
     """Have the whole bank go by the files' amount of limit NAME again."""
     call = Call(socket_of(path, operator))
     found = call.one("say", name=f"limit/{name}", life_ms=3_600_000)
@@ -270,7 +335,9 @@
 @bank.group(invoke_without_command=True)
 @options
 @click.pass_context
-def verdicts(context: click.Context, path: Path | None, operator: Path | None, as_json: bool) -> None:
+def verdicts(
+    context: click.Context, path: Path | None, operator: Path | None, as_json: bool
+) -> None:
     """Which upstreams rest over the whole bank, or are about to, as one process has it."""
     if context.invoked_subcommand is None:
         show_verdicts(path, operator, as_json)
@@ -302,22 +369,40 @@
 @verdicts.command("set")
 @click.argument("kind", type=KINDS)
 @click.argument("name")
-@click.option("--for", "life", default="10m", show_default=True, callback=span_of, help="How long it holds.")
+@click.option(
+    "--for", "life", default="10m", show_default=True, callback=span_of, help="How long it holds."
+)
 @saying
-def verdicts_set(kind: str, name: str, life: int, wait: float, who: str, why: str, path: Path | None,
-                 operator: Path | None, as_json: bool) -> None:
+def verdicts_set(
+    kind: str,
+    name: str,
+    life: int,
+    wait: float,
+    who: str,
+    why: str,
+    path: Path | None,
+    operator: Path | None,
+    as_json: bool,
+) -> None:
     """Let an upstream (POOL/UPSTREAM) rest, or turn back a tenant or route, at the whole bank for a while."""
     call, key = Call(socket_of(path, operator)), key_of(kind, name)
-    found = call.one("say", name=key, value={"who": who} | ({"why": why} if why else {}), life_ms=life)
+    found = call.one(
+        "say", name=key, value={"who": who} | ({"why": why} if why else {}), life_ms=life
+    )
     if kind == "upstream":
         ends, resting = time.monotonic() + wait, False
         while not resting and time.monotonic() < ends:
-            resting = any(f"{row['pool']}/{row['upstream']}" == name and row["state"] == "rests"
-                          for row in call.one("verdicts"))
+            resting = any(
+                f"{row['pool']}/{row['upstream']}" == name and row["state"] == "rests"
+                for row in call.one("verdicts")
+            )
             time.sleep(0.05)
         if not resting:
-            fail(f"{name}: does not rest: no slot is free, or most members are not heard; it is tried again "
-                 "while the word holds", 3)
+            fail(
+                f"{name}: does not rest: no slot is free, or most members are not heard; it is tried again "
+                "while the word holds",
+                3,
+            )
     confirmed(call, wait, holds, found, as_json, f"{kind} {name}")
 
 
@@ -325,8 +410,16 @@
 @click.argument("kind", type=KINDS)
 @click.argument("name")
 @saying
-def verdicts_lift(kind: str, name: str, wait: float, who: str, why: str, path: Path | None,
-                  operator: Path | None, as_json: bool) -> None:
+def verdicts_lift(
+    kind: str,
+    name: str,
+    wait: float,
+    who: str,
+    why: str,
+    path: Path | None,
+    operator: Path | None,
+    as_json: bool,
+) -> None:
     """Take back what an operator said; what rests ends with its lease."""
     call = Call(socket_of(path, operator))
     found = call.one("say", name=key_of(kind, name), life_ms=3_600_000)
@@ -362,8 +455,9 @@
         if as_json:
             click.echo(json.dumps(told))
         elif event := told.get("event"):
-            rest = " ".join(f"{key}={value}" for key, value in event.items()
-                            if key not in ("event", "mono_ns"))
+            rest = " ".join(
+                f"{key}={value}" for key, value in event.items() if key not in ("event", "mono_ns")
+            )
             click.echo(f"{event['mono_ns'] / 1e9:.3f} {event['event']} {rest}")
         elif "missed" in told:
             click.echo(f"missed {told['missed']} events: this reader was too slow")
--- a/whinpier/cli/bankdemo.py
+++ b/whinpier/cli/bankdemo.py
@@ -31,9 +31,19 @@
     def __init__(self, folder: Path, count: int, tell: Tell) -> None:
         self.folder, self.count, self.tell = folder, count, tell
         self.fleet = Fleet({f"s-{n}": Script(workers=8, work=WORK) for n in range(4)}, 1)
-        self.bank = Bank(count, folder, self.service, relayed=False, agreement={
-            "voters": [f"m{n}" for n in range(min(3, count))], "permits": {
-                "balancers": {"of": "balancers", "out": 1}, "t": {"of": "upstreams", "pool": "t", "out": 1}}})
+        self.bank = Bank(
+            count,
+            folder,
+            self.service,
+            relayed=False,
+            agreement={
+                "voters": [f"m{n}" for n in range(min(3, count))],
+                "permits": {
+                    "balancers": {"of": "balancers", "out": 1},
+                    "t": {"of": "upstreams", "pool": "t", "out": 1},
+                },
+            },
+        )
 
     def service(self, process: Process | None = None, **more: Any) -> files.Plain:
         pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, PATIENCE) | more
@@ -50,31 +60,59 @@
 
     def command(self, number: int, *words: str) -> int:
         """One command of `whinpier bank`, as somebody types it."""
-        self.tell(f"$ whinpier bank {' '.join(words)} --socket {self.bank.processes[number].control}")
-        found = subprocess.run([sys.executable, "-m", "whinpier.cli", "bank", *words, "--socket",
-                                self.bank.processes[number].control], capture_output=True, text=True)
+        self.tell(
+            f"$ whinpier bank {' '.join(words)} --socket {self.bank.processes[number].control}"
+        )
+        found = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "whinpier.cli",
+                "bank",
+                *words,
+                "--socket",
+                self.bank.processes[number].control,
+            ],
+            capture_output=True,
+            text=True,
+        )
         for line in (found.stdout + found.stderr).splitlines():
             self.tell(f"    {line}")
         self.tell(f"    exit {found.returncode}")
         return found.returncode
 
     def leader(self) -> int:
-        return next(one.number for one in self.bank.processes
-                    if one.alive() and self.status(one.number)["role"] == "leader")
+        return next(
+            one.number
+            for one in self.bank.processes
+            if one.alive() and self.status(one.number)["role"] == "leader"
+        )
 
     def play(self, seconds: float) -> dict[str, Any]:
         """The whole story; what each command came to, and what clients saw."""
         last = self.count - 1
-        loads = Loads([(self.bank.processes[n].balancer.address,  # type: ignore[union-attr]
-                        Asks(f"t{n}", RATE, "/t/x", "POST", "t.example", PATIENCE, AGREED))
-                       for n in (last - 1, last)], 1, time.monotonic() + 0.2, seconds)
+        loads = Loads(
+            [
+                (
+                    self.bank.processes[n].balancer.address,  # type: ignore[union-attr]
+                    Asks(f"t{n}", RATE, "/t/x", "POST", "t.example", PATIENCE, AGREED),
+                )
+                for n in (last - 1, last)
+            ],
+            1,
+            time.monotonic() + 0.2,
+            seconds,
+        )
         good, bad = self.folder / "good.toml", self.folder / "bad.toml"
         good.write_text(files.document(self.service(connect_timeout="200ms")))
-        bad.write_text(files.document(self.service(upstreams=files.upstreams({"s-0": "127.0.0.1:9"}))))
+        bad.write_text(
+            files.document(self.service(upstreams=files.upstreams({"s-0": "127.0.0.1:9"})))
+        )
         codes = {
             "drain": self.command(0, "drain", "balancer", f"m{last}", "--why", "a new disk"),
             "second drain": self.command(1, "drain", "balancer", f"m{last - 1}"),
-            "undrain": self.command(0, "undrain", "balancer", f"m{last}")}
+            "undrain": self.command(0, "undrain", "balancer", f"m{last}"),
+        }
         leads = self.leader()
         self.tell(f"    m{leads}, which leads, is killed")
         self.bank.kill(leads)
@@ -84,18 +122,34 @@
         self.bank.processes[leads].start()
         self.bank.until(lambda: not self.status(other)["lost"], 20.0)
         self.tell(f"    m{leads} is there again")
-        codes["release"] = self.command(other, "release", str(good), "--waves", "1", "--window", "1s")
-        codes["bad release"] = self.command(other, "release", str(bad), "--waves", "1", "--window", "1s")
+        codes["release"] = self.command(
+            other, "release", str(good), "--waves", "1", "--window", "1s"
+        )
+        codes["bad release"] = self.command(
+            other, "release", str(bad), "--waves", "1", "--window", "1s"
+        )
         codes["undo"] = self.command(other, "undo")
         self.command(other, "history")
         seen = loads.results()
         wrong = sum(len(one.unanswered()) + len(one.answered_twice()) for one in seen)
         twice = len(self.fleet.ledger().twice())
-        wanted = {"drain": 0, "second drain": 1, "undrain": 0, "drain while one is lost": 1, "release": 0,
-                  "bad release": 3, "undo": 0}
-        return {"exits": codes, "tasks": sum(len(one.told) for one in seen), "without_one_answer": wrong,
-                "exclusive_twice": twice, "on_time": round(min(one.share_on_time() for one in seen), 4),
-                "good": codes == wanted and not wrong and not twice}
+        wanted = {
+            "drain": 0,
+            "second drain": 1,
+            "undrain": 0,
+            "drain while one is lost": 1,
+            "release": 0,
+            "bad release": 3,
+            "undo": 0,
+        }
+        return {
+            "exits": codes,
+            "tasks": sum(len(one.told) for one in seen),
+            "without_one_answer": wrong,
+            "exclusive_twice": twice,
+            "on_time": round(min(one.share_on_time() for one in seen), 4),
+            "good": codes == wanted and not wrong and not twice,
+        }
 
     def stay(self, seconds: float) -> None:
         """Leave it running, and say how it is asked."""
--- a/whinpier/cli/demo.py
+++ b/whinpier/cli/demo.py
@@ -30,13 +30,16 @@
         own = {upstream: at for upstream, at in addresses.items() if upstream.startswith(name)}
         pools[name] = files.service(name, kind, own, AGREED, PATIENCE)
     routes = [files.route(name, kind, name) for name, kind in POOLS.items()]
-    return files.document({"version": 1, "name": "demo", "listen": [listen], "pools": pools,
-                           "routes": routes})
+    return files.document(
+        {"version": 1, "name": "demo", "listen": [listen], "pools": pools, "routes": routes}
+    )
 
 
 def play(seconds: float, rate: float, seed: int) -> dict[str, Any]:
     """Run it: what each pool's clients saw before and after an upstream was stopped, and where tasks went."""
-    scripts = {f"{name}-{number}": Script(work=WORK[name]) for name in POOLS for number in (1, 2, 3)}
+    scripts = {
+        f"{name}-{number}": Script(work=WORK[name]) for name in POOLS for number in (1, 2, 3)
+    }
     fleet = Fleet(scripts, seed)
     listen, loads = free_address("127.0.0.1"), dict[str, Load]()
     with tempfile.TemporaryDirectory() as folder:
@@ -45,8 +48,17 @@
             balancer.wait_ready()
             start = time.monotonic() + 0.7
             for name, kind in POOLS.items():
-                asks = Asks(name, rate, f"/{name}/1", files.METHODS[kind], f"{name}.example", PATIENCE,
-                            AGREED, ticket=kind == "ticketed", retries=1)
+                asks = Asks(
+                    name,
+                    rate,
+                    f"/{name}/1",
+                    files.METHODS[kind],
+                    f"{name}.example",
+                    PATIENCE,
+                    AGREED,
+                    ticket=kind == "ticketed",
+                    retries=1,
+                )
                 loads[name] = Load(balancer.address, asks, seed, start, seconds)
             half = start + seconds / 2
             stop = threading.Timer(max(0.0, half - time.monotonic()), fleet.kill, (STOPPED,))
@@ -60,28 +72,52 @@
             balancer.stop()
             fleet.stop()
         log = balancer.log()
-    pools = [row(name, part, gateway, begins, ends) for name, gateway in seen.items()
-             for part, begins, ends in (("before", 0.0, half), ("after", half, float("inf")))]
+    pools = [
+        row(name, part, gateway, begins, ends)
+        for name, gateway in seen.items()
+        for part, begins, ends in (("before", 0.0, half), ("after", half, float("inf")))
+    ]
     twice = len(ledger.twice("posting"))
     unanswered = sum(len(gateway.unanswered()) for gateway in seen.values())
     broken = log.count("event=broken") + log.count("level=error")
-    return {"stopped": STOPPED, "pools": pools, "went_to": dict(sorted(ledger.by.items())),
-            "exclusive_twice": twice, "unanswered": unanswered, "broken": broken,
-            "good": not (twice or unanswered or broken)}
+    return {
+        "stopped": STOPPED,
+        "pools": pools,
+        "went_to": dict(sorted(ledger.by.items())),
+        "exclusive_twice": twice,
+        "unanswered": unanswered,
+        "broken": broken,
+        "good": not (twice or unanswered or broken),
+    }
 
 
 def row(name: str, part: str, gateway: Gateway, begins: float, ends: float) -> dict[str, Any]:
     tasks = [task for task in gateway.told if begins <= task.due < ends]
     times = [1000 * task.latency for task in tasks if task.status == 200]
-    return {"pool": name, "stretch": part, "tasks": len(tasks), "fulfilled": len(times),
-            "turned_back": sum(task.status == 503 for task in tasks),
-            "scrapped": sum(task.status == 502 for task in tasks),
-            "on_time": round(gateway.share_on_time(begins, ends), 4),
-            "median_ms": round(percentile(times, 0.5), 1), "p99_ms": round(percentile(times, 0.99), 1)}
+    return {
+        "pool": name,
+        "stretch": part,
+        "tasks": len(tasks),
+        "fulfilled": len(times),
+        "turned_back": sum(task.status == 503 for task in tasks),
+        "scrapped": sum(task.status == 502 for task in tasks),
+        "on_time": round(gateway.share_on_time(begins, ends), 4),
+        "median_ms": round(percentile(times, 0.5), 1),
+        "p99_ms": round(percentile(times, 0.99), 1),
+    }
 
 
 def tell(found: dict[str, Any]) -> None:
-    show(found["pools"], f"what clients saw, before and after {found['stopped']} was stopped", naming=2)
-    show([{"upstream": name, "tasks": count} for name, count in found["went_to"].items()], "where tasks ran")
-    print(f"exclusive tasks that ran twice: {found['exclusive_twice']}; "
-          f"without an answer: {found['unanswered']}; rules broken: {found['broken']}")
+    show(
+        found["pools"],
+        f"what clients saw, before and after {found['stopped']} was stopped",
+        naming=2,
+    )
+    show(
+        [{"upstream": name, "tasks": count} for name, count in found["went_to"].items()],
+        "where tasks ran",
+    )
+    print(
+        f"exclusive tasks that ran twice: {found['exclusive_twice']}; "
+        f"without an answer: {found['unanswered']}; rules broken: {found['broken']}"
+    )
--- a/whinpier/cli/lab.py
+++ b/whinpier/cli/lab.py
@@ -42,13 +42,26 @@
     for name, path in shipped().items():
         if bankdays.is_one(path):
             days = bankdays.read(path)
-            rows.append({"experiment": name, "balancers": days.bank.members, "upstreams": None,
-                         "seconds": days.seconds, "about": days.about})
+            rows.append(
+                {
+                    "experiment": name,
+                    "balancers": days.bank.members,
+                    "upstreams": None,
+                    "seconds": days.seconds,
+                    "about": days.about,
+                }
+            )
             continue
         _, experiment = read(path)
-        rows.append({"experiment": name, "balancers": experiment.fleet.balancers,
-                     "upstreams": sum(machine.count for machine in experiment.fleet.machines),
-                     "seconds": experiment.seconds, "about": experiment.about})
+        rows.append(
+            {
+                "experiment": name,
+                "balancers": experiment.fleet.balancers,
+                "upstreams": sum(machine.count for machine in experiment.fleet.machines),
+                "seconds": experiment.seconds,
+                "about": experiment.about,
+            }
+        )
     if as_json:
         click.echo(json.dumps(rows, indent=1))
     else:
@@ -58,11 +71,19 @@
 @lab.command()
 @click.argument("file")
 @click.option("--on", type=click.Choice(["model", "sockets"]), default="model", show_default=True)
-@click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Processes; as many as cores.")
-@click.option("--out", type=FOLDER, default=None, help="Folder of results; taken up where it stopped.")
-@click.option("--seeds", type=click.IntRange(1, 10_000), default=None, help="Instead of the file's.")
+@click.option(
+    "--jobs", type=click.IntRange(1, 256), default=None, help="Processes; as many as cores."
+)
+@click.option(
+    "--out", type=FOLDER, default=None, help="Folder of results; taken up where it stopped."
+)
+@click.option(
+    "--seeds", type=click.IntRange(1, 10_000), default=None, help="Instead of the file's."
+)
 @click.option("--json", "as_json", is_flag=True)
-def run(file: str, on: str, jobs: int | None, out: Path | None, seeds: int | None, as_json: bool) -> None:
+def run(
+    file: str, on: str, jobs: int | None, out: Path | None, seeds: int | None, as_json: bool
+) -> None:
     """Run the experiment FILE. Exits with 1 if a rule was broken or something did not hold."""
     from rich.progress import Progress
 
@@ -73,7 +94,9 @@
 
     if bankdays.is_one(path := found(file)):
         if on == "sockets":
-            fail(f"{file}: days of the bank are played in the model here; on processes by benchmarks.members")
+            fail(
+                f"{file}: days of the bank are played in the model here; on processes by benchmarks.members"
+            )
         run_bank(path, jobs, out, seeds, as_json)
     try:
         given, experiment = read(path)
@@ -84,8 +107,13 @@
         processes = 1 if on == "sockets" else jobs or os.cpu_count() or 1
         with Progress(disable=as_json) as progress:
             bar = progress.add_task(experiment.name, total=None)
-            run_all(given, results, on, processes,
-                    lambda row, done, total: progress.update(bar, completed=done, total=total))
+            run_all(
+                given,
+                results,
+                on,
+                processes,
+                lambda row, done, total: progress.update(bar, completed=done, total=total),
+            )
         table = summary(groups(results.rows()))
     except ConfigFault as fault:
         fail(str(fault))
@@ -97,7 +125,9 @@
     raise SystemExit(1 if any(row["failed"] or row["void"] for row in table) else 0)
 
 
-def run_bank(path: Path, jobs: int | None, out: Path | None, seeds: int | None, as_json: bool) -> NoReturn:
+def run_bank(
+    path: Path, jobs: int | None, out: Path | None, seeds: int | None, as_json: bool
+) -> NoReturn:
     """Days of the bank; what broke is kept with the least that still breaks it."""
     import msgspec
     from rich.progress import Progress
@@ -112,18 +142,34 @@
     folder = out or Path("lab-results") / f"bank-{days.name}"
     with Progress(disable=as_json) as progress:
         bar = progress.add_task(days.name, total=None)
-        rows = bankdays.run(days, folder, bankdays.on_cores(jobs),
-                            lambda done, total: progress.update(bar, completed=done, total=total))
+        rows = bankdays.run(
+            days,
+            folder,
+            bankdays.on_cores(jobs),
+            lambda done, total: progress.update(bar, completed=done, total=total),
+        )
     broken = [row for row in rows if row["broken"]]
     if as_json:
         click.echo(json.dumps({"days": rows, "broken": len(broken), "kept": str(folder)}, indent=1))
     else:
-        show([{"seed": row["seed"], "broken": len(row["broken"]), "dead within": f"{row['dead_s']} s",
-               "bytes a second": row["bytes_s"], "datagrams a second": row["datagrams_s"],
-               "first": (row["broken"] or [""])[0]} for row in rows],
-             f"{days.name}, {days.bank.members} members")
+        show(
+            [
+                {
+                    "seed": row["seed"],
+                    "broken": len(row["broken"]),
+                    "dead within": f"{row['dead_s']} s",
+                    "bytes a second": row["bytes_s"],
+                    "datagrams a second": row["datagrams_s"],
+                    "first": (row["broken"] or [""])[0],
+                }
+                for row in rows
+            ],
+            f"{days.name}, {days.bank.members} members",
+        )
         if broken:
-            click.echo(f"{len(broken)} of {len(rows)} days broke a property; their schedules are in {folder}")
+            click.echo(
+                f"{len(broken)} of {len(rows)} days broke a property; their schedules are in {folder}"
+            )
     raise SystemExit(1 if broken else 0)
 
 
@@ -147,20 +193,35 @@
 @click.option("--a", "only_a", multiple=True, metavar="PATH=VALUE", help="Only these runs of A.")
 @click.option("--b", "only_b", multiple=True, metavar="PATH=VALUE", help="Only these runs of B.")
 @click.option("--json", "as_json", is_flag=True)
-def compare(a: Path, b: Path, only_a: tuple[str, ...], only_b: tuple[str, ...], as_json: bool) -> None:
+def compare(
+    a: Path, b: Path, only_a: tuple[str, ...], only_b: tuple[str, ...], as_json: bool
+) -> None:
     """B less A, over pairs of runs with the same values and seed, with 95% intervals."""
     from whinpier.lab.results import Results, matching
     from whinpier.lab.results import compare as compared
 
     first, second = values(only_a), values(only_b)
     try:
-        differences = compared(matching(Results(a).rows(), first), matching(Results(b).rows(), second),
-                               {*first, *second})
+        differences = compared(
+            matching(Results(a).rows(), first),
+            matching(Results(b).rows(), second),
+            {*first, *second},
+        )
     except ConfigFault as fault:
         fail(str(fault))
-    rows = [{"figure": one.figure, "pairs": one.pairs, "A": round(one.mean_a, 4), "B": round(one.mean_b, 4),
-             "B less A": round(one.mean, 5), "from": round(one.low, 5), "to": round(one.high, 5),
-             "B is": one.told} for one in differences]
+    rows = [
+        {
+            "figure": one.figure,
+            "pairs": one.pairs,
+            "A": round(one.mean_a, 4),
+            "B": round(one.mean_b, 4),
+            "B less A": round(one.mean, 5),
+            "from": round(one.low, 5),
+            "to": round(one.high, 5),
+            "B is": one.told,
+        }
+        for one in differences
+    ]
     if as_json:
         click.echo(json.dumps(rows, indent=1))
     else:
@@ -177,15 +238,19 @@
 
     kept = Results(results)
     try:
-        rows = [row for row in kept.rows() if row["seed"] == seed and row["values"] == values(chosen)]
+        rows = [
+            row for row in kept.rows() if row["seed"] == seed and row["values"] == values(chosen)
+        ]
         if not rows:
             fail(f"{results}: no run with seed {seed} and these values")
         again = play(kept.experiment(rows[0]["values"], seed), rows[0]["on"])
     except ConfigFault as fault:
         fail(str(fault))
     same = again["digest"] == rows[0]["digest"]
-    click.echo(f"seed {seed}: on time {again['on_time']:.4f}, kept {rows[0]['on_time']:.4f}; "
-               f"{'the same, byte for byte' if same else 'NOT the same'}")
+    click.echo(
+        f"seed {seed}: on time {again['on_time']:.4f}, kept {rows[0]['on_time']:.4f}; "
+        f"{'the same, byte for byte' if same else 'NOT the same'}"
+    )
     for one in again["told"]:
         click.echo(f"  {one['at']:.3f} s: {one['rule']}: {one['what']}")
     raise SystemExit(0 if same else 1)
--- a/whinpier/cli/main.py
+++ b/whinpier/cli/main.py
@@ -77,8 +77,17 @@
         fail(str(fault))
     workloads = [workload.name for pool in spec.pools.values() for workload in pool.workloads]
     if as_json:
-        click.echo(json.dumps({"file": str(file), "name": spec.name, "workloads": workloads,
-                               "not_honoured": spec.not_honoured}, indent=1))
+        click.echo(
+            json.dumps(
+                {
+                    "file": str(file),
+                    "name": spec.name,
+                    "workloads": workloads,
+                    "not_honoured": spec.not_honoured,
+                },
+                indent=1,
+            )
+        )
         return
     click.echo(f"{file}: good; {len(workloads)} workloads")
     for key in spec.not_honoured:
@@ -97,8 +106,9 @@
         whole = {"file": str(file), "name": spec.name, "pools": pools, "routes": table}
         click.echo(json.dumps(whole, indent=1))
         return
-    click.echo(f"{file}: good; {len(pools)} pools, {len(table)} routes, "
-               f"{len(spec.listen)} listeners")
+    click.echo(
+        f"{file}: good; {len(pools)} pools, {len(table)} routes, {len(spec.listen)} listeners"
+    )
     show(pools, "pools")
     if routes:
         show(table, "routes, the most specific first")
@@ -111,7 +121,9 @@
 @click.option("--method", default="GET", show_default=True)
 @click.option("--header", "-H", "headers", multiple=True, metavar="NAME:VALUE")
 @click.option("--json", "as_json", is_flag=True)
-def route(file: Path, host: str, path: str, method: str, headers: tuple[str, ...], as_json: bool) -> None:
+def route(
+    file: Path, host: str, path: str, method: str, headers: tuple[str, ...], as_json: bool
+) -> None:
     """Say which route of FILE takes a request, and why. Exits with 1 where none does."""
     from whinpier.routing import normal
     from whinpier.routing.table import Asked, Missed
@@ -125,21 +137,38 @@
     assert spec.table
     try:
         # No host at all is none that a route could name.
-        asked = Asked(method.upper(), normal.host(host or "none.invalid"),
-                      normal.path(path.partition("?")[0]), given, given.get("x-lane", ""))
+        asked = Asked(
+            method.upper(),
+            normal.host(host or "none.invalid"),
+            normal.path(path.partition("?")[0]),
+            given,
+            given.get("x-lane", ""),
+        )
     except normal.Unclear as unclear:
         fail(f"refused with 400: can be read two ways: {unclear}", 1)
     found = spec.table.find(asked)
-    tried = [{"route": one.name, "why": missing and f"{missing} does not fit" or "all conditions hold"}
-             for one, missing in spec.table.explain(asked)]
+    tried = [
+        {"route": one.name, "why": missing and f"{missing} does not fit" or "all conditions hold"}
+        for one, missing in spec.table.explain(asked)
+    ]
     if isinstance(found, Missed):
         status = 405 if found.methods else 404
-        answer: dict[str, Any] = {"route": None, "status": status, "reason": found.reason, "tried": tried}
+        answer: dict[str, Any] = {
+            "route": None,
+            "status": status,
+            "reason": found.reason,
+            "tried": tried,
+        }
     else:
         to = found.to
-        answer = {"route": found.name, "pool": to.pool, "workload": to.workload or "as X-Lane names it",
-                  "host": found.host or "any", "path": found.path + ("/..." if found.prefix else ""),
-                  "tried": tried}
+        answer = {
+            "route": found.name,
+            "pool": to.pool,
+            "workload": to.workload or "as X-Lane names it",
+            "host": found.host or "any",
+            "path": found.path + ("/..." if found.prefix else ""),
+            "tried": tried,
+        }
     if as_json:
         click.echo(json.dumps(answer, indent=1))
     elif isinstance(found, Missed):
@@ -173,16 +202,30 @@
 
 @cli.command()
 @click.option("--seconds", default=6.0, show_default=True, type=click.FloatRange(2.0, 600.0))
-@click.option("--rate", default=150.0, show_default=True, type=click.FloatRange(1.0, 1000.0),
-              help="Tasks a second of each pool.")
+@click.option(
+    "--rate",
+    default=150.0,
+    show_default=True,
+    type=click.FloatRange(1.0, 1000.0),
+    help="Tasks a second of each pool.",
+)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--bank", is_flag=True, help="Several processes that know each other, drained and released.")
-@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 20), help="Of the bank.")
-@click.option("--stay", default=0.0, type=click.FloatRange(0.0, 3600.0),
-              help="Seconds that the bank is left running, for trying the commands on it.")
+@click.option(
+    "--bank", is_flag=True, help="Several processes that know each other, drained and released."
+)
+@click.option(
+    "--members", default=5, show_default=True, type=click.IntRange(3, 20), help="Of the bank."
+)
+@click.option(
+    "--stay",
+    default=0.0,
+    type=click.FloatRange(0.0, 3600.0),
+    help="Seconds that the bank is left running, for trying the commands on it.",
+)
 @click.option("--json", "as_json", is_flag=True)
-def demo(seconds: float, rate: float, seed: int, bank: bool, members: int, stay: float,
-         as_json: bool) -> None:
+def demo(
+    seconds: float, rate: float, seed: int, bank: bool, members: int, stay: float, as_json: bool
+) -> None:
     """Play three pools under load on this machine, and stop an upstream in the middle."""
     from whinpier.cli.demo import play, tell
 
@@ -193,8 +236,15 @@
             story = bankdemo.play(members, 20.0, stay, lambda line: click.echo(line, err=as_json))
         except (OSError, RuntimeError, TimeoutError) as fault:
             fail(f"the demonstration did not run: {fault}", 1)
-        click.echo(json.dumps(story, indent=1) if as_json else "; ".join(
-            f"{key.replace('_', ' ')}: {value}" for key, value in story.items() if key != "exits"))
+        click.echo(
+            json.dumps(story, indent=1)
+            if as_json
+            else "; ".join(
+                f"{key.replace('_', ' ')}: {value}"
+                for key, value in story.items()
+                if key != "exits"
+            )
+        )
         sys.exit(0 if story["good"] else 1)
     try:
         found = play(seconds, rate, seed)
@@ -208,23 +258,40 @@
 
 
 def described_pools(spec: Spec) -> list[dict[str, Any]]:
-    return [{"pool": pool.name, "guaranteed": round(pool.limits.guaranteed, 3),
-             "list": "%s:%d" % pool.discovery if pool.discovery else f"{len(pool.known)} upstreams",
-             "workloads": ", ".join(f"{one.name} ({one.kind}, {one.agreed_time // MS} of "
-                                    f"{one.patience // MS} ms)" for one in pool.workloads),
-             "tasks": pool.limits.tasks, "connections": pool.limits.connections}
-            for pool in spec.pools.values()]
+    return [
+        {
+            "pool": pool.name,
+            "guaranteed": round(pool.limits.guaranteed, 3),
+            "list": "%s:%d" % pool.discovery if pool.discovery else f"{len(pool.known)} upstreams",
+            "workloads": ", ".join(
+                f"{one.name} ({one.kind}, {one.agreed_time // MS} of {one.patience // MS} ms)"
+                for one in pool.workloads
+            ),
+            "tasks": pool.limits.tasks,
+            "connections": pool.limits.connections,
+        }
+        for pool in spec.pools.values()
+    ]
 
 
 def described_routes(spec: Spec) -> list[dict[str, Any]]:
     assert spec.table
-    return [{"route": one.name, "host": one.host or "any", "path": one.path.rstrip("/") + "/..." if one.prefix
-             else one.path, "methods": ",".join(sorted(one.methods)) or "as the workload has",
-             "conditions": ", ".join([f"{name}: {value}" for name, value in one.headers.items()]
-                                     + [f"x-lane: {one.workload}"] * bool(one.workload)),
-             "pool": one.to.pool, "workload": one.to.workload or "as X-Lane names it",
-             "patience_ms": one.to.patience // MS or None}
-            for one in sorted(spec.table.routes, key=lambda one: one.rank())]
+    return [
+        {
+            "route": one.name,
+            "host": one.host or "any",
+            "path": one.path.rstrip("/") + "/..." if one.prefix else one.path,
+            "methods": ",".join(sorted(one.methods)) or "as the workload has",
+            "conditions": ", ".join(
+                [f"{name}: {value}" for name, value in one.headers.items()]
+                + [f"x-lane: {one.workload}"] * bool(one.workload)
+            ),
+            "pool": one.to.pool,
+            "workload": one.to.workload or "as X-Lane names it",
+            "patience_ms": one.to.patience // MS or None,
+        }
+        for one in sorted(spec.table.routes, key=lambda one: one.rank())
+    ]
 
 
 def main() -> None:
--- a/whinpier/cli/radius.py
+++ b/whinpier/cli/radius.py
@@ -36,7 +36,9 @@
 @radius.command()
 @click.argument("file", type=FILE)
 @click.argument("packet")
-@click.option("--source", default="127.0.0.1", show_default=True, help="The address that it comes from.")
+@click.option(
+    "--source", default="127.0.0.1", show_default=True, help="The address that it comes from."
+)
 @click.option("--json", "as_json", is_flag=True)
 def explain(file: Path, packet: str, source: str, as_json: bool) -> None:
     """Say what PACKET (hexadecimal, @FILE or -) is, and what becomes of it by the operator's FILE.
@@ -61,7 +63,10 @@
     if as_json:
         click.echo(json.dumps(found, indent=1))
     else:
-        show([{"attribute": name, "value": value} for name, value in found["attributes"]], "attributes")
+        show(
+            [{"attribute": name, "value": value} for name, value in found["attributes"]],
+            "attributes",
+        )
         show(found["steps"], "steps")
         click.echo(f"refused: {found['refused']}" if found["refused"] else "taken")
     sys.exit(1 if found["refused"] else 0)
@@ -91,15 +96,34 @@
 @SECRET
 @click.option("--rate", default=10.0, show_default=True, type=click.FloatRange(0.1, 5000.0))
 @click.option("--seconds", default=5.0, show_default=True, type=click.FloatRange(0.1, 3600.0))
-@click.option("--timeout", default=2.0, show_default=True, type=click.FloatRange(0.05, 30.0),
-              help="Until the first retransmission; doubled each time (RFC 5080).")
-@click.option("--tries", default=4, show_default=True, type=click.IntRange(0, 10), help="Retransmissions.")
+@click.option(
+    "--timeout",
+    default=2.0,
+    show_default=True,
+    type=click.FloatRange(0.05, 30.0),
+    help="Until the first retransmission; doubled each time (RFC 5080).",
+)
+@click.option(
+    "--tries", default=4, show_default=True, type=click.IntRange(0, 10), help="Retransmissions."
+)
 @click.option("--realm", default="home.example", show_default=True)
 @click.option("--nas", default="whinpier", show_default=True)
-@click.option("--bind", default="0.0.0.0", show_default=True, help="The address that it sends from.")
+@click.option(
+    "--bind", default="0.0.0.0", show_default=True, help="The address that it sends from."
+)
 @click.option("--json", "as_json", is_flag=True)
-def send(target: str, secret_file: Path, rate: float, seconds: float, timeout: float, tries: int, realm: str,
-         nas: str, bind: str, as_json: bool) -> None:
+def send(
+    target: str,
+    secret_file: Path,
+    rate: float,
+    seconds: float,
+    timeout: float,
+    tries: int,
+    realm: str,
+    nas: str,
+    bind: str,
+    as_json: bool,
+) -> None:
     """Send records to TARGET, each until it is answered. Exits with 1 if one was not, or in two ways."""
     from whinpier.standin.ledger import percentile
     from whinpier.standin.radius import Client
@@ -107,7 +131,9 @@
     where, secret = asked(target, secret_file)
 
     async def whole() -> Client:
-        client = Client(nas, where, secret, rate, first=timeout, tries=tries, realm=realm, bind=bind)
+        client = Client(
+            nas, where, secret, rate, first=timeout, tries=tries, realm=realm, bind=bind
+        )
         await client.start()
         await client.run(seconds)
         client.transport.close()
@@ -119,9 +145,15 @@
         fail(f"{target}: {fault}", 1)
     times = [1000 * one.latency for one in client.told if one.answers]
     two_ways = sum(len(set(one.answers)) > 1 for one in client.told)
-    row = {"records": len(client.told), "answered": len(times), "two_ways": two_ways,
-           "packets": sum(one.sent for one in client.told), "not_sent": client.not_sent,
-           "median_ms": round(percentile(times, 0.5), 2), "p99_ms": round(percentile(times, 0.99), 2)}
+    row = {
+        "records": len(client.told),
+        "answered": len(times),
+        "two_ways": two_ways,
+        "packets": sum(one.sent for one in client.told),
+        "not_sent": client.not_sent,
+        "median_ms": round(percentile(times, 0.5), 2),
+        "p99_ms": round(percentile(times, 0.99), 2),
+    }
     tell([row], as_json, f"records sent to {target}")
     sys.exit(1 if len(times) < len(client.told) or two_ways or client.not_sent else 0)
 
@@ -131,11 +163,14 @@
 @SECRET
 @click.option("--records", default=1000, show_default=True, type=click.IntRange(1, 200_000))
 @click.option("--rate", default=500.0, show_default=True, type=click.FloatRange(1.0, 20_000.0))
-@click.option("--copies", default=1, show_default=True, type=click.IntRange(1, 10), help="Of each record.")
+@click.option(
+    "--copies", default=1, show_default=True, type=click.IntRange(1, 10), help="Of each record."
+)
 @click.option("--nas", default="whinpier", show_default=True)
 @click.option("--json", "as_json", is_flag=True)
-def flood(target: str, secret_file: Path, records: int, rate: float, copies: int, nas: str,
-          as_json: bool) -> None:
+def flood(
+    target: str, secret_file: Path, records: int, rate: float, copies: int, nas: str, as_json: bool
+) -> None:
     """Send RECORDS to TARGET at a rate whatever comes back, then each again byte for byte."""
     from whinpier.standin.radius import Burst, record
 
@@ -156,8 +191,12 @@
         burst = asyncio.run(whole())
     except OSError as fault:
         fail(f"{target}: {fault}", 1)
-    row = {"records": records, "packets": records * copies, "answered": len(burst.answers),
-           "answers": sum(map(len, burst.answers.values())),
-           "two_ways": sum(len(set(one)) > 1 for one in burst.answers.values())}
+    row = {
+        "records": records,
+        "packets": records * copies,
+        "answered": len(burst.answers),
+        "answers": sum(map(len, burst.answers.values())),
+        "two_ways": sum(len(set(one)) > 1 for one in burst.answers.values()),
+    }
     tell([row], as_json, f"flood of {target}")
     sys.exit(1 if row["two_ways"] else 0)
--- a/whinpier/cli/record.py
+++ b/whinpier/cli/record.py
@@ -25,15 +25,32 @@
 
 def commanding(command: Any) -> Any:
     """What each command has that changes what is agreed."""
-    for option in (click.option("--wait", default=30.0, show_default=True, type=click.FloatRange(0.0, 3600.0),
-                                help="Seconds for it to be done; it goes on after that."),
-                   click.option("--who", default=getpass.getuser, help="Who says so; the user's name."),
-                   click.option("--why", default="", help="Kept beside it."),
-                   click.option("--based-on", "based", type=int, default=None,
-                                help="The revision that it rests on; the one that is agreed now."),
-                   click.option("--id", "identity", type=click.IntRange(1, 2**62 - 1), default=None,
-                                help="Say again what was said by this id."),
-                   click.option("--dry-run", "dry", is_flag=True, help="Say what it would come to.")):
+    for option in (
+        click.option(
+            "--wait",
+            default=30.0,
+            show_default=True,
+            type=click.FloatRange(0.0, 3600.0),
+            help="Seconds for it to be done; it goes on after that.",
+        ),
+        click.option("--who", default=getpass.getuser, help="Who says so; the user's name."),
+        click.option("--why", default="", help="Kept beside it."),
+        click.option(
+            "--based-on",
+            "based",
+            type=int,
+            default=None,
+            help="The revision that it rests on; the one that is agreed now.",
+        ),
+        click.option(
+            "--id",
+            "identity",
+            type=click.IntRange(1, 2**62 - 1),
+            default=None,
+            help="Say again what was said by this id.",
+        ),
+        click.option("--dry-run", "dry", is_flag=True, help="Say what it would come to."),
+    ):
         command = option(command)
     return options(command)
 
@@ -41,7 +58,9 @@
 class Saying:
     """One command, from its socket to its end."""
 
-    def __init__(self, path: Path | None, operator: Path | None, as_json: bool, wait: float) -> None:
+    def __init__(
+        self, path: Path | None, operator: Path | None, as_json: bool, wait: float
+    ) -> None:
         self.call, self.as_json = Call(socket_of(path, operator)), as_json
         self.ends = time.monotonic() + wait
 
@@ -50,14 +69,19 @@
 
     def current(self) -> int:
         """The revision that is agreed by now, proved by most voters."""
-        nonce, ends = str(SystemRandom().getrandbits(60) | 1), time.monotonic() + max(
-            2.0, min(10.0, self.ends - time.monotonic()))
+        nonce, ends = (
+            str(SystemRandom().getrandbits(60) | 1),
+            time.monotonic() + max(2.0, min(10.0, self.ends - time.monotonic())),
+        )
         while time.monotonic() < ends:
             found = self.call.one("read", name=nonce)
             if found["read"]:
                 return int(found["revision"])
             time.sleep(APART)
-        fail("most voters are not heard from here: what is agreed now is not known, nothing can be said", 1)
+        fail(
+            "most voters are not heard from here: what is agreed now is not known, nothing can be said",
+            1,
+        )
 
     def say(self, what: str, common: dict[str, Any], **value: Any) -> dict[str, Any]:
         """Bring it into the record; exits with 1 where it is refused, 3 where nobody took it in time.
@@ -69,8 +93,13 @@
         if based is None:
             based = -1 if identity else self.current()
         identity = identity or SystemRandom().getrandbits(61) | 1
-        given = {"id": identity, "who": who, "why": why, "wall": int(time.time() * 1000),
-                 "based": based} | value
+        given = {
+            "id": identity,
+            "who": who,
+            "why": why,
+            "wall": int(time.time() * 1000),
+            "based": based,
+        } | value
         if dry:
             found = self.call.one("command", name=what, value=given | {"dry": 1})
             self.show({"dry_run": True, "good": found["good"], "text": found["text"]})
@@ -81,7 +110,10 @@
             if found["known"]:
                 break
             if self.over():
-                fail(f"{what}: not agreed in time; it may still be: ask again with --id {identity}", 3)
+                fail(
+                    f"{what}: not agreed in time; it may still be: ask again with --id {identity}",
+                    3,
+                )
             time.sleep(APART)
         if not found["good"]:
             fail(f"{what}: {found['text']}", 1)
@@ -91,13 +123,20 @@
         if self.as_json:
             click.echo(json.dumps(found, indent=1))
         else:
-            click.echo("; ".join(f"{key.replace('_', ' ')}: {value}" for key, value in found.items()
-                                 if value not in ("", None, [], {})))
+            click.echo(
+                "; ".join(
+                    f"{key.replace('_', ' ')}: {value}"
+                    for key, value in found.items()
+                    if value not in ("", None, [], {})
+                )
+            )
 
     def drained(self, name: str, gone: bool) -> None:
         """Wait until a drain is done, or over; 3 with who is left."""
         while True:
-            row = next((one for one in self.call.one("status")["drains"] if one["name"] == name), None)
+            row = next(
+                (one for one in self.call.one("status")["drains"] if one["name"] == name), None
+            )
             if row is None or row["state"] == "done" and not gone:
                 break
             if self.over():
@@ -114,8 +153,14 @@
         told = ""
         while True:
             found = self.call.one("status")
-            row = next((one for one in [found["release"], *reversed(found["closed"])]
-                        if one and one["number"] == number), None)
+            row = next(
+                (
+                    one
+                    for one in [found["release"], *reversed(found["closed"])]
+                    if one and one["number"] == number
+                ),
+                None,
+            )
             if row is None:
                 fail(f"release {number} is not known any more; see history", 3)
             progress = f"{row['phase']}, wave {row['wave']} of {len(row['waves'])}, {len(row['runs'])} run it"
@@ -150,8 +195,15 @@
 @click.argument("kind", type=KIND)
 @click.argument("name")
 @commanding
-def drain(kind: str, name: str, wait: float, path: Path | None, operator: Path | None, as_json: bool,
-          **more: Any) -> None:
+def drain(
+    kind: str,
+    name: str,
+    wait: float,
+    path: Path | None,
+    operator: Path | None,
+    as_json: bool,
+    **more: Any,
+) -> None:
     """Let a balancer, or an upstream (POOL/UPSTREAM) at all balancers, get nothing new.
 
     It is done once nothing is out there any more.
@@ -165,8 +217,15 @@
 @click.argument("kind", type=KIND)
 @click.argument("name")
 @commanding
-def undrain(kind: str, name: str, wait: float, path: Path | None, operator: Path | None, as_json: bool,
-            **more: Any) -> None:
+def undrain(
+    kind: str,
+    name: str,
+    wait: float,
+    path: Path | None,
+    operator: Path | None,
+    as_json: bool,
+    **more: Any,
+) -> None:
     """Have it serve again, at any moment; done once it is back."""
     saying = Saying(path, operator, as_json, wait)
     saying.say("undrain", more, **parted(name, kind))
@@ -175,23 +234,64 @@
 
 @click.command()
 @click.argument("file", type=FILE, required=False)
-@click.option("--build", default="", help="Instead of a file: the build that each is to restart into.")
-@click.option("--to", "selector", default="all", show_default=True, help="all, zone=ZONE, or names: m1,m2.")
-@click.option("--waves", default="1,25%", show_default=True, help="Sizes of waves; the rest is the last.")
-@click.option("--window", default="3s", show_default=True, callback=span_of, help="Measured after each wave.")
-@click.option("--on-time", "on_time", default=0.05, show_default=True, help="How much less may be on time.")
+@click.option(
+    "--build", default="", help="Instead of a file: the build that each is to restart into."
+)
+@click.option(
+    "--to", "selector", default="all", show_default=True, help="all, zone=ZONE, or names: m1,m2."
+)
+@click.option(
+    "--waves", default="1,25%", show_default=True, help="Sizes of waves; the rest is the last."
+)
+@click.option(
+    "--window", default="3s", show_default=True, callback=span_of, help="Measured after each wave."
+)
+@click.option(
+    "--on-time", "on_time", default=0.05, show_default=True, help="How much less may be on time."
+)
 @click.option("--errors", default=0.02, show_default=True, help="How much more may be scrapped.")
-@click.option("--turned-back", "turned_back", default=0.05, show_default=True,
-              help="How much more may be turned back.")
+@click.option(
+    "--turned-back",
+    "turned_back",
+    default=0.05,
+    show_default=True,
+    help="How much more may be turned back.",
+)
 @click.option("--memory", default=1.5, show_default=True, help="Times what the rest holds.")
-@click.option("--least", default=20, show_default=True, help="Tasks that a gate judges by at least.")
-@click.option("--back", "back_ms", default="20s", show_default=True, callback=span_of,
-              help="For each member to do as told.")
-@click.option("--hold", is_flag=True, help="Hold what fails where it is; it is undone without this.")
+@click.option(
+    "--least", default=20, show_default=True, help="Tasks that a gate judges by at least."
+)
+@click.option(
+    "--back",
+    "back_ms",
+    default="20s",
+    show_default=True,
+    callback=span_of,
+    help="For each member to do as told.",
+)
+@click.option(
+    "--hold", is_flag=True, help="Hold what fails where it is; it is undone without this."
+)
 @commanding
-def release(file: Path | None, build: str, selector: str, waves: str, window: int, on_time: float,
-            errors: float, turned_back: float, memory: float, least: int, back_ms: int, hold: bool,
-            wait: float, path: Path | None, operator: Path | None, as_json: bool, **more: Any) -> None:
+def release(
+    file: Path | None,
+    build: str,
+    selector: str,
+    waves: str,
+    window: int,
+    on_time: float,
+    errors: float,
+    turned_back: float,
+    memory: float,
+    least: int,
+    back_ms: int,
+    hold: bool,
+    wait: float,
+    path: Path | None,
+    operator: Path | None,
+    as_json: bool,
+    **more: Any,
+) -> None:
     """Release FILE (pools, routes, limits of an operator's file), or a build, in waves, a gate after each."""
     from whinpier.bank.agreed import deflated
 
@@ -204,9 +304,22 @@
         except OSError as fault:
             fail(f"{file}: {fault.strerror or fault}")
         put(saying, content, data)
-    found = saying.say("release", more, content=content, build=build, selector=selector, waves=waves,
-                       window_ms=window, on_time=on_time, errors=errors, turned_back=turned_back,
-                       memory=memory, least=least, back_ms=back_ms, hold=int(hold))
+    found = saying.say(
+        "release",
+        more,
+        content=content,
+        build=build,
+        selector=selector,
+        waves=waves,
+        window_ms=window,
+        on_time=on_time,
+        errors=errors,
+        turned_back=turned_back,
+        memory=memory,
+        least=least,
+        back_ms=back_ms,
+        hold=int(hold),
+    )
     saying.released(int(found["text"].split()[1]), "released")
 
 
@@ -224,28 +337,36 @@
 
 def about_release(what: str, wanted: str) -> Any:
     @commanding
-    def run(wait: float, path: Path | None, operator: Path | None, as_json: bool, **more: Any) -> None:
+    def run(
+        wait: float, path: Path | None, operator: Path | None, as_json: bool, **more: Any
+    ) -> None:
         saying = Saying(path, operator, as_json, wait)
         found = saying.say(what, more)
         if wanted:
             saying.released(int(found["text"].split()[1]), wanted)
         else:
             saying.show({"said": what, "text": found["text"]})
+
     return run
 
 
-halt = click.command("halt", help="Stop the release that is on where it is.")(about_release("halt", ""))
+halt = click.command("halt", help="Stop the release that is on where it is.")(
+    about_release("halt", "")
+)
 resume = click.command("resume", help="Go on with a release that is halted.")(
-    about_release("resume", "released"))
+    about_release("resume", "released")
+)
 undo = click.command("undo", help="Take a release back, the one that is on or the last.")(
-    about_release("undo", "undone"))
+    about_release("undo", "undone")
+)
 
 
 @click.command("write-off")
 @click.argument("name")
 @commanding
-def write_off(name: str, wait: float, path: Path | None, operator: Path | None, as_json: bool,
-              **more: Any) -> None:
+def write_off(
+    name: str, wait: float, path: Path | None, operator: Path | None, as_json: bool, **more: Any
+) -> None:
     """Say that NAME, which is lost, is gone for good: its permit is free."""
     saying = Saying(path, operator, as_json, wait)
     saying.show(saying.say("strike", more, name=name))
@@ -259,30 +380,56 @@
     if as_json:
         click.echo(json.dumps(found, indent=1))
         return
-    for keys in (("record", "leader", "term", "line", "revision"),
-                 ("role", "voters", "disk", "current", "aside"),
-                 ("runs", "build", "good", "good_build", "lost")):
-        click.echo("; ".join(f"{key.replace('_', ' ')} {found[key]}" for key in keys
-                             if found[key] not in ("", [])))
+    for keys in (
+        ("record", "leader", "term", "line", "revision"),
+        ("role", "voters", "disk", "current", "aside"),
+        ("runs", "build", "good", "good_build", "lost"),
+    ):
+        click.echo(
+            "; ".join(
+                f"{key.replace('_', ' ')} {found[key]}"
+                for key in keys
+                if found[key] not in ("", [])
+            )
+        )
     if found["drains"]:
-        show([{key: row[key] for key in ("name", "of", "state", "permit", "who", "why", "left")}
-              for row in found["drains"]], "drains")
+        show(
+            [
+                {key: row[key] for key in ("name", "of", "state", "permit", "who", "why", "left")}
+                for row in found["drains"]
+            ],
+            "drains",
+        )
     rows = [*([found["release"]] if found["release"] else []), *reversed(found["closed"])]
     if rows:
-        show([{key: row[key] for key in ("number", "what", "selector", "phase", "reason", "wave", "who")}
-              | {"run it": len(row["runs"]), "failed": ", ".join(row["failed"])} for row in rows], "releases")
+        show(
+            [
+                {
+                    key: row[key]
+                    for key in ("number", "what", "selector", "phase", "reason", "wave", "who")
+                }
+                | {"run it": len(row["runs"]), "failed": ", ".join(row["failed"])}
+                for row in rows
+            ],
+            "releases",
+        )
 
 
 @click.command()
-@click.option("--wait", default=60.0, show_default=True, type=click.FloatRange(0.0, 3600.0), help="Seconds.")
+@click.option(
+    "--wait", default=60.0, show_default=True, type=click.FloatRange(0.0, 3600.0), help="Seconds."
+)
 @options
 def wait(wait: float, path: Path | None, operator: Path | None, as_json: bool) -> None:
     """Wait until no drain and no release is on its way; 3 with what still is."""
     saying = Saying(path, operator, as_json, wait)
     while True:
         found = saying.call.one("status")
-        left = [f"{row['name']} is {row['state']}: {row['left']}" for row in found["drains"]
-                if row["state"] != "done"]
+        left = [
+            f"{row['name']} is {row['state']}: {row['left']}"
+            for row in found["drains"]
+            if row["state"] != "done"
+        ]
         if found["release"]:
             left.append(f"release {found['release']['number']} is {found['release']['phase']}")
         if not left:
@@ -308,8 +455,14 @@
 @click.command("set-permits")
 @click.argument("rules", nargs=-1, required=True)
 @commanding
-def set_permits(rules: tuple[str, ...], wait: float, path: Path | None, operator: Path | None, as_json: bool,
-                **more: Any) -> None:
+def set_permits(
+    rules: tuple[str, ...],
+    wait: float,
+    path: Path | None,
+    operator: Path | None,
+    as_json: bool,
+    **more: Any,
+) -> None:
     """Put RULES in place of all: NAME:balancers:OUT[:ZONE] or NAME:upstreams:OUT:POOL[:ZONE]."""
     made = []
     for rule in rules:
@@ -331,9 +484,15 @@
     if as_json:
         click.echo(json.dumps(found, indent=1))
     else:
-        rows = [{key: row[key] for key in ("line", "who", "what", "why", "good", "text")}
-                | {"when": time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(row["wall"] / 1000)) if row["wall"]
-                   else ""} for row in found["items"]]
+        rows = [
+            {key: row[key] for key in ("line", "who", "what", "why", "good", "text")}
+            | {
+                "when": time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(row["wall"] / 1000))
+                if row["wall"]
+                else ""
+            }
+            for row in found["items"]
+        ]
         show(rows, "history")
     if not found["checked"]:
         fail("a line of the history does not follow from the one before it", 1)
@@ -351,8 +510,15 @@
         after = file.read_text("utf-8")
     except (OSError, ValueError) as fault:
         fail(f"{file}: {fault}")
-    lines = list(difflib.unified_diff(before.splitlines(), after.splitlines(), good or "nothing released",
-                                      str(file), lineterm=""))
+    lines = list(
+        difflib.unified_diff(
+            before.splitlines(),
+            after.splitlines(),
+            good or "nothing released",
+            str(file),
+            lineterm="",
+        )
+    )
     click.echo(json.dumps(lines) if as_json else "\n".join(lines))
 
 
@@ -374,7 +540,9 @@
 
 
 @click.command()
-@click.option("--yes", is_flag=True, help="Most voters are lost for good; this copy is the best there is.")
+@click.option(
+    "--yes", is_flag=True, help="Most voters are lost for good; this copy is the best there is."
+)
 @options
 def recover(yes: bool, path: Path | None, operator: Path | None, as_json: bool) -> None:
     """By hand, where most voters are lost for good: this process's copy of the record goes on alone.
@@ -384,12 +552,30 @@
     if not yes:
         fail("say --yes: what only the lost voters had agreed on is given up")
     found = Call(socket_of(path, operator)).one("recover")
-    click.echo(json.dumps(found, indent=1) if as_json
-               else f"record {found['record']} goes on from {found['line']}")
-
-
-COMMANDS = (drain, undrain, release, halt, resume, undo, write_off, status, wait, permits, set_permits,
-            history, diff, voters, recover)
+    click.echo(
+        json.dumps(found, indent=1)
+        if as_json
+        else f"record {found['record']} goes on from {found['line']}"
+    )
+
+
+COMMANDS = (
+    drain,
+    undrain,
+    release,
+    halt,
+    resume,
+    undo,
+    write_off,
+    status,
+    wait,
+    permits,
+    set_permits,
+    history,
+    diff,
+    voters,
+    recover,
+)
 
 
 def add_to(group: click.Group) -> None:
--- a/whinpier/cli/shown.py
+++ b/whinpier/cli/shown.py
@@ -33,7 +33,9 @@
     console = Console()
     keys = list(rows[0]) if rows else []
     texts = {key: [key.replace("_", " "), *(cell(row[key]) for row in rows)] for key in keys}
-    words = {key: max(len(word) for text in texts[key] for word in [*text.split(), ""]) for key in keys}
+    words = {
+        key: max(len(word) for text in texts[key] for word in [*text.split(), ""]) for key in keys
+    }
     longest = {key: max(map(len, texts[key])) for key in keys}
     least = words | {key: max(words[key], min(longest[key], 24)) for key in keys[:naming]}
     for number, columns in enumerate(side_by_side(least, naming, console.width)):
@@ -65,13 +67,17 @@
     return groups or [keys]
 
 
-def shared_out(columns: list[str], least: dict[str, int], longest: dict[str, int],
-               width: int) -> dict[str, int]:
+def shared_out(
+    columns: list[str], least: dict[str, int], longest: dict[str, int], width: int
+) -> dict[str, int]:
     """The width of each column of a group: what is left over goes to those with longer texts, evenly."""
     widths = {key: least[key] for key in columns}
     while taken(widths.values()) < width:
-        shortest = min((key for key in columns if widths[key] < longest[key]), key=widths.__getitem__,
-                       default=None)
+        shortest = min(
+            (key for key in columns if widths[key] < longest[key]),
+            key=widths.__getitem__,
+            default=None,
+        )
         if shortest is None:
             break
         widths[shortest] += 1
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -22,9 +22,31 @@
 from whinpier.files import contents
 from whinpier.routing.table import Route, RouteFault, Table
 from whinpier.runtime.budget import DOOR, MOST_DOOR, spare
-from whinpier.spec import (Beside, ConfigFault, Entry, Fields, Limits, PoolSpec, Spec, Together,
-                           address, differs, kept_till_restart)
-from whinpier.tables import UNITS, Amount, Count, Duration, Part, Strict, Whole, duration, named, part
+from whinpier.spec import (
+    Beside,
+    ConfigFault,
+    Entry,
+    Fields,
+    Limits,
+    PoolSpec,
+    Spec,
+    Together,
+    address,
+    differs,
+    kept_till_restart,
+)
+from whinpier.tables import (
+    UNITS,
+    Amount,
+    Count,
+    Duration,
+    Part,
+    Strict,
+    Whole,
+    duration,
+    named,
+    part,
+)
 
 MOST_POOLS, MOST_ROUTES = 256, 20_000  # what is still checked within a second or two
 LEAST = 16  # connections for each pool: with fewer nothing can be held apart
@@ -155,15 +177,25 @@
 
 
 def says(table: Says, at: str) -> Fields:
-    names = {key: header(getattr(table, key), f"{at}.{key}").encode()
-             for key in ("id", "patience", "ticket", "key", "tenant", "repeat")}
+    names = {
+        key: header(getattr(table, key), f"{at}.{key}").encode()
+        for key in ("id", "patience", "ticket", "key", "tenant", "repeat")
+    }
     given = [name for name in names.values() if name]
     if len(set(given)) < len(given):
         raise ConfigFault(f"{at}: one header says two things")
     if not table.optional and not (names["id"] and names["patience"]):
         raise ConfigFault(f"{at}: without headers for id and patience, optional has to be true")
-    return Fields(names["id"], names["patience"], names["ticket"], names["key"], names["tenant"],
-                  names["repeat"], table.query_key.encode(), table.optional)
+    return Fields(
+        names["id"],
+        names["patience"],
+        names["ticket"],
+        names["key"],
+        names["tenant"],
+        names["repeat"],
+        table.query_key.encode(),
+        table.optional,
+    )
 
 
 def workload(name: str, value: Any, at: str) -> model.Workload:
@@ -175,8 +207,9 @@
     window = duration(table.window, f"{at}.window")
     if window and table.kind != "ticketed":
         raise ConfigFault(f"{at}.window: only a ticketed workload has one")
-    return model.Workload(name, table.kind, agreed, patience, table.payoff, table.late_payoff, table.group,
-                          window)
+    return model.Workload(
+        name, table.kind, agreed, patience, table.payoff, table.late_payoff, table.group, window
+    )
 
 
 def entries(values: list[Any], table: PoolTable, at: str) -> list[Entry]:
@@ -191,8 +224,16 @@
             if name and name not in names:
                 raise ConfigFault(f"{here}.{key}: {name!r} is not in {key}s of its pool")
         dial = address(given.address, f"{here}.address")
-        found[given.name] = Entry(given.name, dial, given.state, given.zone, given.kind, given.cell,
-                                  given.size, given.started_ms * 1_000_000)
+        found[given.name] = Entry(
+            given.name,
+            dial,
+            given.state,
+            given.zone,
+            given.kind,
+            given.cell,
+            given.size,
+            given.started_ms * 1_000_000,
+        )
     return list(found.values())
 
 
@@ -208,36 +249,59 @@
     if table.warm_keys:
         raise ConfigFault(f"{at}.warm_keys: keys no longer steer tasks; take it out")
     if table.number >= (table.balancers or 1):
-        raise ConfigFault(f"{at}.number: {table.number} is not below balancers, {table.balancers or 1}")
-    workloads = [workload(named(key, f"{at}.workloads"), inner, f"{at}.workloads.{key}")
-                 for key, inner in table.workloads.items()]
+        raise ConfigFault(
+            f"{at}.number: {table.number} is not below balancers, {table.balancers or 1}"
+        )
+    workloads = [
+        workload(named(key, f"{at}.workloads"), inner, f"{at}.workloads.{key}")
+        for key, inner in table.workloads.items()
+    ]
     settings: dict[str, Any] = {
-        "balancers": table.balancers or 1, "slot_no": table.number,
+        "balancers": table.balancers or 1,
+        "slot_no": table.number,
         "zone": table.zones.index(table.zone) if table.zone else 0,
-        "limits.max_hand_offs": table.hand_offs, "limits.second_copies": table.second_copies,
+        "limits.max_hand_offs": table.hand_offs,
+        "limits.second_copies": table.second_copies,
         "limits.cancelling": table.cancelling,
-        "rules.cold": duration(table.warm_up, f"{at}.warm_up"), "rules.cold_from": table.cold_from,
-        "goal.whole": table.whole, "goal.worst_class": table.worst, "prices.cross_zone": table.crossing,
+        "rules.cold": duration(table.warm_up, f"{at}.warm_up"),
+        "rules.cold_from": table.cold_from,
+        "goal.whole": table.whole,
+        "goal.worst_class": table.worst,
+        "prices.cross_zone": table.crossing,
         "report.columns": [],
     }
     limits = table.limits
     if limits.held is not None:
         settings["limits.held"] = limits.held
     return PoolSpec(
-        name, settings, workloads, list(table.zones), list(table.kinds), list(table.tenants),
+        name,
+        settings,
+        workloads,
+        list(table.zones),
+        list(table.kinds),
+        list(table.tenants),
         connect_limit=duration(table.connect_timeout, f"{at}.connect_timeout", UNITS["ms"]),
         idle_limit=duration(table.keepalive, f"{at}.keepalive", 100 * UNITS["ms"]),
-        discovery=address(table.discovery, f"{at}.discovery") if table.discovery is not None else None,
+        discovery=address(table.discovery, f"{at}.discovery")
+        if table.discovery is not None
+        else None,
         known=entries(table.upstreams or [], table, f"{at}.upstreams"),
-        limits=Limits(guaranteed, limits.tasks, limits.connections,
-                      limits.bodies_kb * 1024 if limits.bodies_kb else None),
-        passed_on=frozenset(table.statuses), protocol=table.protocol, server=servers(table, at))
+        limits=Limits(
+            guaranteed,
+            limits.tasks,
+            limits.connections,
+            limits.bodies_kb * 1024 if limits.bodies_kb else None,
+        ),
+        passed_on=frozenset(table.statuses),
+        protocol=table.protocol,
+        server=servers(table, at),
+    )
 
 
 def servers(table: PoolTable, at: str) -> object:
     """How a pool's servers are spoken to, by its protocol; None of a pool that speaks HTTP."""
     if (table.protocol == "radius") != (table.radius is not None):
-        raise ConfigFault(f"{at}.radius: belongs to protocol = \"radius\", and such a pool needs it")
+        raise ConfigFault(f'{at}.radius: belongs to protocol = "radius", and such a pool needs it')
     if table.radius is None:
         return None
     from whinpier.radius import tables
@@ -254,8 +318,9 @@
     return {"radius": tables.front(table.radius, pools)}
 
 
-def together(table: FileTable, tables: dict[str, PoolTable], pools: dict[str, PoolSpec],
-             routes: list[Route]) -> Together | None:
+def together(
+    table: FileTable, tables: dict[str, PoolTable], pools: dict[str, PoolSpec], routes: list[Route]
+) -> Together | None:
     """How the process knows the others, if the file says so."""
     if table.bank is None:
         return None
@@ -295,10 +360,19 @@
     for key in table.headers:
         if not header(key, f"{at}.headers"):
             raise ConfigFault(f"{at}.headers: a header without a name")
-    patience = duration(table.patience, f"{at}.patience", UNITS["ms"]) if table.patience is not None else 0
-    return Route(table.name, table.host, table.path if table.path is not None else table.prefix or "/",
-                 table.path is None, frozenset(table.methods), dict(table.headers), table.lane,
-                 To(table.pool, name, patience, fields))
+    patience = (
+        duration(table.patience, f"{at}.patience", UNITS["ms"]) if table.patience is not None else 0
+    )
+    return Route(
+        table.name,
+        table.host,
+        table.path if table.path is not None else table.prefix or "/",
+        table.path is None,
+        frozenset(table.methods),
+        dict(table.headers),
+        table.lane,
+        To(table.pool, name, patience, fields),
+    )
 
 
 def parts(tables: dict[str, PoolTable]) -> dict[str, float]:
@@ -329,23 +403,43 @@
     try:
         seed = int(table.process.seed, 16) if table.process.seed else SystemRandom().getrandbits(64)
     except ValueError:
-        raise ConfigFault(f"process.seed: {table.process.seed!r} is not a hexadecimal number") from None
-    tables = {named(name, "pools"): part(value, PoolTable, f"pools.{name}")
-              for name, value in table.pools.items()}
+        raise ConfigFault(
+            f"process.seed: {table.process.seed!r} is not a hexadecimal number"
+        ) from None
+    tables = {
+        named(name, "pools"): part(value, PoolTable, f"pools.{name}")
+        for name, value in table.pools.items()
+    }
     shares = parts(tables)
     pools = {name: pool(name, one, shares[name]) for name, one in tables.items()}
     usual = {name: says(one.says, f"pools.{name}.says") for name, one in tables.items()}
-    routes = [route(value, f"routes[{index}]", pools, usual) for index, value in enumerate(table.routes)]
+    routes = [
+        route(value, f"routes[{index}]", pools, usual) for index, value in enumerate(table.routes)
+    ]
     try:
         compiled = Table(routes)
     except RouteFault as fault:
-        raise ConfigFault(f"{', '.join(f'routes.{name}' for name in fault.routes)}: {fault}") from None
+        raise ConfigFault(
+            f"{', '.join(f'routes.{name}' for name in fault.routes)}: {fault}"
+        ) from None
     for one in routes:
         if pools[one.to.pool].protocol != "http":
-            raise ConfigFault(f"routes.{one.name}.pool: {one.to.pool!r} speaks {pools[one.to.pool].protocol}")
-    spec = Spec(table.name, listen, seed, table.process.descriptors, table.process.memory_mb << 20, pools,
-                compiled, beside(table, pools), table.up.encode(), table.process.isolate,
-                bank=together(table, tables, pools, routes))
+            raise ConfigFault(
+                f"routes.{one.name}.pool: {one.to.pool!r} speaks {pools[one.to.pool].protocol}"
+            )
+    spec = Spec(
+        table.name,
+        listen,
+        seed,
+        table.process.descriptors,
+        table.process.memory_mb << 20,
+        pools,
+        compiled,
+        beside(table, pools),
+        table.up.encode(),
+        table.process.isolate,
+        bank=together(table, tables, pools, routes),
+    )
     check_room(spec)
     return spec
 
@@ -355,11 +449,15 @@
     left = spec.sockets - spare(spec) - min(spec.sockets // DOOR, MOST_DOOR)
     need = LEAST * len(spec.pools)
     if left < need:
-        raise ConfigFault(f"process.descriptors: {spec.sockets} leave {left} for {len(spec.pools)} pools, "
-                          f"which need {need}")
+        raise ConfigFault(
+            f"process.descriptors: {spec.sockets} leave {left} for {len(spec.pools)} pools, "
+            f"which need {need}"
+        )
 
 
-RELEASED = frozenset(("pools", "routes", "up"))  # keys that a released file may have, and takes the place of
+RELEASED = frozenset(
+    ("pools", "routes", "up")
+)  # keys that a released file may have, and takes the place of
 RELEASED_BANK = frozenset(("limits", "verdicts"))
 
 
@@ -370,7 +468,9 @@
             raise ConfigFault(f"released: {key}: belongs into each process's own file")
     bank = released.get("bank", {})
     if not isinstance(bank, dict) or not bank.keys() <= RELEASED_BANK:
-        raise ConfigFault(f"released: bank: only {' and '.join(sorted(RELEASED_BANK))} are released")
+        raise ConfigFault(
+            f"released: bank: only {' and '.join(sorted(RELEASED_BANK))} are released"
+        )
     whole = given | {key: value for key, value in released.items() if key != "bank"}
     return whole | ({"bank": given.get("bank", {}) | bank} if bank else {})
 
@@ -434,8 +534,12 @@
     found: list[str] = kept_till_restart(old, new)
     names = sorted(old.beside.keys() | new.beside.keys())
     for name in names:
-        before, after = (spec.beside[name].till_restart if name in spec.beside else {} for spec in (old, new))
-        found += [f"{name}.{key}" for key in {**before, **after} if before.get(key) != after.get(key)]
+        before, after = (
+            spec.beside[name].till_restart if name in spec.beside else {} for spec in (old, new)
+        )
+        found += [
+            f"{name}.{key}" for key in {**before, **after} if before.get(key) != after.get(key)
+        ]
     before, after = (spec.bank.till_restart if spec.bank else {} for spec in (old, new))
     found += [f"bank.{key}" for key in {**before, **after} if before.get(key) != after.get(key)]
     return found
@@ -455,6 +559,8 @@
     for name, found in after.items():
         if name not in before:
             lines.append(f"routes.{name}: added")
-        elif any(getattr(found, key.name) != getattr(before[name], key.name) for key in fields_of(Route)):
+        elif any(
+            getattr(found, key.name) != getattr(before[name], key.name) for key in fields_of(Route)
+        ):
             lines.append(f"routes.{name}: changed")
     return lines
--- a/whinpier/config/platform.py
+++ b/whinpier/config/platform.py
@@ -18,7 +18,8 @@
 from whinpier.spec import PLATFORM, ConfigFault, PoolSpec, Spec, address, entries
 
 CHOICES = {
-    "discovery": ("automatic", "subscribe"), "report.source": ("off", "inline", "on_probe"),
+    "discovery": ("automatic", "subscribe"),
+    "report.source": ("off", "inline", "on_probe"),
     "weights": ("off", "nominal", "rough", "live"),
 }
 
@@ -41,11 +42,15 @@
 def names(found: dict[str, Any], key: str) -> list[str]:
     """A list of names, or of objects that have one."""
     if f"{key}.count" in found:
-        return [str(found.get(f"{key}.{index}.name", index)) for index in range(found[f"{key}.count"])]
+        return [
+            str(found.get(f"{key}.{index}.name", index)) for index in range(found[f"{key}.count"])
+        ]
     return [name for name in str(found.get(key) or "").split(",") if name]
 
 
-def checked(found: dict[str, Any], key: str, kind: type, default: Any, least: float | None = None) -> Any:
+def checked(
+    found: dict[str, Any], key: str, kind: type, default: Any, least: float | None = None
+) -> Any:
     value = found.get(key, default)
     good = isinstance(value, (int, float) if kind is float else kind)
     good = good and not (kind is int and value is True)
@@ -80,15 +85,33 @@
             checked(found, f"workloads.{index}.{name}", int, None, 1)
         checked(found, f"workloads.{index}.payoff", float, 1.0, 0)
         checked(found, f"workloads.{index}.window", int, 0, 0)
-    for key, least in {"balancers": 1, "slot_no": 0, "zone": 0, "limits.max_hand_offs": 1, "rules.cold": 0,
-                       "limits.connect_timeout": 1, "limits.keepalive": 1, "rules.ask_within": 1,
-                       "rules.fall": 1}.items():
+    for key, least in {
+        "balancers": 1,
+        "slot_no": 0,
+        "zone": 0,
+        "limits.max_hand_offs": 1,
+        "rules.cold": 0,
+        "limits.connect_timeout": 1,
+        "limits.keepalive": 1,
+        "rules.ask_within": 1,
+        "rules.fall": 1,
+    }.items():
         checked(found, key, int, least, least)
-    for key in ("goal.whole", "goal.worst_class", "rules.cold_from", "rules.fall_multiple",
-                "prices.cross_zone"):
+    for key in (
+        "goal.whole",
+        "goal.worst_class",
+        "rules.cold_from",
+        "rules.fall_multiple",
+        "prices.cross_zone",
+    ):
         checked(found, key, float, 0.0, 0)
-    for key in ("limits.cancelling", "limits.second_copies", "limits.peers", "limits.probes",
-                "limits.retry_after"):
+    for key in (
+        "limits.cancelling",
+        "limits.second_copies",
+        "limits.peers",
+        "limits.probes",
+        "limits.retry_after",
+    ):
         checked(found, key, bool, False)
     for key, known in CHOICES.items():
         one_of(found, key, known)
@@ -120,18 +143,32 @@
         raise ConfigFault(f"BALANCER_CONFIG: {path}: holds no object")
     try:
         return made(given, environment)
-    except (ArithmeticError, AttributeError, KeyError, TypeError, ValueError, RecursionError) as fault:
+    except (
+        ArithmeticError,
+        AttributeError,
+        KeyError,
+        TypeError,
+        ValueError,
+        RecursionError,
+    ) as fault:
         # Guards against a kind of fault that no check has thought of: it must not end a running balancer.
         raise ConfigFault(f"settings: {type(fault).__name__}: {fault}") from None
 
 
 def made(given: dict[str, Any], environment: Mapping[str, str]) -> Spec:
-    for key, variable in (("name", "BALANCER_NAME"), ("listen", "BALANCER_LISTEN"),
-                          ("discovery", "BALANCER_DISCOVERY")):
+    for key, variable in (
+        ("name", "BALANCER_NAME"),
+        ("listen", "BALANCER_LISTEN"),
+        ("discovery", "BALANCER_DISCOVERY"),
+    ):
         given[key] = given.get(key) or environment.get(variable)
     limits, known = checked(given, "limits", dict, {}), checked(given, "known", dict, {})
     try:
-        seed = int(given.get("seed", ""), 16) if isinstance(given.get("seed"), str) else int(given["seed"])
+        seed = (
+            int(given.get("seed", ""), 16)
+            if isinstance(given.get("seed"), str)
+            else int(given["seed"])
+        )
     except (KeyError, TypeError, ValueError):
         raise ConfigFault(f"seed: {given.get('seed')!r} is not a hexadecimal number") from None
     if "settings" not in given:
@@ -140,20 +177,32 @@
     workloads = check_settings(found)
     refused = honoured(found)
     pool = PoolSpec(
-        name=PLATFORM, settings=found, workloads=workloads, zones=names(found, "failure_domains"),
-        kinds=names(found, "kinds"), tenants=names(found, "orgs"),
+        name=PLATFORM,
+        settings=found,
+        workloads=workloads,
+        zones=names(found, "failure_domains"),
+        kinds=names(found, "kinds"),
+        tenants=names(found, "orgs"),
         # A quarter of a second and a minute are what the simulator's settings say where they are given.
         connect_limit=found.get("limits.connect_timeout", 250_000_000),
         idle_limit=found.get("limits.keepalive", 60_000_000_000),
-        discovery=address(given["discovery"], "discovery"), known=entries(known.get("hosts", [])),
+        discovery=address(given["discovery"], "discovery"),
+        known=entries(known.get("hosts", [])),
         seq=known.get("seq") if isinstance(known.get("seq"), int) else None,
     )
     return Spec(
-        name=str(given["name"] or "balancer"), listen=[address(given["listen"], "listen")], seed=seed,
+        name=str(given["name"] or "balancer"),
+        listen=[address(given["listen"], "listen")],
+        seed=seed,
         # 1,024 is what a process may usually hold; fewer than 64 leave nothing to work with.
-        sockets=checked({"limits.sockets": limits.get("sockets", 1024)}, "limits.sockets", int, 1024, 64),
+        sockets=checked(
+            {"limits.sockets": limits.get("sockets", 1024)}, "limits.sockets", int, 1024, 64
+        ),
         # A lean deployment's share, where none is told; below 16 MB nothing like this starts.
-        memory=checked({"limits.memory_mb": limits.get("memory_mb", 192)},
-                       "limits.memory_mb", int, 192, 16) << 20,
-        pools={PLATFORM: pool}, not_honoured=refused,
+        memory=checked(
+            {"limits.memory_mb": limits.get("memory_mb", 192)}, "limits.memory_mb", int, 192, 16
+        )
+        << 20,
+        pools={PLATFORM: pool},
+        not_honoured=refused,
     )
--- a/whinpier/durable.py
+++ b/whinpier/durable.py
@@ -36,13 +36,15 @@
     return HEAD.pack(len(body), zlib.crc32(body)) + body
 
 
-def notes(path: str, data: bytes, magic: bytes, longest: int = LONGEST) -> Iterator[tuple[int, Any]]:
+def notes(
+    path: str, data: bytes, magic: bytes, longest: int = LONGEST
+) -> Iterator[tuple[int, Any]]:
     """Each good note with where it ends. Stops at a tear at the end; raises Torn for anything else.
 
     A write that was cut short leaves less at the end than its head says, or a last note whose bytes never
     came (zeros, by some file systems). A bad note with more behind it was not cut, but changed.
     """
-    if data[:len(magic)] != magic:
+    if data[: len(magic)] != magic:
         if magic.startswith(data):
             return  # not even its first line had come
         raise Torn(f"{path}: is no state file of this version; move it away to begin without")
@@ -52,15 +54,17 @@
             return
         size, proof = HEAD.unpack_from(data, at)
         ends = at + HEAD.size + size
-        body = data[at + HEAD.size:ends]
+        body = data[at + HEAD.size : ends]
         if ends > len(data) and size <= longest:
             return
         good = 0 < size <= longest and zlib.crc32(body) == proof
         if not good:
             if ends == len(data) or not any(data[at:]):
                 return
-            raise Torn(f"{path}: is damaged at byte {at} of {len(data)}, with more behind it; what it says "
-                       "after it would be forgotten, and could be done twice: move it away to begin without")
+            raise Torn(
+                f"{path}: is damaged at byte {at} of {len(data)}, with more behind it; what it says "
+                "after it would be forgotten, and could be done twice: move it away to begin without"
+            )
         try:
             note = unpack(body)
         except msgspec.DecodeError as fault:
--- a/whinpier/files.py
+++ b/whinpier/files.py
@@ -8,7 +8,9 @@
 import os
 import stat
 
-LARGEST = 8 * 1024 * 1024  # of the file: a list of thousands of upstreams and the settings are a tenth of it
+LARGEST = (
+    8 * 1024 * 1024
+)  # of the file: a list of thousands of upstreams and the settings are a tenth of it
 
 
 def contents(path: str, largest: int = LARGEST, private: bool = False) -> bytes:
--- a/whinpier/lab/balancers.py
+++ b/whinpier/lab/balancers.py
@@ -93,7 +93,13 @@
     def __init__(self, task: Asked, peer: Link, now: int, fresh: bool) -> None:
         super().__init__(task, peer, now)
         self.asked, self.link = task, peer
-        self.work, self.fresh, self.fails, self.dropped, self.told = task.work, fresh, "", False, False
+        self.work, self.fresh, self.fails, self.dropped, self.told = (
+            task.work,
+            fresh,
+            "",
+            False,
+            False,
+        )
 
     def __hash__(self) -> int:
         return id(self)
@@ -115,7 +121,9 @@
 class Link(Peer):
     """What one process of a balancer has towards one upstream."""
 
-    def __init__(self, pool: Pool, entry: Entry, number: int, balancer: Balancer, server: Server) -> None:
+    def __init__(
+        self, pool: Pool, entry: Entry, number: int, balancer: Balancer, server: Server
+    ) -> None:
         super().__init__(number, entry.state, 0, 0, entry.started)
         self.pool, self.host, self.address = pool, entry.host, entry.dial
         self.balancer, self.server, self.ground = balancer, server, balancer.ground
@@ -198,10 +206,24 @@
 class Balancer:
     """One balancer of the run, through all runs of its process."""
 
-    def __init__(self, ground: Ground, number: int, zone: int, servers: Mapping[str, Server],
-                 made: Callable[[Balancer], Pool]) -> None:
-        self.ground, self.number, self.zone, self.servers, self.made = ground, number, zone, servers, made
-        self.told_at: dict[str, tuple[str, int]] = {}  # upstream: what the list last said of it, and when
+    def __init__(
+        self,
+        ground: Ground,
+        number: int,
+        zone: int,
+        servers: Mapping[str, Server],
+        made: Callable[[Balancer], Pool],
+    ) -> None:
+        self.ground, self.number, self.zone, self.servers, self.made = (
+            ground,
+            number,
+            zone,
+            servers,
+            made,
+        )
+        self.told_at: dict[
+            str, tuple[str, int]
+        ] = {}  # upstream: what the list last said of it, and when
         self.stale_until = 0
         self.up, self.leaving, self.run = True, False, 0
         self.out = 0  # hand-offs on the wire
@@ -225,7 +247,9 @@
             for attempt in peer.attempts:
                 attempt.settled = True
                 self.ground.clock.after(peer.way(), peer.server.give_up, attempt)
-            peer.server.connections = max(0, peer.server.connections - peer.idle - len(peer.attempts))
+            peer.server.connections = max(
+                0, peer.server.connections - peer.idle - len(peer.attempts)
+            )
             peer.attempts.clear()
             peer.idle = 0
         for task in lost:
@@ -267,4 +291,3 @@
         task.balancer = self
         self.pool.part.tasks.take()
         self.pool.take(task)
-
--- a/whinpier/lab/bank.py
+++ b/whinpier/lab/bank.py
@@ -25,8 +25,14 @@
 class Node:
     """One process: a member and what its machine does to it."""
 
-    def __init__(self, bank: Bank, number: int, name: str, address: Address,
-                 recalled: list[Address] | None = None) -> None:
+    def __init__(
+        self,
+        bank: Bank,
+        number: int,
+        name: str,
+        address: Address,
+        recalled: list[Address] | None = None,
+    ) -> None:
         self.bank, self.number, self.name, self.address = bank, number, name, address
         self.alive, self.awake, self.slow = True, True, 0.0
         self.box: list[tuple[bytes, Address]] = []  # what has come while it stood still
@@ -34,7 +40,9 @@
         self.run = chance.getrandbits(63)
         seeds = bank.seeds()
         card = Card(name, self.run, 1, *address, build="model", pools=(POOL,))
-        self.members = Members(card, seeds, KEY, bank.times, chance, bank.clock.now, recalled=recalled or ())
+        self.members = Members(
+            card, seeds, KEY, bank.times, chance, bank.clock.now, recalled=recalled or ()
+        )
         bank.spoil(self.members)
         self.called_at = 0
         self.done = 0  # when its core has done what it has
@@ -94,8 +102,9 @@
         for address, data in out:
             self.bank.carry(self, address, data)
         for event in events:
-            self.bank.said.append(Said((event.at - self.bank.clock.start) / SECOND, self.id, event.name,
-                                       event.pairs))
+            self.bank.said.append(
+                Said((event.at - self.bank.clock.start) / SECOND, self.id, event.name, event.pairs)
+            )
             self.bank.counts[event.name] += 1
         self.schedule()
 
@@ -121,8 +130,13 @@
 class Bank:
     """One run."""
 
-    def __init__(self, schedule: Schedule, times: Times = Times(), bounds: Bounds | None = None,
-                 spoil: Spoil = lambda members: None) -> None:
+    def __init__(
+        self,
+        schedule: Schedule,
+        times: Times = Times(),
+        bounds: Bounds | None = None,
+        spoil: Spoil = lambda members: None,
+    ) -> None:
         self.schedule, self.times, self.spoil = schedule, times, spoil
         self.bounds = bounds or Bounds(agree=5.0)
         self.clock = Clock(schedule.seed)
@@ -132,18 +146,26 @@
         self.counts: Counter[str] = Counter()
         self.at_address: dict[Address, Node] = {}
         self.silent: set[Address] = set()  # machines that are gone: nothing is refused there
-        self.cuts: list[tuple[tuple[frozenset[int], ...], frozenset[int] | None, frozenset[int]]] = []
+        self.cuts: list[
+            tuple[tuple[frozenset[int], ...], frozenset[int] | None, frozenset[int]]
+        ] = []
         self.weather: list[Fault] = []
         self.ports = 7000
         late = {number for fault in schedule.faults if fault.kind == "join" for number in fault.who}
         self.nodes: dict[int, Node] = {}
         self.gone: set[int] = set()
-        self.first: dict[int, Address] = {number: self.place(number) for number in range(schedule.members)}
+        self.first: dict[int, Address] = {
+            number: self.place(number) for number in range(schedule.members)
+        }
         for number in range(schedule.members):
             if number not in late:
                 # Nobody starts all processes in the same millisecond.
-                self.clock.after(int(self.chance.random() * SECOND), self.begin_process, number,
-                                 self.first[number])
+                self.clock.after(
+                    int(self.chance.random() * SECOND),
+                    self.begin_process,
+                    number,
+                    self.first[number],
+                )
         for fault in schedule.faults:
             self.clock.at(self.clock.start + int(fault.at * SECOND), self.begin, fault)
 
@@ -152,7 +174,9 @@
         return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", self.ports
 
     def seeds(self) -> list[Address]:
-        return [self.first[number] for number in range(min(self.schedule.seeds, self.schedule.members))]
+        return [
+            self.first[number] for number in range(min(self.schedule.seeds, self.schedule.members))
+        ]
 
     def start(self, number: int, address: Address, name: str = "") -> Node:
         before = self.nodes.get(number)
@@ -165,7 +189,9 @@
             self.tell_ways()
         return node
 
-    def made(self, number: int, name: str, address: Address, recalled: list[Address] | None) -> Node:
+    def made(
+        self, number: int, name: str, address: Address, recalled: list[Address] | None
+    ) -> Node:
         return Node(self, number, name, address, recalled)
 
     def begin_process(self, number: int, address: Address) -> None:
@@ -183,7 +209,11 @@
         self.counts["bytes"] += len(data)
         there = self.at_address.get(address)
         chance = self.chance
-        if there is not None and there.number != node.number and self.cut(node.number, there.number):
+        if (
+            there is not None
+            and there.number != node.number
+            and self.cut(node.number, there.number)
+        ):
             return
         delay, copies = MS // 5 + int(chance.random() * MS), 1
         for fault in self.weather:
@@ -196,10 +226,14 @@
                 if kind == "doubled":
                     copies += 1
                 elif kind == "torn":
-                    data = data[:int(chance.random() * len(data))]
+                    data = data[: int(chance.random() * len(data))]
                 elif kind == "flipped" and data:
                     at = int(chance.random() * len(data))
-                    data = data[:at] + bytes((data[at] ^ 1 << int(chance.random() * 8),)) + data[at + 1:]
+                    data = (
+                        data[:at]
+                        + bytes((data[at] ^ 1 << int(chance.random() * 8),))
+                        + data[at + 1 :]
+                    )
                 elif kind == "stale":
                     self.clock.after(2 * SECOND, self.arrive, node, address, data)
         for _ in range(copies):
@@ -238,8 +272,11 @@
         elif kind in ("lossy", "late", "doubled", "torn", "flipped", "stale"):
             self.weather.append(fault)
             self.fact("weather", bad=True)
-            self.clock.after(after + (2 * SECOND if kind == "stale" else int(fault.amount * SECOND)),
-                             self.clear, fault)
+            self.clock.after(
+                after + (2 * SECOND if kind == "stale" else int(fault.amount * SECOND)),
+                self.clear,
+                fault,
+            )
         else:
             for number in fault.who:
                 self.hit(fault, number, after)
@@ -250,7 +287,9 @@
 
     def clear(self, fault: Fault) -> None:
         self.weather.remove(fault)
-        self.fact("weather", bad=bool(self.weather) or any(some is not None for _, some, _ in self.cuts))
+        self.fact(
+            "weather", bad=bool(self.weather) or any(some is not None for _, some, _ in self.cuts)
+        )
 
     def tell_ways(self) -> None:
         """The facts: who reaches whom. What is no division into parts counts as weather."""
@@ -260,8 +299,10 @@
         if whole:
             groups: dict[tuple[int, ...], set[str]] = {}
             for number, node in self.nodes.items():
-                which = tuple(next((place for place, part in enumerate(parts) if number in part), -1 - number)
-                              for parts in whole)
+                which = tuple(
+                    next((place for place, part in enumerate(parts) if number in part), -1 - number)
+                    for parts in whole
+                )
                 groups.setdefault(which, set()).add(node.name)
             names = [frozenset(group) for group in groups.values()]
         self.fact("weather", bad=bool(self.weather) or one_way)
@@ -295,7 +336,9 @@
 
     def quick(self, node: Node) -> None:
         node.slow = 0.0
-        self.fact("weather", bad=bool(self.weather) or any(some is not None for _, some, _ in self.cuts))
+        self.fact(
+            "weather", bad=bool(self.weather) or any(some is not None for _, some, _ in self.cuts)
+        )
 
     def end(self, node: Node, silently: bool, kind: str = "dead") -> None:
         node.alive = False
@@ -317,9 +360,14 @@
         referee = Referee(self.facts, self.said, self.schedule.seconds, self.bounds)
         breaches = referee.judge()
         each = max(1, len(self.nodes)) * self.schedule.seconds
-        return {"breaches": breaches, "slowest": dict(referee.slowest), "checked": dict(referee.checked),
-                "events": dict(self.counts), "bytes_each": self.counts["bytes"] / each,
-                "datagrams_each": self.counts["datagrams"] / each}
+        return {
+            "breaches": breaches,
+            "slowest": dict(referee.slowest),
+            "checked": dict(referee.checked),
+            "events": dict(self.counts),
+            "bytes_each": self.counts["bytes"] / each,
+            "datagrams_each": self.counts["datagrams"] / each,
+        }
 
 
 def breaches(schedule: Schedule, spoil: Spoil = lambda members: None) -> list[Breach]:
--- a/whinpier/lab/bankdays.py
+++ b/whinpier/lab/bankdays.py
@@ -96,9 +96,15 @@
     found = [fault(given, index, members) for index, given in enumerate(days.faults)]
     if days.rolling:
         order = range(0, members, days.rolling.each)
-        found += [Fault(days.rolling.at + place * days.rolling.apart, "restart",
-                        tuple(range(first, min(first + days.rolling.each, members))), span=days.rolling.down)
-                  for place, first in enumerate(order)]
+        found += [
+            Fault(
+                days.rolling.at + place * days.rolling.apart,
+                "restart",
+                tuple(range(first, min(first + days.rolling.each, members))),
+                span=days.rolling.down,
+            )
+            for place, first in enumerate(order)
+        ]
     if days.drawn:
         found += faults.draw(seed, members, days.seconds, days.drawn).faults
     ordered = tuple(sorted(found, key=lambda one: one.at))
@@ -108,10 +114,15 @@
 def play(given: Schedule) -> dict[str, Any]:
     """One day, in whichever process."""
     found = Bank(given).play()
-    return {"seed": given.seed, "broken": [str(breach) for breach in found["breaches"]],
-            "dead_s": round(found["slowest"].get("dead", 0.0), 2), "checked": found["checked"],
-            "bytes_s": round(found["bytes_each"]), "datagrams_s": round(found["datagrams_each"], 1),
-            "events": found["events"]}
+    return {
+        "seed": given.seed,
+        "broken": [str(breach) for breach in found["breaches"]],
+        "dead_s": round(found["slowest"].get("dead", 0.0), 2),
+        "checked": found["checked"],
+        "bytes_s": round(found["bytes_each"]),
+        "datagrams_s": round(found["datagrams_each"], 1),
+        "events": found["events"],
+    }
 
 
 def least(given: Schedule) -> Schedule:
--- a/whinpier/lab/bankmutations.py
+++ b/whinpier/lab/bankmutations.py
@@ -22,15 +22,30 @@
 TWELVE = tuple(range(12))
 # Days that together show every one of them; drawn ones follow.
 DAYS = (
-    Schedule(12, 24.0, (Fault(8.0, "vanish", (5,)), Fault(13.4, "stop", (6,), span=1.1),
-                        Fault(14.0, "stop", (7, 8, 9, 10), span=2.5))),
+    Schedule(
+        12,
+        24.0,
+        (
+            Fault(8.0, "vanish", (5,)),
+            Fault(13.4, "stop", (6,), span=1.1),
+            Fault(14.0, "stop", (7, 8, 9, 10), span=2.5),
+        ),
+    ),
     Schedule(12, 24.0, (Fault(8.0, "cut", parts=(TWELVE[:6], TWELVE[6:]), span=8.0),)),
     Schedule(12, 40.0, (Fault(6.0, "lossy", span=26.0, amount=0.1),)),
     Schedule(12, 20.0, (Fault(8.0, "restart", (6, 7), span=0.1),)),
-    Schedule(12, 24.0, (Fault(6.0, "one_way", (1,), (2,), span=8.0), Fault(16.0, "move", (9,), span=0.5))),
+    Schedule(
+        12, 24.0, (Fault(6.0, "one_way", (1,), (2,), span=8.0), Fault(16.0, "move", (9,), span=0.5))
+    ),
     Schedule(12, 20.0, (Fault(8.0, "restart", (6, 7), span=0.1),), refusing=False),
-    Schedule(12, 44.0, tuple(Fault(6.0 + 6.0 * turn, "stop", (3 + turn, *range(8, 12)), span=2.5)
-                             for turn in range(5))),
+    Schedule(
+        12,
+        44.0,
+        tuple(
+            Fault(6.0 + 6.0 * turn, "stop", (3 + turn, *range(8, 12)), span=2.5)
+            for turn in range(5)
+        ),
+    ),
 )
 BORNE = 0.1  # of all datagrams lost, by which nobody is to be taken for lost
 ACCUSED = 0.3  # suspicions that a member begins itself in a second: 0.1 with a tenth of all datagrams lost
@@ -52,11 +67,13 @@
 
 def loses_at_once() -> list[Change]:
     """One ping without an answer, and it is lost."""
+
     def unanswered(self: Members, nonce: int) -> None:
         probe = self.probes.pop(nonce, None)
         member = self.members.get(probe.target) if probe else None
         if member is not None and member.connected:
             self.adopt(member, Word(member.id, member.word.life, LOST, SILENT, self.card.id))
+
     return [(Members, "unanswered", unanswered)]
 
 
@@ -69,6 +86,7 @@
     def early(self: Members) -> None:
         if not self.joined or self.now < self.began + 5_000_000_000:
             real(self)
+
     return early
 
 
@@ -79,8 +97,10 @@
 
 def life_is_ignored() -> list[Change]:
     """A word is not outdone by what its member said since."""
+
     def rank(self: Word) -> tuple[int, int, int, int]:
         return self.state >= forms.LEFT, 0, self.state, self.why
+
     return [(Word, "rank", property(rank))]
 
 
@@ -91,8 +111,10 @@
 
 def goes_on_as_if_awake() -> list[Change]:
     """One that stood still believes its own timers, and loses whom it did not hear."""
+
     def enter(self: Members, now: int) -> None:
         self.now = max(self.now, now)
+
     return [(Members, "enter", enter), (Members, "hear", silently)]
 
 
@@ -102,8 +124,10 @@
 
 def tells_no_news() -> list[Change]:
     """Nothing is passed on, and views are not exchanged."""
+
     def add_news(self: Members, words: Any, cards: Any, room: int) -> int:
         return room
+
     return [(Members, "add_news", add_news), (Members, "tell_all", nothing)]
 
 
@@ -114,34 +138,58 @@
 
 def half_is_larger() -> list[Change]:
     """Of two halves each takes itself for the larger part."""
+
     def where(self: Members) -> str:
         here, unheard = self.count(), self.tally[1]
         if here == 1 and unheard:
             return "alone"
         return "whole" if not unheard else "larger" if 2 * here >= here + unheard else "smaller"
+
     return [(Members, "where", where)]
 
 
 def believes_anybody() -> list[Change]:
     """Who is not known is taken up on its own word, also a replayed one."""
+
     def stranger(self: Members, datagram: Any, probe: Any, source: Any) -> Any:
         card = next((card for card in datagram.cards if card.id == datagram.sender), None)
         return self.admit(card, Word(card.id, 0, HERE), datagram.count, True) if card else None
+
     return [(Members, "stranger", stranger)]
 
 
 def counts_the_heard() -> list[Change]:
     """Pools are told of those who are heard only."""
+
     def shares(self: Members, mark: int) -> list[tuple[bytes, int]]:
-        found = [(b"", one.id) for one in self.members.values() if one.connected and mark in one.card.pools]
+        found = [
+            (b"", one.id)
+            for one in self.members.values()
+            if one.connected and mark in one.card.pools
+        ]
         return sorted([*found, (b"", self.card.id)])
+
     return [(Members, "shares", shares)]
 
 
-MUTATIONS: dict[str, Callable[[], list[Change]]] = {change.__name__: change for change in (
-    never_refutes, never_loses, loses_at_once, gives_up, silence_is_death, life_is_ignored, asks_nobody,
-    goes_on_as_if_awake, tells_no_news, keeps_the_old_run, half_is_larger, believes_anybody,
-    counts_the_heard)}
+MUTATIONS: dict[str, Callable[[], list[Change]]] = {
+    change.__name__: change
+    for change in (
+        never_refutes,
+        never_loses,
+        loses_at_once,
+        gives_up,
+        silence_is_death,
+        life_is_ignored,
+        asks_nobody,
+        goes_on_as_if_awake,
+        tells_no_news,
+        keeps_the_old_run,
+        half_is_larger,
+        believes_anybody,
+        counts_the_heard,
+    )
+}
 
 
 @contextmanager
@@ -176,20 +224,35 @@
             told = counting.pools["all"].balancers
             settled = bank.clock.now - node.members.began > 5_000_000_000
             if node.alive and node.awake and settled and told < alive and not broken:
-                broken.append(Breach("count", now, node.name, f"tells pools of {told} balancers, and "
-                                                              f"{alive} are there"))
+                broken.append(
+                    Breach(
+                        "count",
+                        now,
+                        node.name,
+                        f"tells pools of {told} balancers, and {alive} are there",
+                    )
+                )
 
     assert POOL
     bank.clock.after(0, look)
     found: list[Breach] = bank.play()["breaches"]
-    accused = Counter(said.process[0] for said in bank.said
-                      if said.event == "member_suspect" and said.pairs.get("by") == said.process[0])
-    broken += [Breach("accused", schedule.seconds, name, f"suspects others {count} times by itself")
-               for name, count in accused.items() if count > ACCUSED * schedule.seconds + 6]
+    accused = Counter(
+        said.process[0]
+        for said in bank.said
+        if said.event == "member_suspect" and said.pairs.get("by") == said.process[0]
+    )
+    broken += [
+        Breach("accused", schedule.seconds, name, f"suspects others {count} times by itself")
+        for name, count in accused.items()
+        if count > ACCUSED * schedule.seconds + 6
+    ]
     if all(fault.kind == "lossy" and fault.amount <= BORNE for fault in schedule.faults):
         # The referee asks nothing of bad weather, as it may be any; so much of it is promised to lose nobody.
-        broken += [Breach("false", said.at, said.process[0], f"loses {said.pairs.get('member')}")
-                   for said in bank.said if said.event == "member_lost"]
+        broken += [
+            Breach("false", said.at, said.process[0], f"loses {said.pairs.get('member')}")
+            for said in bank.said
+            if said.event == "member_lost"
+        ]
     return found + broken
 
 
--- a/whinpier/lab/baselines.py
+++ b/whinpier/lab/baselines.py
@@ -29,9 +29,13 @@
     def allowed(self, task: Task) -> list[Seen]:
         """Those that the rules let a task go to; none that it was at already."""
         again = self.choice.again
-        return [seen for seen in self.ready if seen.upstream.state == READY
-                and not any(sent.upstream is seen.upstream for sent in task.hand_offs)
-                and (not task.hand_offs or again.fits(task, seen.upstream))]
+        return [
+            seen
+            for seen in self.ready
+            if seen.upstream.state == READY
+            and not any(sent.upstream is seen.upstream for sent in task.hand_offs)
+            and (not task.hand_offs or again.fits(task, seen.upstream))
+        ]
 
     def want(self, count: int) -> int:
         return count
@@ -119,7 +123,11 @@
     def find(self, task: Task) -> Seen | None:
         allowed, seen_then = self.allowed(task), self.sight.then()
         work = getattr(task, "work", 0.0)
-        sums = list(accumulate(seen_then.get(getattr(seen.upstream, "host"), NOTHING)[0] for seen in allowed))
+        sums = list(
+            accumulate(
+                seen_then.get(getattr(seen.upstream, "host"), NOTHING)[0] for seen in allowed
+            )
+        )
         if not sums or sums[-1] <= 0.0:
             return None
         best, least = None, float("inf")
@@ -149,8 +157,19 @@
 
     def look(self) -> None:
         now = self.clock.now
-        self.kept.append((now, {name: (server.capacity() * (1.0 - server.failing), server.backlog(),
-                                       server.machine.cores) for name, server in self.servers.items()}))
+        self.kept.append(
+            (
+                now,
+                {
+                    name: (
+                        server.capacity() * (1.0 - server.failing),
+                        server.backlog(),
+                        server.machine.cores,
+                    )
+                    for name, server in self.servers.items()
+                },
+            )
+        )
         while len(self.kept) > 1 and self.kept[1][0] <= now - self.late:
             self.kept.popleft()
         self.clock.after(SECOND // 4, self.look)
@@ -160,8 +179,14 @@
 
 
 POLICIES: dict[str, Callable[[Choice, dict[str, Any], int], Split]] = {
-    "random": Random, "round_robin": RoundRobin, "least_out": LeastOut, "two_choices": TwoChoices,
-    "join_idle": JoinIdle, "oracle": Oracle, "late_oracle": LateOracle}
+    "random": Random,
+    "round_robin": RoundRobin,
+    "least_out": LeastOut,
+    "two_choices": TwoChoices,
+    "join_idle": JoinIdle,
+    "oracle": Oracle,
+    "late_oracle": LateOracle,
+}
 
 
 def dressed(pool: Pool, name: str, seed: int, sight: Sight | None) -> Pool:
--- a/whinpier/lab/clients.py
+++ b/whinpier/lab/clients.py
@@ -27,8 +27,16 @@
 class Front:
     """Deals clients' tasks out among the balancers: by zone, then by each one's part of the traffic."""
 
-    def __init__(self, ground: Ground, table: FrontTable, balancers: list[Balancer], zones: int, seed: int,
-                 ends: int, seconds: float) -> None:
+    def __init__(
+        self,
+        ground: Ground,
+        table: FrontTable,
+        balancers: list[Balancer],
+        zones: int,
+        seed: int,
+        ends: int,
+        seconds: float,
+    ) -> None:
         self.ground, self.table, self.balancers, self.seed = ground, table, balancers, seed
         self.ends, self.seconds = ends, seconds
         self.chance = Random(f"front/{seed}")
@@ -45,8 +53,12 @@
         for number in self.known:
             of[self.balancers[number].zone] += self.parts[number]
         self.order = sorted(self.known) or list(range(len(self.balancers)))
-        shares = [self.parts[number] * self.zones[self.balancers[number].zone]
-                  / max(of[self.balancers[number].zone], 1e-9) for number in self.order]
+        shares = [
+            self.parts[number]
+            * self.zones[self.balancers[number].zone]
+            / max(of[self.balancers[number].zone], 1e-9)
+            for number in self.order
+        ]
         self.sums = list(accumulate(shares))
 
     def pick(self) -> Balancer:
@@ -55,7 +67,9 @@
 
     def lost(self, balancer: Balancer) -> None:
         """One has died: that is noticed after a while."""
-        self.ground.clock.after(int(self.table.notice * SECOND), self.noticed, balancer, balancer.run)
+        self.ground.clock.after(
+            int(self.table.notice * SECOND), self.noticed, balancer, balancer.run
+        )
 
     def noticed(self, balancer: Balancer, run: int) -> None:
         if balancer.run == run and (not balancer.up or balancer.leaving):
@@ -74,7 +88,10 @@
         self.ground, self.front, self.stream, self.workload = ground, front, stream, workload
         self.chance = Random(f"clients/{front.seed}/{stream.name}")
         self.surge = 1.0  # by a trouble, on top of the stream's own
-        self.leaving, self.eager = 0.0, 0  # part of tasks that are not waited for to the end; further tries
+        self.leaving, self.eager = (
+            0.0,
+            0,
+        )  # part of tasks that are not waited for to the end; further tries
         self.most = max([1.0, *(times for _, _, times in stream.surges)]) * (1.0 + stream.day)
         self.patience = int(stream.patience * SECOND)
 
@@ -174,7 +191,10 @@
             self.next_try(task, wait)
 
     def next_try(self, task: Asked, wait: int) -> None:
-        if task.tries < self.stream.retries + self.eager and self.ground.clock.now < self.front.ends:
+        if (
+            task.tries < self.stream.retries + self.eager
+            and self.ground.clock.now < self.front.ends
+        ):
             hasty = self.stream.hasty or self.eager
             after = 0 if hasty else int((wait or BACK) * (0.75 + 0.5 * self.chance.random()))
             self.ground.clock.after(self.ground.network.near + after, self.again, task)
--- a/whinpier/lab/experiment.py
+++ b/whinpier/lab/experiment.py
@@ -27,9 +27,32 @@
 Amount = Annotated[float, Meta(ge=0.0, le=1e6)]
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Count = Annotated[int, Meta(ge=1, le=10_000)]
-Kind = Literal["slow", "hang", "pause", "fail", "shrink", "restart", "lost_zone", "stale_list", "lossy",
-               "partition", "clock_step", "spoilt", "surge", "killed", "rolling", "moved_list", "late_list",
-               "cut_zone", "replace", "silent_answers", "resets", "leavers", "eager", "shift"]
+Kind = Literal[
+    "slow",
+    "hang",
+    "pause",
+    "fail",
+    "shrink",
+    "restart",
+    "lost_zone",
+    "stale_list",
+    "lossy",
+    "partition",
+    "clock_step",
+    "spoilt",
+    "surge",
+    "killed",
+    "rolling",
+    "moved_list",
+    "late_list",
+    "cut_zone",
+    "replace",
+    "silent_answers",
+    "resets",
+    "leavers",
+    "eager",
+    "shift",
+]
 KINDS: tuple[Kind, ...] = get_args(Kind)
 MOST_RUNS = 100_000
 
@@ -44,15 +67,21 @@
     count: Count
     cores: Annotated[int, Meta(ge=1, le=1024)] = 4
     speed: Positive = 1.0  # of a core
-    queue: Annotated[int, Meta(ge=0, le=100_000)] = 64  # that wait for a core; more is turned away unseen
+    queue: Annotated[int, Meta(ge=0, le=100_000)] = (
+        64  # that wait for a core; more is turned away unseen
+    )
     connections: Count = 400
     connection_work: Amount = 0.0  # seconds of a core for a new connection
     warm_up: Amount = 0.0  # seconds until it does all it can after a start
     cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.2
-    topple: Amount = 0.0  # times its present capacity, in a second, at which a cold one falls over; 0: never
+    topple: Amount = (
+        0.0  # times its present capacity, in a second, at which a cold one falls over; 0: never
+    )
     keys: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # that it knows again
     known_work: Share = 1.0  # part of the work that a task with a known key takes
-    overdrive: Amount = 0.0  # part of its speed that each further queue's length as long as its cores takes
+    overdrive: Amount = (
+        0.0  # part of its speed that each further queue's length as long as its cores takes
+    )
 
 
 class Fleet(Table, frozen=True, kw_only=True):
@@ -105,7 +134,9 @@
     at: Amount
     span: Positive = 5.0
     share: Share = 0.0  # of upstreams (or balancers, for a stale list); 0: one
-    amount: Amount = 0.0  # how much: speed left, part that fails, seconds of a pause or step; 0: the usual
+    amount: Amount = (
+        0.0  # how much: speed left, part that fails, seconds of a pause or step; 0: the usual
+    )
     zone: Annotated[int, Meta(ge=0, le=15)] = 0
 
 
@@ -120,13 +151,23 @@
 class Policy(Table, frozen=True, kw_only=True):
     """How balancers decide."""
 
-    name: Literal["choice", "random", "round_robin", "least_out", "two_choices", "join_idle",
-                  "oracle", "late_oracle"] = "choice"
+    name: Literal[
+        "choice",
+        "random",
+        "round_robin",
+        "least_out",
+        "two_choices",
+        "join_idle",
+        "oracle",
+        "late_oracle",
+    ] = "choice"
     sight: Amount = 1.0  # seconds by which the late-seeing oracle sees the true state late
     hand_offs: Annotated[int, Meta(ge=1, le=16)] = 3
     second_copies: bool = False
     cancelling: bool = True
-    drain_grace: Amount = 0.5  # seconds after a drain was told in which something new may still arrive
+    drain_grace: Amount = (
+        0.5  # seconds after a drain was told in which something new may still arrive
+    )
     mutation: str = ""  # a rule broken on purpose, to see that it is caught
 
 
@@ -167,7 +208,9 @@
     @property
     def key(self) -> str:
         """The same for the same run, however it is asked for."""
-        values = ",".join(f"{path}={json.dumps(value)}" for path, value in sorted(self.values.items()))
+        values = ",".join(
+            f"{path}={json.dumps(value)}" for path, value in sorted(self.values.items())
+        )
         return f"{values or 'plain'};seed={self.seed}"
 
 
@@ -202,16 +245,24 @@
             raise ConfigFault(f"streams[{index}].patience: is shorter than agreed_time")
         for begins, ends, times in stream.surges:
             if not (0.0 <= begins < ends and times >= 0.0):
-                raise ConfigFault(f"streams[{index}].surges: {begins}, {ends}, {times}: not from, to, times")
+                raise ConfigFault(
+                    f"streams[{index}].surges: {begins}, {ends}, {times}: not from, to, times"
+                )
     if found.front.zones and len(found.front.zones) != found.fleet.zones:
-        raise ConfigFault(f"front.zones: names {len(found.front.zones)} of {found.fleet.zones} zones")
+        raise ConfigFault(
+            f"front.zones: names {len(found.front.zones)} of {found.fleet.zones} zones"
+        )
     if found.front.zones and not any(found.front.zones):
         raise ConfigFault("front.zones: nobody asks for anything")
     for index, trouble in enumerate(found.troubles):
         if trouble.kind in ("lost_zone", "cut_zone", "shift") and trouble.zone >= found.fleet.zones:
-            raise ConfigFault(f"troubles[{index}].zone: {trouble.zone} is none of {found.fleet.zones} zones")
+            raise ConfigFault(
+                f"troubles[{index}].zone: {trouble.zone} is none of {found.fleet.zones} zones"
+            )
     if found.policy.mutation not in ("", *MUTATIONS):
-        raise ConfigFault(f"policy.mutation: {found.policy.mutation!r} is none of {', '.join(MUTATIONS)}")
+        raise ConfigFault(
+            f"policy.mutation: {found.policy.mutation!r} is none of {', '.join(MUTATIONS)}"
+        )
     if found.size:
         found = sized(found)
     if found.warm >= found.seconds:
@@ -222,10 +273,16 @@
 def sized(found: File) -> File:
     """The same experiment with so many balancers, and upstreams and rates in proportion."""
     times = found.size / found.fleet.balancers
-    machines = [msgspec.structs.replace(machine, count=max(1, round(machine.count * times)))
-                for machine in found.fleet.machines]
-    fleet = msgspec.structs.replace(found.fleet, balancers=max(1, round(found.size)), machines=machines)
-    streams = [msgspec.structs.replace(stream, rate=stream.rate * times) for stream in found.streams]
+    machines = [
+        msgspec.structs.replace(machine, count=max(1, round(machine.count * times)))
+        for machine in found.fleet.machines
+    ]
+    fleet = msgspec.structs.replace(
+        found.fleet, balancers=max(1, round(found.size)), machines=machines
+    )
+    streams = [
+        msgspec.structs.replace(stream, rate=stream.rate * times) for stream in found.streams
+    ]
     return msgspec.structs.replace(found, fleet=fleet, streams=streams, size=0.0)
 
 
@@ -292,5 +349,7 @@
 def shipped() -> dict[str, Path]:
     """The experiments that come with the project; those of a folder by `folder/name`."""
     folder = Path(os.path.dirname(__file__)) / "experiments"
-    return {file.relative_to(folder).with_suffix("").as_posix(): file
-            for file in sorted(folder.rglob("*.toml"))}
+    return {
+        file.relative_to(folder).with_suffix("").as_posix(): file
+        for file in sorted(folder.rglob("*.toml"))
+    }
--- a/whinpier/lab/measure.py
+++ b/whinpier/lab/measure.py
@@ -81,18 +81,29 @@
     def result(self) -> dict[str, Any]:
         """All of it, as plain values."""
         first = self.warm // SECOND
-        asked, on_time = sum(self.by_second["asked"][first:]), sum(self.by_second["on_time"][first:])
+        asked, on_time = (
+            sum(self.by_second["asked"][first:]),
+            sum(self.by_second["on_time"][first:]),
+        )
         worth = sum(self.asked_payoff[first:])
-        streams = {name: dict(counts) | self.percentiles(name) for name, counts in self.streams.items()}
-        return {"on_time": on_time / asked if asked else 1.0,
-                "payoff": sum(self.payoff[first:]) / worth if worth else 1.0, "asked": asked,
-                "mean_s": self.total_time / self.ended if self.ended else 0.0,
-                "streams": streams, "by_second": self.by_second,
-                "payoff_by_second": [round(value, 3) for value in self.payoff],
-                "asked_payoff_by_second": [round(value, 3) for value in self.asked_payoff],
-                "digest": self.digest.hexdigest()}
+        streams = {
+            name: dict(counts) | self.percentiles(name) for name, counts in self.streams.items()
+        }
+        return {
+            "on_time": on_time / asked if asked else 1.0,
+            "payoff": sum(self.payoff[first:]) / worth if worth else 1.0,
+            "asked": asked,
+            "mean_s": self.total_time / self.ended if self.ended else 0.0,
+            "streams": streams,
+            "by_second": self.by_second,
+            "payoff_by_second": [round(value, 3) for value in self.payoff],
+            "asked_payoff_by_second": [round(value, 3) for value in self.asked_payoff],
+            "digest": self.digest.hexdigest(),
+        }
 
     def percentiles(self, name: str) -> dict[str, float]:
         histogram = self.latency[name]
-        return {f"p{part}": histogram.get_value_at_percentile(value) / 1000
-                for part, value in (("50", 50.0), ("90", 90.0), ("99", 99.0), ("999", 99.9))}
+        return {
+            f"p{part}": histogram.get_value_at_percentile(value) / 1000
+            for part, value in (("50", 50.0), ("90", 90.0), ("99", 99.0), ("999", 99.9))
+        }
--- a/whinpier/lab/mutations.py
+++ b/whinpier/lab/mutations.py
@@ -53,13 +53,19 @@
     find = split.find
 
     def newest(task: Task) -> Any:
-        ready = [seen for seen in split.ready if seen.upstream.started and seen.upstream.state == "ready"
-                 and not task.hand_offs]
+        ready = [
+            seen
+            for seen in split.ready
+            if seen.upstream.started and seen.upstream.state == "ready" and not task.hand_offs
+        ]
         return max(ready, key=lambda seen: seen.upstream.started, default=None) or find(task)
 
     split.find = newest
 
 
 MUTATIONS: dict[str, Callable[[Pool], None]] = {
-    "repeats_exclusive": repeats_exclusive, "ignores_drains": ignores_drains,
-    "forgets_answers": forgets_answers, "floods_cold": floods_cold}
+    "repeats_exclusive": repeats_exclusive,
+    "ignores_drains": ignores_drains,
+    "forgets_answers": forgets_answers,
+    "floods_cold": floods_cold,
+}
--- a/whinpier/lab/record.py
+++ b/whinpier/lab/record.py
@@ -27,12 +27,19 @@
 class RecordNode(Node):
     """One process that keeps or learns the record."""
 
-    def __init__(self, bank: RecordBank, number: int, name: str, address: Address,
-                 recalled: list[Address] | None) -> None:
+    def __init__(
+        self,
+        bank: RecordBank,
+        number: int,
+        name: str,
+        address: Address,
+        recalled: list[Address] | None,
+    ) -> None:
         self.record_bank, self.machine = bank, Record()
         chance = Random(f"record/{bank.schedule.seed}/{name}")
-        self.agreement = Agreement(name, Copy(disk=chance.getrandbits(62) | 1), self.machine, bank.clock.now,
-                                   chance)
+        self.agreement = Agreement(
+            name, Copy(disk=chance.getrandbits(62) | 1), self.machine, bank.clock.now, chance
+        )
         self.agreement.note(raft.WHO, 0, self.agreement.disk)
         self.told: dict[str, tuple[int, int]] = {}
         self.syncing = False
@@ -108,7 +115,9 @@
         self.bytes: dict[int, Counter[int]] = defaultdict(Counter)  # by node: sent in each second
         super().__init__(schedule, bounds=Bounds(agree=5.0))
 
-    def made(self, number: int, name: str, address: Address, recalled: list[Address] | None) -> Node:
+    def made(
+        self, number: int, name: str, address: Address, recalled: list[Address] | None
+    ) -> Node:
         return RecordNode(self, number, name, address, recalled)
 
     def carry(self, node: Node, address: Address, data: bytes) -> None:
@@ -132,8 +141,11 @@
     bank.until(20.0)
     nodes, leader = bank.record_nodes(), bank.leader()
     idle = max(bank.bytes[number][second] for number in range(voters) for second in (16, 17, 18))
-    others = max(bank.bytes[number][second] for number in range(voters, members // 2)
-                 for second in (16, 17, 18))
+    others = max(
+        bank.bytes[number][second]
+        for number in range(voters, members // 2)
+        for second in (16, 17, 18)
+    )
     begun, size = bank.clock.now, 0
     for number in range(60):
         data = encode(Drain(Said(100 + number, "model", "w" * 200), "n" * 100 + str(number)))
@@ -154,7 +166,14 @@
     def most(numbers: list[int]) -> int:
         return max(bank.bytes[number][second] for number in numbers for second in range(20, 58))
 
-    return {"bytes": size, "agreed": agreed, "all": everywhere / SECOND, "late": len(came),
-            "late_all": learned / SECOND - 32.0, "leader_bytes": most([leader.number]),
-            "voter_bytes": most([number for number in range(voters) if number != leader.number]),
-            "idle_bytes": idle, "other_bytes": others}
+    return {
+        "bytes": size,
+        "agreed": agreed,
+        "all": everywhere / SECOND,
+        "late": len(came),
+        "late_all": learned / SECOND - 32.0,
+        "leader_bytes": most([leader.number]),
+        "voter_bytes": most([number for number in range(voters) if number != leader.number]),
+        "idle_bytes": idle,
+        "other_bytes": others,
+    }
--- a/whinpier/lab/report.py
+++ b/whinpier/lab/report.py
@@ -62,9 +62,13 @@
             self.figures[name].append(figure(row))
         for name, values in row["by_second"].items():
             summed(self.by_second.setdefault(name, [0.0] * len(values)), values)
-        self.payoff = summed(self.payoff or [0.0] * len(row["payoff_by_second"]), row["payoff_by_second"])
-        self.asked_payoff = summed(self.asked_payoff or [0.0] * len(row["asked_payoff_by_second"]),
-                                   row["asked_payoff_by_second"])
+        self.payoff = summed(
+            self.payoff or [0.0] * len(row["payoff_by_second"]), row["payoff_by_second"]
+        )
+        self.asked_payoff = summed(
+            self.asked_payoff or [0.0] * len(row["asked_payoff_by_second"]),
+            row["asked_payoff_by_second"],
+        )
         self.breaches.update({rule: count for rule, count in row["breaches"].items() if count})
         self.servers.update(row["servers"])
         self.void += bool(row.get("void"))
@@ -98,8 +102,11 @@
     """The min-max split of the whole load over the fleet as it stands: what part of tasks each should get."""
     rate = sum(stream.rate for stream in experiment.streams)
     work = sum(stream.rate * stream.work for stream in experiment.streams) / max(rate, 1e-9)
-    costs = [work / (machine.cores * machine.speed) for machine in experiment.fleet.machines
-             for _ in range(machine.count)]
+    costs = [
+        work / (machine.cores * machine.speed)
+        for machine in experiment.fleet.machines
+        for _ in range(machine.count)
+    ]
     shares = level(costs, rate)
     total = sum(shares) or 1.0
     return [share / total for share in shares]
@@ -110,6 +117,7 @@
 
     def __init__(self, experiment: File, found: list[Group], folder: Path | None) -> None:
         from matplotlib import use
+
         use("Agg")
         self.experiment, self.groups, self.folder = experiment, found, folder
         self.images: list[tuple[str, str]] = []
@@ -134,35 +142,55 @@
         axis.set_ylabel(ylabel)
         axis.grid(alpha=0.3)
         axis.axvspan(0, self.experiment.warm, color="#888888", alpha=0.15, label="not counted")
-        for trouble in self.groups[0].troubles if len({str(g.troubles) for g in self.groups}) == 1 else []:
-            axis.axvspan(trouble["at"], trouble["at"] + trouble["span"], color="#d62728", alpha=0.08)
-            axis.text(trouble["at"], 0.02, trouble["kind"], transform=axis.get_xaxis_transform(), fontsize=8,
-                      color="#a00000")
+        for trouble in (
+            self.groups[0].troubles if len({str(g.troubles) for g in self.groups}) == 1 else []
+        ):
+            axis.axvspan(
+                trouble["at"], trouble["at"] + trouble["span"], color="#d62728", alpha=0.08
+            )
+            axis.text(
+                trouble["at"],
+                0.02,
+                trouble["kind"],
+                transform=axis.get_xaxis_transform(),
+                fontsize=8,
+                color="#a00000",
+            )
         return figure, axis
 
     def by_second(self) -> None:
         for name, title, top, below in (
-                ("on_time", "On time, by the second a task was due", "on_time", "asked"),
-                ("turned_back", "Turned back", "turned_back", "asked")):
+            ("on_time", "On time, by the second a task was due", "on_time", "asked"),
+            ("turned_back", "Turned back", "turned_back", "asked"),
+        ):
             figure, axis = self.axis(title, "part of first tries")
             for group in self.groups[:MOST_LINES]:
                 above, under = group.by_second[top], group.by_second[below]
-                axis.plot([a / b if b else float("nan") for a, b in zip(above, under)], label=group.label,
-                          linewidth=1.2)
+                axis.plot(
+                    [a / b if b else float("nan") for a, b in zip(above, under)],
+                    label=group.label,
+                    linewidth=1.2,
+                )
             axis.set_ylim(-0.02, 1.02)
             axis.legend(fontsize=8)
             self.keep(figure, name, title)
         figure, axis = self.axis("Payoff", "part of what was asked for")
         for group in self.groups[:MOST_LINES]:
-            axis.plot([a / b if b else float("nan") for a, b in zip(group.payoff, group.asked_payoff)],
-                      label=group.label, linewidth=1.2)
+            axis.plot(
+                [a / b if b else float("nan") for a, b in zip(group.payoff, group.asked_payoff)],
+                label=group.label,
+                linewidth=1.2,
+            )
         axis.set_ylim(-0.02, 1.02)
         axis.legend(fontsize=8)
         self.keep(figure, "payoff", "Payoff")
         figure, axis = self.axis("Tasks and tries", "a second, all seeds")
         for group in self.groups[:MOST_LINES]:
-            axis.plot([a + b for a, b in zip(group.by_second["asked"], group.by_second["tries"])],
-                      label=group.label, linewidth=1.2)
+            axis.plot(
+                [a + b for a, b in zip(group.by_second["asked"], group.by_second["tries"])],
+                label=group.label,
+                linewidth=1.2,
+            )
         axis.legend(fontsize=8)
         self.keep(figure, "tasks", "Tasks and tries")
 
@@ -174,7 +202,9 @@
         for group in self.groups[:MOST_LINES]:
             for stream, figures in list(group.streams.items())[:3]:
                 values = [sum(figures[part]) / len(figures[part]) for part in parts]
-                axis.plot(names, values, marker="o", linewidth=1.2, label=f"{group.label}: {stream}")
+                axis.plot(
+                    names, values, marker="o", linewidth=1.2, label=f"{group.label}: {stream}"
+                )
         axis.set_yscale("log")
         axis.set_title("Latency of what was fulfilled (mean over seeds)")
         axis.set_xlabel("percentile")
@@ -190,10 +220,19 @@
         for group in self.groups[:MOST_LINES]:
             total = sum(group.servers.values()) or 1
             order = sorted(group.servers, key=lambda name: int(name.rsplit("-", 1)[-1]))
-            axis.plot([group.servers[name] / total for name in order], marker=".", linewidth=0.8,
-                      label=group.label)
-        axis.plot(expected(self.experiment), color="black", linestyle="--", linewidth=1.2,
-                  label="min-max solution, no trouble")
+            axis.plot(
+                [group.servers[name] / total for name in order],
+                marker=".",
+                linewidth=0.8,
+                label=group.label,
+            )
+        axis.plot(
+            expected(self.experiment),
+            color="black",
+            linestyle="--",
+            linewidth=1.2,
+            label="min-max solution, no trouble",
+        )
         axis.set_title("Part of the work done, by upstream")
         axis.set_xlabel("upstream")
         axis.set_ylim(bottom=0.0)
@@ -204,9 +243,17 @@
 
 def summary(found: list[Group]) -> list[dict[str, Any]]:
     """The table of a report, for machines."""
-    return [{"runs": group.label, "count": group.rows, "void": group.void,
-             **{name: round(group.mean(name), 4) for name in FIGURES},
-             "broken": dict(group.breaches), "failed": len(group.failed)} for group in found]
+    return [
+        {
+            "runs": group.label,
+            "count": group.rows,
+            "void": group.void,
+            **{name: round(group.mean(name), 4) for name in FIGURES},
+            "broken": dict(group.breaches),
+            "failed": len(group.failed),
+        }
+        for group in found
+    ]
 
 
 def write(results: Results, out: Path, only: dict[str, Any] | None = None) -> Path:
@@ -227,28 +274,46 @@
     return page
 
 
-def document(experiment: File, header: dict[str, Any], table: list[dict[str, Any]], found: list[Group],
-             images: list[tuple[str, str]]) -> str:
+def document(
+    experiment: File,
+    header: dict[str, Any],
+    table: list[dict[str, Any]],
+    found: list[Group],
+    images: list[tuple[str, str]],
+) -> str:
     def cell(value: Any) -> str:
         return f"<td>{html.escape(str(value))}</td>"
 
     columns = ["runs", "count", *FIGURES]
     rows = "".join("<tr>" + "".join(cell(row[name]) for name in columns) + "</tr>" for row in table)
     head = "".join(f"<th>{html.escape(name.replace('_', ' '))}</th>" for name in columns)
-    rules = "".join(f"<li class=bad>{html.escape(group.label)}: {html.escape(rule)}, {count} times</li>"
-                    for group in found for rule, count in group.breaches.items())
-    failed = "".join(f"<li>{html.escape(group.label)}: {html.escape(why)}</li>"
-                     for group in found for why in group.failed[:20])
+    rules = "".join(
+        f"<li class=bad>{html.escape(group.label)}: {html.escape(rule)}, {count} times</li>"
+        for group in found
+        for rule, count in group.breaches.items()
+    )
+    failed = "".join(
+        f"<li>{html.escape(group.label)}: {html.escape(why)}</li>"
+        for group in found
+        for why in group.failed[:20]
+    )
     void = sum(group.void for group in found)
-    pictures = "".join(f'<h2>{html.escape(title)}</h2><img alt="{html.escape(title)}" '
-                       f'src="data:image/png;base64,{data}">' for title, data in images)
-    more = f"<p>{len(found) - MOST_LINES} more groups are in the table only.</p>" * (len(found) > MOST_LINES)
-    return (f"<!doctype html><html lang=en><meta charset=utf-8><title>{html.escape(experiment.name)}</title>"
-            f"<style>{STYLE}</style><h1>{html.escape(experiment.name)}</h1>"
-            f"<p>{html.escape(experiment.about)}</p><p>On {html.escape(header['on'])}; "
-            f"{sum(group.rows for group in found)} runs, {void} of them void. The first {experiment.warm:g} "
-            f"of {experiment.seconds:g} s are not counted.</p>"
-            f"<table><tr>{head}</tr>{rows}</table>{more}<h2>Rules</h2><ul>{rules or '<li>all kept</li>'}</ul>"
-            f"<h2>What did not hold</h2><ul>{failed or '<li>nothing</li>'}</ul>{pictures}"
-            f"<h2>The experiment</h2><pre>{html.escape(json.dumps(header['experiment'], indent=1))}</pre>"
-            f"</html>\n")
+    pictures = "".join(
+        f'<h2>{html.escape(title)}</h2><img alt="{html.escape(title)}" '
+        f'src="data:image/png;base64,{data}">'
+        for title, data in images
+    )
+    more = f"<p>{len(found) - MOST_LINES} more groups are in the table only.</p>" * (
+        len(found) > MOST_LINES
+    )
+    return (
+        f"<!doctype html><html lang=en><meta charset=utf-8><title>{html.escape(experiment.name)}</title>"
+        f"<style>{STYLE}</style><h1>{html.escape(experiment.name)}</h1>"
+        f"<p>{html.escape(experiment.about)}</p><p>On {html.escape(header['on'])}; "
+        f"{sum(group.rows for group in found)} runs, {void} of them void. The first {experiment.warm:g} "
+        f"of {experiment.seconds:g} s are not counted.</p>"
+        f"<table><tr>{head}</tr>{rows}</table>{more}<h2>Rules</h2><ul>{rules or '<li>all kept</li>'}</ul>"
+        f"<h2>What did not hold</h2><ul>{failed or '<li>nothing</li>'}</ul>{pictures}"
+        f"<h2>The experiment</h2><pre>{html.escape(json.dumps(header['experiment'], indent=1))}</pre>"
+        f"</html>\n"
+    )
--- a/whinpier/lab/results.py
+++ b/whinpier/lab/results.py
@@ -30,9 +30,11 @@
     """One run, in whichever process."""
     if on == "sockets":
         from whinpier.lab.sockets import play as on_sockets
+
         found = on_sockets(run.experiment, run.seed)
     else:
         from whinpier.lab.world import World
+
         found = World(run.experiment, run.seed).play()
     return found | {"key": run.key, "values": run.values, "on": on}
 
@@ -41,11 +43,17 @@
     """One folder of results."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.header_file, self.file = folder, folder / "header.json", folder / "runs.jsonl"
+        self.folder, self.header_file, self.file = (
+            folder,
+            folder / "header.json",
+            folder / "runs.jsonl",
+        )
 
     def begin(self, given: dict[str, Any], on: str) -> None:
         """Take up the folder for an experiment; one that holds another is a fault."""
-        mark = hashlib.blake2b(json.dumps([given, on], sort_keys=True).encode(), digest_size=8).hexdigest()
+        mark = hashlib.blake2b(
+            json.dumps([given, on], sort_keys=True).encode(), digest_size=8
+        ).hexdigest()
         self.folder.mkdir(parents=True, exist_ok=True)
         if self.header_file.exists():
             if self.header()["mark"] != mark:
@@ -62,7 +70,7 @@
         if self.file.exists():
             data = self.file.read_bytes()
             if data and not data.endswith(b"\n"):
-                self.file.write_bytes(data[:data.rfind(b"\n") + 1])
+                self.file.write_bytes(data[: data.rfind(b"\n") + 1])
 
     def header(self) -> dict[str, Any]:
         try:
@@ -98,8 +106,13 @@
         raise ConfigFault(f"{self.folder}: no run with {values}")
 
 
-def run_all(given: dict[str, Any], results: Results, on: str, jobs: int,
-            tell: Callable[[Row, int, int], None]) -> list[Row]:
+def run_all(
+    given: dict[str, Any],
+    results: Results,
+    on: str,
+    jobs: int,
+    tell: Callable[[Row, int, int], None],
+) -> list[Row]:
     """Play what is not there yet, with so many processes; the rows that were played, as they came."""
     results.begin(given, on)
     there = {row["key"] for row in results.rows()}
@@ -161,14 +174,29 @@
 
 def matching(rows: Iterable[Row], chosen: dict[str, Any]) -> Iterator[Row]:
     """The rows whose values are these, one at a time."""
-    return (row for row in rows if all(row["values"].get(path) == value for path, value in chosen.items()))
+    return (
+        row
+        for row in rows
+        if all(row["values"].get(path) == value for path, value in chosen.items())
+    )
 
 
-def compare(first: Iterable[Row], second: Iterable[Row], apart: Iterable[str] = ()) -> list[Difference]:
+def compare(
+    first: Iterable[Row], second: Iterable[Row], apart: Iterable[str] = ()
+) -> list[Difference]:
     """Pairs of runs with the same values (but for those of `apart`) and seed, figure by figure."""
+
     def sorted_out(rows: Iterable[Row]) -> dict[str, Row]:
-        return {json.dumps([{path: value for path, value in row["values"].items() if path not in apart},
-                            row["seed"]], sort_keys=True): row for row in rows}
+        return {
+            json.dumps(
+                [
+                    {path: value for path, value in row["values"].items() if path not in apart},
+                    row["seed"],
+                ],
+                sort_keys=True,
+            ): row
+            for row in rows
+        }
 
     left, right = sorted_out(first), sorted_out(second)
     both = sorted(left.keys() & right.keys())
@@ -180,8 +208,11 @@
         pairs = [b - a for a, b in zip(ours, theirs)]
         low, high = interval(pairs)
         count = len(pairs)
-        found.append(Difference(name, count, sum(ours) / count, sum(theirs) / count, sum(pairs) / count,
-                                low, high))
+        found.append(
+            Difference(
+                name, count, sum(ours) / count, sum(theirs) / count, sum(pairs) / count, low, high
+            )
+        )
     return found
 
 
--- a/whinpier/lab/rules.py
+++ b/whinpier/lab/rules.py
@@ -36,7 +36,9 @@
     def breach(self, rule: str, what: str, **more: object) -> None:
         self.breaches[rule] += 1
         if len(self.told) < KEPT:
-            self.told.append({"rule": rule, "at": round(self.clock.seconds(), 6), "what": what} | more)
+            self.told.append(
+                {"rule": rule, "at": round(self.clock.seconds(), 6), "what": what} | more
+            )
 
     # What happens.
 
@@ -48,24 +50,33 @@
         self.checked += 1
         state, at = balancer.told_at.get(server.name, ("gone", 0))
         if state != "ready" and self.clock.now > at + self.grace:
-            self.breach(DRAIN, f"sent to {server.name}, which was told as {state}", task=attempt.asked.id)
+            self.breach(
+                DRAIN, f"sent to {server.name}, which was told as {state}", task=attempt.asked.id
+            )
         if self.answers[attempt.asked.id]:
-            self.breach(ANSWER, f"task {attempt.asked.id} sent after its answer", task=attempt.asked.id)
+            self.breach(
+                ANSWER, f"task {attempt.asked.id} sent after its answer", task=attempt.asked.id
+            )
 
     def ran(self, attempt: Attempt, server: Server) -> None:
         """The second rule: no effect twice."""
         task, now = attempt.asked, self.clock.now
         before = self.runs.setdefault(task.id, [])
         if before and task.workload.kind == EXCLUSIVE:
-            self.breach(EFFECT, f"exclusive task {task.id} ran again at {server.name}", task=task.id)
+            self.breach(
+                EFFECT, f"exclusive task {task.id} ran again at {server.name}", task=task.id
+            )
         elif before and task.workload.kind == TICKETED:
             first, where = before[0]
             group = task.workload.group
             known = group == "all" or where.zone == server.zone
             # Counted from when the first one came: what was sent within the window has come soon after.
             if not known or now > first + task.workload.window + SECOND // 4:
-                self.breach(EFFECT, f"ticketed task {task.id} ran again where its ticket is not known",
-                            task=task.id)
+                self.breach(
+                    EFFECT,
+                    f"ticketed task {task.id} ran again where its ticket is not known",
+                    task=task.id,
+                )
         before.append((now, server))
 
     def answered(self, task: Asked, how: str) -> None:
@@ -78,8 +89,11 @@
         if how == "turned back" and task.workload.kind != RERUNNABLE:
             ran = self.runs.get(task.id)
             if ran and task.workload.kind == EXCLUSIVE:
-                self.breach(EFFECT, f"exclusive task {task.id} turned back as harmless, and it ran",
-                            task=task.id)
+                self.breach(
+                    EFFECT,
+                    f"exclusive task {task.id} turned back as harmless, and it ran",
+                    task=task.id,
+                )
 
     def given_up(self, task: Asked) -> None:
         """Nobody waits for it any more: its client has left, or its balancer died with it."""
@@ -88,7 +102,9 @@
     def over(self, task: Asked) -> None:
         """Its patience has ended: it must have its answer, and is forgotten a while later."""
         if not self.answers[task.id] and task.id not in self.unheard:
-            self.breach(ANSWER, f"task {task.id} without an answer at the end of its patience", task=task.id)
+            self.breach(
+                ANSWER, f"task {task.id} without an answer at the end of its patience", task=task.id
+            )
         self.past.append((self.clock.now + SECOND, task.id))
         while self.past[0][0] <= self.clock.now:
             number = self.past.popleft()[1]
@@ -104,5 +120,8 @@
         """What decisions count as out is out on the wire."""
         for balancer in balancers:
             if balancer.up and balancer.out != balancer.pool.choice.split.total:
-                self.breach(PICTURE, f"balancer {balancer.number} counts {balancer.pool.choice.split.total} "
-                                     f"out, {balancer.out} are")
+                self.breach(
+                    PICTURE,
+                    f"balancer {balancer.number} counts {balancer.pool.choice.split.total} "
+                    f"out, {balancer.out} are",
+                )
--- a/whinpier/lab/servers.py
+++ b/whinpier/lab/servers.py
@@ -25,8 +25,15 @@
 class Server:
     """One run after the other of an upstream at one address."""
 
-    def __init__(self, clock: Clock, number: int, machine: Machine, zone: int, seed: int,
-                 fell: Callable[[Server], None]) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        number: int,
+        machine: Machine,
+        zone: int,
+        seed: int,
+        fell: Callable[[Server], None],
+    ) -> None:
         self.clock, self.number, self.machine, self.zone = clock, number, machine, zone
         self.name, self.chance = f"s-{number}", Random(f"server/{seed}/{number}")
         self.fell = fell  # told when it is pushed over while cold
@@ -55,7 +62,9 @@
 
     def speed(self) -> float:
         crowd = len(self.queue) / self.machine.cores
-        return self.machine.speed * self.slow * self.warmth() / (1.0 + self.machine.overdrive * crowd)
+        return (
+            self.machine.speed * self.slow * self.warmth() / (1.0 + self.machine.overdrive * crowd)
+        )
 
     def capacity(self) -> float:
         """Seconds of work that it does in a second, now; 0 while it hangs, pauses or can't be reached."""
@@ -65,12 +74,23 @@
 
     def backlog(self) -> float:
         """Seconds of work that are in it."""
-        return sum(attempt.work for attempt in self.queue) + sum(attempt.work for attempt in self.busy) / 2
+        return (
+            sum(attempt.work for attempt in self.queue)
+            + sum(attempt.work for attempt in self.busy) / 2
+        )
 
     def entry(self) -> Entry:
         """What the list says of it."""
-        return Entry(self.name, ("127.0.0.1", 1), self.state, f"z{self.zone}", "", self.zone, 1.0,
-                     self.started)
+        return Entry(
+            self.name,
+            ("127.0.0.1", 1),
+            self.state,
+            f"z{self.zone}",
+            "",
+            self.zone,
+            1.0,
+            self.started,
+        )
 
     # What comes.
 
@@ -133,7 +153,9 @@
         if run != self.run or attempt not in self.busy:
             return
         if self.paused_until > self.clock.now:
-            self.clock.at(self.paused_until + (self.clock.now - attempt.sent) // 4, self.finish, attempt, run)
+            self.clock.at(
+                self.paused_until + (self.clock.now - attempt.sent) // 4, self.finish, attempt, run
+            )
             return
         del self.busy[attempt]
         self.done += 1
--- a/whinpier/lab/shrink.py
+++ b/whinpier/lab/shrink.py
@@ -30,7 +30,9 @@
 def spelled_out(given: Given, seed: int) -> Given:
     """The same run with its troubles by chance written down, so that they can be left out one by one."""
     experiment = checked(given)
-    drawn = by_chance(experiment.chance, experiment.seconds, experiment.warm, experiment.fleet.zones, seed)
+    drawn = by_chance(
+        experiment.chance, experiment.seconds, experiment.warm, experiment.fleet.zones, seed
+    )
     found: Given = encoded(experiment)
     found["troubles"] = [*found["troubles"], *(encoded(trouble) for trouble in drawn)]
     found["chance"], found["vary"], found["seeds"] = {"count": 0}, {}, 1
@@ -39,6 +41,7 @@
 
 def smaller(given: Given) -> Iterator[tuple[str, Given]]:
     """Runs that are a step smaller, the largest steps first."""
+
     def without(change: Callable[[Given], None], what: str) -> tuple[str, Given]:
         other = copy.deepcopy(given)
         change(other)
@@ -47,38 +50,54 @@
     troubles = given["troubles"]
     if len(troubles) > 3:
         half = len(troubles) // 2
-        yield without(lambda one: one.update(troubles=troubles[:half]), "the first half of the troubles")
-        yield without(lambda one: one.update(troubles=troubles[half:]), "the second half of the troubles")
+        yield without(
+            lambda one: one.update(troubles=troubles[:half]), "the first half of the troubles"
+        )
+        yield without(
+            lambda one: one.update(troubles=troubles[half:]), "the second half of the troubles"
+        )
     for index, trouble in enumerate(troubles):
-        yield without(lambda one, index=index: one["troubles"].pop(index),  # type: ignore[misc]
-                      f"without {trouble['kind']} at {trouble['at']:g}")
+        yield without(
+            lambda one, index=index: one["troubles"].pop(index),  # type: ignore[misc]
+            f"without {trouble['kind']} at {trouble['at']:g}",
+        )
     if len(given["streams"]) > 1:
         for index, stream in enumerate(given["streams"]):
-            yield without(lambda one, index=index: one["streams"].pop(index),  # type: ignore[misc]
-                          f"without {stream['name']}")
+            yield without(
+                lambda one, index=index: one["streams"].pop(index),  # type: ignore[misc]
+                f"without {stream['name']}",
+            )
     fleet = given["fleet"]
     if fleet["balancers"] > 1:
         for count in {1, fleet["balancers"] // 2, fleet["balancers"] - 1}:
-            yield without(lambda one, count=count: one["fleet"].update(balancers=count),  # type: ignore[misc]
-                          f"{count} balancers")
+            yield without(
+                lambda one, count=count: one["fleet"].update(balancers=count),  # type: ignore[misc]
+                f"{count} balancers",
+            )
     for index, machine in enumerate(fleet["machines"]):
         if machine["count"] > 1:
             for count in sorted({1, machine["count"] // 2, machine["count"] - 1}):
-                yield without(lambda one, index=index, count=count:  # type: ignore[misc]
-                              one["fleet"]["machines"][index].update(count=count),
-                              f"{count} of machines {index}")
+                yield without(
+                    lambda one, index=index, count=count:  # type: ignore[misc]
+                    one["fleet"]["machines"][index].update(count=count),
+                    f"{count} of machines {index}",
+                )
     for times in (0.25, 0.5, 0.8):
         other = copy.deepcopy(given)
         for stream in other["streams"]:
             stream["rate"] *= times
         yield f"{times:g} of the tasks", other
         if given["seconds"] * times > given["warm"] + 1.0:
-            yield without(lambda one, times=times:  # type: ignore[misc]
-                          one.update(seconds=round(one["seconds"] * times, 3)), f"{times:g} of the seconds")
+            yield without(
+                lambda one, times=times:  # type: ignore[misc]
+                one.update(seconds=round(one["seconds"] * times, 3)),
+                f"{times:g} of the seconds",
+            )
 
 
-def shrink(given: Given, seed: int, tell: Callable[[str], None] = lambda text: None,
-           most: int = 300) -> tuple[Given, str, int]:
+def shrink(
+    given: Given, seed: int, tell: Callable[[str], None] = lambda text: None, most: int = 300
+) -> tuple[Given, str, int]:
     """The smallest run found, what fails in it, how many runs it took. Raises ConfigFault if none fails."""
     whole = spelled_out(given, seed)
     broken = failing(whole, seed)
@@ -108,8 +127,15 @@
 
 def toml(given: Given) -> str:
     """An experiment file, with what is at its default left out."""
-    usual: Given = encoded(checked({"name": "x", "fleet": {"machines": [{"count": 1}]},
-                                    "streams": [{"name": "x", "rate": 1.0}]}))
+    usual: Given = encoded(
+        checked(
+            {
+                "name": "x",
+                "fleet": {"machines": [{"count": 1}]},
+                "streams": [{"name": "x", "rate": 1.0}],
+            }
+        )
+    )
     whole = pruned(given, usual)
     for name in ("fleet", "policy", "holds"):
         whole[name] = pruned(given[name], usual[name])
@@ -121,5 +147,8 @@
 
 
 def pruned(table: Given, usual: Given) -> Given:
-    return {name: value for name, value in table.items()
-            if value != usual.get(name, object()) or name in ("name", "count", "rate")}
+    return {
+        name: value
+        for name, value in table.items()
+        if value != usual.get(name, object()) or name in ("name", "count", "rate")
+    }
