--- a/whinpier/lab/sockets.py
+++ b/whinpier/lab/sockets.py
@@ -39,16 +39,23 @@
     fleet = experiment.fleet
     upstreams = sum(machine.count for machine in fleet.machines)
     if fleet.balancers > MOST_BALANCERS or upstreams > MOST_UPSTREAMS:
-        raise ConfigFault(f"fleet: on sockets {MOST_BALANCERS} balancers, {MOST_UPSTREAMS} upstreams at most")
+        raise ConfigFault(
+            f"fleet: on sockets {MOST_BALANCERS} balancers, {MOST_UPSTREAMS} upstreams at most"
+        )
     if experiment.policy.name != "choice" or experiment.policy.mutation:
         raise ConfigFault("policy: on sockets only the project's own decisions run")
-    drawn = [*experiment.troubles, *(Trouble(kind=kind, at=0.0) for kind in experiment.chance.kinds)]
+    drawn = [
+        *experiment.troubles,
+        *(Trouble(kind=kind, at=0.0) for kind in experiment.chance.kinds),
+    ]
     if experiment.chance.count and not experiment.chance.kinds:
         raise ConfigFault(f"chance.kinds: on sockets only {', '.join(sorted(POSSIBLE))}")
     for trouble in drawn:
         if trouble.kind not in POSSIBLE:
-            raise ConfigFault(f"troubles: {trouble.kind} is not played on sockets, only "
-                              f"{', '.join(sorted(POSSIBLE))}")
+            raise ConfigFault(
+                f"troubles: {trouble.kind} is not played on sockets, only "
+                f"{', '.join(sorted(POSSIBLE))}"
+            )
 
 
 class Wire:
@@ -57,13 +64,20 @@
     def __init__(self, experiment: File, seed: int, folder: Path) -> None:
         check(experiment)
         self.experiment, self.seed = experiment, seed
-        self.troubles = [*experiment.troubles, *by_chance(experiment.chance, experiment.seconds,
-                                                          experiment.warm, 1, seed)]
+        self.troubles = [
+            *experiment.troubles,
+            *by_chance(experiment.chance, experiment.seconds, experiment.warm, 1, seed),
+        ]
         scripts: dict[str, Script] = {}
         for machine in experiment.fleet.machines:
             for _ in range(machine.count):
                 scripts[f"s-{len(scripts)}"] = Script(
-                    workers=machine.cores, queue=machine.queue, work=0.0, speed=machine.speed, by_header=True)
+                    workers=machine.cores,
+                    queue=machine.queue,
+                    work=0.0,
+                    speed=machine.speed,
+                    by_header=True,
+                )
         self.speeds = {name: script.speed for name, script in scripts.items()}
         self.fleet = Fleet(scripts, seed)
         self.out: set[str] = set()  # draining
@@ -72,29 +86,59 @@
         self.lock = threading.Lock()
         for number in range(experiment.fleet.balancers):
             listen = free_address()
-            self.balancers.append(Balancer(folder / str(number), operator=self.operator(number, listen),
-                                           listen=listen))
+            self.balancers.append(
+                Balancer(
+                    folder / str(number), operator=self.operator(number, listen), listen=listen
+                )
+            )
 
     def operator(self, number: int, listen: str) -> str:
         """The operator's file of one balancer, with the list as it now is."""
         experiment, fleet, policy = self.experiment, self.experiment.fleet, self.experiment.policy
-        states = {name: "draining" if name in self.out else "ready" for name in self.fleet.addresses}
-        upstreams = [one | {"state": states[one["name"]]} for one in files.upstreams(self.fleet.addresses)]
+        states = {
+            name: "draining" if name in self.out else "ready" for name in self.fleet.addresses
+        }
+        upstreams = [
+            one | {"state": states[one["name"]]} for one in files.upstreams(self.fleet.addresses)
+        ]
         workloads, routes = {}, []
         for stream in experiment.streams:
             workloads[stream.name] = {
-                "kind": stream.kind, "agreed_time": files.ms(stream.agreed_time),
-                "patience": files.ms(stream.patience), "payoff": stream.payoff,
+                "kind": stream.kind,
+                "agreed_time": files.ms(stream.agreed_time),
+                "patience": files.ms(stream.patience),
+                "payoff": stream.payoff,
                 "late_payoff": stream.late_payoff,
-                **({"window": files.ms(stream.window)} if stream.kind == "ticketed" else {})}
-            routes.append({"name": stream.name, "path": f"/{stream.name}", "pool": "lab",
-                           "workload": stream.name, "methods": [files.METHODS[stream.kind]]})
-        pool = {"upstreams": upstreams, "workloads": workloads, "balancers": fleet.balancers,
-                "number": number, "hand_offs": policy.hand_offs, "second_copies": policy.second_copies,
-                "cancelling": policy.cancelling}
+                **({"window": files.ms(stream.window)} if stream.kind == "ticketed" else {}),
+            }
+            routes.append(
+                {
+                    "name": stream.name,
+                    "path": f"/{stream.name}",
+                    "pool": "lab",
+                    "workload": stream.name,
+                    "methods": [files.METHODS[stream.kind]],
+                }
+            )
+        pool = {
+            "upstreams": upstreams,
+            "workloads": workloads,
+            "balancers": fleet.balancers,
+            "number": number,
+            "hand_offs": policy.hand_offs,
+            "second_copies": policy.second_copies,
+            "cancelling": policy.cancelling,
+        }
         process = {"descriptors": 4096, "memory_mb": 512, "seed": f"{self.seed * 1000 + number:x}"}
-        return files.document({"version": 1, "listen": [listen], "process": process, "pools": {"lab": pool},
-                               "routes": routes})
+        return files.document(
+            {
+                "version": 1,
+                "listen": [listen],
+                "process": process,
+                "pools": {"lab": pool},
+                "routes": routes,
+            }
+        )
 
     def reload(self) -> None:
         for number, balancer in enumerate(self.balancers):
@@ -114,9 +158,12 @@
                     else:
                         self.drained_at.pop(name, None)
                 return
-            key, value, usual = {"slow": ("speed", amount, None), "hang": ("hang", 1.0, 0.0),
-                                 "fail": ("error", amount, 0.0),
-                                 "spoilt": ("spoilt", amount, 0.0)}[trouble.kind]
+            key, value, usual = {
+                "slow": ("speed", amount, None),
+                "hang": ("hang", 1.0, 0.0),
+                "fail": ("error", amount, 0.0),
+                "spoilt": ("spoilt", amount, 0.0),
+            }[trouble.kind]
             for name in hit if trouble.kind != "spoilt" else list(self.fleet.addresses):
                 back = self.speeds[name] if usual is None else usual
                 with_speed = self.speeds[name] * value if key == "speed" else value
@@ -131,16 +178,22 @@
             if trouble.kind == "surge":
                 continue  # the clients' own
             for at, on in ((trouble.at, True), (trouble.at + trouble.span, False)):
-                timers.append(threading.Timer(max(0.0, start + at - time.monotonic()), self.trouble,
-                                              (trouble, on, hit)))
+                timers.append(
+                    threading.Timer(
+                        max(0.0, start + at - time.monotonic()), self.trouble, (trouble, on, hit)
+                    )
+                )
         for timer in timers:
             timer.daemon = True
             timer.start()
         return timers
 
     def surges(self) -> list[tuple[float, float, float]]:
-        return [(trouble.at, trouble.at + trouble.span, trouble.amount or USUAL["surge"])
-                for trouble in self.troubles if trouble.kind == "surge"]
+        return [
+            (trouble.at, trouble.at + trouble.span, trouble.amount or USUAL["surge"])
+            for trouble in self.troubles
+            if trouble.kind == "surge"
+        ]
 
     # The run.
 
@@ -153,12 +206,29 @@
             for index, balancer in enumerate(self.balancers):
                 for stream in experiment.streams:
                     asks = Asks(
-                        stream.name, stream.rate / len(self.balancers), f"/{stream.name}",
-                        files.METHODS[stream.kind], "lab", stream.patience,
-                        stream.agreed_time, ticket=stream.kind == "ticketed", retries=stream.retries,
-                        surges=[*stream.surges, *self.surges()], work=stream.work, spread=stream.spread)
-                    loads.append(Load(balancer.address, asks, self.seed * 1000 + index, start,
-                                      experiment.seconds, most=2000))
+                        stream.name,
+                        stream.rate / len(self.balancers),
+                        f"/{stream.name}",
+                        files.METHODS[stream.kind],
+                        "lab",
+                        stream.patience,
+                        stream.agreed_time,
+                        ticket=stream.kind == "ticketed",
+                        retries=stream.retries,
+                        surges=[*stream.surges, *self.surges()],
+                        work=stream.work,
+                        spread=stream.spread,
+                    )
+                    loads.append(
+                        Load(
+                            balancer.address,
+                            asks,
+                            self.seed * 1000 + index,
+                            start,
+                            experiment.seconds,
+                            most=2000,
+                        )
+                    )
             timers = self.plan(start)
             seen = [load.result() for load in loads]
             for timer in timers:
@@ -193,7 +263,9 @@
                 by_second[how][at] += 1
                 by_second["on_time"][at] += on_time
                 asked_payoff[at] += stream.payoff
-                payoff[at] += stream.payoff if on_time else stream.late_payoff * (task.status == 200)
+                payoff[at] += (
+                    stream.payoff if on_time else stream.late_payoff * (task.status == 200)
+                )
                 if warm:
                     counts.update(("asked", how))
                     counts["on_time"] += on_time
@@ -202,26 +274,50 @@
             total, ended = total + sum(times), ended + len(times)
             streams[stream.name] = dict(counts) | {
                 f"p{name}": 1000 * percentile(times, part)
-                for name, part in (("50", 0.5), ("90", 0.9), ("99", 0.99), ("999", 0.999))}
+                for name, part in (("50", 0.5), ("90", 0.9), ("99", 0.99), ("999", 0.999))
+            }
         asked, on_time_all = sum(by_second["asked"][first:]), sum(by_second["on_time"][first:])
         breaches = dict.fromkeys(RULES, 0)
-        breaches[ANSWER] = sum(len(gateway.unanswered()) + len(gateway.answered_twice()) + gateway.surplus
-                               for gateway in seen)
-        breaches[EFFECT] = sum(len(ledger.twice(f"{name}-")) for name, stream in kinds.items()
-                               if stream.kind == "exclusive")
+        breaches[ANSWER] = sum(
+            len(gateway.unanswered()) + len(gateway.answered_twice()) + gateway.surplus
+            for gateway in seen
+        )
+        breaches[EFFECT] = sum(
+            len(ledger.twice(f"{name}-"))
+            for name, stream in kinds.items()
+            if stream.kind == "exclusive"
+        )
         grace = experiment.policy.drain_grace + RULE_GRACE
-        breaches[DRAIN] = sum(ledger.last.get(name, 0.0) > at + grace for name, at in self.drained_at.items())
-        late = sum(gateway.late for gateway in seen) / max(1, sum(len(gateway.told) for gateway in seen))
+        breaches[DRAIN] = sum(
+            ledger.last.get(name, 0.0) > at + grace for name, at in self.drained_at.items()
+        )
+        late = sum(gateway.late for gateway in seen) / max(
+            1, sum(len(gateway.told) for gateway in seen)
+        )
         worth = sum(asked_payoff[first:])
         found: dict[str, Any] = {
-                 "on_time": on_time_all / asked if asked else 1.0,
-                 "payoff": sum(payoff[first:]) / worth if worth else 1.0, "asked": asked,
-                 "mean_s": total / ended if ended else 0.0, "streams": streams, "by_second": by_second,
-                 "payoff_by_second": payoff, "asked_payoff_by_second": asked_payoff, "digest": "",
-                 "seed": self.seed, "breaches": breaches, "told": [], "servers": dict(ledger.by), "events": 0,
-                 "wall_s": experiment.seconds, "late": late, "void": late > LATE,
-                 "troubles": [{"kind": one.kind, "at": one.at, "span": one.span, "share": one.share}
-                              for one in self.troubles]}
+            "on_time": on_time_all / asked if asked else 1.0,
+            "payoff": sum(payoff[first:]) / worth if worth else 1.0,
+            "asked": asked,
+            "mean_s": total / ended if ended else 0.0,
+            "streams": streams,
+            "by_second": by_second,
+            "payoff_by_second": payoff,
+            "asked_payoff_by_second": asked_payoff,
+            "digest": "",
+            "seed": self.seed,
+            "breaches": breaches,
+            "told": [],
+            "servers": dict(ledger.by),
+            "events": 0,
+            "wall_s": experiment.seconds,
+            "late": late,
+            "void": late > LATE,
+            "troubles": [
+                {"kind": one.kind, "at": one.at, "span": one.span, "share": one.share}
+                for one in self.troubles
+            ],
+        }
         found["holds"], found["why"] = verdict(experiment, found)
         if found["void"]:
             found["why"] = [f"void: clients sent {late:.1%} of tasks late", *found["why"]]
--- a/whinpier/lab/troubles.py
+++ b/whinpier/lab/troubles.py
@@ -17,9 +17,21 @@
 One = TypeVar("One")
 
 # What a trouble's amount is where a file does not say: a part, seconds, or times.
-USUAL = {"slow": 0.2, "fail": 0.5, "spoilt": 0.3, "lossy": 0.1, "pause": 0.5, "clock_step": 5.0,
-         "surge": 3.0, "late_list": 10.0, "silent_answers": 0.02, "resets": 0.02, "leavers": 0.1,
-         "eager": 1.0, "shift": 3.0}
+USUAL = {
+    "slow": 0.2,
+    "fail": 0.5,
+    "spoilt": 0.3,
+    "lossy": 0.1,
+    "pause": 0.5,
+    "clock_step": 5.0,
+    "surge": 3.0,
+    "late_list": 10.0,
+    "silent_answers": 0.02,
+    "resets": 0.02,
+    "leavers": 0.1,
+    "eager": 1.0,
+    "shift": 3.0,
+}
 BACK = 1  # seconds that a restart takes
 STEPS = 10  # of what goes step by step
 LEFT = 2.0  # and that an upstream which is replaced has after it drains
@@ -33,8 +45,15 @@
         kind = draw.choice(kinds)
         span = draw.uniform(0.2, 1.0) * chance.longest
         latest = max(warm, seconds * 0.75 - span)
-        found.append(Trouble(kind=kind, at=round(draw.uniform(warm, latest), 3), span=round(span, 3),
-                             share=round(draw.uniform(0.05, 0.5), 3), zone=draw.randrange(zones)))
+        found.append(
+            Trouble(
+                kind=kind,
+                at=round(draw.uniform(warm, latest), 3),
+                span=round(span, 3),
+                share=round(draw.uniform(0.05, 0.5), 3),
+                zone=draw.randrange(zones),
+            )
+        )
     return sorted(found, key=lambda trouble: trouble.at)
 
 
@@ -272,6 +291,7 @@
 
     def eager(self, trouble: Trouble, amount: float) -> Callable[[], None]:
         """Clients come again at once, whatever they are told, and more often."""
+
         def more(by: int) -> None:
             for clients in self.world.clients:
                 clients.eager += by
@@ -293,7 +313,10 @@
     def partition(self, trouble: Trouble, amount: float) -> Callable[[], None]:
         """Some balancers and some upstreams do not reach each other; the list does not know."""
         few = {balancer.number for balancer in self.some(self.world.balancers, trouble.share)}
-        cut, cuts = (few, {server.name for server in self.victims(trouble)}), self.world.ground.network.cuts
+        cut, cuts = (
+            (few, {server.name for server in self.victims(trouble)}),
+            self.world.ground.network.cuts,
+        )
         cuts.append(cut)
         return lambda: cuts.remove(cut)
 
@@ -316,6 +339,7 @@
 
 def raised(hit: Sequence[object], share: str, amount: float) -> Callable[[], None]:
     """Raise a share of some things, within 0 and 1; what is given back lowers it again."""
+
     def more(by: float) -> None:
         for one in hit:
             setattr(one, share, max(0.0, min(1.0, round(getattr(one, share) + by, 12))))
--- a/whinpier/lab/world.py
+++ b/whinpier/lab/world.py
@@ -48,12 +48,23 @@
                 self.server(machine, self.number % fleet.zones)
         oracle = experiment.policy.name == "late_oracle"
         self.sight = Sight(self.clock, self.servers, experiment.policy.sight) if oracle else None
-        self.balancers = [Balancer(ground, number, number % fleet.zones, self.servers, self.pool)
-                          for number in range(fleet.balancers)]
-        self.front = Front(ground, experiment.front, self.balancers, fleet.zones, seed, self.ends,
-                           experiment.seconds)
-        self.clients = [Clients(ground, self.front, stream, workload)
-                        for stream, workload in zip(experiment.streams, self.workloads())]
+        self.balancers = [
+            Balancer(ground, number, number % fleet.zones, self.servers, self.pool)
+            for number in range(fleet.balancers)
+        ]
+        self.front = Front(
+            ground,
+            experiment.front,
+            self.balancers,
+            fleet.zones,
+            seed,
+            self.ends,
+            experiment.seconds,
+        )
+        self.clients = [
+            Clients(ground, self.front, stream, workload)
+            for stream, workload in zip(experiment.streams, self.workloads())
+        ]
         drawn = by_chance(experiment.chance, experiment.seconds, experiment.warm, fleet.zones, seed)
         self.troubles = Troubles(self, [*experiment.troubles, *drawn], seed)
 
@@ -67,29 +78,58 @@
         return server
 
     def workloads(self) -> list[Workload]:
-        return [Workload(stream.name, stream.kind, int(stream.agreed_time * SECOND),
-                         int(stream.patience * SECOND), stream.payoff, stream.late_payoff, stream.group,
-                         int(stream.window * SECOND)) for stream in self.experiment.streams]
+        return [
+            Workload(
+                stream.name,
+                stream.kind,
+                int(stream.agreed_time * SECOND),
+                int(stream.patience * SECOND),
+                stream.payoff,
+                stream.late_payoff,
+                stream.group,
+                int(stream.window * SECOND),
+            )
+            for stream in self.experiment.streams
+        ]
 
     def settings(self, number: int, zone: int) -> dict[str, Any]:
         fleet, policy = self.experiment.fleet, self.experiment.policy
         warm_up = max(machine.warm_up for machine in fleet.machines)
         cold = min(machine.cold_from for machine in fleet.machines)
-        return {"balancers": fleet.balancers, "slot_no": number, "zone": zone,
-                "limits.max_hand_offs": policy.hand_offs, "limits.second_copies": policy.second_copies,
-                "limits.cancelling": policy.cancelling,
-                "rules.cold": int(warm_up * SECOND), "rules.cold_from": cold if warm_up else 1.0,
-                "prices.cross_zone": 0.0, "report.columns": []}
+        return {
+            "balancers": fleet.balancers,
+            "slot_no": number,
+            "zone": zone,
+            "limits.max_hand_offs": policy.hand_offs,
+            "limits.second_copies": policy.second_copies,
+            "limits.cancelling": policy.cancelling,
+            "rules.cold": int(warm_up * SECOND),
+            "rules.cold_from": cold if warm_up else 1.0,
+            "prices.cross_zone": 0.0,
+            "report.columns": [],
+        }
 
     def pool(self, balancer: Balancer) -> Pool:
         """What one run of a balancer's process decides by."""
         experiment, number = self.experiment, balancer.number
-        spec = PoolSpec("lab", self.settings(number, balancer.zone), self.workloads(),
-                        [f"z{place}" for place in range(experiment.fleet.zones)], [], [], SECOND // 4,
-                        int(experiment.fleet.idle * SECOND), limits=Limits())
+        spec = PoolSpec(
+            "lab",
+            self.settings(number, balancer.zone),
+            self.workloads(),
+            [f"z{place}" for place in range(experiment.fleet.zones)],
+            [],
+            [],
+            SECOND // 4,
+            int(experiment.fleet.idle * SECOND),
+            limits=Limits(),
+        )
         seed = Random(f"balancer/{self.seed}/{number}/{balancer.run}").getrandbits(64)
-        made = dressed(Pool(balancer, spec, seed, balancer.counts), experiment.policy.name,
-                       self.seed * 1000 + number, self.sight)
+        made = dressed(
+            Pool(balancer, spec, seed, balancer.counts),
+            experiment.policy.name,
+            self.seed * 1000 + number,
+            self.sight,
+        )
         if experiment.policy.mutation:
             MUTATIONS[experiment.policy.mutation](made)
         return made
@@ -106,7 +146,9 @@
         entry = server.entry()
         delay = self.experiment.fleet.list_delay * self.late * SECOND
         for balancer in self.balancers:
-            at = max(self.clock.now, balancer.stale_until) + int(delay * (0.5 + self.chance.random()))
+            at = max(self.clock.now, balancer.stale_until) + int(
+                delay * (0.5 + self.chance.random())
+            )
             self.clock.at(at, self.told, balancer, entry)
 
     def told(self, balancer: Balancer, entry: Entry) -> None:
@@ -171,11 +213,20 @@
         took = time.perf_counter() - begun
         found = self.measure.result()
         servers = {server.name: server.done for server in self.servers.values()}
-        troubles = [{"kind": one.kind, "at": one.at, "span": one.span, "share": one.share}
-                    for one in self.troubles.troubles]
-        found |= {"seed": self.seed, "breaches": {rule: self.referee.breaches[rule] for rule in RULES},
-                  "told": self.referee.told, "servers": servers, "events": self.clock.events,
-                  "fleet": dict(self.ground.counts), "wall_s": took, "troubles": troubles}
+        troubles = [
+            {"kind": one.kind, "at": one.at, "span": one.span, "share": one.share}
+            for one in self.troubles.troubles
+        ]
+        found |= {
+            "seed": self.seed,
+            "breaches": {rule: self.referee.breaches[rule] for rule in RULES},
+            "told": self.referee.told,
+            "servers": servers,
+            "events": self.clock.events,
+            "fleet": dict(self.ground.counts),
+            "wall_s": took,
+            "troubles": troubles,
+        }
         found["holds"], found["why"] = verdict(self.experiment, found)
         return found
 
@@ -191,5 +242,7 @@
         asked = sum(found["by_second"]["asked"][first:])
         share = sum(found["by_second"]["on_time"][first:]) / asked if asked else 1.0
         if share < holds.on_time_after:
-            why.append(f"on time in the last {holds.recovered:g} s {share:.4f}, below {holds.on_time_after}")
+            why.append(
+                f"on time in the last {holds.recovered:g} s {share:.4f}, below {holds.on_time_after}"
+            )
     return not why, why
--- a/whinpier/log.py
+++ b/whinpier/log.py
@@ -31,7 +31,11 @@
     def plain(value: Any) -> str:
         text = str(value)
         whole = text and text.isprintable() and not any(mark in text for mark in ' "=')
-        return text if whole else '"' + text.encode("unicode_escape").decode().replace('"', '\\"') + '"'
+        return (
+            text
+            if whole
+            else '"' + text.encode("unicode_escape").decode().replace('"', '\\"') + '"'
+        )
 
 
 class Bounded(logging.Filter):
--- a/whinpier/model.py
+++ b/whinpier/model.py
@@ -13,7 +13,13 @@
 READY, DRAINING, GONE = "ready", "draining", "gone"
 
 # How a hand-off came back.
-FULFILLED, ERROR, TIMED_OUT, RESET, WITHDRAWN = "fulfilled", "error", "timed out", "reset", "withdrawn"
+FULFILLED, ERROR, TIMED_OUT, RESET, WITHDRAWN = (
+    "fulfilled",
+    "error",
+    "timed out",
+    "reset",
+    "withdrawn",
+)
 FULL, NO_CONNECTION, MOOT = "full", "no connection", "moot"
 NEVER_RAN = frozenset((FULL, NO_CONNECTION, MOOT))
 
@@ -54,7 +60,9 @@
     size: float = 1.0
     shape: int = 0
     seen: Any = None  # what the decisions have observed of it
-    turn: Any = None  # when it is due a request while cold, where other pools of this process list it too
+    turn: Any = (
+        None  # when it is due a request while cold, where other pools of this process list it too
+    )
     spare: float = inf  # how many more it may be sent just now, by limits beside the decisions' own
 
 
--- a/whinpier/net/buffers.py
+++ b/whinpier/net/buffers.py
@@ -30,7 +30,9 @@
 REQUEST = re.compile(rb"([A-Z]+) (/[!-~]*) HTTP/1\.1\r\n" + FIELDS)
 ANSWER = re.compile(rb"HTTP/1\.1 (200|50[0-4])(?: [ -~]*)?\r\n" + FIELDS)
 UNUSUAL = frozenset((b"transfer-encoding", b"expect", b"upgrade", b"trailer"))
-HEAD = 16 * 1024  # bytes of a head at most, however they are cut: as the parser's for one that is incomplete
+HEAD = (
+    16 * 1024
+)  # bytes of a head at most, however they are cut: as the parser's for one that is incomplete
 LINES = 128  # lines of a head at most: five times what a gateway with traces and cookies adds
 
 _spare: list[bytearray] = []
@@ -55,8 +57,9 @@
         give(buffer)
 
 
-def plain(form: re.Pattern[bytes],
-          data: bytes) -> tuple[re.Match[bytes], list[tuple[bytes, bytes]], bytes] | None:
+def plain(
+    form: re.Pattern[bytes], data: bytes
+) -> tuple[re.Match[bytes], list[tuple[bytes, bytes]], bytes] | None:
     """Start line, headers and body of a message in its plainest form, whole and alone; None of any other.
 
     Nothing is refused here: what is in any way unusual is for the parser to judge.
@@ -69,11 +72,16 @@
         return None
     parted = (line.partition(b":") for line in lines[1:])
     headers = [(name.lower(), value.strip(b" ")) for name, _, value in parted]
-    fields, body = dict(headers), data[found.end():]
+    fields, body = dict(headers), data[found.end() :]
     length = fields.get(b"content-length", b"0")
-    if (len(fields) < len(headers) or not UNUSUAL.isdisjoint(fields)
-            or fields.get(b"connection", b"keep-alive") != b"keep-alive"
-            or not length.isdigit() or len(length) > 9 or int(length) != len(body)):
+    if (
+        len(fields) < len(headers)
+        or not UNUSUAL.isdisjoint(fields)
+        or fields.get(b"connection", b"keep-alive") != b"keep-alive"
+        or not length.isdigit()
+        or len(length) > 9
+        or int(length) != len(body)
+    ):
         return None
     return found, headers, body
 
@@ -97,7 +105,7 @@
     bound = end + 2 if end >= 0 else min(len(ahead), HEAD)
     many = ahead.count(b"\r\n", 0, bound) > LINES
     if many:
-        bound = len(b"\r\n".join(ahead.split(b"\r\n", LINES + 1)[:LINES + 1]))
+        bound = len(b"\r\n".join(ahead.split(b"\r\n", LINES + 1)[: LINES + 1]))
     if TWO_WAYS.search(ahead, 0, bound):
         raise h11.RemoteProtocolError("lines that can be read two ways")
     if many:
@@ -108,8 +116,10 @@
 
 def check_trailers(end: h11.EndOfMessage) -> None:
     """Refuse what follows a body in chunks where it is larger than a head may be."""
-    if (len(end.headers) > LINES
-            or sum(len(name) + len(value) + 4 for name, value in end.headers) > HEAD):
+    if (
+        len(end.headers) > LINES
+        or sum(len(name) + len(value) + 4 for name, value in end.headers) > HEAD
+    ):
         raise TooLarge("trailers of too many lines or bytes")
 
 
@@ -195,7 +205,7 @@
 
     def flush(self) -> None:
         try:
-            self.left = self.left[self.sock.send(self.left):]
+            self.left = self.left[self.sock.send(self.left) :]
         except BlockingIOError:
             pass
         except OSError:
--- a/whinpier/net/clients.py
+++ b/whinpier/net/clients.py
@@ -26,10 +26,16 @@
 if TYPE_CHECKING:
     from whinpier.net.door import Door
 
-HALF = 2 * SECOND  # from connecting or its first byte for a request to be whole, or for an answer to be taken
-IDLE = 5 * SECOND // 2  # between requests; some keep connections for good, none is harmed by a close
+HALF = (
+    2 * SECOND
+)  # from connecting or its first byte for a request to be whole, or for an answer to be taken
+IDLE = (
+    5 * SECOND // 2
+)  # between requests; some keep connections for good, none is harmed by a close
 LINGER = SECOND // 2  # for a client to take its last answer and close
-SPILL = 256 * 1024  # bytes to let pass unread meanwhile: a body just too large, not one of many megabytes
+SPILL = (
+    256 * 1024
+)  # bytes to let pass unread meanwhile: a body just too large, not one of many megabytes
 AHEAD = 8 * 1024  # bytes behind a request that has no answer yet: some requests, not hundreds
 NUMBER = re.compile(rb"[+-]?[0-9]{1,20}(\.[0-9]{0,20})?|[+-]?\.[0-9]{1,20}")
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
@@ -40,7 +46,9 @@
 
     __slots__ = ("client",)
 
-    def __init__(self, client: Client, workload: Workload, came: int, ends: int, txn: bytes) -> None:
+    def __init__(
+        self, client: Client, workload: Workload, came: int, ends: int, txn: bytes
+    ) -> None:
         super().__init__(client.loop.next_id(), workload, came, ends)
         self.client, self.id_given, self.body = client, txn, b"".join(client.parts)
         head = [b"%s %s HTTP/1.1\r\n" % (client.method, client.target)]
@@ -81,7 +89,9 @@
         self.fields: dict[bytes, bytes] = {}  # the headers by name
         self.parts: list[bytes] = []
         self.size, self.spilt = 0, 0  # bytes of its body; of what came behind its last answer
-        self.since = door.loop.clock()  # since when it is here, is idle, is read, is answered for good
+        self.since = (
+            door.loop.clock()
+        )  # since when it is here, is idle, is read, is answered for good
         self.task: Asked | None = None
         self.to: tuple[Target, Workload] | None = None  # where what is asked for goes
         self.member: Part | None = None  # of the pool it asked last
@@ -140,7 +150,9 @@
         self.to, self.lost, self.fields = None, None, dict(self.headers)
         if self.target != self.door.up:
             try:
-                self.to = self.door.router.route(self.method, self.target, self.fields, self.headers)
+                self.to = self.door.router.route(
+                    self.method, self.target, self.fields, self.headers
+                )
                 if (part := self.to[0].pool.part) is not self.member:
                     self.join(part)
             except BadRequest as bad:
@@ -197,7 +209,11 @@
             self.refuse(BadRequest(fault.error_status_hint, str(fault)))
 
     def begin(self, request: h11.Request) -> None:
-        self.method, self.target, self.headers = request.method, request.target, list(request.headers)
+        self.method, self.target, self.headers = (
+            request.method,
+            request.target,
+            list(request.headers),
+        )
         self.parts, self.begun = [], True
         buffers.check_framing(self.headers, request.http_version)
         length = next((value for name, value in self.headers if name == b"content-length"), b"0")
@@ -224,11 +240,18 @@
             full = self.door.no_room(pool)
         else:  # limits by route or tenant: only then is it looked who it is
             target, fields = self.to[0], self.fields
-            full = self.door.no_room(pool, target.route, fields.get(target.fields.tenant, b""),
-                                     fields.get(target.fields.ticket, b""), task.repeat)
+            full = self.door.no_room(
+                pool,
+                target.route,
+                fields.get(target.fields.tenant, b""),
+                fields.get(target.fields.ticket, b""),
+                task.repeat,
+            )
         if full:
             log.counts["turned_back_at_the_door"] += 1
-            self.answer(503, b"turned back\n", retry_after(pool.wait or task.workload.agreed_time // 4))
+            self.answer(
+                503, b"turned back\n", retry_after(pool.wait or task.workload.agreed_time // 4)
+            )
             pool.wait = 0
             return
         self.task = task
@@ -272,8 +295,13 @@
         self.reading = False
         self.answer(bad.status, f"{bad}\n".encode("utf-8", "replace"), bad.headers, last=bad.last)
 
-    def answer(self, status: int, body: bytes, headers: list[tuple[bytes, bytes]] | None = None,
-               last: bool = False) -> None:
+    def answer(
+        self,
+        status: int,
+        body: bytes,
+        headers: list[tuple[bytes, bytes]] | None = None,
+        last: bool = False,
+    ) -> None:
         """Write the one answer to what was asked."""
         self.task = None
         self.release()
@@ -296,7 +324,9 @@
             self.parser.receive_data(ahead) if ahead else None
         self.plain = False
         if ahead:
-            self.loop.enter(self.loop, self.parse)  # it came ahead of its turn; from outside any decision
+            self.loop.enter(
+                self.loop, self.parse
+            )  # it came ahead of its turn; from outside any decision
 
     def release(self) -> None:
         """Its body counts no longer."""
--- a/whinpier/net/discovery.py
+++ b/whinpier/net/discovery.py
@@ -19,9 +19,16 @@
 
 SILENCE = 2.5  # seconds for the next whole piece: one, or an empty line, comes at least every 2
 ANSWER = 1.0  # seconds to connect, and as long until an answer begins: it is on this machine
-FIRST, LONGEST = 0.05, 0.5  # seconds between tries: what it tells counts as told 4 s later at the latest
-PIECE = 1024 * 1024  # the longest piece: thousands of upstreams, and what reading it takes fits in 32 MB
-TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')  # what stands in quotes in a line of JSON: no line feed can
+FIRST, LONGEST = (
+    0.05,
+    0.5,
+)  # seconds between tries: what it tells counts as told 4 s later at the latest
+PIECE = (
+    1024 * 1024
+)  # the longest piece: thousands of upstreams, and what reading it takes fits in 32 MB
+TEXT = re.compile(
+    rb'"(?:[^"\\]|\\.)*"'
+)  # what stands in quotes in a line of JSON: no line feed can
 
 
 class Pieces:
@@ -36,12 +43,12 @@
         searched = len(self.data)
         self.data += data
         while (end := self.data.find(b"\n", searched)) >= 0:
-            bare = TEXT.sub(b"", bytes(self.data[self.line:end]))
+            bare = TEXT.sub(b"", bytes(self.data[self.line : end]))
             self.depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
             searched = self.line = end + 1
             if self.depth <= 0:
                 piece = bytes(self.data[:end])
-                del self.data[:self.line]
+                del self.data[: self.line]
                 searched = self.line = self.depth = 0
                 yield piece
         if len(self.data) > PIECE:
@@ -55,8 +62,14 @@
 class Discovery:
     """Follows the list."""
 
-    def __init__(self, address: Address, seq: int | None, told: Callable[[list[Entry], bool], None],
-                 chance: Callable[[], float], tag: Callable[[], dict[str, str]]) -> None:
+    def __init__(
+        self,
+        address: Address,
+        seq: int | None,
+        told: Callable[[list[Entry], bool], None],
+        chance: Callable[[], float],
+        tag: Callable[[], dict[str, str]],
+    ) -> None:
         self.address, self.seq, self.told, self.chance, self.tag = address, seq, told, chance, tag
         self.ended = False
         self.wanted = anyio.Event()
@@ -151,15 +164,20 @@
         assert self.sock
         self.sock.connect_ex(self.address)
         await anyio.wait_writable(self.sock)
-        asked = h11.Request(method="GET", target="/discovery/hosts" + query,
-                            headers=[("host", "discovery"), ("accept", "application/json")])
+        asked = h11.Request(
+            method="GET",
+            target="/discovery/hosts" + query,
+            headers=[("host", "discovery"), ("accept", "application/json")],
+        )
         self.sock.send((parser.send(asked) or b"") + (parser.send(h11.EndOfMessage()) or b""))
 
     async def events(self, parser: h11.Connection) -> AsyncIterator[h11.Event]:
         """What an answer consists of, up to its end."""
         assert self.sock
         address = self.address
-        while not isinstance(event := parser.next_event(), (h11.EndOfMessage, h11.ConnectionClosed)):
+        while not isinstance(
+            event := parser.next_event(), (h11.EndOfMessage, h11.ConnectionClosed)
+        ):
             if event is h11.NEED_DATA:
                 await anyio.wait_readable(self.sock)
                 if self.address != address:
--- a/whinpier/net/door.py
+++ b/whinpier/net/door.py
@@ -31,7 +31,9 @@
         self.life, self.loop, self.budget, self.router = life, life.loop, life.budget, router
         self.ids, self.up = life.ids, life.spec.up
         self.clients: set[Client] = set()
-        self.strangers: dict[Client, None] = {}  # those that have asked for nothing yet, the oldest first
+        self.strangers: dict[
+            Client, None
+        ] = {}  # those that have asked for nothing yet, the oldest first
         self.space = anyio.Event()
         self.budget.let_go = self.let_go
         self.roomier = self.budget.roomier = self.make_known
@@ -47,8 +49,14 @@
         """Whether clients (of a pool) had better not keep their connections."""
         return self.budget.crowded(len(self.clients) - len(self.strangers), part)
 
-    def no_room(self, pool: Pool, route: str = "", tenant: bytes = b"", ticket: bytes = b"",
-                again: bool = False) -> bool:
+    def no_room(
+        self,
+        pool: Pool,
+        route: str = "",
+        tenant: bytes = b"",
+        ticket: bytes = b"",
+        again: bool = False,
+    ) -> bool:
         """Whether a task is turned back at the door; if not it counts among its pool's from now on."""
         budget = self.budget
         usual = budget.connections - budget.most_clients
@@ -81,9 +89,14 @@
     def longest_idle(self, since: int) -> Iterator[Client]:
         """Clients that have asked before and are idle since then or longer; sorted once one is wanted."""
         within = self.budget.within
-        yield from sorted((client for client in self.clients if client.idle() and client.since < since
-                           and client not in self.strangers),
-                          key=lambda client: (within(client.member), client.since))
+        yield from sorted(
+            (
+                client
+                for client in self.clients
+                if client.idle() and client.since < since and client not in self.strangers
+            ),
+            key=lambda client: (within(client.member), client.since),
+        )
 
     def welcome(self, listener: socket.socket) -> bool:
         """Take one client in. One too many is only turned back: what waits unseen is lost in time."""
@@ -118,7 +131,9 @@
                     # Guards against clients that come faster than they are taken in: alarms would never ring.
                     await anyio.sleep(0)
                     continue
-                log.warn("descriptors_used_up", clients=len(self.clients), links=self.budget.links.used)
+                log.warn(
+                    "descriptors_used_up", clients=len(self.clients), links=self.budget.links.used
+                )
                 self.space = anyio.Event()
                 with anyio.move_on_after(0.1):
                     await self.space.wait()
--- a/whinpier/net/routed.py
+++ b/whinpier/net/routed.py
@@ -28,14 +28,23 @@
         self.looked_at = [(name.encode(), name) for name in sorted(looked_at)]
         for route in table.routes:
             to, pool = route.to, pools[route.to.pool]
-            self.targets[route.name] = Target(pool, pool.workloads.get(to.workload.encode()), to.fields,
-                                              to.patience, bool(route.methods), route.name)
+            self.targets[route.name] = Target(
+                pool,
+                pool.workloads.get(to.workload.encode()),
+                to.fields,
+                to.patience,
+                bool(route.methods),
+                route.name,
+            )
 
-    def route(self, method: bytes, target: bytes, fields: dict[bytes, bytes],
-              headers: Headers) -> tuple[Target, Workload]:
+    def route(
+        self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
+    ) -> tuple[Target, Workload]:
         if method not in METHODS:
             raise BadRequest(405, f"{method!r} is no method of a task")
-        found = {name: fields[key].decode("latin-1") for key, name in self.looked_at if key in fields}
+        found = {
+            name: fields[key].decode("latin-1") for key, name in self.looked_at if key in fields
+        }
         names = [name for name, _ in headers] if len(fields) < len(headers) else []
         if names.count(b"host") > 1:
             raise BadRequest(400, "a Host twice")
--- a/whinpier/net/routes.py
+++ b/whinpier/net/routes.py
@@ -18,7 +18,9 @@
 class BadRequest(Exception):
     """A request that is no task; the text says why, `headers` go with the answer."""
 
-    def __init__(self, status: int, text: str, headers: Headers | None = None, last: bool = True) -> None:
+    def __init__(
+        self, status: int, text: str, headers: Headers | None = None, last: bool = True
+    ) -> None:
         super().__init__(text)
         self.status, self.headers, self.last = status, headers, last
 
@@ -31,15 +33,18 @@
     workload: Workload | None  # None: the one that the request names
     fields: Fields
     patience: int = 0  # nanoseconds at most; 0: the workload's
-    any_method: bool = False  # whether the route names its methods, so that none needs to fit the kind
+    any_method: bool = (
+        False  # whether the route names its methods, so that none needs to fit the kind
+    )
     route: str = ""
 
 
 class Router(Protocol):
     """Says where a request goes."""
 
-    def route(self, method: bytes, target: bytes, fields: dict[bytes, bytes],
-              headers: Headers) -> tuple[Target, Workload]:
+    def route(
+        self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
+    ) -> tuple[Target, Workload]:
         """Raises BadRequest for what goes nowhere. `fields` are the headers by name, the last of each."""
 
 
@@ -49,8 +54,9 @@
     def __init__(self, pool: Pool) -> None:
         self.target = Target(pool, None, Fields())
 
-    def route(self, method: bytes, target: bytes, fields: dict[bytes, bytes],
-              headers: Headers) -> tuple[Target, Workload]:
+    def route(
+        self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
+    ) -> tuple[Target, Workload]:
         path = target.partition(b"?")[0]
         lane = path.lstrip(b"/").partition(b"/")[0]
         workload = self.target.pool.workloads.get(lane)  # as the pool has them now
@@ -59,10 +65,18 @@
         return self.target, workload
 
 
-def fits(method: bytes, target: Target, workload: Workload, ticket: bytes | None, size: int) -> None:
+def fits(
+    method: bytes, target: Target, workload: Workload, ticket: bytes | None, size: int
+) -> None:
     """Refuse a request that does not look as its workload's do."""
     if not target.any_method and method != (b"GET" if workload.kind == RERUNNABLE else b"POST"):
         raise BadRequest(405, f"{method!r} does not fit the lane")
-    if (workload.kind == TICKETED and not ticket or workload.kind == EXCLUSIVE and ticket
-            or method == b"GET" and size):
+    if (
+        workload.kind == TICKETED
+        and not ticket
+        or workload.kind == EXCLUSIVE
+        and ticket
+        or method == b"GET"
+        and size
+    ):
         raise BadRequest(400, "the lane's requests look otherwise")
--- a/whinpier/net/upstreams.py
+++ b/whinpier/net/upstreams.py
@@ -37,8 +37,20 @@
 # After an answer a connection rests for so long before it carries the next request: a second answer comes
 # some milliseconds late (1 to 4 were seen), and on a connection in use it would pass for the next request's.
 REST = SECOND // 100
-HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
-                 b"upgrade", b"expect", b"x-remaining", b"content-length"))  # not passed on
+HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"x-remaining",
+        b"content-length",
+    )
+)  # not passed on
 
 
 class Answer:
@@ -96,8 +108,9 @@
 class Server(Peer):
     """An upstream with its connections."""
 
-    def __init__(self, pool: Pool, host: str, number: int, state: str, started: int,
-                 address: Address) -> None:
+    def __init__(
+        self, pool: Pool, host: str, number: int, state: str, started: int, address: Address
+    ) -> None:
         super().__init__(number, state, 0, 0, started)
         self.pool, self.loop, self.host, self.address = pool, pool.loop, host, address
         self.links: set[Link] = set()
@@ -168,8 +181,12 @@
     def free(self, link: Link) -> None:
         """A connection can take a hand-off."""
         many = self.most_links is not None and len(self.links) > self.most_links
-        if self.state != READY or link.address != self.address or many or (
-                not self.waiting and self.pool.house.budget.called_back(self.pool.part)):
+        if (
+            self.state != READY
+            or link.address != self.address
+            or many
+            or (not self.waiting and self.pool.house.budget.called_back(self.pool.part))
+        ):
             link.close()
             self.lacking()  # what waited for it waits for nothing now, where the upstream has moved
             return
@@ -207,7 +224,12 @@
     """One connection to an upstream."""
 
     def __init__(self, server: Server) -> None:
-        self.server, self.pool, self.loop, self.address = server, server.pool, server.loop, server.address
+        self.server, self.pool, self.loop, self.address = (
+            server,
+            server.pool,
+            server.loop,
+            server.address,
+        )
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.parser: h11.Connection | None = None  # for answers that are in any way unusual
@@ -257,7 +279,9 @@
 
     def start(self, sending: Sending) -> None:
         """Write a hand-off; what the socket does not take at once goes out as it can."""
-        log.must(self.sending is None and not self.closed, "a connection carries one task at a time")
+        log.must(
+            self.sending is None and not self.closed, "a connection carries one task at a time"
+        )
         log.must(sending.outcome is None, "what has its outcome is not sent")
         self.sending, sending.link, self.answer, self.moved = sending, self, Answer(), 0
         asked = sending.asked
@@ -292,7 +316,9 @@
         if self.sending is sending and begun:
             first, self.moved = not self.moved, self.loop.clock()
             if first:
-                self.loop.at(self.moved + self.pool.spec.connect_limit, self.loop, self.stuck, sending)
+                self.loop.at(
+                    self.moved + self.pool.spec.connect_limit, self.loop, self.stuck, sending
+                )
 
     def stuck(self, sending: Sending) -> None:
         """Guards against heads and bodies that never end: what has begun to come goes on coming."""
@@ -332,7 +358,11 @@
             answer.status, answer.headers = event.status_code, list(event.headers)
             buffers.check_framing(answer.headers, event.http_version)
             framed = answer.header(b"content-length") or answer.header(b"transfer-encoding")
-            if answer.status in self.pool.spec.passed_on and answer.status not in BODILESS and framed is None:
+            if (
+                answer.status in self.pool.spec.passed_on
+                and answer.status not in BODILESS
+                and framed is None
+            ):
                 raise h11.RemoteProtocolError("a body whose end can't be told from a break")
             length = answer.header(b"content-length") or b"0"
             if len(length) > 9 or int(length) > ANSWER:
@@ -351,8 +381,12 @@
             buffers.check_trailers(event)
             parser = self.parser
             # Guards against one task's surplus bytes passing for the next one's answer.
-            self.finish(parser is not None and not parser.trailing_data[0]
-                        and parser.their_state is h11.DONE and parser.our_state is h11.DONE)
+            self.finish(
+                parser is not None
+                and not parser.trailing_data[0]
+                and parser.their_state is h11.DONE
+                and parser.our_state is h11.DONE
+            )
             return False
         else:  # nothing more yet, or the connection has ended
             if event is not h11.NEED_DATA:
--- a/whinpier/net/wire.py
+++ b/whinpier/net/wire.py
@@ -28,6 +28,7 @@
         if life.spec.table is None:
             return Lanes(next(iter(life.pools.values())))
         from whinpier.net.routed import Routed  # only where there is an operator's file
+
         return Routed(life.spec.table, life.pools)
 
     def peer(self, pool: Pool, entry: Entry, number: int) -> Peer:
--- a/whinpier/observed.py
+++ b/whinpier/observed.py
@@ -12,7 +12,10 @@
     def __init__(self, workload: Workload, now: int) -> None:
         # 10 s: tells the work of one from the other's, whatever single upstreams do.
         self.took, self.answers, self.asked, self.kept = (Sum(10 * SECOND, now) for _ in range(4))
-        self.out, self.usual = 0, workload.agreed_time / 4  # mean latency over the fleet; a start until known
+        self.out, self.usual = (
+            0,
+            workload.agreed_time / 4,
+        )  # mean latency over the fleet; a start until known
 
 
 class Seen:
@@ -22,7 +25,14 @@
         self.upstream = upstream
         self.due, self.answers = Sum(span, now), Sum(span, now)
         self.turn = upstream.turn or Turn(now + wait)
-        self.out, self.pull, self.silence, self.missing, self.at, self.heard = 0, 0.0, 0.0, 0.0, now, now
+        self.out, self.pull, self.silence, self.missing, self.at, self.heard = (
+            0,
+            0.0,
+            0.0,
+            0.0,
+            now,
+            now,
+        )
         self.share, self.part, self.room, self.shut_until = 0.0, 1.0, 1.0, 0
         # Of its load reports. Room for two at first crowds not even a single core (2, 2.5 and 3 were alike).
         self.wide, self.told, self.held, self.probed, self.mute = 2.0, now, 0.0, 0, 0
--- a/whinpier/peers.py
+++ b/whinpier/peers.py
@@ -34,4 +34,6 @@
     def rate(self, own: float, balancers: int, now: int) -> float:
         """Of all balancers: who has not said its own of late counts as the others do."""
         self.told = {who: said for who, said in self.told.items() if said[0] > now - HEARD}
-        return (own + sum(rate for _, rate in self.told.values())) * balancers / (1 + len(self.told))
+        return (
+            (own + sum(rate for _, rate in self.told.values())) * balancers / (1 + len(self.told))
+        )
--- a/whinpier/radius/back.py
+++ b/whinpier/radius/back.py
@@ -70,12 +70,19 @@
             self.pool.settle(sending, MOOT)
             return sending
         self.waiting[slot] = sending
-        asked = Packet(wire.ACCOUNTING_REQUEST, slot[1], attributes=[
-            pair for pair in task.packet.attributes if pair[0] != wire.MESSAGE_AUTHENTICATOR])
+        asked = Packet(
+            wire.ACCOUNTING_REQUEST,
+            slot[1],
+            attributes=[
+                pair for pair in task.packet.attributes if pair[0] != wire.MESSAGE_AUTHENTICATOR
+            ],
+        )
         # What it waited here is told, so that the record's time stays true (RFC 2866, section 5.2).
         waited = max(0, now - task.came) // SECOND
-        asked.attributes = [(kind, delayed(value, waited)) if kind == wire.DELAY_TIME else (kind, value)
-                            for kind, value in asked.attributes]
+        asked.attributes = [
+            (kind, delayed(value, waited)) if kind == wire.DELAY_TIME else (kind, value)
+            for kind, value in asked.attributes
+        ]
         asked.attributes.append((wire.PROXY_STATE, sending.state))
         try:
             sending.data = wire.sealed(asked, sending.secret, self.spec.sign)
@@ -119,13 +126,18 @@
             sending.sock.send(sending.data)
             log.counts["radius_sent"] += 1
         except (BlockingIOError, ConnectionRefusedError):
-            log.counts["radius_not_sent"] += 1  # a full buffer, or word of an earlier one: sent again later
+            log.counts["radius_not_sent"] += (
+                1  # a full buffer, or word of an earlier one: sent again later
+            )
         except OSError as fault:
             log.warn("radius_not_sent", upstream=self.host, fault=fault)
         if sending.tries <= self.spec.retransmissions:
             # Twice as long each time, and spread a little (RFC 5080, section 2.2.1).
-            wait = int(self.spec.retransmit * 2 ** (sending.tries - 1)
-                       * (0.9 + 0.2 * self.pool.choice.split.random()))
+            wait = int(
+                self.spec.retransmit
+                * 2 ** (sending.tries - 1)
+                * (0.9 + 0.2 * self.pool.choice.split.random())
+            )
             self.loop.at(self.loop.clock() + wait, self.loop, self.transmit, sending)
 
     def came(self, number: int) -> None:
--- a/whinpier/radius/explain.py
+++ b/whinpier/radius/explain.py
@@ -13,17 +13,34 @@
 from whinpier.radius.spec import RadiusSpec, realm_of
 from whinpier.radius.table import Clients, Routes
 
-CODES = {wire.ACCOUNTING_REQUEST: "Accounting-Request", wire.ACCOUNTING_RESPONSE: "Accounting-Response",
-         wire.STATUS_SERVER: "Status-Server"}
+CODES = {
+    wire.ACCOUNTING_REQUEST: "Accounting-Request",
+    wire.ACCOUNTING_RESPONSE: "Accounting-Response",
+    wire.STATUS_SERVER: "Status-Server",
+}
 # Names and forms of the attributes that decide or are often seen (RFC 2865, 2866, 2869); others by number.
 TEXT, NUMBER, ADDRESS, BYTES = "text", "number", "address", "bytes"
-NAMES = {1: ("User-Name", TEXT), 4: ("NAS-IP-Address", ADDRESS), 5: ("NAS-Port", NUMBER),
-         6: ("Service-Type", NUMBER), 8: ("Framed-IP-Address", ADDRESS), 25: ("Class", BYTES),
-         30: ("Called-Station-Id", TEXT), 31: ("Calling-Station-Id", TEXT), 32: ("NAS-Identifier", TEXT),
-         33: ("Proxy-State", BYTES), 40: ("Acct-Status-Type", NUMBER), 41: ("Acct-Delay-Time", NUMBER),
-         42: ("Acct-Input-Octets", NUMBER), 43: ("Acct-Output-Octets", NUMBER),
-         44: ("Acct-Session-Id", TEXT), 46: ("Acct-Session-Time", NUMBER), 55: ("Event-Timestamp", NUMBER),
-         80: ("Message-Authenticator", BYTES), 95: ("NAS-IPv6-Address", BYTES)}
+NAMES = {
+    1: ("User-Name", TEXT),
+    4: ("NAS-IP-Address", ADDRESS),
+    5: ("NAS-Port", NUMBER),
+    6: ("Service-Type", NUMBER),
+    8: ("Framed-IP-Address", ADDRESS),
+    25: ("Class", BYTES),
+    30: ("Called-Station-Id", TEXT),
+    31: ("Calling-Station-Id", TEXT),
+    32: ("NAS-Identifier", TEXT),
+    33: ("Proxy-State", BYTES),
+    40: ("Acct-Status-Type", NUMBER),
+    41: ("Acct-Delay-Time", NUMBER),
+    42: ("Acct-Input-Octets", NUMBER),
+    43: ("Acct-Output-Octets", NUMBER),
+    44: ("Acct-Session-Id", TEXT),
+    46: ("Acct-Session-Time", NUMBER),
+    55: ("Event-Timestamp", NUMBER),
+    80: ("Message-Authenticator", BYTES),
+    95: ("NAS-IPv6-Address", BYTES),
+}
 
 
 def read(kind: int, value: bytes) -> tuple[str, str]:
@@ -43,8 +60,14 @@
 
 def explain(spec: RadiusSpec, data: bytes, source: str) -> dict[str, Any]:
     """What a datagram from an address is, each step that it passes, and its route or why it is refused."""
-    found: dict[str, Any] = {"bytes": len(data), "source": source, "attributes": [], "steps": [],
-                             "refused": None, "route": None}
+    found: dict[str, Any] = {
+        "bytes": len(data),
+        "source": source,
+        "attributes": [],
+        "steps": [],
+        "refused": None,
+        "route": None,
+    }
 
     def step(what: str, told: str) -> None:
         found["steps"].append({"step": what, "told": told})
@@ -56,20 +79,31 @@
         step("client", client.name)
         packet = wire.parse(data)
         found["attributes"] = [list(read(kind, value)) for kind, value in packet.attributes]
-        step("packet", f"{CODES.get(packet.code, f'code {packet.code}')}, identifier {packet.id}, "
-                       f"{len(packet.attributes)} attributes")
+        step(
+            "packet",
+            f"{CODES.get(packet.code, f'code {packet.code}')}, identifier {packet.id}, "
+            f"{len(packet.attributes)} attributes",
+        )
         number = wire.proved_by(packet, data, client.secrets, client.signed)
-        step("proof", f"by secret {number + 1} of {len(client.secrets)}"
-                      + (", signed" if packet.first(wire.MESSAGE_AUTHENTICATOR) else ", not signed"))
+        step(
+            "proof",
+            f"by secret {number + 1} of {len(client.secrets)}"
+            + (", signed" if packet.first(wire.MESSAGE_AUTHENTICATOR) else ", not signed"),
+        )
         if packet.code == wire.STATUS_SERVER:
             step("answer", "at once, if this end is ready")
             return found
         wire.check_record(packet)
-        step("record", recognised(packet, client.name) if spec.records else "known by its packet only")
+        step(
+            "record",
+            recognised(packet, client.name) if spec.records else "known by its packet only",
+        )
         route = Routes(spec.routes).of(packet, client.name)
         if route is None:
-            raise BadPacket(f"no route takes realm {realm_of(packet)!r}, "
-                            f"status {packet.number(wire.STATUS_TYPE)}")
+            raise BadPacket(
+                f"no route takes realm {realm_of(packet)!r}, "
+                f"status {packet.number(wire.STATUS_TYPE)}"
+            )
         found["route"] = route.name
         step("route", f"{route.name}: pool {route.pool}, workload {route.workload}")
     except BadPacket as bad:
--- a/whinpier/radius/front.py
+++ b/whinpier/radius/front.py
@@ -37,8 +37,19 @@
 
     __slots__ = ("front", "client", "secret", "way", "entry", "over", "others")
 
-    def __init__(self, number: int, workload: Workload, came: int, ends: int, front: Front, packet: Packet,
-                 entry: keys.Entry[Asked], client: ClientSpec, secret: bytes, way: Way) -> None:
+    def __init__(
+        self,
+        number: int,
+        workload: Workload,
+        came: int,
+        ends: int,
+        front: Front,
+        packet: Packet,
+        entry: keys.Entry[Asked],
+        client: ClientSpec,
+        secret: bytes,
+        way: Way,
+    ) -> None:
         super().__init__(number, workload, came, ends)
         self.client, self.secret, self.way = client, secret, way
         self.front, self.packet, self.entry = front, packet, entry
@@ -68,8 +79,13 @@
 class Front:
     """All RADIUS listeners of the process."""
 
-    def __init__(self, life: Life, spec: RadiusSpec, sockets: list[socket.socket],
-                 listeners: list[socket.socket]) -> None:
+    def __init__(
+        self,
+        life: Life,
+        spec: RadiusSpec,
+        sockets: list[socket.socket],
+        listeners: list[socket.socket],
+    ) -> None:
         self.life, self.loop, self.spec, self.sockets = life, life.loop, spec, sockets
         self.now = self.loop.clock()
         self.memory: keys.Memory[Asked] = keys.Memory()
@@ -85,7 +101,9 @@
         self.spec, self.clients, self.routes = spec, Clients(spec.clients), Routes(spec.routes)
         self.named = {name: client for client in spec.clients for name in client.names}
         self.streams.follow(spec.contexts)
-        self.memory.change(spec.kept, spec.most, {one.name: one.kept or spec.kept for one in spec.clients})
+        self.memory.change(
+            spec.kept, spec.most, {one.name: one.kept or spec.kept for one in spec.clients}
+        )
 
     def start(self, listeners: list[socket.socket]) -> None:
         for sock in self.sockets:
@@ -149,7 +167,9 @@
         wire.check_record(packet)
         key = keys.wire_key(way.source, packet)
         record = keys.record_key(packet, client.name) if self.spec.records else None
-        met, entry = self.memory.meet(client.name, key, record, keys.content(packet), self.loop.clock())
+        met, entry = self.memory.meet(
+            client.name, key, record, keys.content(packet), self.loop.clock()
+        )
         if met == keys.NEW:
             assert entry is not None
             log.counts["radius_requests"] += 1
@@ -157,21 +177,29 @@
             return
         log.counts["radius_" + met.replace(" ", "_")] += 1
         if entry is None:
-            log.note("radius_full", client=client.name, remembered=len(self.memory),
-                     raise_one_of="radius.most, or lower radius.clients.N.kept")
+            log.note(
+                "radius_full",
+                client=client.name,
+                remembered=len(self.memory),
+                raise_one_of="radius.most, or lower radius.clients.N.kept",
+            )
             return
         if met == keys.AGAIN and entry.answer is not None:
             # Another packet with the same record is answered in its own words, the same packet in the same.
-            answer = entry.answer if entry.key == key else self.answer_to(
-                packet, secret, way, wire.parse(entry.answer).attributes)
+            answer = (
+                entry.answer
+                if entry.key == key
+                else self.answer_to(packet, secret, way, wire.parse(entry.answer).attributes)
+            )
             self.send(way, answer)
         elif met == keys.JOINS and entry.task and entry.key != key:
             others = entry.task.others
             if len(others) < 16 and all(other[3] != key for other in others):
                 others.append((way, packet, secret, key))
 
-    def enter(self, way: Way, packet: Packet, client: ClientSpec, secret: bytes,
-              entry: keys.Entry[Asked]) -> None:
+    def enter(
+        self, way: Way, packet: Packet, client: ClientSpec, secret: bytes, entry: keys.Entry[Asked]
+    ) -> None:
         """A new record: a task of the pool that its route names."""
         route = self.routes.of(packet, client.name)
         pool = self.life.pools.get(route.pool) if route else None
@@ -191,7 +219,9 @@
             return
         now = self.loop.clock()
         ends = self.life.ends(now, workload.patience)
-        task = Asked(self.loop.next_id(), workload, now, ends, self, packet, entry, client, secret, way)
+        task = Asked(
+            self.loop.next_id(), workload, now, ends, self, packet, entry, client, secret, way
+        )
         session = packet.first(wire.SESSION_ID) or b""
         task.key = hashed(session) if session else 0
         entry.task = task
@@ -212,7 +242,9 @@
             self.send(way, self.answer_to(packet, secret, way, attributes))
 
     @staticmethod
-    def answer_to(packet: Packet, secret: bytes, way: Way, attributes: list[tuple[int, bytes]]) -> bytes:
+    def answer_to(
+        packet: Packet, secret: bytes, way: Way, attributes: list[tuple[int, bytes]]
+    ) -> bytes:
         """The answer in a packet's own words; what fits in no packet goes without the server's attributes."""
         try:
             return wire.answer(packet, secret, way.signed, attributes=attributes)
--- a/whinpier/radius/idents.py
+++ b/whinpier/radius/idents.py
@@ -26,7 +26,9 @@
     quarantine: int = 30 * SECOND
     sockets: int = 0
     free: deque[tuple[int, int]] = field(default_factory=deque)
-    resting: deque[tuple[int, int, int]] = field(default_factory=deque)  # until when, socket, identifier
+    resting: deque[tuple[int, int, int]] = field(
+        default_factory=deque
+    )  # until when, socket, identifier
     out: set[tuple[int, int]] = field(default_factory=set)
 
     def take(self, now: int) -> tuple[int, int] | None:
--- a/whinpier/radius/keys.py
+++ b/whinpier/radius/keys.py
@@ -56,7 +56,9 @@
 
     __slots__ = ("part", "key", "record", "content", "until", "task", "answer")
 
-    def __init__(self, part: Part[T], key: bytes, record: bytes | None, content: bytes, until: int) -> None:
+    def __init__(
+        self, part: Part[T], key: bytes, record: bytes | None, content: bytes, until: int
+    ) -> None:
         self.part, self.key, self.record, self.content = part, key, record, content
         self.until = until
         self.task: T | None = None
@@ -80,7 +82,9 @@
     make room, answered or not: a retransmission of it would run again.
     """
 
-    def __init__(self, kept: int = 30 * SECOND, most: int = 65_536, clients: Iterable[str] = ()) -> None:
+    def __init__(
+        self, kept: int = 30 * SECOND, most: int = 65_536, clients: Iterable[str] = ()
+    ) -> None:
         self.parts: dict[str, Part[T]] = {}
         self.note: Callable[[str, str, Entry[Any]], None] = lambda kind, client, entry: None
         self.change(kept, most, {name: kept for name in clients})
@@ -103,8 +107,9 @@
         self.common = most - even * len(clients)
         self.lent = sum(max(0, len(part.entries) - part.guaranteed) for part in self.parts.values())
 
-    def meet(self, client: str, key: bytes, record: bytes | None, content: bytes,
-             now: int) -> tuple[str, Entry[T] | None]:
+    def meet(
+        self, client: str, key: bytes, record: bytes | None, content: bytes, now: int
+    ) -> tuple[str, Entry[T] | None]:
         """A request has come: whether it is new, joins one that is out, or is answered as it was before."""
         part = self.part(client)
         self.forget_of(part, now, AT_ONCE)
@@ -135,7 +140,9 @@
             part.records.setdefault(record, entry)
         return entry
 
-    def recall(self, client: str, key: bytes, record: bytes | None, content: bytes, now: int) -> None:
+    def recall(
+        self, client: str, key: bytes, record: bytes | None, content: bytes, now: int
+    ) -> None:
         """A request that an earlier run met, whatever room there is: it may have run."""
         part = self.part(client)
         self.lent += len(part.entries) >= part.guaranteed and key not in part.entries
@@ -195,6 +202,9 @@
 def content(packet: Packet) -> bytes:
     """A hash of what a record says: all but its delay, its proof and what proxies added."""
     left_out = (wire.DELAY_TIME, wire.MESSAGE_AUTHENTICATOR, wire.PROXY_STATE)
-    text = b"".join(bytes((kind, len(value))) + value for kind, value in packet.attributes
-                    if kind not in left_out)
+    text = b"".join(
+        bytes((kind, len(value))) + value
+        for kind, value in packet.attributes
+        if kind not in left_out
+    )
     return hashlib.blake2b(text, digest_size=16).digest()
--- a/whinpier/radius/listeners.py
+++ b/whinpier/radius/listeners.py
@@ -34,8 +34,11 @@
             except OSError as fault:
                 raise ConfigFault(f"{at}.{key}: {fault}") from None
             except ValueError as fault:
-                raise ConfigFault(f"{at}.{key}: {path} {fault}; its mode must be 600" if key == "key"
-                                  else f"{at}.{key}: {path} {fault}") from None
+                raise ConfigFault(
+                    f"{at}.{key}: {path} {fault}; its mode must be 600"
+                    if key == "key"
+                    else f"{at}.{key}: {path} {fault}"
+                ) from None
         self.check_time(at)
         made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         made.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -44,7 +47,9 @@
             made.load_cert_chain(self.certificate, self.key)
             made.load_verify_locations(self.authorities)
         except (OSError, ssl.SSLError) as fault:
-            raise ConfigFault(f"{at}: {self.certificate}, {self.key}, {self.authorities}: {fault}") from None
+            raise ConfigFault(
+                f"{at}: {self.certificate}, {self.key}, {self.authorities}: {fault}"
+            ) from None
         return made
 
     def check_time(self, at: str) -> None:
@@ -59,8 +64,10 @@
             raise ConfigFault(f"{at}.certificate: {self.certificate}: {fault}") from None
         now = datetime.now(timezone.utc)
         if not own.not_valid_before_utc <= now <= own.not_valid_after_utc:
-            raise ConfigFault(f"{at}.certificate: {self.certificate} is valid from "
-                              f"{own.not_valid_before_utc} to {own.not_valid_after_utc}")
+            raise ConfigFault(
+                f"{at}.certificate: {self.certificate} is valid from "
+                f"{own.not_valid_before_utc} to {own.not_valid_after_utc}"
+            )
         if own.not_valid_after_utc - now < SOON:
             log.warn("certificate_ends_soon", file=self.certificate, ends=own.not_valid_after_utc)
 
--- a/whinpier/radius/packet.py
+++ b/whinpier/radius/packet.py
@@ -23,8 +23,16 @@
 START, STOP, INTERIM, ON, OFF = 1, 2, 3, 7, 8  # values of Acct-Status-Type
 STATUSES = {START: "start", STOP: "stop", INTERIM: "interim", ON: "on", OFF: "off"}
 # What decides, with the bytes that it has; 0: any number but none.
-LENGTHS = {USER_NAME: 0, NAS_IP: 4, NAS_IDENTIFIER: 0, STATUS_TYPE: 4, DELAY_TIME: 4, SESSION_ID: 0,
-           EVENT_TIMESTAMP: 4, NAS_IPV6: 16}
+LENGTHS = {
+    USER_NAME: 0,
+    NAS_IP: 4,
+    NAS_IDENTIFIER: 0,
+    STATUS_TYPE: 4,
+    DELAY_TIME: 4,
+    SESSION_ID: 0,
+    EVENT_TIMESTAMP: 4,
+    NAS_IPV6: 16,
+}
 MOST_PROXIES = 8  # Proxy-States in a packet: more is a loop
 
 
@@ -62,7 +70,9 @@
         body = b"".join(parts)
         if LEAST + len(body) > MOST:
             raise ValueError(f"a packet of {LEAST + len(body)} bytes")
-        return struct.pack("!BBH16s", self.code, self.id, LEAST + len(body), self.authenticator) + body
+        return (
+            struct.pack("!BBH16s", self.code, self.id, LEAST + len(body), self.authenticator) + body
+        )
 
 
 def parse(data: bytes) -> Packet:
@@ -83,7 +93,7 @@
             raise BadPacket(f"attribute {kind} of length {size}")
         if kind == 0:
             raise BadPacket("an attribute of no type")
-        attributes.append((kind, data[at + 2:at + size]))
+        attributes.append((kind, data[at + 2 : at + size]))
         at += size
     return Packet(code, number, authenticator, attributes)
 
@@ -98,11 +108,18 @@
     return data[:4] + packet.authenticator + data[LEAST:]
 
 
-def answer(request: Packet, secret: bytes, message: bool, code: int = ACCOUNTING_RESPONSE,
-           attributes: list[tuple[int, bytes]] | None = None) -> bytes:
+def answer(
+    request: Packet,
+    secret: bytes,
+    message: bool,
+    code: int = ACCOUNTING_RESPONSE,
+    attributes: list[tuple[int, bytes]] | None = None,
+) -> bytes:
     """The answer to a request: its identifier, its Proxy-States in their order, and the proof."""
     states = [(PROXY_STATE, value) for value in request.all(PROXY_STATE)]
-    given = [pair for pair in attributes or [] if pair[0] not in (PROXY_STATE, MESSAGE_AUTHENTICATOR)]
+    given = [
+        pair for pair in attributes or [] if pair[0] not in (PROXY_STATE, MESSAGE_AUTHENTICATOR)
+    ]
     reply = Packet(code, request.id, request.authenticator, given + states)
     if message:
         sign(reply, secret, request.authenticator)
@@ -127,8 +144,10 @@
         return
     if len(found) > 1 or len(found[0]) != 16:
         raise BadPacket("a Message-Authenticator that can be read two ways")
-    zeroed = [(kind, NOTHING if kind == MESSAGE_AUTHENTICATOR else value)
-              for kind, value in packet.attributes]
+    zeroed = [
+        (kind, NOTHING if kind == MESSAGE_AUTHENTICATOR else value)
+        for kind, value in packet.attributes
+    ]
     whole = Packet(packet.code, packet.id, authenticator, zeroed).pack()
     if not hmac.compare_digest(hmac.new(secret, whole, "md5").digest(), found[0]):
         raise BadPacket("a Message-Authenticator that is wrong")
--- a/whinpier/radius/spec.py
+++ b/whinpier/radius/spec.py
@@ -57,7 +57,14 @@
         """The most specific first."""
         by_realm = 2 if not self.realm else 1 if self.realm.startswith("*.") else 0
         by_nas = 2 if not self.nas else 1 if self.nas.endswith("*") else 0
-        return by_realm, -len(self.realm), not self.client, by_nas, -len(self.nas), not self.statuses
+        return (
+            by_realm,
+            -len(self.realm),
+            not self.client,
+            by_nas,
+            -len(self.nas),
+            not self.statuses,
+        )
 
     def takes(self, packet: Packet, client: str) -> bool:
         """What it means that a route takes a record; `table.py` finds the first that does."""
@@ -66,12 +73,16 @@
         if self.statuses and packet.number(wire.STATUS_TYPE) not in self.statuses:
             return False
         nas = (packet.first(wire.NAS_IDENTIFIER) or b"").decode("utf-8", "replace")
-        if self.nas and not (nas.startswith(self.nas[:-1]) if self.nas.endswith("*") else nas == self.nas):
+        if self.nas and not (
+            nas.startswith(self.nas[:-1]) if self.nas.endswith("*") else nas == self.nas
+        ):
             return False
         realm = realm_of(packet)
         if not self.realm:
             return True
-        return realm.endswith(self.realm[1:]) if self.realm.startswith("*.") else realm == self.realm
+        return (
+            realm.endswith(self.realm[1:]) if self.realm.startswith("*.") else realm == self.realm
+        )
 
 
 def realm_of(packet: Packet) -> str:
@@ -96,15 +107,21 @@
     most: int = 65_536  # requests that are remembered
     records: bool = True  # whether a record is known again by what it says
     streams: tuple[StreamSpec, ...] = ()  # listeners of TCP and TLS
-    contexts: dict[Address, ssl.SSLContext] = field(default_factory=dict, compare=False)  # of those with TLS
+    contexts: dict[Address, ssl.SSLContext] = field(
+        default_factory=dict, compare=False
+    )  # of those with TLS
     connections: int = 64  # on all of them together
     idle: int = 600 * SECOND  # after which a connection that says nothing ends
     state: StateSpec | None = None  # where what is remembered is kept over restarts
 
     @property
     def till_restart(self) -> dict[str, object]:
-        return {"listen": self.listen, "state": self.state, "connections": self.connections,
-                "streams": tuple((one.listen, one.tls is None) for one in self.streams)}
+        return {
+            "listen": self.listen,
+            "state": self.state,
+            "connections": self.connections,
+            "streams": tuple((one.listen, one.tls is None) for one in self.streams),
+        }
 
     @property
     def descriptors(self) -> int:
--- a/whinpier/radius/state.py
+++ b/whinpier/radius/state.py
@@ -44,7 +44,9 @@
     spec: StateSpec
     clock: Callable[[], int]
     queue: list[bytes] = field(default_factory=list)  # what is to be written
-    waiting: list[Callable[[], None]] = field(default_factory=list)  # called once all before is on the disk
+    waiting: list[Callable[[], None]] = field(
+        default_factory=list
+    )  # called once all before is on the disk
     fault: str = ""  # why nothing can be written
     since: int = 0  # when the oldest of the queue came
     anew: bool = False  # whether notes were let go, so that the file has to be written anew
@@ -90,7 +92,9 @@
                 elif kind == ANSWERED:
                     entry.answer = more[0]
             else:
-                raise Torn(f"{self.spec.path}: a note of kind {kind!r}, which this version does not know")
+                raise Torn(
+                    f"{self.spec.path}: a note of kind {kind!r}, which this version does not know"
+                )
         if len(memory):
             log.say("radius_state", file=self.spec.path, remembered=len(memory), bytes=self.size)
 
--- a/whinpier/radius/stream.py
+++ b/whinpier/radius/stream.py
@@ -50,7 +50,12 @@
     __slots__ = ("sock", "source", "secrets", "signed")
 
     def __init__(self, sock: socket.socket, source: keys.Source, client: ClientSpec) -> None:
-        self.sock, self.source, self.secrets, self.signed = sock, source, client.secrets, client.signed
+        self.sock, self.source, self.secrets, self.signed = (
+            sock,
+            source,
+            client.secrets,
+            client.signed,
+        )
 
     def send(self, data: bytes) -> bool:
         try:
@@ -72,12 +77,12 @@
         at = 0
         try:
             while len(self.held) - at >= 4:
-                length = int.from_bytes(self.held[at + 2:at + 4], "big")
+                length = int.from_bytes(self.held[at + 2 : at + 4], "big")
                 if not wire.LEAST <= length <= wire.MOST:
                     raise BadPacket(f"a length of {length} in a stream")
                 if len(self.held) - at < length:
                     break
-                yield bytes(self.held[at:at + length])
+                yield bytes(self.held[at : at + length])
                 at += length
         finally:
             del self.held[:at]
@@ -88,8 +93,9 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, streams: Streams, number: int, address: str, port: int,
-                 context: ssl.SSLContext | None) -> None:
+    def __init__(
+        self, streams: Streams, number: int, address: str, port: int, context: ssl.SSLContext | None
+    ) -> None:
         self.streams, self.front, self.context = streams, streams.front, context
         self.number, self.address = number, address
         # Identifiers are a connection's own: two of one address and port, one after the other, are two.
@@ -105,8 +111,14 @@
         self.transport.set_write_buffer_limits(UNREAD)
         if self.context:
             given = transport.get_extra_info("peercert") or {}
-            names = [name.lower() for kind, name in given.get("subjectAltName", ()) if kind in ("DNS", "URI")]
-            self.client = next((found for name in names if (found := self.front.named.get(name))), None)
+            names = [
+                name.lower()
+                for kind, name in given.get("subjectAltName", ())
+                if kind in ("DNS", "URI")
+            ]
+            self.client = next(
+                (found for name in names if (found := self.front.named.get(name))), None
+            )
             self.secrets = RADSEC
             whose = ",".join(names) or "a certificate without names"
         else:
@@ -212,8 +224,11 @@
         for sock in self.sockets:
             asyncio.get_running_loop().add_reader(sock, self.accept, sock)
             address = sock.getsockname()
-            log.say("listening_radius", address="%s:%d" % address,
-                    over="TLS" if address in self.contexts else "TCP")
+            log.say(
+                "listening_radius",
+                address="%s:%d" % address,
+                over="TLS" if address in self.contexts else "TCP",
+            )
 
     def accept(self, listener: socket.socket) -> None:
         """Take connections as long as there is room; the others wait in the system's queue."""
@@ -231,22 +246,31 @@
                 log.warn("no_socket", fault=fault)
                 return
             sock.setblocking(False)
-            stream = Stream(self, self.next(), peer[0], peer[1], self.contexts.get(listener.getsockname()))
+            stream = Stream(
+                self, self.next(), peer[0], peer[1], self.contexts.get(listener.getsockname())
+            )
             self.open[stream.number] = stream
             self.front.loop.spawn(self.opener(sock, stream), lambda: None)
 
     def opener(self, sock: socket.socket, stream: Stream) -> Callable[[], Any]:
         """A connection's handshake, as a network task."""
+
         async def run() -> None:
             context = stream.context
             try:
                 with suppress(OSError):
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 await asyncio.get_running_loop().connect_accepted_socket(
-                    lambda: stream, sock, ssl=context, ssl_handshake_timeout=HANDSHAKE if context else None)
+                    lambda: stream,
+                    sock,
+                    ssl=context,
+                    ssl_handshake_timeout=HANDSHAKE if context else None,
+                )
             except (OSError, ssl.SSLError, asyncio.TimeoutError) as fault:
                 log.counts["radius_handshake"] += 1
-                log.note("radius_handshake", source=stream.address, why=fault or type(fault).__name__)
+                log.note(
+                    "radius_handshake", source=stream.address, why=fault or type(fault).__name__
+                )
                 sock.close()
                 self.gone(stream)
 
--- a/whinpier/radius/table.py
+++ b/whinpier/radius/table.py
@@ -23,8 +23,9 @@
             for network in client.networks:
                 found.setdefault(network.prefixlen, {})[int(network.network_address)] = client
         # What is left of an address of each width, the narrowest networks first: 33 look-ups at the most.
-        self.widths = [((1 << 32) - (1 << (32 - width)), found[width])
-                       for width in sorted(found, reverse=True)]
+        self.widths = [
+            ((1 << 32) - (1 << (32 - width)), found[width]) for width in sorted(found, reverse=True)
+        ]
 
     def of(self, address: str) -> ClientSpec | None:
         number = int(IPv4Address(address))
@@ -53,7 +54,9 @@
 
     def ready(self) -> None:
         """The longest prefixes first."""
-        self.prefixes = {length: self.prefixes[length] for length in sorted(self.prefixes, reverse=True)}
+        self.prefixes = {
+            length: self.prefixes[length] for length in sorted(self.prefixes, reverse=True)
+        }
 
     def of(self, nas: str) -> Iterator[list[RouteSpec]]:
         if found := self.exact.get(nas):
@@ -87,7 +90,9 @@
                 if (places := clients.get(whose)) is None:
                     continue
                 for routes in places.of(nas):
-                    for route in routes:  # those that name statuses come first; a status has one route
+                    for (
+                        route
+                    ) in routes:  # those that name statuses come first; a status has one route
                         if not route.statuses or status in route.statuses:
                             return route
         return None
--- a/whinpier/radius/tables.py
+++ b/whinpier/radius/tables.py
@@ -91,17 +91,29 @@
     given = part(value, ServersTable, at)
     if bool(given.secret) == bool(given.secret_file):
         raise ConfigFault(f"{at}: either secret or secret_file")
-    secret = given.secret.encode() if given.secret else kept_secret(given.secret_file, f"{at}.secret_file")
-    return ServerSpec(secret, given.sign, given.signed,
-                      duration(given.retransmit, f"{at}.retransmit", 10 * UNITS["ms"]),
-                      given.retransmissions, given.sockets, duration(given.quarantine, f"{at}.quarantine"))
+    secret = (
+        given.secret.encode()
+        if given.secret
+        else kept_secret(given.secret_file, f"{at}.secret_file")
+    )
+    return ServerSpec(
+        secret,
+        given.sign,
+        given.signed,
+        duration(given.retransmit, f"{at}.retransmit", 10 * UNITS["ms"]),
+        given.retransmissions,
+        given.sockets,
+        duration(given.quarantine, f"{at}.quarantine"),
+    )
 
 
 def front(value: Any, pools: dict[str, PoolSpec]) -> RadiusSpec:
     """The RADIUS side of the process."""
     table = part(value, RadiusTable, "radius")
     listen = [address(text, f"radius.listen[{index}]") for index, text in enumerate(table.listen)]
-    given_streams = [stream(one, f"radius.streams[{index}]") for index, one in enumerate(table.streams)]
+    given_streams = [
+        stream(one, f"radius.streams[{index}]") for index, one in enumerate(table.streams)
+    ]
     streams = tuple(spec for spec, _ in given_streams)
     on = [one.listen for one in streams]
     if not listen and not streams or len(set(listen)) < len(listen) or len(set(on)) < len(on):
@@ -132,8 +144,17 @@
             if text in whose:
                 raise ConfigFault(f"{at}.names: {text} is {whose[text]}'s")
             whose[text] = name
-        clients.append(ClientSpec(name, tuple(networks), tuple(secrets), client.signed, client.most, names,
-                                  duration(client.kept, f"{at}.kept", UNITS["s"]) if client.kept else 0))
+        clients.append(
+            ClientSpec(
+                name,
+                tuple(networks),
+                tuple(secrets),
+                client.signed,
+                client.most,
+                names,
+                duration(client.kept, f"{at}.kept", UNITS["s"]) if client.kept else 0,
+            )
+        )
     if not clients:
         raise ConfigFault("radius.clients: none is named")
     numbers = {text: number for number, text in STATUSES.items()}
@@ -151,8 +172,15 @@
             raise ConfigFault(f"{at}.workload: {name!r} is none of {', '.join(kinds)}")
         if one.client and one.client not in table.clients:
             raise ConfigFault(f"{at}.client: {one.client!r} is none of {', '.join(table.clients)}")
-        found = RouteSpec(one.name, one.pool, name, normal(one.realm),
-                          frozenset(numbers[text] for text in one.statuses), one.client, one.nas)
+        found = RouteSpec(
+            one.name,
+            one.pool,
+            name,
+            normal(one.realm),
+            frozenset(numbers[text] for text in one.statuses),
+            one.client,
+            one.nas,
+        )
         if "*" in found.nas[:-1]:
             raise ConfigFault(f"{at}.nas: {found.nas!r}: a * stands at the end only")
         alike = met.setdefault((found.realm, found.client, found.nas), [])
@@ -165,15 +193,27 @@
         routes.append(found)
     if not routes:
         raise ConfigFault("radius.routes: none is named")
-    return RadiusSpec(tuple(listen), tuple(clients), tuple(sorted(routes, key=RouteSpec.rank)),
-                      duration(table.kept, "radius.kept", UNITS["s"]), table.most, table.records,
-                       streams, {spec.listen: context for spec, context in given_streams if context},
-                       table.connections, duration(table.idle, "radius.idle", UNITS["s"]), state(table.state))
+    return RadiusSpec(
+        tuple(listen),
+        tuple(clients),
+        tuple(sorted(routes, key=RouteSpec.rank)),
+        duration(table.kept, "radius.kept", UNITS["s"]),
+        table.most,
+        table.records,
+        streams,
+        {spec.listen: context for spec, context in given_streams if context},
+        table.connections,
+        duration(table.idle, "radius.idle", UNITS["s"]),
+        state(table.state),
+    )
 
 
 def stream(table: StreamTable, at: str) -> tuple[StreamSpec, ssl.SSLContext | None]:
     """A listener, with its certificate and key as they are now."""
-    listen, files = address(table.listen, f"{at}.listen"), (table.certificate, table.key, table.authorities)
+    listen, files = (
+        address(table.listen, f"{at}.listen"),
+        (table.certificate, table.key, table.authorities),
+    )
     if not any(files):
         return StreamSpec(listen), None
     if not all(files):
@@ -187,5 +227,9 @@
         return None
     if not table.file.startswith("/"):
         raise ConfigFault(f"radius.state.file: {table.file!r} is no whole path, from /")
-    return StateSpec(table.file, duration(table.sync, "radius.state.sync", UNITS["ms"]), table.first,
-                     table.on_fault == "refuse")
+    return StateSpec(
+        table.file,
+        duration(table.sync, "radius.state.sync", UNITS["ms"]),
+        table.first,
+        table.on_fault == "refuse",
+    )
--- a/whinpier/routing/normal.py
+++ b/whinpier/routing/normal.py
@@ -13,7 +13,9 @@
 SEGMENTS = 64  # of a path; routes have 16 at most
 LABEL = re.compile(r"[a-z0-9_](?:[-a-z0-9_]{0,61}[a-z0-9_])?")
 PORT = re.compile(r":[0-9]{1,5}\Z")
-PLAIN = re.compile(r"/(?:[-A-Za-z0-9_~]+(?:/[-A-Za-z0-9_~]+)*)?\Z")  # most paths: nothing in them to look at
+PLAIN = re.compile(
+    r"/(?:[-A-Za-z0-9_~]+(?:/[-A-Za-z0-9_~]+)*)?\Z"
+)  # most paths: nothing in them to look at
 UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 ALLOWED = re.compile(r"[-A-Za-z0-9._~!$&'()*+,;=:@%/]*\Z")  # of a path
 ESCAPE = re.compile(r"%(..?)?")
@@ -38,7 +40,7 @@
     if ":" in name:
         if not (found := PORT.search(name)):
             raise Unclear(f"host {text!r} has no port that can be read")
-        name = name[:found.start()]
+        name = name[: found.start()]
     name = name.removesuffix(".")
     if not name or len(name) > LONGEST_HOST or not all(map(LABEL.fullmatch, name.split("."))):
         raise Unclear(f"host {text!r} is no name")
@@ -77,7 +79,7 @@
     if digits in HIDDEN:
         raise Unclear(f"the path hides %{digits}")
     if digits == "25":
-        after = found.string[found.end():found.end() + 2]
+        after = found.string[found.end() : found.end() + 2]
         if len(after) == 2 and all(mark in "0123456789abcdefABCDEF" for mark in after):
             raise Unclear("the path is escaped twice")
     return character if character in UNRESERVED else f"%{digits}"
--- a/whinpier/routing/table.py
+++ b/whinpier/routing/table.py
@@ -76,7 +76,9 @@
         own, parts = self.segments(), split(asked.path)
         if len(parts) < len(own) or (len(parts) > len(own) and not self.prefix):
             return False
-        return all(parameter(a) and b or a == b for a, b in zip(own, parts)) and not self.missing(asked)
+        return all(parameter(a) and b or a == b for a, b in zip(own, parts)) and not self.missing(
+            asked
+        )
 
     def missing(self, asked: Asked) -> str:
         """The condition beside host and path that does not hold; empty where all do."""
@@ -95,8 +97,7 @@
         if self.workload and other.workload and self.workload != other.workload:
             return False
         both = self.headers.keys() & other.headers.keys()
-        return all(len({self.headers[name], other.headers[name]} - {ANY}) < 2
-                   for name in both)
+        return all(len({self.headers[name], other.headers[name]} - {ANY}) < 2 for name in both)
 
 
 @dataclass(frozen=True, slots=True)
@@ -178,8 +179,11 @@
             same = self.tree(route.host).place(route)
             for other in same:
                 if other.finer() == route.finer() and other.meets(route):
-                    raise RouteFault("two routes are as specific as each other and may take the same request",
-                                     other.name, route.name)
+                    raise RouteFault(
+                        "two routes are as specific as each other and may take the same request",
+                        other.name,
+                        route.name,
+                    )
             same.append(route)
             same.sort(key=Route.finer)
 
@@ -196,19 +200,25 @@
         try:
             bare = route.host.removeprefix("*.")
             if route.host and normal.host(bare) != bare:
-                raise RouteFault(f"host: {route.host!r} is written {normal.host(bare)!r}", route.name)
+                raise RouteFault(
+                    f"host: {route.host!r} is written {normal.host(bare)!r}", route.name
+                )
             segments = route.segments()
             plain = "/" + "/".join("x" if parameter(segment) else segment for segment in segments)
             if not route.path.startswith("/"):
                 raise RouteFault(f"path: {route.path!r} does not begin with /", route.name)
             if normal.path(plain) != plain:
-                raise RouteFault(f"path: {route.path!r} is written {normal.path(plain)!r}", route.name)
+                raise RouteFault(
+                    f"path: {route.path!r} is written {normal.path(plain)!r}", route.name
+                )
         except normal.Unclear as unclear:
             raise RouteFault(f"host or path: {unclear}", route.name) from None
         if len(segments) > DEEPEST:
             raise RouteFault(f"path: more than {DEEPEST} segments", route.name)
         if route.prefix and segments and not segments[-1]:
-            raise RouteFault("prefix: whole segments; the slash at its end belongs away", route.name)
+            raise RouteFault(
+                "prefix: whole segments; the slash at its end belongs away", route.name
+            )
         if len(route.host.split(".")) > LABELS:
             raise RouteFault(f"host: more than {LABELS} labels", route.name)
         for name in route.headers:
--- a/whinpier/runtime/budget.py
+++ b/whinpier/runtime/budget.py
@@ -14,13 +14,20 @@
 from whinpier.spec import Limits, Spec
 
 SPARE = 24  # descriptors kept back: the standard ones, listener, discovery, the loop's own; a dozen in all
-DOOR, MOST_DOOR = 8, 64  # one in so many, and the most, for clients turned back at the door: short bursts
+DOOR, MOST_DOOR = (
+    8,
+    64,
+)  # one in so many, and the most, for clients turned back at the door: short bursts
 PART = 0.6  # of the rest for clients: each task needs one descriptor, and one more while it is out
 CROWD = 4  # clients that asked hold one descriptor in so many before they are let go early; they get a third
 BODIES = 16  # one part in so many of the memory is for bodies; usual ones are a hundredth of that
 KEPT = 0.25  # of what a pool has unused: not lent, so that its return finds room at once
 JUDGED = SECOND // 20  # between looks at the lag; a late loop looks once a turn
-MORE, LESS, MOST_SHED = 0.1, 0.02, 0.95  # steps of the part turned back at the door: down slower than up
+MORE, LESS, MOST_SHED = (
+    0.1,
+    0.02,
+    0.95,
+)  # steps of the part turned back at the door: down slower than up
 OVER = 1.1  # times its part of the CPU: a pool above that pays for a late loop first
 SPENT = 2 * SECOND  # over which the CPU of pools is compared: some hundred tasks
 
@@ -113,8 +120,12 @@
 
     def change(self, limits: Limits) -> None:
         self.limits, share = limits, limits.guaranteed if self.budget.isolate else 0.0
-        for held, most in ((self.tasks, limits.tasks), (self.links, limits.connections),
-                           (self.bodies, limits.bodies), (self.requests, limits.bodies)):
+        for held, most in (
+            (self.tasks, limits.tasks),
+            (self.links, limits.connections),
+            (self.bodies, limits.bodies),
+            (self.requests, limits.bodies),
+        ):
             held.reshare(share, most)
 
     def end(self) -> None:
@@ -124,9 +135,15 @@
             self.budget.parts.remove(self)
 
     def figures(self) -> Mapping[str, object]:
-        return {"out": self.tasks.used, "out_guaranteed": self.tasks.guaranteed,
-                "clients": self.clients, "links": self.links.used, "links_guaranteed": self.links.guaranteed,
-                "bodies": self.bodies.used, "shed": round(self.shed, 2)}
+        return {
+            "out": self.tasks.used,
+            "out_guaranteed": self.tasks.guaranteed,
+            "clients": self.clients,
+            "links": self.links.used,
+            "links_guaranteed": self.links.guaranteed,
+            "bodies": self.bodies.used,
+            "shed": round(self.shed, 2),
+        }
 
 
 class Budget:
@@ -151,7 +168,10 @@
         """Keep back so many descriptors; the parts of pools follow."""
         self.connections = self.sockets - spare - self.door
         self.most_clients = int(PART * self.connections)
-        self.tasks.capacity, self.links.capacity = self.most_clients, self.connections - self.most_clients
+        self.tasks.capacity, self.links.capacity = (
+            self.most_clients,
+            self.connections - self.most_clients,
+        )
         for part in self.parts:
             part.change(part.limits)
 
@@ -202,7 +222,9 @@
         # Guards against one pool's crowd at the door: the others' clients would wait in one queue with it.
         if part is None or len(self.parts) < 2 or not self.isolate:
             return False
-        return part.clients <= part.limits.guaranteed * min(self.sockets // CROWD, self.most_clients)
+        return part.clients <= part.limits.guaranteed * min(
+            self.sockets // CROWD, self.most_clients
+        )
 
     def judge(self, now: int, lag: int) -> None:
         """Turn back a larger or smaller part of what comes, by how late the loop is."""
@@ -222,6 +244,9 @@
     def spenders(self, now: int) -> list[Part]:
         """The pools that use more of the loop's time than their part; all where none does."""
         total = sum(part.spent.read(now) for part in self.parts) or 1.0
-        over = [part for part in self.parts
-                if part.spent.read(now) > OVER * part.limits.guaranteed * total]
+        over = [
+            part
+            for part in self.parts
+            if part.spent.read(now) > OVER * part.limits.guaranteed * total
+        ]
         return over or self.parts
--- a/whinpier/runtime/life.py
+++ b/whinpier/runtime/life.py
@@ -29,7 +29,9 @@
 # that is for a late loop, and what comes before it for answering what is out, with no more taken.
 LONGEST = 3 * SECOND  # of a patience, as it counts for that
 AFTERWARDS, CLOSING = 6 * SECOND // 10, 4 * SECOND // 10
-SWEEP = SECOND // 4  # between looks at what waits too long: what is owed within 3 s is given after 2
+SWEEP = (
+    SECOND // 4
+)  # between looks at what waits too long: what is owed within 3 s is given after 2
 FIGURES = 10 * SECOND  # between lines of figures
 
 
@@ -77,13 +79,22 @@
 class Life:
     """One process."""
 
-    def __init__(self, spec: Spec, wire: Wire, reread: Callable[[], Spec],
-                 changed: Callable[[Spec, Spec], Iterable[str]]) -> None:
+    def __init__(
+        self,
+        spec: Spec,
+        wire: Wire,
+        reread: Callable[[], Spec],
+        changed: Callable[[Spec, Spec], Iterable[str]],
+    ) -> None:
         self.spec, self.wire, self.reread, self.changed = spec, wire, reread, changed
         self.budget = Budget(spec.sockets, spec.memory, spec.isolate, spare(spec))
         self.loop = Loop(self.budget.judge)
-        self.ids: dict[bytes | int, Taken] = {}  # of tasks till the end of their patience, answered or not
-        self.cold: dict[tuple[Address, int], Turn] = {}  # when a run of an upstream is due one, of all pools
+        self.ids: dict[
+            bytes | int, Taken
+        ] = {}  # of tasks till the end of their patience, answered or not
+        self.cold: dict[
+            tuple[Address, int], Turn
+        ] = {}  # when a run of an upstream is due one, of all pools
         self.stopping, self.closing, self.stop_by = False, False, 0
         self.aside = False  # its front is to send nobody, though it serves who comes
         self.stopped, self.collect_from = 0, 0
@@ -122,8 +133,12 @@
 
     def since(self, dial: Address) -> int:
         """Since when an upstream that a file newly names counts as started: now, or as another pool says."""
-        known = (peer.started for pool in self.pools.values() for peer in pool.held.values()
-                 if peer.address == dial)
+        known = (
+            peer.started
+            for pool in self.pools.values()
+            for peer in pool.held.values()
+            if peer.address == dial
+        )
         return next(known, self.loop.clock())
 
     def idle(self) -> Iterable[tuple[int, Part, Callable[[], None]]]:
@@ -134,12 +149,20 @@
 
     def ready(self) -> bool:
         """Whether the front may send clients."""
-        return not (self.stopping or self.aside) and any(pool.ready() for pool in self.pools.values())
+        return not (self.stopping or self.aside) and any(
+            pool.ready() for pool in self.pools.values()
+        )
 
     # What fronts ask for.
 
-    def no_room(self, pool: Pool, route: str = "", tenant: bytes = b"", ticket: bytes = b"",
-                again: bool = False) -> bool:
+    def no_room(
+        self,
+        pool: Pool,
+        route: str = "",
+        tenant: bytes = b"",
+        ticket: bytes = b"",
+        again: bool = False,
+    ) -> bool:
         """Whether a pool takes no task at the door; if it does the task counts among its own from now on.
 
         `again`: its client says that it is a repeat.
@@ -177,8 +200,11 @@
             self.apply(self.as_run(new))
         else:
             self.follow(new)
-        discovery = {} if new.routed else {
-            "discovery": "%s:%d" % (pool.discovery or ("", 0)) for pool in new.pools.values()}
+        discovery = (
+            {}
+            if new.routed
+            else {"discovery": "%s:%d" % (pool.discovery or ("", 0)) for pool in new.pools.values()}
+        )
         log.say("configured", **discovery, kept_till_restart=kept)
 
     def follow(self, new: Spec) -> None:
@@ -187,7 +213,9 @@
         self.say_not_honoured()
         for name, pool in self.pools.items():
             # `known` is the list for a start; from then on discovery tells it.
-            spec = replace(new.pools[name], known=before.pools[name].known, seq=before.pools[name].seq)
+            spec = replace(
+                new.pools[name], known=before.pools[name].known, seq=before.pools[name].seq
+            )
             if keys := differs(before.pools[name], spec):
                 old, now = before.pools[name].settings, spec.settings
                 keys += [key for key in sorted({*old, *now}) if old.get(key) != now.get(key)]
@@ -203,14 +231,19 @@
         old = self.spec
         beside = {name: new.beside.get(name, kept) for name, kept in old.beside.items()}
         bank = new.bank.kept(old.bank) if new.bank and old.bank else old.bank
-        return replace(new, beside=beside, bank=bank, **{key: getattr(old, key) for key in KEPT_TILL_RESTART})
+        return replace(
+            new, beside=beside, bank=bank, **{key: getattr(old, key) for key in KEPT_TILL_RESTART}
+        )
 
     def apply(self, new: Spec) -> None:
         """Pools and routes as the new file has them, in one step between two events of the loop."""
         before, self.spec = self.spec, new
         self.budget.resize(spare(new))
-        leaving = [self.pools.pop(name) for name in list(self.pools) if name not in new.pools
-                   or new.pools[name].protocol != before.pools[name].protocol]
+        leaving = [
+            self.pools.pop(name)
+            for name in list(self.pools)
+            if name not in new.pools or new.pools[name].protocol != before.pools[name].protocol
+        ]
         for name, spec in new.pools.items():
             if name not in self.pools:
                 self.add(spec).start()
@@ -247,12 +280,23 @@
         self.loop.at(self.loop.clock() + FIGURES, self.loop, self.figures)
         pools = (*self.pools.values(), *self.going)
         for pool in pools:
-            log.must(pool.on_wire() == pool.choice.split.total, "what is counted as out is out on a socket")
+            log.must(
+                pool.on_wire() == pool.choice.split.total,
+                "what is counted as out is out on a socket",
+            )
             if self.spec.routed:
                 log.say("pool", pool=pool.name, **pool.part.figures(), **pool.counts)
-        log.say("figures", out=sum(pool.out for pool in pools), **self.told(),
-                links=self.budget.links.used, alarms=len(self.loop.alarms), lag_ms=self.loop.lag // MS,
-                collect_ms=self.stopped // MS, cpu_s=round(time.process_time(), 2), **log.counts)
+        log.say(
+            "figures",
+            out=sum(pool.out for pool in pools),
+            **self.told(),
+            links=self.budget.links.used,
+            alarms=len(self.loop.alarms),
+            lag_ms=self.loop.lag // MS,
+            collect_ms=self.stopped // MS,
+            cpu_s=round(time.process_time(), 2),
+            **log.counts,
+        )
         self.loop.lag = self.stopped = 0
         used = {(peer.address, peer.started) for pool in pools for peer in pool.held.values()}
         self.cold = {run: sent for run, sent in self.cold.items() if run in used}
@@ -283,14 +327,18 @@
         """
         loop = self.loop
         log.say("stopping", out=self.out(), **self.told())
-        longest = max(workload.patience for spec in self.spec.pools.values() for workload in spec.workloads)
+        longest = max(
+            workload.patience for spec in self.spec.pools.values() for workload in spec.workloads
+        )
         self.stop_by = loop.clock() + min(longest, LONGEST) + AFTERWARDS
         if self.bank:
             self.bank.leave()
         for task in list(self.ids.values()):
             task.pool.shorten(task, self.stop_by - loop.margin())
         await anyio.sleep(STILL_COMING / SECOND)
-        while any(front.anyone() for front in self.fronts) and loop.clock() < self.stop_by - CLOSING:
+        while (
+            any(front.anyone() for front in self.fronts) and loop.clock() < self.stop_by - CLOSING
+        ):
             await anyio.sleep(0.01)
         self.closing = True
         for front in self.fronts:
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -16,8 +16,20 @@
 from whinpier import log
 from whinpier.choice import Choice
 from whinpier.decay import SECOND
-from whinpier.model import (DRAINING, FULFILLED, GONE, MOOT, NEVER_RAN, READY, TIMED_OUT, WITHDRAWN, HandOff,
-                            Task, Upstream, Workload)
+from whinpier.model import (
+    DRAINING,
+    FULFILLED,
+    GONE,
+    MOOT,
+    NEVER_RAN,
+    READY,
+    TIMED_OUT,
+    WITHDRAWN,
+    HandOff,
+    Task,
+    Upstream,
+    Workload,
+)
 from whinpier.runtime.budget import Budget, Part
 from whinpier.runtime.loop import Loop
 from whinpier.spec import Address, Entry, PoolSpec
@@ -175,7 +187,13 @@
     """Some upstreams, and the decisions on what goes to them."""
 
     def __init__(self, house: House, spec: PoolSpec, seed: int, counts: Counter[str]) -> None:
-        self.house, self.loop, self.spec, self.name, self.counts = house, house.loop, spec, spec.name, counts
+        self.house, self.loop, self.spec, self.name, self.counts = (
+            house,
+            house.loop,
+            spec,
+            spec.name,
+            counts,
+        )
         self.part = Part(house.budget, spec.limits)
         self.now = self.loop.clock()
         self.began = self.now
@@ -239,7 +257,11 @@
             self.source = self.house.watch(self)
             self.start()
         else:
-            if (spec.discovery, spec.zones, spec.kinds) != (before.discovery, before.zones, before.kinds):
+            if (spec.discovery, spec.zones, spec.kinds) != (
+                before.discovery,
+                before.zones,
+                before.kinds,
+            ):
                 self.source.move(spec.discovery)  # other zones have other places in the whole list
             if spec.settings.get("discovery") != "subscribe":
                 self.source.follow(True)
@@ -317,8 +339,9 @@
             self.recount()
 
     def recount(self) -> None:
-        self.loop.enter(self, self.choice.change, self.spec.settings | self.counted,
-                        list(self.spec.workloads))
+        self.loop.enter(
+            self, self.choice.change, self.spec.settings | self.counted, list(self.spec.workloads)
+        )
 
     def hears(self, balancer: int, contents: bytes) -> None:
         """What another balancer's decisions tell this one's."""
@@ -429,8 +452,9 @@
             hand_off.peer.stop(hand_off)
             self.settle(hand_off, outcome)
 
-    def settle(self, sent: Sent, outcome: str, answer: Any = None,
-               load: dict[str, float] | None = None) -> None:
+    def settle(
+        self, sent: Sent, outcome: str, answer: Any = None, load: dict[str, float] | None = None
+    ) -> None:
         """A hand-off has its outcome, once; `answer` is what a fulfilled task is given."""
         log.must(not sent.settled, "a hand-off has one outcome")
         if not sent.settled:
@@ -439,7 +463,9 @@
                 gate.give(self.loop.clock(), outcome not in NEVER_RAN)
             self.loop.enter(self, self.came_back, sent, outcome, answer, load)
 
-    def came_back(self, sent: Sent, outcome: str, answer: Any, load: dict[str, float] | None) -> None:
+    def came_back(
+        self, sent: Sent, outcome: str, answer: Any, load: dict[str, float] | None
+    ) -> None:
         sent.outcome, sent.took = outcome, self.now - sent.sent
         if self.witness:
             self.witness.came(sent)
@@ -447,7 +473,9 @@
         assert isinstance(task, Taken)
         self.counts["came_back_" + outcome.replace(" ", "_")] += 1
         if outcome not in (FULFILLED, WITHDRAWN):
-            log.note("not_fulfilled", upstream=sent.peer.host, outcome=outcome, lane=task.workload.name)
+            log.note(
+                "not_fulfilled", upstream=sent.peer.host, outcome=outcome, lane=task.workload.name
+            )
         first = outcome == FULFILLED and not task.ended
         if first and self.finish(task, "fulfilled"):
             task.fulfilled(answer)
@@ -495,7 +523,9 @@
             if held.get(host) is not peer:
                 peer.state = GONE
                 self.leavers[peer] = None
-        for peer in dict.fromkeys((*before.values(), *held.values())):  # in an order that does not change
+        for peer in dict.fromkeys(
+            (*before.values(), *held.values())
+        ):  # in an order that does not change
             if peer.state != READY:
                 peer.retire()
         states = Counter(peer.state for peer in held.values())
@@ -541,7 +571,11 @@
 
     def tag(self) -> dict[str, str]:
         """What a line of the log says of this pool: nothing where there is only one."""
-        return {"pool": self.name} if self.house.budget.isolate and len(self.house.budget.parts) > 1 else {}
+        return (
+            {"pool": self.name}
+            if self.house.budget.isolate and len(self.house.budget.parts) > 1
+            else {}
+        )
 
     @staticmethod
     def place(names: list[str], name: str) -> int:
--- a/whinpier/settings.py
+++ b/whinpier/settings.py
@@ -12,8 +12,12 @@
 
 KINDS = {"repeatable": model.RERUNNABLE, "by_key": model.TICKETED, "once": model.EXCLUSIVE}
 COLUMNS = {
-    "busy_reqs": "held", "pending": "waiting", "cpu_share": "busy", "svc_ms": "service_ms",
-    "served_ps": "fulfilled_rate", "failed_ps": "scrapped_rate",
+    "busy_reqs": "held",
+    "pending": "waiting",
+    "cpu_share": "busy",
+    "svc_ms": "service_ms",
+    "served_ps": "fulfilled_rate",
+    "failed_ps": "scrapped_rate",
 }
 
 
@@ -44,13 +48,18 @@
         kind = needed(found, at + "semantics")
         if kind not in KINDS:
             raise WireError(f"setting {at}semantics: {kind!r} is no known kind")
-        made.append(Workload(
-            name=str(found.get(at + "name", index)), kind=KINDS[kind],
-            agreed_time=needed(found, at + "agreed_time"), patience=needed(found, at + "patience"),
-            payoff=float(found.get(at + "payoff", 1.0)),
-            late_payoff=float(found.get(at + "overdue_payoff", 0.0)),
-            group=str(found.get(at + "key_scope", "all")), window=found.get(at + "window", 0),
-            streamed=bool(found.get(at + "stream", False)),
-            stretch=float(found.get(at + "aim_stretch", 0.0) or 0.0),
-        ))
+        made.append(
+            Workload(
+                name=str(found.get(at + "name", index)),
+                kind=KINDS[kind],
+                agreed_time=needed(found, at + "agreed_time"),
+                patience=needed(found, at + "patience"),
+                payoff=float(found.get(at + "payoff", 1.0)),
+                late_payoff=float(found.get(at + "overdue_payoff", 0.0)),
+                group=str(found.get(at + "key_scope", "all")),
+                window=found.get(at + "window", 0),
+                streamed=bool(found.get(at + "stream", False)),
+                stretch=float(found.get(at + "aim_stretch", 0.0) or 0.0),
+            )
+        )
     return made
--- a/whinpier/simhost/__main__.py
+++ b/whinpier/simhost/__main__.py
@@ -37,7 +37,9 @@
                 self.event(instance, code, fields, rest)
             except WireError:
                 raise
-            except Exception as fault:  # the day must end here, with the reason where on-call staff see it
+            except (
+                Exception
+            ) as fault:  # the day must end here, with the reason where on-call staff see it
                 traceback.print_exc()
                 reply += text_record(wire.FATAL_CODE, who, f"{type(fault).__name__}: {fault}")
                 actions += 1
@@ -53,7 +55,9 @@
         """One event of one instance, straight into a call. Nothing is probed or told, so no finding comes."""
         if code == wire.RESOLVED:
             _, number, trial, _, reason, took, over, n = fields
-            instance.resolved(number, trial, reason, took, over, wire.report(rest, n, instance.columns))
+            instance.resolved(
+                number, trial, reason, took, over, wire.report(rest, n, instance.columns)
+            )
         elif code == wire.INGRESS:
             _, number, bits, key, tenant, ends, lane, hint = fields
             instance.ingress(number, bits, key, tenant, ends, lane, hint)
--- a/whinpier/simhost/instance.py
+++ b/whinpier/simhost/instance.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from whinpier.choice import Choice
-from whinpier.model import (DRAINING, ERROR, GONE, READY, HandOff, Task, Upstream)
+from whinpier.model import DRAINING, ERROR, GONE, READY, HandOff, Task, Upstream
 from whinpier.settings import US, workloads
 from whinpier.simhost import wire
 
@@ -25,7 +25,9 @@
         self.columns: list[str] = found["report.columns"]
         self.tasks: dict[int, Task] = {}
         self.listed: dict[int, Upstream] = {}
-        self.known: dict[int, Upstream] = {}  # also those no longer listed: their outcomes still come
+        self.known: dict[
+            int, Upstream
+        ] = {}  # also those no longer listed: their outcomes still come
         self.choice = Choice(self, found, self.workloads, seed)
 
     # What the decisions ask for.
@@ -62,7 +64,9 @@
 
     def tell(self, balancer: int | None, contents: bytes) -> None:
         target = ALL if balancer is None else balancer
-        self._put(wire.SIGNAL.pack(40, 10 + len(contents), self.who, target, len(contents)) + contents)
+        self._put(
+            wire.SIGNAL.pack(40, 10 + len(contents), self.who, target, len(contents)) + contents
+        )
 
     def follow_list(self, on: bool) -> None:
         self._put(wire.STREAM_CHANGES.pack(20, 5, self.who, on))
@@ -107,11 +111,22 @@
         self.listed = held
         self.choice.listed([up for up in held.values() if up.state in (READY, DRAINING)])
 
-    def ingress(self, number: int, bits: int, key: int, tenant: int, ends: int, lane: int, hint: int) -> None:
+    def ingress(
+        self, number: int, bits: int, key: int, tenant: int, ends: int, lane: int, hint: int
+    ) -> None:
         if lane >= len(self.workloads) or number in self.tasks:
             return
-        task = Task(number, self.workloads[lane], self.now, ends * US, key, tenant,
-                    hint * US if bits & 1 else None, bool(bits & 2), bool(bits & 4))
+        task = Task(
+            number,
+            self.workloads[lane],
+            self.now,
+            ends * US,
+            key,
+            tenant,
+            hint * US if bits & 1 else None,
+            bool(bits & 2),
+            bool(bits & 4),
+        )
         self.tasks[number] = task
         self.choice.arrive(task)
 
@@ -121,8 +136,15 @@
             return None
         return task.hand_offs[trial]
 
-    def resolved(self, number: int, trial: int, reason: int, took: int, over: int,
-                 load: dict[str, float] | None) -> None:
+    def resolved(
+        self,
+        number: int,
+        trial: int,
+        reason: int,
+        took: int,
+        over: int,
+        load: dict[str, float] | None,
+    ) -> None:
         hand_off = self._hand_off(number, trial)
         if hand_off is None or hand_off.outcome:
             return
--- a/whinpier/simhost/wire.py
+++ b/whinpier/simhost/wire.py
@@ -22,9 +22,17 @@
 
 # The fixed fields of each event, in order.
 FIELDS = {
-    UP: Struct("<IQI"), ROSTER: Struct("<II"), TARGETS: Struct("<IBII"), INGRESS: Struct("<IIBQIQBI"),
-    DESTROY: Struct("<I"), CLIENT_LEFT: Struct("<II"), DATAGRAM: Struct("<IHH"), BELL: Struct("<IQ"),
-    RESOLVED: Struct("<IIHIHIBB"), SAMPLED: Struct("<IHIIB"), OPENED: Struct("<IIIHI"),
+    UP: Struct("<IQI"),
+    ROSTER: Struct("<II"),
+    TARGETS: Struct("<IBII"),
+    INGRESS: Struct("<IIBQIQBI"),
+    DESTROY: Struct("<I"),
+    CLIENT_LEFT: Struct("<II"),
+    DATAGRAM: Struct("<IHH"),
+    BELL: Struct("<IQ"),
+    RESOLVED: Struct("<IIHIHIBB"),
+    SAMPLED: Struct("<IHIIB"),
+    OPENED: Struct("<IIIHI"),
 }
 ENTRY = Struct("<BIHQfHH")
 
@@ -38,8 +46,14 @@
 SCOPE_DELTA, SCOPE_FAILED, SCOPE_FULL, SCOPE_CACHED = 0, 1, 2, 3
 STATES = {0: model.GONE, 1: model.READY, 2: model.DRAINING}
 OUTCOMES = {
-    0: model.FULFILLED, 5: model.ERROR, 11: model.FULL, 104: model.RESET, 110: model.TIMED_OUT,
-    111: model.NO_CONNECTION, 114: model.MOOT, 125: model.WITHDRAWN,
+    0: model.FULFILLED,
+    5: model.ERROR,
+    11: model.FULL,
+    104: model.RESET,
+    110: model.TIMED_OUT,
+    111: model.NO_CONNECTION,
+    114: model.MOOT,
+    125: model.WITHDRAWN,
 }
 
 
@@ -72,9 +86,11 @@
         shape = FIELDS.get(code)
         if shape is not None:  # an event this page does not know is skipped
             if length < shape.size:
-                raise WireError(f"batch {number}: record {index} (code {code}) has {length} bytes,"
-                                f" {shape.size} expected")
-            yield code, shape.unpack_from(body, at), body[at + shape.size:at + length]
+                raise WireError(
+                    f"batch {number}: record {index} (code {code}) has {length} bytes,"
+                    f" {shape.size} expected"
+                )
+            yield code, shape.unpack_from(body, at), body[at + shape.size : at + length]
         at += length
     if at != size:
         raise WireError(f"batch {number}: {size - at} bytes after the last record")
@@ -97,7 +113,9 @@
     if not count:
         return None
     values = FLOATS[count].unpack(counted(rest, 4 * count))
-    return {name: value for name, value in zip(columns, values) if value >= 0 and math.isfinite(value)}
+    return {
+        name: value for name, value in zip(columns, values) if value >= 0 and math.isfinite(value)
+    }
 
 
 def value(text: str) -> Any:
--- a/whinpier/spec.py
+++ b/whinpier/spec.py
@@ -15,9 +15,21 @@
 
 Address = tuple[str, int]
 STATES = {"up": READY, "draining": DRAINING, "removed": GONE}
-LATEST = 2**53  # milliseconds: what JSON numbers hold exactly; later times would only upset arithmetic
-CONFIGURED = ("name", "kind", "agreed_time", "patience", "payoff", "late_payoff", "group", "window",
-              "streamed", "stretch")  # of a workload
+LATEST = (
+    2**53
+)  # milliseconds: what JSON numbers hold exactly; later times would only upset arithmetic
+CONFIGURED = (
+    "name",
+    "kind",
+    "agreed_time",
+    "patience",
+    "payoff",
+    "late_payoff",
+    "group",
+    "window",
+    "streamed",
+    "stretch",
+)  # of a workload
 KEPT_TILL_RESTART = ("name", "listen", "seed", "sockets", "memory", "isolate")  # of a process
 PLATFORM = "all"  # the one pool of a process without an operator's file
 
@@ -92,15 +104,22 @@
 
 def kept_till_restart(old: Spec, new: Spec) -> list[str]:
     """Which keys of the process differ and wait for a restart. A seed that is not given is no change."""
-    return [key for key in KEPT_TILL_RESTART if key != "seed" and getattr(old, key) != getattr(new, key)]
+    return [
+        key for key in KEPT_TILL_RESTART if key != "seed" and getattr(old, key) != getattr(new, key)
+    ]
 
 
 def differs(old: PoolSpec, new: PoolSpec) -> list[str]:
     """Which keys of a pool differ; workloads by what is configured of them, not by what is known."""
-    found = [key.name for key in fields(PoolSpec) if key.name != "workloads"
-             and getattr(old, key.name) != getattr(new, key.name)]
-    told = [[tuple(getattr(workload, key) for key in CONFIGURED) for workload in spec.workloads]
-            for spec in (old, new)]
+    found = [
+        key.name
+        for key in fields(PoolSpec)
+        if key.name != "workloads" and getattr(old, key.name) != getattr(new, key.name)
+    ]
+    told = [
+        [tuple(getattr(workload, key) for key in CONFIGURED) for workload in spec.workloads]
+        for spec in (old, new)
+    ]
     return found + ["workloads"] * (told[0] != told[1])
 
 
@@ -160,7 +179,9 @@
     beside: dict[str, Beside] = field(default_factory=dict)  # by the protocol's name
     up: bytes = b"/up"  # where a front asks whether this balancer is ready
     isolate: bool = True  # whether pools have guaranteed parts
-    not_honoured: list[str] = field(default_factory=list)  # settings that the protocol has no way for
+    not_honoured: list[str] = field(
+        default_factory=list
+    )  # settings that the protocol has no way for
     bank: Together | None = None  # how it knows the other processes; None: not at all
     revision: str = ""  # of the operator's file, by its content
 
@@ -172,8 +193,14 @@
 
 def address(text: Any, key: str) -> Address:
     host, mark, port = str(text).rpartition(":")
-    if not (isinstance(text, str) and mark and host and port.isascii() and port.isdigit()
-            and 0 < int(port) < 65536):
+    if not (
+        isinstance(text, str)
+        and mark
+        and host
+        and port.isascii()
+        and port.isdigit()
+        and 0 < int(port) < 65536
+    ):
         raise ConfigFault(f"{key}: {text!r} is not HOST:PORT")
     try:
         # Guards against a name: looking it up would stop the loop at every connection.
@@ -185,13 +212,24 @@
 def entries(hosts: Any) -> list[Entry]:
     """The entries of a list in discovery's form, all or none."""
     try:
-        found = [Entry(str(host["host"]), address(host["dial"], "dial"), STATES[host["health"]],
-                       str(host.get("site", "")), str(host.get("class", "")), int(host.get("block", 0)),
-                       float(host.get("share", 1.0)), int(host.get("born_ms", 0)) * 1_000_000)
-                 for host in hosts]
+        found = [
+            Entry(
+                str(host["host"]),
+                address(host["dial"], "dial"),
+                STATES[host["health"]],
+                str(host.get("site", "")),
+                str(host.get("class", "")),
+                int(host.get("block", 0)),
+                float(host.get("share", 1.0)),
+                int(host.get("born_ms", 0)) * 1_000_000,
+            )
+            for host in hosts
+        ]
         for entry in found:
             latest = LATEST * 1_000_000
-            if not (isfinite(entry.size) and 0 <= entry.started < latest and abs(entry.cell) < LATEST):
+            if not (
+                isfinite(entry.size) and 0 <= entry.started < latest and abs(entry.cell) < LATEST
+            ):
                 raise ValueError(f"a figure of {entry.host!r} is out of bounds")
         return found
     except (ConfigFault, AttributeError, KeyError, TypeError, ValueError, OverflowError) as fault:
--- a/whinpier/standin/badday.py
+++ b/whinpier/standin/badday.py
@@ -36,7 +36,9 @@
 AGREED, PATIENCE, WORK = 0.25, 1.5, 0.005
 CHARGES, READS = 4, 5  # upstreams of the exclusive pool, and of the rerunnable one
 RATE, BURST = 120, 16  # tasks a second of the rerunnable pool, over the whole bank
-BUNCHED = 0.1  # seconds by which what passed a limit may come to an upstream sooner or later than another
+BUNCHED = (
+    0.1  # seconds by which what passed a limit may come to an upstream sooner or later than another
+)
 OUT = 2  # balancers that may be out at once
 WARM = 7.0  # seconds till verdicts are given: their votes count from a life after the start
 SETTLED = 10.0  # after the last fault, for one state
@@ -75,10 +77,29 @@
         return self.schedule.seed
 
 
-DRAWN: tuple[Kind, ...] = ("restart", "restart", "stop", "kill", "cut", "cut", "cut", "one_way", "lossy",
-                           "late", "doubled", "flipped", "stale")
-SCRIPTS: tuple[dict[str, float], ...] = ({"speed": 0.08}, {"error": 0.5}, {"reset": 0.4}, {"away": 0.6},
-                                         {"spoilt": 0.3}, {"hang": 0.2})
+DRAWN: tuple[Kind, ...] = (
+    "restart",
+    "restart",
+    "stop",
+    "kill",
+    "cut",
+    "cut",
+    "cut",
+    "one_way",
+    "lossy",
+    "late",
+    "doubled",
+    "flipped",
+    "stale",
+)
+SCRIPTS: tuple[dict[str, float], ...] = (
+    {"speed": 0.08},
+    {"error": 0.5},
+    {"reset": 0.4},
+    {"away": 0.6},
+    {"spoilt": 0.3},
+    {"hang": 0.2},
+)
 
 
 def draw(seed: int, members: int, seconds: float) -> Day:
@@ -95,7 +116,9 @@
                 faults.append(Fault(at, kind, (spare.pop(),), span=span if kind != "kill" else 0.0))
         elif kind == "cut":
             parts = split(chance, range(members), chance.choice((2, 2, 3)))
-            faults.append(Fault(at, kind, parts=parts, span=max(2.0, 1.5 * span)))  # an election takes two
+            faults.append(
+                Fault(at, kind, parts=parts, span=max(2.0, 1.5 * span))
+            )  # an election takes two
         elif kind == "one_way":
             one, other = chance.randrange(members), chance.randrange(members)
             faults.append(Fault(at, kind, (one,), (other,), span=span))
@@ -104,16 +127,41 @@
         else:
             faults.append(Fault(at, kind, span=span, amount=round(chance.uniform(0.02, 0.2), 2)))
     names = [f"c-{n}" for n in range(CHARGES)] + [f"r-{n}" for n in range(READS)]
-    troubles = [Trouble(round(chance.uniform(WARM, last), 2), chance.choice((2.0, 4.0, 6.0)),
-                        chance.choice(names), chance.choice(SCRIPTS)) for _ in range(chance.randint(1, 4))]
+    troubles = [
+        Trouble(
+            round(chance.uniform(WARM, last), 2),
+            chance.choice((2.0, 4.0, 6.0)),
+            chance.choice(names),
+            chance.choice(SCRIPTS),
+        )
+        for _ in range(chance.randint(1, 4))
+    ]
     # Connections with charges on them break; one of the shared ones is slow for long enough to be let rest.
-    troubles.append(Trouble(round(chance.uniform(WARM - 5.0, last - 6.0), 2), 5.0,
-                            names[chance.randrange(CHARGES)], {"reset": 0.5}))
-    troubles.append(Trouble(round(chance.uniform(WARM, last - 3.0), 2), 6.0,
-                            names[CHARGES + chance.randrange(READS)], SCRIPTS[0]))
-    surges = [Surge(round(chance.uniform(WARM, last), 2), chance.choice((1.0, 3.0)),
-                    chance.randrange(members), chance.choice((2.0, 4.0)))
-              for _ in range(chance.randint(0, 2))]
+    troubles.append(
+        Trouble(
+            round(chance.uniform(WARM - 5.0, last - 6.0), 2),
+            5.0,
+            names[chance.randrange(CHARGES)],
+            {"reset": 0.5},
+        )
+    )
+    troubles.append(
+        Trouble(
+            round(chance.uniform(WARM, last - 3.0), 2),
+            6.0,
+            names[CHARGES + chance.randrange(READS)],
+            SCRIPTS[0],
+        )
+    )
+    surges = [
+        Surge(
+            round(chance.uniform(WARM, last), 2),
+            chance.choice((1.0, 3.0)),
+            chance.randrange(members),
+            chance.choice((2.0, 4.0)),
+        )
+        for _ in range(chance.randint(0, 2))
+    ]
     whole = round(chance.uniform(WARM, last - 3.0), 2) if chance.random() < 0.15 else 0.0
     ordered = tuple(sorted(faults, key=lambda one: one.at))
     if whole:  # what follows it would hit processes that are just starting
@@ -134,13 +182,15 @@
         yield msgspec.structs.replace(day, surges=())
     faults = schedule.faults
     half = len(faults) // 2
-    for some in ([faults[:half], faults[half:]] if half else []):
+    for some in [faults[:half], faults[half:]] if half else []:
         yield msgspec.structs.replace(day, schedule=msgspec.structs.replace(schedule, faults=some))
     for index in range(len(faults)):
-        rest = faults[:index] + faults[index + 1:]
+        rest = faults[:index] + faults[index + 1 :]
         yield msgspec.structs.replace(day, schedule=msgspec.structs.replace(schedule, faults=rest))
     for index in range(len(day.troubles)):
-        yield msgspec.structs.replace(day, troubles=day.troubles[:index] + day.troubles[index + 1:])
+        yield msgspec.structs.replace(
+            day, troubles=day.troubles[:index] + day.troubles[index + 1 :]
+        )
 
 
 def shrink(day: Day, fails: Callable[[Day], bool], most: int = 12) -> tuple[Day, int]:
@@ -173,23 +223,50 @@
     def __init__(self, day: Day, folder: Path, fault: str = "") -> None:
         self.day, self.count = day, day.schedule.members
         self.calm = [self.count - 2, self.count - 1]
-        self.charges = Fleet({f"c-{n}": Script(workers=16, work=WORK) for n in range(CHARGES)}, day.seed)
-        self.reads = Fleet({f"r-{n}": Script(workers=16, work=WORK) for n in range(READS)}, day.seed)
+        self.charges = Fleet(
+            {f"c-{n}": Script(workers=16, work=WORK) for n in range(CHARGES)}, day.seed
+        )
+        self.reads = Fleet(
+            {f"r-{n}": Script(workers=16, work=WORK) for n in range(READS)}, day.seed
+        )
         homes = [f"m{n}" for n in range(self.count)]
         self.bank = Bank(
-            self.count, folder, self.service, day.seed, relayed=True, fault=fault,
-            limits={"reads": {"kind": "rate", "amount": RATE, "burst": BURST, "homes": homes,
-                              "pools": ["r"]}},
+            self.count,
+            folder,
+            self.service,
+            day.seed,
+            relayed=True,
+            fault=fault,
+            limits={
+                "reads": {
+                    "kind": "rate",
+                    "amount": RATE,
+                    "burst": BURST,
+                    "homes": homes,
+                    "pools": ["r"],
+                }
+            },
             verdicts={"life": "4s", "term": "5s", "back": "1s"},
-            agreement={"voters": homes[:5 if self.count >= 8 else 3], "wait": "5s", "permits": {
-                "all": {"of": "balancers", "out": OUT}, "c": {"of": "upstreams", "pool": "c", "out": 1}}})
+            agreement={
+                "voters": homes[: 5 if self.count >= 8 else 3],
+                "wait": "5s",
+                "permits": {
+                    "all": {"of": "balancers", "out": OUT},
+                    "c": {"of": "upstreams", "pool": "c", "out": 1},
+                },
+            },
+        )
         self.outcome = Outcome(day.seed)
         self.killed: set[str] = set()
 
     def service(self, process: Process | None = None, agreed: float = AGREED) -> files.Plain:
-        return {"pools": {"c": files.service("c", "exclusive", self.charges.addresses, agreed, PATIENCE),
-                          "r": files.service("r", "rerunnable", self.reads.addresses, agreed, PATIENCE)},
-                "routes": [files.route("c", "exclusive", "c"), files.route("r", "rerunnable", "r")]}
+        return {
+            "pools": {
+                "c": files.service("c", "exclusive", self.charges.addresses, agreed, PATIENCE),
+                "r": files.service("r", "rerunnable", self.reads.addresses, agreed, PATIENCE),
+            },
+            "routes": [files.route("c", "exclusive", "c"), files.route("r", "rerunnable", "r")],
+        }
 
     def end(self) -> None:
         self.bank.end()
@@ -202,16 +279,26 @@
         bank.start()
         bank.until(bank.gathered, 40.0)
         bank.until(lambda: all(bank.ask(n, "status")["line"] >= 3 for n in range(self.count)), 30.0)
-        bank.until(lambda: all(not row["fenced_ms"] and row["agreed"] for n in range(self.count)
-                               for row in bank.ask(n, "limits")), 30.0)
+        bank.until(
+            lambda: all(
+                not row["fenced_ms"] and row["agreed"]
+                for n in range(self.count)
+                for row in bank.ask(n, "limits")
+            ),
+            30.0,
+        )
         self.reads.meter()
         begun = time.monotonic()
         loads = self.load(begun)
-        contents = [deflated(files.document(self.service(agreed=AGREED + step / 1000)).encode())
-                    for step in range(3)]
+        contents = [
+            deflated(files.document(self.service(agreed=AGREED + step / 1000)).encode())
+            for step in range(3)
+        ]
         ends = begun + day.schedule.seconds
-        operators = [Operator(bank, number, day.seed, ends, self.hit(), self.charges, contents, 0.8, "c")
-                     for number in range(day.operators)]
+        operators = [
+            Operator(bank, number, day.seed, ends, self.hit(), self.charges, contents, 0.8, "c")
+            for number in range(day.operators)
+        ]
         for one in operators:
             one.start()
         self.faults(begun)
@@ -227,19 +314,38 @@
     def load(self, begun: float) -> Loads:
         day, streams = self.day, []
         for number, process in enumerate(self.bank.processes):
-            surges = [(one.at, one.at + one.span, one.times) for one in day.surges if one.stream == number]
+            surges = [
+                (one.at, one.at + one.span, one.times) for one in day.surges if one.stream == number
+            ]
             calm = number in self.calm
             ends = float("inf") if calm else self.first_fault(number)
             assert process.balancer
             for name, method, rate in (("c", "POST", 20.0), ("r", "GET", 24.0)):
-                streams.append((process.balancer.address, Asks(
-                    f"{name}{number}", rate, f"/{name}/x", method, f"{name}.example", PATIENCE, AGREED,
-                    surges=surges, ends=ends if name == "c" else float("inf"))))
+                streams.append(
+                    (
+                        process.balancer.address,
+                        Asks(
+                            f"{name}{number}",
+                            rate,
+                            f"/{name}/x",
+                            method,
+                            f"{name}.example",
+                            PATIENCE,
+                            AGREED,
+                            surges=surges,
+                            ends=ends if name == "c" else float("inf"),
+                        ),
+                    )
+                )
         return Loads(streams, day.seed, begun, day.schedule.seconds, most=1_000)
 
     def first_fault(self, number: int) -> float:
         """Charges end before their process is hit: a client that asks again would count as a second run."""
-        hits = [one.at for one in self.day.schedule.faults if number in one.who and one.kind != "one_way"]
+        hits = [
+            one.at
+            for one in self.day.schedule.faults
+            if number in one.who and one.kind != "one_way"
+        ]
         if self.day.whole:
             hits.append(self.day.whole)
         return max(0.0, min(hits, default=1e9) - PATIENCE - 0.5)
@@ -253,8 +359,12 @@
             fleet = self.charges if trouble.upstream in self.charges.addresses else self.reads
             usual = {key: getattr(Script(), key) for key in trouble.script}
             steps.append((trouble.at, lambda f=fleet, t=trouble: f.tell(t.upstream, **t.script)))  # type: ignore[misc]
-            steps.append((trouble.at + trouble.span,
-                          lambda f=fleet, t=trouble, u=usual: f.tell(t.upstream, **u)))  # type: ignore[misc]
+            steps.append(
+                (
+                    trouble.at + trouble.span,
+                    lambda f=fleet, t=trouble, u=usual: f.tell(t.upstream, **u),  # type: ignore[misc]
+                )
+            )
         if self.day.whole:
             steps.append((self.day.whole, self.restart_all))
         for at, step in sorted(steps, key=lambda one: one[0]):
@@ -278,6 +388,7 @@
 
     def wait_served(self, number: int) -> None:
         """Until it says that it can serve, or that it is drained."""
+
         def served() -> bool:
             found = self.asked(number)
             return bool(found["current"])
@@ -289,8 +400,17 @@
         with suppress(OSError, ValueError, RuntimeError):
             found: dict[str, Any] = self.bank.ask(number, "status")
             return found
-        return {"record": "?", "line": number, "digest": "", "current": False, "release": None, "drains": [],
-                "runs": "?", "role": "?", "lost": []}
+        return {
+            "record": "?",
+            "line": number,
+            "digest": "",
+            "current": False,
+            "release": None,
+            "drains": [],
+            "runs": "?",
+            "role": "?",
+            "lost": [],
+        }
 
     def settle(self) -> None:
         """All that run hold one record, and each other, soon after the last fault."""
@@ -299,14 +419,17 @@
 
         def one_state() -> bool:
             found = [self.asked(n) for n in alive]
-            return (len({(one["record"], one["line"], one["digest"]) for one in found}) == 1
-                    and bank.gathered(*alive))
+            return len(
+                {(one["record"], one["line"], one["digest"]) for one in found}
+            ) == 1 and bank.gathered(*alive)
 
         try:
             bank.until(one_state, SETTLED)
         except (TimeoutError, OSError, RuntimeError):
-            states = [(n, *(self.asked(n)[key] for key in ("role", "record", "line", "digest")))
-                      for n in alive]
+            states = [
+                (n, *(self.asked(n)[key] for key in ("role", "record", "line", "digest")))
+                for n in alive
+            ]
             self.broke("one state", f"not within {SETTLED:g} s: {states}")
         self.near("one state, s", time.monotonic() - begun, SETTLED)
 
@@ -361,7 +484,8 @@
                 if answer.untrue:
                     self.broke("untrue", answer.untrue)
         self.outcome.said["drains confirmed"] = sum(
-            answer.done for one in operators for answer in one.answers)
+            answer.done for one in operators for answer in one.answers
+        )
 
     def judge_members(self) -> None:
         bounds = Bounds(dead=5.0, position=4.5, agree=6.0)
@@ -372,15 +496,22 @@
             self.near("dead member known, s", referee.slowest["dead"], bounds.dead)
 
     def judge_answers(self, seen: list[Gateway]) -> None:
-        wrong = [(one.asks.name, task.id, task.how) for one in seen if self.whole_day(one)
-                 for task in (*one.unanswered(), *one.answered_twice())]
+        wrong = [
+            (one.asks.name, task.id, task.how)
+            for one in seen
+            if self.whole_day(one)
+            for task in (*one.unanswered(), *one.answered_twice())
+        ]
         if wrong:
             self.broke("answers", f"{len(wrong)} tasks without one answer: {wrong[:3]}")
         if twice := self.charges.ledger().twice():
             self.broke("twice", f"{len(twice)} exclusive tasks ran twice: {twice[:3]}")
-        calm = [one for one in seen if int(one.asks.name[1:]) in self.calm and one.asks.name[0] == "c"]
+        calm = [
+            one for one in seen if int(one.asks.name[1:]) in self.calm and one.asks.name[0] == "c"
+        ]
         self.outcome.near["late or lost, at processes that were left alone"] = 1.0 - sum(
-            one.share_on_time() for one in calm) / len(calm)
+            one.share_on_time() for one in calm
+        ) / len(calm)
 
     def whole_day(self, one: Gateway) -> bool:
         """Whether its process was never hit while it asked."""
@@ -393,13 +524,18 @@
             self.broke("limit", f"{over:.1f} tasks more than the rate allows in some window")
         self.near("tasks of a window, of what the rate allows", most, 1.0)
 
-    def intervals(self, begins: str, ends: str, name: str = "") -> list[tuple[float, float, str, str]]:
+    def intervals(
+        self, begins: str, ends: str, name: str = ""
+    ) -> list[tuple[float, float, str, str]]:
         """From when to when each process was in some state, by its own events; dead ones are in none."""
         found: list[tuple[float, float, str, str]] = []
         on: dict[tuple[str, str], float] = {}
         events = [(one.at, 1, one) for one in self.bank.said if one.event in (begins, ends)]
-        events += [(one.at, 0, one) for one in self.bank.facts  # type: ignore[misc]
-                   if one.kind in ("dead", "left", "stopped")]
+        events += [
+            (one.at, 0, one)  # type: ignore[misc]
+            for one in self.bank.facts
+            if one.kind in ("dead", "left", "stopped")
+        ]
         for at, _, one in sorted(events, key=lambda row: row[:2]):
             if isinstance(one, Said):
                 key = one.process[0], str(one.pairs.get(name, "")) if name else ""
@@ -416,7 +552,9 @@
         """Never more upstreams of a pool at rest, over the whole bank, than may be."""
         rests = [one for one in self.intervals("verdict_rests", "verdict_over", "upstream")]
         may = READS // 5
-        most = at_once([(since, until, what) for since, until, _, what in rests if what.startswith("r-")])
+        most = at_once(
+            [(since, until, what) for since, until, _, what in rests if what.startswith("r-")]
+        )
         if most > may:
             self.broke("rests", f"{most} of pool r at rest at once, {may} may")
         if any(what.startswith("c-") for _, _, _, what in rests):
@@ -425,8 +563,10 @@
 
     def judge_drains(self) -> None:
         """Never more balancers drained at once than permits allow."""
-        drained = [(since, until, who)
-                   for since, until, who, _ in self.intervals("drain_begins", "drain_ends")]
+        drained = [
+            (since, until, who)
+            for since, until, who, _ in self.intervals("drain_begins", "drain_ends")
+        ]
         most = at_once(drained)
         if most > OUT:
             self.broke("permits", f"{most} balancers drained at once, {OUT} may be")
--- a/whinpier/standin/bank.py
+++ b/whinpier/standin/bank.py
@@ -48,7 +48,9 @@
         self.limits = bank.limits
         self.agreement: files.Plain = {}  # what its file has of the record beside the bank's
         self.wall = 0.0  # seconds by which its wall clock is wrong
-        self.dies: Path | None = None  # a file that says at which point of its work on the record it dies
+        self.dies: Path | None = (
+            None  # a file that says at which point of its work on the record it dies
+        )
         self.root: Path | None = None  # a checkout whose build it runs; None: this one
 
     @property
@@ -64,22 +66,40 @@
         given: files.Plain = {"version": 1, "name": self.name, "listen": [self.http]}
         given |= self.bank.service(self)
         given["bank"] = {
-            "listen": "%s:%d" % self.real, "key_files": [str(self.bank.key)], "control": self.control,
-            "recall": str(self.folder / "recall"), "state": str(self.folder / "state"),
+            "listen": "%s:%d" % self.real,
+            "key_files": [str(self.bank.key)],
+            "control": self.control,
+            "recall": str(self.folder / "recall"),
+            "state": str(self.folder / "state"),
             "advertise": "%s:%d" % (self.advertised if self.bank.links else self.real),
             "seeds": ["%s:%d" % address for address in self.bank.seeds()],
             **({"times": self.bank.times} if self.bank.times else {}),
             **({"limits": self.limits} if self.limits else {}),
             **({"verdicts": self.bank.verdicts} if self.bank.verdicts is not None else {}),
-            **({"agreement": {"folder": str(self.folder / "agreed")} | self.bank.agreement | self.agreement}
-               if self.bank.agreement is not None else {})}
+            **(
+                {
+                    "agreement": {"folder": str(self.folder / "agreed")}
+                    | self.bank.agreement
+                    | self.agreement
+                }
+                if self.bank.agreement is not None
+                else {}
+            ),
+        }
         return given
 
     def start(self) -> None:
         self.runs += 1
-        self.balancer = Balancer(self.folder / str(self.runs), files.document(self.file()), listen=self.http,
-                                 cores=self.bank.cores, wall=self.wall, dies=self.dies,
-                                 fault=self.bank.fault_put_in, root=self.root)
+        self.balancer = Balancer(
+            self.folder / str(self.runs),
+            files.document(self.file()),
+            listen=self.http,
+            cores=self.bank.cores,
+            wall=self.wall,
+            dies=self.dies,
+            fault=self.bank.fault_put_in,
+            root=self.root,
+        )
         self.bank.watch(self)
 
     def alive(self) -> bool:
@@ -93,11 +113,21 @@
 class Bank:
     """All of them."""
 
-    def __init__(self, count: int, folder: Path, service: Callable[[Process], files.Plain], seed: int = 0,
-                 seeds: int = 3, relayed: bool = True, times: dict[str, str] | None = None,
-                 cores: set[int] | None = None, limits: files.Plain | None = None,
-                 verdicts: files.Plain | None = None, agreement: files.Plain | None = None,
-                 fault: str = "") -> None:
+    def __init__(
+        self,
+        count: int,
+        folder: Path,
+        service: Callable[[Process], files.Plain],
+        seed: int = 0,
+        seeds: int = 3,
+        relayed: bool = True,
+        times: dict[str, str] | None = None,
+        cores: set[int] | None = None,
+        limits: files.Plain | None = None,
+        verdicts: files.Plain | None = None,
+        agreement: files.Plain | None = None,
+        fault: str = "",
+    ) -> None:
         """`service` gives each process what its file has beside the bank: pools, routes, limits."""
         self.folder, self.service, self.times, self.cores = folder, service, times or {}, cores
         self.limits, self.verdicts, self.agreement = limits or {}, verdicts, agreement
@@ -116,10 +146,14 @@
         self.seed_count = seeds
         self.cuts: dict[str, list[list[str]]] = {}
         if relayed:
-            self.links = Links({one.name: (one.advertised, one.real) for one in self.processes}, seed)
+            self.links = Links(
+                {one.name: (one.advertised, one.real) for one in self.processes}, seed
+            )
 
     def seeds(self) -> list[Address]:
-        return [one.advertised if self.links else one.real for one in self.processes[:self.seed_count]]
+        return [
+            one.advertised if self.links else one.real for one in self.processes[: self.seed_count]
+        ]
 
     def clock(self) -> float:
         """Seconds since the start, on the clock that events are told by."""
@@ -141,12 +175,16 @@
     def watch(self, process: Process) -> None:
         """Follow what a new run says, on a thread that ends with it."""
         known = threading.Event()
-        thread = threading.Thread(target=self.follow, args=(process, process.runs, known), daemon=True)
+        thread = threading.Thread(
+            target=self.follow, args=(process, process.runs, known), daemon=True
+        )
         thread.start()
         self.watchers.append(thread)
         if not known.wait(LIMIT):
-            raise RuntimeError(f"{process.name} does not say who it is: "
-                               f"{process.balancer.log() if process.balancer else ''}")
+            raise RuntimeError(
+                f"{process.name} does not say who it is: "
+                f"{process.balancer.log() if process.balancer else ''}"
+            )
 
     def follow(self, process: Process, run: int, known: threading.Event) -> None:
         ends = time.monotonic() + LIMIT
@@ -174,7 +212,12 @@
             # What it had found out before it could be asked.
             self.said.append(Said(now, who, "bank_position", {"position": first["position"]}))
             for row in first["members"][1:]:
-                pairs = {"member": row["name"], "run": row["run"], "by": row["by"], "why": row["why"]}
+                pairs = {
+                    "member": row["name"],
+                    "run": row["run"],
+                    "by": row["by"],
+                    "why": row["why"],
+                }
                 self.said.append(Said(now, who, "member_" + row["state"], pairs))
         known.set()
         with suppress(OSError, ValueError):
@@ -185,8 +228,14 @@
                     continue
                 at = event.pop("mono_ns") / 1e9 - self.begun
                 with self.lock:
-                    self.said.append(Said(at, (event.pop("process"), event.pop("process_run")),
-                                          event.pop("event"), event))
+                    self.said.append(
+                        Said(
+                            at,
+                            (event.pop("process"), event.pop("process_run")),
+                            event.pop("event"),
+                            event,
+                        )
+                    )
 
     def ask(self, number: int, what: str, **more: Any) -> Any:
         """Ask one process by its control socket."""
@@ -202,7 +251,9 @@
 
     def view(self, number: int, *states: str) -> set[str]:
         """Names of members that are in these states, as one process has it."""
-        return {row["name"] for row in self.ask(number, "members")["members"] if row["state"] in states}
+        return {
+            row["name"] for row in self.ask(number, "members")["members"] if row["state"] in states
+        }
 
     def until(self, holds: Callable[[], bool], limit: float = LIMIT) -> float:
         """Wait for something that the bank does in its own time; seconds that it took."""
@@ -215,7 +266,9 @@
 
     def gathered(self, *numbers: int) -> bool:
         """Whether these, or all that run, hold each other to be here."""
-        there = [one for one in self.processes if one.number in numbers or not numbers and one.alive()]
+        there = [
+            one for one in self.processes if one.number in numbers or not numbers and one.alive()
+        ]
         names = {one.name for one in there}
         return all(self.view(one.number, "here") == names for one in there)
 
@@ -273,17 +326,32 @@
     def tell_ways(self) -> None:
         groups: dict[tuple[int, ...], set[str]] = {}
         for process in self.processes:
-            which = tuple(next((place for place, part in enumerate(parts) if process.name in part),
-                               -1 - process.number) for parts in self.cuts.values())
+            which = tuple(
+                next(
+                    (place for place, part in enumerate(parts) if process.name in part),
+                    -1 - process.number,
+                )
+                for parts in self.cuts.values()
+            )
             groups.setdefault(which, set()).add(process.name)
-        self.fact("ways", parts=tuple(frozenset(one) for one in groups.values()) if self.cuts else ())
-
-    def weather(self, name: str, sources: list[int] | None = None, targets: list[int] | None = None,
-                **way: float) -> None:
+        self.fact(
+            "ways", parts=tuple(frozenset(one) for one in groups.values()) if self.cuts else ()
+        )
+
+    def weather(
+        self,
+        name: str,
+        sources: list[int] | None = None,
+        targets: list[int] | None = None,
+        **way: float,
+    ) -> None:
         """Ways are so from now on; nothing said: they are sound again."""
         assert self.links
         if way:
-            named = [[self.processes[number].name for number in some or ()] for some in (sources, targets)]
+            named = [
+                [self.processes[number].name for number in some or ()]
+                for some in (sources, targets)
+            ]
             self.links.rule(name, named[0], named[1], None, **way)
         else:
             self.links.lift(name)
@@ -307,12 +375,16 @@
             found.append((fault.at, lambda: self.cut(name, *map(list, fault.parts))))
             found.append((fault.ends, lambda: self.heal(name)))
         elif kind == "one_way":
-            found.append((fault.at, lambda: self.weather(name, list(fault.who), list(fault.to), lost=1.0)))
+            found.append(
+                (fault.at, lambda: self.weather(name, list(fault.who), list(fault.to), lost=1.0))
+            )
             found.append((fault.ends, lambda: self.weather(name)))
         elif kind in ("lossy", "late", "doubled", "torn", "flipped", "stale"):
             key = "lost" if kind == "lossy" else kind
             found.append((fault.at, lambda: self.weather(name, None, None, **{key: fault.amount})))
-            found.append((fault.ends + (2.0 if kind == "stale" else 0.0), lambda: self.weather(name)))
+            found.append(
+                (fault.ends + (2.0 if kind == "stale" else 0.0), lambda: self.weather(name))
+            )
         else:
             for number in fault.who:
                 found += self.steps_of(fault, number)
@@ -324,7 +396,8 @@
             return [(fault.at, lambda: self.stop(number)), (fault.ends, lambda: self.go_on(number))]
         if kind in ("kill", "vanish", "restart", "move"):
             found: list[tuple[float, Callable[[], None]]] = [
-                (fault.at, lambda: self.kill(number, kind == "vanish"))]
+                (fault.at, lambda: self.kill(number, kind == "vanish"))
+            ]
             if kind == "move":
                 found.append((fault.ends, lambda: self.move(number)))
             if kind in ("restart", "move"):
--- a/whinpier/standin/child.py
+++ b/whinpier/standin/child.py
@@ -17,8 +17,9 @@
     def __init__(self, module: str, first: dict[str, Any]) -> None:
         """`first` is its first line; what it answers is kept as `begun`."""
         self.module = module
-        self.process = subprocess.Popen([sys.executable, "-m", module], text=True, stdin=subprocess.PIPE,
-                                        stdout=subprocess.PIPE)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", module], text=True, stdin=subprocess.PIPE, stdout=subprocess.PIPE
+        )
         self.begun = self.ask(first)
 
     def ask(self, line: dict[str, Any]) -> dict[str, Any]:
--- a/whinpier/standin/clients.py
+++ b/whinpier/standin/clients.py
@@ -37,7 +37,9 @@
     retries: int = 0  # further tries of what was turned back, after the time it was told
     begins: float = 0.0  # seconds after the start
     ends: float = float("inf")
-    surges: list[tuple[float, float, float]] = field(default_factory=list)  # from, to, times the rate
+    surges: list[tuple[float, float, float]] = field(
+        default_factory=list
+    )  # from, to, times the rate
     work: float = 0.0  # mean seconds of work that a task asks for in X-Work; 0: says nothing
     spread: Spread = "exponential"
 
@@ -61,7 +63,9 @@
         self.not_sent = 0  # no connection came up, or there were too many
         self.cut = 0  # closed by the balancer between two requests, and asked again
         self.out = 0
-        self.late = 0  # tasks that were begun well after they were due: this generator was late itself
+        self.late = (
+            0  # tasks that were begun well after they were due: this generator was late itself
+        )
 
     async def run(self, span: float) -> None:
         """Ask for `span` seconds, then wait for what is out."""
@@ -130,8 +134,10 @@
 
     def latency(self, part: float, status: int | None = 200) -> float:
         """A percentile of latency, in seconds, of answers with a status (None: of any)."""
-        return percentile([task.latency for task in self.told
-                           if task.answers and status in (None, task.status)], part)
+        return percentile(
+            [task.latency for task in self.told if task.answers and status in (None, task.status)],
+            part,
+        )
 
     def unanswered(self) -> list[Told]:
         """Tasks that were sent and got no final answer."""
@@ -166,8 +172,12 @@
         assert self.transport
         self.task, self.tries = task, tries
         left = asks.patience - (loop.time() - task.due)
-        lines = [f"{asks.method} {asks.target} HTTP/1.1", f"Host: {asks.host}", f"X-Txn: {task.id}",
-                 f"X-Remaining: {left:.3f}"]
+        lines = [
+            f"{asks.method} {asks.target} HTTP/1.1",
+            f"Host: {asks.host}",
+            f"X-Txn: {task.id}",
+            f"X-Remaining: {left:.3f}",
+        ]
         if asks.lane:
             lines.append(f"X-Lane: {asks.lane}")
         if asks.ticket:
@@ -203,11 +213,11 @@
             end = self.data.find(b"\r\n\r\n")
             if end < 0:
                 return
-            head = self.data[:end + 2]
+            head = self.data[: end + 2]
             length = int(header(head, b"content-length") or 0)
             if len(self.data) < end + 4 + length:
                 return
-            self.data = self.data[end + 4 + length:]
+            self.data = self.data[end + 4 + length :]
             if head.startswith(b"HTTP/1.1 1"):
                 continue
             self.answered(head, length)
@@ -251,5 +261,8 @@
                 caller.first = (task, self.tries)
                 asyncio.get_running_loop().create_task(self.gateway.connect(caller))
                 return
-            task.latency, task.how = -1.0, f"closed, used {self.used}, {len(self.data)} bytes of an answer"
+            task.latency, task.how = (
+                -1.0,
+                f"closed, used {self.used}, {len(self.data)} bytes of an answer",
+            )
             self.gateway.ended(task, self.tries)
--- a/whinpier/standin/discovery.py
+++ b/whinpier/standin/discovery.py
@@ -71,7 +71,9 @@
         if given.get("hang_up"):
             self.hang_up()
         self.beat = float(given.get("beat", self.beat))
-        return json.dumps({"seq": self.seq, "asked": self.asked, "watches": len(self.watches)}).encode()
+        return json.dumps(
+            {"seq": self.seq, "asked": self.asked, "watches": len(self.watches)}
+        ).encode()
 
 
 class Watch(asyncio.Protocol):
@@ -104,7 +106,9 @@
                 continue
             self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.discovery.watches.add(self)
-            self.line(self.discovery.whole() if int(query["from"][0]) != self.discovery.seq else b"")
+            self.line(
+                self.discovery.whole() if int(query["from"][0]) != self.discovery.seq else b""
+            )
             self.beat()
 
     def reply(self, body: bytes) -> None:
--- a/whinpier/standin/dying.py
+++ b/whinpier/standin/dying.py
@@ -39,6 +39,7 @@
             found = call(*args, **more)
             self.come()
             return found
+
         return done
 
 
--- a/whinpier/standin/faults.py
+++ b/whinpier/standin/faults.py
@@ -14,8 +14,25 @@
 import msgspec
 from msgspec import Meta, Struct
 
-Kind = Literal["kill", "vanish", "stop", "restart", "move", "leave", "join", "twin", "slow", "cut", "one_way",
-               "lossy", "late", "doubled", "torn", "flipped", "stale"]
+Kind = Literal[
+    "kill",
+    "vanish",
+    "stop",
+    "restart",
+    "move",
+    "leave",
+    "join",
+    "twin",
+    "slow",
+    "cut",
+    "one_way",
+    "lossy",
+    "late",
+    "doubled",
+    "torn",
+    "flipped",
+    "stale",
+]
 KINDS: tuple[Kind, ...] = get_args(Kind)
 OF_MEMBERS = frozenset(KINDS[:9])  # what happens to those it names, not to ways between them
 Seconds = Annotated[float, Meta(ge=0.0, le=7200.0)]
@@ -83,11 +100,19 @@
     order = list(members)
     chance.shuffle(order)
     bounds = sorted(chance.sample(range(1, len(order)), count - 1))
-    return tuple(tuple(sorted(order[start:end])) for start, end in zip([0, *bounds], [*bounds, len(order)]))
-
-
-def draw(seed: int, members: int, seconds: float, count: int = 4, after: float = 5.0,
-         refusing: bool = True) -> Schedule:
+    return tuple(
+        tuple(sorted(order[start:end])) for start, end in zip([0, *bounds], [*bounds, len(order)])
+    )
+
+
+def draw(
+    seed: int,
+    members: int,
+    seconds: float,
+    count: int = 4,
+    after: float = 5.0,
+    refusing: bool = True,
+) -> Schedule:
     """Faults by chance, also over each other, between `after` and 12 s before the end."""
     chance = Random(f"faults/{seed}")
     faults: list[Fault] = []
@@ -112,7 +137,9 @@
             parts = split(chance, everyone, chance.choice((2, 2, 3)) if members > 2 else 2)
             fault = Fault(at, kind, parts=parts, span=span)
         elif kind == "one_way":
-            fault = Fault(at, kind, (chance.randrange(members),), (chance.randrange(members),), span=span)
+            fault = Fault(
+                at, kind, (chance.randrange(members),), (chance.randrange(members),), span=span
+            )
         elif kind == "late":
             fault = Fault(at, kind, span=span, amount=round(chance.choice((0.05, 0.2, 3.0)), 2))
         else:
@@ -131,17 +158,20 @@
         yield msgspec.structs.replace(schedule, faults=faults[:half])
         yield msgspec.structs.replace(schedule, faults=faults[half:])
     for index, fault in enumerate(faults):
-        rest = faults[:index] + faults[index + 1:]
+        rest = faults[:index] + faults[index + 1 :]
         yield msgspec.structs.replace(schedule, faults=rest)
         for count in {1, len(fault.who) // 2} if len(fault.who) > 1 else ():
             fewer = msgspec.structs.replace(fault, who=fault.who[:count])
-            yield msgspec.structs.replace(schedule, faults=(*faults[:index], fewer, *faults[index + 1:]))
+            yield msgspec.structs.replace(
+                schedule, faults=(*faults[:index], fewer, *faults[index + 1 :])
+            )
     named = [number for fault in faults for number in (*fault.who, *fault.to)]
     least = max([schedule.seeds, 2, *(number + 1 for number in named)])
     for members in sorted({least, schedule.members // 2, schedule.members - 1}):
         if least <= members < schedule.members:
-            yield msgspec.structs.replace(schedule, members=members,
-                                          faults=tuple(without(fault, members) for fault in faults))
+            yield msgspec.structs.replace(
+                schedule, members=members, faults=tuple(without(fault, members) for fault in faults)
+            )
 
 
 def without(fault: Fault, members: int) -> Fault:
@@ -150,7 +180,9 @@
     return msgspec.structs.replace(fault, parts=tuple(part for part in parts if part))
 
 
-def shrink(schedule: Schedule, fails: Callable[[Schedule], bool], most: int = 200) -> tuple[Schedule, int]:
+def shrink(
+    schedule: Schedule, fails: Callable[[Schedule], bool], most: int = 200
+) -> tuple[Schedule, int]:
     """The smallest schedule found that still fails, and how many were tried."""
     return least(schedule, smaller, fails, most)
 
@@ -158,8 +190,9 @@
 One = TypeVar("One")
 
 
-def least(one: One, steps: Callable[[One], Iterator[One]], fails: Callable[[One], bool],
-          most: int) -> tuple[One, int]:
+def least(
+    one: One, steps: Callable[[One], Iterator[One]], fails: Callable[[One], bool], most: int
+) -> tuple[One, int]:
     """The smallest found by such steps that still fails, and how many were tried."""
     tried, again = 0, True
     while again and tried < most:
--- a/whinpier/standin/faulty.py
+++ b/whinpier/standin/faulty.py
@@ -94,8 +94,11 @@
 
 
 FAULTS: dict[str, Callable[[], None]] = {
-    "permits_without_end": permits_without_end, "done_at_once": done_at_once,
-    "drains_nothing": drains_nothing, "sends_again": sends_again, "never_lost": never_lost,
+    "permits_without_end": permits_without_end,
+    "done_at_once": done_at_once,
+    "drains_nothing": drains_nothing,
+    "sends_again": sends_again,
+    "never_lost": never_lost,
     "never_answers_for_itself": never_answers_for_itself,
     "own_file_refused": own_file_refused,
     "lends_without_taking_off": lambda: share_fault("LendsWithoutTakingOff"),
--- a/whinpier/standin/files.py
+++ b/whinpier/standin/files.py
@@ -23,7 +23,9 @@
     if isinstance(value, str):
         return json.dumps(value, ensure_ascii=False)
     if isinstance(value, Mapping):
-        return "{ %s }" % ", ".join(f"{key(name)} = {inline(inner)}" for name, inner in value.items())
+        return "{ %s }" % ", ".join(
+            f"{key(name)} = {inline(inner)}" for name, inner in value.items()
+        )
     if isinstance(value, (list, tuple)):
         return "[%s]" % ", ".join(map(inline, value))
     return repr(value)
@@ -52,7 +54,9 @@
     return [{"name": name, "address": address} for name, address in addresses.items()]
 
 
-def service(name: str, kind: str, addresses: Mapping[str, str], agreed: float, patience: float) -> Plain:
+def service(
+    name: str, kind: str, addresses: Mapping[str, str], agreed: float, patience: float
+) -> Plain:
     """A pool of one workload, both with this name. Times are seconds."""
     workload = {"kind": kind, "agreed_time": ms(agreed), "patience": ms(patience)}
     if kind == "ticketed":
@@ -62,16 +66,36 @@
 
 def route(name: str, kind: str, pool: str) -> Plain:
     """A route of its own host and path to a pool, by the method that fits the kind."""
-    return {"name": name, "host": f"{name}.example", "prefix": f"/{name}", "methods": [METHODS[kind]],
-            "pool": pool}
-
-
-def records(radius: str, servers: Mapping[str, str], secrets: list[str], kind: str = "exclusive",
-            agreed: float = 0.5, patience: float = 3.0, retransmit: float = 0.15, **more: Any) -> Plain:
+    return {
+        "name": name,
+        "host": f"{name}.example",
+        "prefix": f"/{name}",
+        "methods": [METHODS[kind]],
+        "pool": pool,
+    }
+
+
+def records(
+    radius: str,
+    servers: Mapping[str, str],
+    secrets: list[str],
+    kind: str = "exclusive",
+    agreed: float = 0.5,
+    patience: float = 3.0,
+    retransmit: float = 0.15,
+    **more: Any,
+) -> Plain:
     """The RADIUS side of an operator's file, and the pool `acct` that all records go to."""
     pool = service("record", kind, servers, agreed, patience) | {
-        "protocol": "radius", "radius": {"secret": "server", "retransmit": ms(retransmit)}}
-    return {"pools": {"acct": pool},
-            "radius": {"listen": [radius], "clients": {"partner": {"networks": ["127.0.0.0/8"],
-                                                                    "secrets": secrets}}} | more | {
-                       "routes": [{"name": "all", "pool": "acct"}]}}
+        "protocol": "radius",
+        "radius": {"secret": "server", "retransmit": ms(retransmit)},
+    }
+    return {
+        "pools": {"acct": pool},
+        "radius": {
+            "listen": [radius],
+            "clients": {"partner": {"networks": ["127.0.0.0/8"], "secrets": secrets}},
+        }
+        | more
+        | {"routes": [{"name": "all", "pool": "acct"}]},
+    }
--- a/whinpier/standin/fleet.py
+++ b/whinpier/standin/fleet.py
@@ -20,11 +20,18 @@
     """One process with some upstreams."""
 
     def __init__(self, scripts: dict[str, Script], seed: int = 0, discovery: bool = False) -> None:
-        self.process = subprocess.Popen([sys.executable, "-m", "whinpier.standin"], stdin=subprocess.PIPE,
-                                        stdout=subprocess.PIPE, text=True)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "whinpier.standin"],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
         assert self.process.stdin and self.process.stdout
-        given = {"seed": seed, "discovery": discovery,
-                 "upstreams": {name: asdict(script) for name, script in scripts.items()}}
+        given = {
+            "seed": seed,
+            "discovery": discovery,
+            "upstreams": {name: asdict(script) for name, script in scripts.items()},
+        }
         self.process.stdin.write(json.dumps(given) + "\n")
         self.process.stdin.flush()
         line = self.process.stdout.readline()
@@ -44,8 +51,9 @@
 
     @staticmethod
     def control(address: str, told: dict[str, Any]) -> dict[str, Any]:
-        request = urllib.request.Request(f"http://{address}{CONTROL.decode()}",
-                                         json.dumps(told).encode() if told else None)
+        request = urllib.request.Request(
+            f"http://{address}{CONTROL.decode()}", json.dumps(told).encode() if told else None
+        )
         with urllib.request.urlopen(request, timeout=10.0) as answer:
             found: dict[str, Any] = json.load(answer)
         return found
@@ -66,8 +74,15 @@
         for name in self.addresses:
             told = self.killed.get(name) or self.tell(name)
             ran = Counter(told["ran"])
-            whole.add(Ledger(ran, told["met"], told["turned_away"], told["last"],
-                             Counter({name: ran.total()})))
+            whole.add(
+                Ledger(
+                    ran,
+                    told["met"],
+                    told["turned_away"],
+                    told["last"],
+                    Counter({name: ran.total()}),
+                )
+            )
         return whole
 
     def stop(self) -> None:
--- a/whinpier/standin/ledger.py
+++ b/whinpier/standin/ledger.py
@@ -13,15 +13,21 @@
 class Ledger:
     """What upstreams did, by the ids of tasks."""
 
-    ran: Counter[str] = field(default_factory=Counter)  # id: how often it came whole and was not turned away
+    ran: Counter[str] = field(
+        default_factory=Counter
+    )  # id: how often it came whole and was not turned away
     met: int = 0  # requests, also those turned away
     turned_away: int = 0
-    last: dict[str, float] = field(default_factory=dict)  # upstream: when it was last sent something new
+    last: dict[str, float] = field(
+        default_factory=dict
+    )  # upstream: when it was last sent something new
     by: Counter[str] = field(default_factory=Counter)  # upstream: how many ran there
 
     def twice(self, exclusive: str = "") -> list[str]:
         """Ids that ran more than once; only those that begin with `exclusive`."""
-        return [name for name, count in self.ran.items() if count > 1 and name.startswith(exclusive)]
+        return [
+            name for name, count in self.ran.items() if count > 1 and name.startswith(exclusive)
+        ]
 
     def add(self, other: Ledger) -> None:
         self.ran.update(other.ran)
--- a/whinpier/standin/links.py
+++ b/whinpier/standin/links.py
@@ -57,7 +57,9 @@
     def takes(self, source: str, target: str) -> bool:
         if self.parts:
             return not any(source in part and target in part for part in self.parts)
-        return (not self.sources or source in self.sources) and (not self.targets or target in self.targets)
+        return (not self.sources or source in self.sources) and (
+            not self.targets or target in self.targets
+        )
 
 
 @dataclass
@@ -149,7 +151,11 @@
                 asyncio.get_running_loop().call_later(REFUSING, self.open, target)
 
     def pass_on(self, sender: str, target: str, data: bytes) -> None:
-        way, chance, loop = self.ways.between(sender, target), self.chance.random, asyncio.get_running_loop()
+        way, chance, loop = (
+            self.ways.between(sender, target),
+            self.chance.random,
+            asyncio.get_running_loop(),
+        )
         self.counts["datagrams"] += 1
         self.counts["bytes"] += len(data)
         if way.sound:
@@ -167,10 +173,14 @@
             self.free_at[sender, target] = at + len(data) / way.rate
             wait += self.free_at[sender, target] - loop.time()
         if chance() < way.torn:
-            data = data[:int(chance() * len(data))]
+            data = data[: int(chance() * len(data))]
         if chance() < way.flipped and data:
             at_byte = int(chance() * len(data))
-            data = data[:at_byte] + bytes((data[at_byte] ^ 1 << int(chance() * 8),)) + data[at_byte + 1:]
+            data = (
+                data[:at_byte]
+                + bytes((data[at_byte] ^ 1 << int(chance() * 8),))
+                + data[at_byte + 1 :]
+            )
         for _ in range(1 + (chance() < way.doubled)):
             if wait > 0.0:
                 loop.call_later(wait, self.send, sender, target, data)
@@ -194,9 +204,17 @@
         """One change: a rule by its name (`way` null takes it away), or a member's other address."""
         if "rule" in line:
             way = line.get("way")
-            self.ways.set(line["rule"], None if way is None else Rule(
-                Way(**way), frozenset(line.get("sources", ())), frozenset(line.get("targets", ())),
-                tuple(frozenset(part) for part in line.get("parts", ()))))
+            self.ways.set(
+                line["rule"],
+                None
+                if way is None
+                else Rule(
+                    Way(**way),
+                    frozenset(line.get("sources", ())),
+                    frozenset(line.get("targets", ())),
+                    tuple(frozenset(part) for part in line.get("parts", ())),
+                ),
+            )
         if "silent" in line:
             self.silent.add(line["silent"])
         if "member" in line:
@@ -225,11 +243,24 @@
     def __init__(self, members: dict[str, tuple[Address, Address]], seed: int) -> None:
         super().__init__("whinpier.standin.links", {"seed": seed, "members": members})
 
-    def rule(self, name: str, sources: list[str] | None, targets: list[str] | None,
-             parts: list[list[str]] | None, **way: float) -> None:
+    def rule(
+        self,
+        name: str,
+        sources: list[str] | None,
+        targets: list[str] | None,
+        parts: list[list[str]] | None,
+        **way: float,
+    ) -> None:
         """From now on ways are so; `lift` ends it."""
-        self.ask({"rule": name, "way": way, "sources": sources or [], "targets": targets or [],
-                  "parts": parts or []})
+        self.ask(
+            {
+                "rule": name,
+                "way": way,
+                "sources": sources or [],
+                "targets": targets or [],
+                "parts": parts or [],
+            }
+        )
 
     def cut(self, name: str, parts: list[list[str]]) -> None:
         self.rule(name, None, None, parts, lost=1.0)
--- a/whinpier/standin/load.py
+++ b/whinpier/standin/load.py
@@ -20,17 +20,34 @@
 class Loads:
     """Streams in one process of their own. `start` is a time of the monotonic clock, which all share."""
 
-    def __init__(self, streams: list[tuple[tuple[str, int], Asks]], seed: int, start: float, span: float,
-                 most: int = 400) -> None:
+    def __init__(
+        self,
+        streams: list[tuple[tuple[str, int], Asks]],
+        seed: int,
+        start: float,
+        span: float,
+        most: int = 400,
+    ) -> None:
         self.asks = [asks for _, asks in streams]
-        told = [{"address": address, "asks": asdict(asks) | {"body": asks.body.decode("latin-1"),
-                                                             "ends": min(asks.ends, span)}}
-                for address, asks in streams]
-        self.process = subprocess.Popen([sys.executable, "-m", "whinpier.standin.load"], text=True,
-                                        stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+        told = [
+            {
+                "address": address,
+                "asks": asdict(asks)
+                | {"body": asks.body.decode("latin-1"), "ends": min(asks.ends, span)},
+            }
+            for address, asks in streams
+        ]
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "whinpier.standin.load"],
+            text=True,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
         assert self.process.stdin
-        json.dump({"streams": told, "seed": seed, "start": start, "span": span, "most": most},
-                  self.process.stdin)
+        json.dump(
+            {"streams": told, "seed": seed, "start": start, "span": span, "most": most},
+            self.process.stdin,
+        )
         self.process.stdin.close()
 
     def results(self) -> list[Gateway]:
@@ -55,8 +72,15 @@
 class Load(Loads):
     """One stream."""
 
-    def __init__(self, address: tuple[str, int], asks: Asks, seed: int, start: float, span: float,
-                 most: int = 400) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        asks: Asks,
+        seed: int,
+        start: float,
+        span: float,
+        most: int = 400,
+    ) -> None:
         super().__init__([(address, asks)], seed, start, span, most)
 
     def result(self) -> Gateway:
@@ -68,8 +92,15 @@
     gateways = []
     for stream in given["streams"]:
         told = stream["asks"]
-        asks = Asks(**(told | {"body": told["body"].encode("latin-1"),
-                               "surges": [tuple(surge) for surge in told["surges"]]}))
+        asks = Asks(
+            **(
+                told
+                | {
+                    "body": told["body"].encode("latin-1"),
+                    "surges": [tuple(surge) for surge in told["surges"]],
+                }
+            )
+        )
         gateways.append(Gateway(tuple(stream["address"]), asks, given["seed"], given["most"]))
     await asyncio.sleep(max(0.0, given["start"] - time.monotonic()))
     await asyncio.gather(*(gateway.run(given["span"]) for gateway in gateways))
@@ -79,10 +110,30 @@
 def main() -> int:
     found = []
     for gateway in asyncio.run(play(json.loads(sys.stdin.read()))):
-        rows = [[task.id, task.kind, task.due, task.status, task.latency, task.answers, task.retry_after,
-                 task.body, task.tries, task.how] for task in gateway.told]
-        found.append({"told": rows, "surplus": gateway.surplus, "not_sent": gateway.not_sent,
-                      "cut": gateway.cut, "late": gateway.late})
+        rows = [
+            [
+                task.id,
+                task.kind,
+                task.due,
+                task.status,
+                task.latency,
+                task.answers,
+                task.retry_after,
+                task.body,
+                task.tries,
+                task.how,
+            ]
+            for task in gateway.told
+        ]
+        found.append(
+            {
+                "told": rows,
+                "surplus": gateway.surplus,
+                "not_sent": gateway.not_sent,
+                "cut": gateway.cut,
+                "late": gateway.late,
+            }
+        )
     json.dump(found, sys.stdout)
     return 0
 
--- a/whinpier/standin/operators.py
+++ b/whinpier/standin/operators.py
@@ -37,9 +37,18 @@
 class Operator(threading.Thread):
     """One operator, by chance."""
 
-    def __init__(self, bank: Bank, number: int, seed: int, ends: float, balancers: list[int],
-                 fleet: Fleet, contents: list[tuple[str, bytes]], pause: float = 0.4,
-                 pool: str = "t") -> None:
+    def __init__(
+        self,
+        bank: Bank,
+        number: int,
+        seed: int,
+        ends: float,
+        balancers: list[int],
+        fleet: Fleet,
+        contents: list[tuple[str, bytes]],
+        pause: float = 0.4,
+        pool: str = "t",
+    ) -> None:
         super().__init__(daemon=True)
         self.bank, self.number, self.ends, self.balancers = bank, number, ends, balancers
         self.fleet, self.contents, self.pause = fleet, contents, pause
@@ -51,7 +60,9 @@
 
     def run(self) -> None:
         try:
-            while time.monotonic() < self.ends and not self.halting.wait(self.pause * self.chance.random()):
+            while time.monotonic() < self.ends and not self.halting.wait(
+                self.pause * self.chance.random()
+            ):
                 self.act()
         except Exception as fault:  # told to whoever looks at its answers
             self.fault = f"{type(fault).__name__}: {fault}"
@@ -63,13 +74,25 @@
             self.change("drain" if chance.random() < 0.5 else "undrain", {"name": name}, name)
         elif draw < 0.8:
             host = chance.choice(sorted(self.fleet.addresses))
-            self.change("drain" if chance.random() < 0.5 else "undrain", {"name": host, "pool": self.pool},
-                        f"{self.pool}/{host}")
+            self.change(
+                "drain" if chance.random() < 0.5 else "undrain",
+                {"name": host, "pool": self.pool},
+                f"{self.pool}/{host}",
+            )
         elif draw < 0.92 and self.contents:
             content, data = chance.choice(self.contents)
             if self.put(content, data):
-                self.change("release", {"content": content, "waves": "1", "window_ms": 300, "least": 0,
-                                        "back_ms": 4_000}, content)
+                self.change(
+                    "release",
+                    {
+                        "content": content,
+                        "waves": "1",
+                        "window_ms": 300,
+                        "least": 0,
+                        "back_ms": 4_000,
+                    },
+                    content,
+                )
         else:
             self.change(chance.choice(("halt", "resume", "undo")), {}, "")
 
@@ -100,15 +123,18 @@
 
     def change(self, what: str, value: dict[str, Any], name: str) -> None:
         identity = self.chance.getrandbits(60) | 1
-        said = self.ask("command", name=what, value=value | {"id": identity, "who": f"op-{self.number}"})
+        said = self.ask(
+            "command", name=what, value=value | {"id": identity, "who": f"op-{self.number}"}
+        )
         if said is None or isinstance(said[1], str):
             return
         until = time.monotonic() + LIMIT
         while time.monotonic() < min(until, self.ends):
             found = self.ask("outcome", name=str(identity))
             if found and isinstance(found[1], dict) and found[1]["known"]:
-                answer = Answer(what, name, found[1]["good"], found[1]["text"], self.bank.clock(),
-                                identity)
+                answer = Answer(
+                    what, name, found[1]["good"], found[1]["text"], self.bank.clock(), identity
+                )
                 self.answers.append(answer)
                 if answer.good and what == "drain" and "/" in name:
                     self.watch(answer)
@@ -128,7 +154,9 @@
                 time.sleep(0.3)
                 later = self.fleet.tell(host)["met"]
                 if later != met and self.row(answer) is not None:
-                    answer.untrue = f"{later - met} tasks came to {host} after it was said to be drained"
+                    answer.untrue = (
+                        f"{later - met} tasks came to {host} after it was said to be drained"
+                    )
                 return
             time.sleep(APART)
 
@@ -139,8 +167,13 @@
                 found = self.bank.ask(number, "status")["drains"]
             except (OSError, ValueError, RuntimeError):
                 continue
-            same = [row for row in found if row["name"] == answer.name
-                    and f"permit {row['permit']}" == answer.text and row["state"] != "undraining"]
+            same = [
+                row
+                for row in found
+                if row["name"] == answer.name
+                and f"permit {row['permit']}" == answer.text
+                and row["state"] != "undraining"
+            ]
             return same[0] if same else None
         return None
 
--- a/whinpier/standin/process.py
+++ b/whinpier/standin/process.py
@@ -28,29 +28,52 @@
 class Balancer:
     """One process of `python -m whinpier`."""
 
-    def __init__(self, folder: Path, operator: str = "", platform: dict[str, Any] | None = None,
-                 listen: str = "", root: Path | None = None, optimised: bool = True,
-                 cores: set[int] | None = None, wall: float = 0.0, dies: Path | None = None,
-                 fault: str = "") -> None:
+    def __init__(
+        self,
+        folder: Path,
+        operator: str = "",
+        platform: dict[str, Any] | None = None,
+        listen: str = "",
+        root: Path | None = None,
+        optimised: bool = True,
+        cores: set[int] | None = None,
+        wall: float = 0.0,
+        dies: Path | None = None,
+        fault: str = "",
+    ) -> None:
         """Start it. `operator` is the text of an operator's file, `platform` the platform's configuration.
 
         `wall`: by how many seconds its wall clock is wrong. `dies`: a file that says at which point it does.
         `fault`: a known one that is put back.
         """
-        module = ["whinpier.standin.dying", str(dies)] if dies else (
-            ["whinpier.standin.shifted", str(wall)] if wall else
-            ["whinpier.standin.faulty", fault] if fault else ["whinpier"])
+        module = (
+            ["whinpier.standin.dying", str(dies)]
+            if dies
+            else (
+                ["whinpier.standin.shifted", str(wall)]
+                if wall
+                else ["whinpier.standin.faulty", fault]
+                if fault
+                else ["whinpier"]
+            )
+        )
         self.folder, self.listen = folder, listen
         folder.mkdir(parents=True, exist_ok=True)
-        environment = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
+        environment = {
+            key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")
+        }
         self.file = folder / ("operator.toml" if operator else "config.json")
         self.file.write_text(operator or json.dumps(platform))
         environment["BALANCER_OPERATOR" if operator else "BALANCER_CONFIG"] = str(self.file)
         self.log_file = folder / "log"
         with self.log_file.open("wb") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, *(["-O"] if optimised else []), "-m", *module], env=environment,
-                stderr=errors, stdout=subprocess.DEVNULL, cwd=root)
+                [sys.executable, *(["-O"] if optimised else []), "-m", *module],
+                env=environment,
+                stderr=errors,
+                stdout=subprocess.DEVNULL,
+                cwd=root,
+            )
         if cores:
             os.sched_setaffinity(self.process.pid, cores)
 
--- a/whinpier/standin/radius.py
+++ b/whinpier/standin/radius.py
@@ -36,7 +36,9 @@
         copies = 1 + (chance.random() < self.doubled)
         for _ in range(copies):
             if chance.random() < self.late:
-                asyncio.get_running_loop().call_later(chance.random() * self.by, send, data, *address)
+                asyncio.get_running_loop().call_later(
+                    chance.random() * self.by, send, data, *address
+                )
             else:
                 send(data, *address)
 
@@ -45,7 +47,7 @@
     found, at = [], 20
     while at < len(data):
         size = data[at + 1]
-        found.append((data[at], data[at + 2:at + size]))
+        found.append((data[at], data[at + 2 : at + size]))
         at += size
     return found
 
@@ -66,7 +68,9 @@
     return data[:4] + hashlib.md5(data + secret).digest() + data[20:]
 
 
-def response(asked: bytes, secret: bytes, pairs: list[tuple[int, bytes]], sign: bool = False) -> bytes:
+def response(
+    asked: bytes, secret: bytes, pairs: list[tuple[int, bytes]], sign: bool = False
+) -> bytes:
     """The answer to a request."""
     pairs = pairs + [(kind, value) for kind, value in attributes(asked) if kind == PROXY]
     if sign:
@@ -100,8 +104,14 @@
 class Server(asyncio.DatagramProtocol):
     """One RADIUS server on a port of its own."""
 
-    def __init__(self, name: str, secret: bytes, behaviour: Behaviour | None = None,
-                 weather: Weather | None = None, seed: int = 0) -> None:
+    def __init__(
+        self,
+        name: str,
+        secret: bytes,
+        behaviour: Behaviour | None = None,
+        weather: Weather | None = None,
+        seed: int = 0,
+    ) -> None:
         self.name, self.secret, self.behaviour = name, secret, behaviour or Behaviour()
         self.weather, self.chance = weather or Weather(), Random(f"{seed}/{name}")
         self.known: dict[tuple[Any, int, bytes], bytes | None] = {}
@@ -140,7 +150,9 @@
             self.bad += 1
             return
         pairs = dict(attributes(data))
-        record = f"{pairs.get(SESSION, b'').decode()}/{int.from_bytes(pairs.get(STATUS, b''), 'big')}"
+        record = (
+            f"{pairs.get(SESSION, b'').decode()}/{int.from_bytes(pairs.get(STATUS, b''), 'big')}"
+        )
         self.ran[record] += 1
         self.delays[record] = int.from_bytes(pairs.get(DELAY, b""), "big")
         self.known[key] = None
@@ -151,7 +163,11 @@
         if chance < how.silent:
             return
         chance -= how.silent
-        delay = how.late_by if chance < how.late else self.chance.expovariate(1.0 / max(how.delay, 1e-6))
+        delay = (
+            how.late_by
+            if chance < how.late
+            else self.chance.expovariate(1.0 / max(how.delay, 1e-6))
+        )
         asyncio.get_running_loop().call_later(delay, self.answer, key, data, addr)
 
     def answer(self, key: Any, data: bytes, addr: Any) -> None:
@@ -175,7 +191,9 @@
 
     def __init__(self, address: tuple[str, int], secret: bytes) -> None:
         self.address, self.secret = address, secret
-        self.sent: dict[int, bytes] = {}  # by their number; identifiers are used again by other sockets
+        self.sent: dict[
+            int, bytes
+        ] = {}  # by their number; identifiers are used again by other sockets
         self.answers: dict[int, list[bytes]] = {}
         self.transports: list[asyncio.DatagramTransport] = []
 
@@ -185,7 +203,8 @@
         while len(self.transports) * 256 < first + len(packets):
             number = len(self.transports)
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: Ear(self, number), remote_addr=self.address)  # noqa: B023
+                lambda: Ear(self, number), remote_addr=self.address
+            )  # noqa: B023
             self.transports.append(transport)
         begun = loop.time()
         for index, data in enumerate(packets):
@@ -210,7 +229,8 @@
 
     async def open(self, name: str = "server") -> None:
         self.reader, self.writer = await asyncio.open_connection(
-            *self.address, ssl=self.context, server_hostname=name if self.context else None)
+            *self.address, ssl=self.context, server_hostname=name if self.context else None
+        )
         self.reading = asyncio.create_task(self.read())
 
     async def read(self) -> None:
@@ -247,8 +267,11 @@
 
 def record(number: int, secret: bytes, nas: str = "nas", status: int = 1) -> bytes:
     """A record of a session of its own."""
-    pairs = [(NAS, nas.encode()), (SESSION, b"%s-%d" % (nas.encode(), number)),
-             (STATUS, status.to_bytes(4, "big"))]
+    pairs = [
+        (NAS, nas.encode()),
+        (SESSION, b"%s-%d" % (nas.encode(), number)),
+        (STATUS, status.to_bytes(4, "big")),
+    ]
     return request(number % 256, pairs, secret)
 
 
@@ -258,7 +281,9 @@
 
     record: str
     due: float
-    answers: list[bytes] = field(default_factory=list)  # contents of answers, beside what differs by packet
+    answers: list[bytes] = field(
+        default_factory=list
+    )  # contents of answers, beside what differs by packet
     latency: float = -1.0
     sent: int = 0
     end: bool = False
@@ -267,10 +292,21 @@
 class Client(asyncio.DatagramProtocol):
     """A RADIUS client: records at a rate, each sent again until it is answered (RFC 5080, 2.2.1)."""
 
-    def __init__(self, name: str, address: tuple[str, int], secret: bytes, rate: float, seed: int = 0,
-                 weather: Weather | None = None, first: float = 0.5, tries: int = 4,
-                 delay_time: bool = True, realm: str = "home.example",
-                 statuses: tuple[int, ...] = (1, 2), bind: str = "127.0.0.1") -> None:
+    def __init__(
+        self,
+        name: str,
+        address: tuple[str, int],
+        secret: bytes,
+        rate: float,
+        seed: int = 0,
+        weather: Weather | None = None,
+        first: float = 0.5,
+        tries: int = 4,
+        delay_time: bool = True,
+        realm: str = "home.example",
+        statuses: tuple[int, ...] = (1, 2),
+        bind: str = "127.0.0.1",
+    ) -> None:
         self.name, self.address, self.secret, self.rate = name, address, secret, rate
         self.chance, self.weather = Random(f"{seed}/{name}"), weather or Weather()
         self.first, self.tries, self.delay_time = first, tries, delay_time
@@ -298,7 +334,7 @@
         while (at := at + self.chance.expovariate(self.rate)) < span:
             loop.call_at(start + at, self.ask, start + at)
         await asyncio.sleep(max(0.0, start + span - loop.time()))
-        ends = loop.time() + self.first * 2 ** self.tries + 1.0
+        ends = loop.time() + self.first * 2**self.tries + 1.0
         while self.out and loop.time() < ends:
             await asyncio.sleep(0.02)
 
@@ -314,8 +350,12 @@
         self.send(ident, self.pairs(session, status, 0), told)
 
     def pairs(self, session: str, status: int, delay: int) -> list[tuple[int, bytes]]:
-        found = [(USER, f"u@{self.realm}".encode()), (STATUS, struct.pack("!I", status)),
-                 (SESSION, session.encode()), (NAS, self.name.encode())]
+        found = [
+            (USER, f"u@{self.realm}".encode()),
+            (STATUS, struct.pack("!I", status)),
+            (SESSION, session.encode()),
+            (NAS, self.name.encode()),
+        ]
         return found + [(DELAY, struct.pack("!I", delay))] * self.delay_time
 
     def send(self, ident: int, pairs: list[tuple[int, bytes]], told: Told) -> None:
@@ -334,7 +374,7 @@
             return
         told.sent += 1
         self.weather.send(self.chance, self.transport.sendto, data, self.address)
-        wait = self.first * 2 ** tries * (0.9 + 0.2 * self.chance.random())
+        wait = self.first * 2**tries * (0.9 + 0.2 * self.chance.random())
         asyncio.get_running_loop().call_later(wait, self.transmit, ident, data, told, tries + 1)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
