--- a/whinpier/standin/referee.py
+++ b/whinpier/standin/referee.py
@@ -68,7 +68,9 @@
     agree: float = 3.0
     awake: float = 4.0  # that somebody must have been reachable by all for a loss to be false
     waking: float = 0.5  # after which one that stood still has heard what came meanwhile
-    calm: float = 1.0  # that the network must have been sound before a death, for `dead` to be exact
+    calm: float = (
+        1.0  # that the network must have been sound before a death, for `dead` to be exact
+    )
 
 
 REACHABLE, LOSING = ("member_here", "member_leaving", "member_suspect"), "member_lost"
@@ -78,7 +80,9 @@
 class Referee:
     """Goes through one history."""
 
-    def __init__(self, facts: Iterable[Fact], said: Iterable[Said], ends: float, bounds: Bounds) -> None:
+    def __init__(
+        self, facts: Iterable[Fact], said: Iterable[Said], ends: float, bounds: Bounds
+    ) -> None:
         self.bounds, self.ends = bounds, ends
         self.facts = sorted(facts, key=lambda fact: fact.at)
         self.said = sorted(said, key=lambda one: one.at)
@@ -93,7 +97,9 @@
         self.quiet = 0.0  # since when nothing was done to ways and weather, and nobody stopped
         self.parts: tuple[frozenset[str], ...] = ()
         self.weather = False
-        self.names: dict[tuple[str, str], tuple[str, str]] = {}  # a run that was taken up anew: its first
+        self.names: dict[
+            tuple[str, str], tuple[str, str]
+        ] = {}  # a run that was taken up anew: its first
         self.breaches: list[Breach] = []
         self.slowest: dict[str, float] = defaultdict(float)  # how near each bound came, in seconds
         self.checked: dict[str, int] = defaultdict(int)
@@ -109,7 +115,10 @@
             if isinstance(moment, Fact):
                 if self.fact(moment):
                     due = [one for one in due if one[0] <= at]
-                    due += [(at + self.bounds.position, "position"), (at + self.bounds.agree, "agree")]
+                    due += [
+                        (at + self.bounds.position, "position"),
+                        (at + self.bounds.agree, "agree"),
+                    ]
                     due.sort()
             else:
                 self.event(moment)
@@ -169,13 +178,17 @@
             self.check_false(said, process, member)
 
     def note_dead(self, process: tuple[str, str], member: tuple[str, str], at: float) -> None:
-        if member in self.died and self.whole_since(process) + self.bounds.calm <= self.died[member]:
+        if (
+            member in self.died
+            and self.whole_since(process) + self.bounds.calm <= self.died[member]
+        ):
             took = at - self.died[member]
             self.checked["dead"] += 1
             self.slowest["dead"] = max(self.slowest["dead"], took)
             if took > self.bounds.dead:
-                self.breaches.append(Breach("dead", at, process[0],
-                                            f"took {took:.2f} s to lose {member[0]}"))
+                self.breaches.append(
+                    Breach("dead", at, process[0], f"took {took:.2f} s to lose {member[0]}")
+                )
 
     def whole_since(self, process: tuple[str, str]) -> float:
         """Since when a process is awake and the network sound."""
@@ -187,14 +200,33 @@
         if member not in self.alive or member in self.asleep or self.parts or self.weather:
             return
         self.checked["false"] += 1
-        if said.at - self.woke.get(process, -1e9) < self.bounds.waking and said.pairs.get("by") == process[0]:
+        if (
+            said.at - self.woke.get(process, -1e9) < self.bounds.waking
+            and said.pairs.get("by") == process[0]
+        ):
             if said.at - self.alive[member] > self.bounds.waking:
-                self.breaches.append(Breach("false", said.at, process[0], (
-                    f"has just gone on, and calls {member[0]} lost, which it did not listen to")))
+                self.breaches.append(
+                    Breach(
+                        "false",
+                        said.at,
+                        process[0],
+                        (
+                            f"has just gone on, and calls {member[0]} lost, which it did not listen to"
+                        ),
+                    )
+                )
         since = max(self.alive[member], self.whole_since(process))
-        if said.at - since > self.bounds.awake and said.pairs.get("by") in {name for name, _ in self.alive}:
-            self.breaches.append(Breach("false", said.at, process[0], (
-                f"calls {member[0]} lost, which was reachable by all since {since:.2f} s")))
+        if said.at - since > self.bounds.awake and said.pairs.get("by") in {
+            name for name, _ in self.alive
+        }:
+            self.breaches.append(
+                Breach(
+                    "false",
+                    said.at,
+                    process[0],
+                    (f"calls {member[0]} lost, which was reachable by all since {since:.2f} s"),
+                )
+            )
 
     def check(self, at: float, what: str) -> None:
         if self.weather or self.asleep or at < self.quiet:
@@ -211,15 +243,28 @@
         for process in sorted(there):
             if at - self.alive[process] < self.bounds.position:
                 continue
-            part = next((part for part in self.parts if process[0] in part), frozenset({process[0]}))
+            part = next(
+                (part for part in self.parts if process[0] in part), frozenset({process[0]})
+            )
             mine = there if not self.parts else {who for who in there if who[0] in part}
             self.checked["position"] += 1
             rest = len(there) - len(mine) + len(self.silent)
-            true = "whole" if not rest else "alone" if len(mine) == 1 else (
-                "larger" if len(mine) > rest else "smaller")
+            true = (
+                "whole"
+                if not rest
+                else "alone"
+                if len(mine) == 1
+                else ("larger" if len(mine) > rest else "smaller")
+            )
             if self.positions.get(process) != true:
-                self.breaches.append(Breach("position", at, process[0],
-                                            f"says {self.positions.get(process)}, and is in the {true}"))
+                self.breaches.append(
+                    Breach(
+                        "position",
+                        at,
+                        process[0],
+                        f"says {self.positions.get(process)}, and is in the {true}",
+                    )
+                )
 
     def check_agree(self, at: float) -> None:
         there = {who for who, since in self.alive.items() if at - since >= self.bounds.agree}
@@ -227,12 +272,22 @@
         self.checked["agree"] += 1
         for process in sorted(there):
             view = {who for who, state in self.views[process].items() if state != "lost"} - fresh
-            gone = {who for who in view if who in self.died and at - self.died[who] < self.bounds.dead}
+            gone = {
+                who for who in view if who in self.died and at - self.died[who] < self.bounds.dead
+            }
             missing, wrong = there - view - {process}, view - there - gone
             if missing or wrong:
-                self.breaches.append(Breach("agree", at, process[0], (
-                    f"misses {sorted(who[0] for who in missing)[:5]}, "
-                    f"holds {sorted(who[0] for who in wrong)[:5]}")))
+                self.breaches.append(
+                    Breach(
+                        "agree",
+                        at,
+                        process[0],
+                        (
+                            f"misses {sorted(who[0] for who in missing)[:5]}, "
+                            f"holds {sorted(who[0] for who in wrong)[:5]}"
+                        ),
+                    )
+                )
 
     def check_dead(self, at: float) -> None:
         """Nobody holds a dead member for good."""
@@ -241,6 +296,16 @@
                 continue
             for member, state in self.views[process].items():
                 died = self.died.get(member)
-                if state != "lost" and died is not None and at - max(died, self.quiet) > self.bounds.dead:
-                    self.breaches.append(Breach("dead", at, process[0],
-                                                f"still holds {member[0]}, dead since {died:.2f} s"))
+                if (
+                    state != "lost"
+                    and died is not None
+                    and at - max(died, self.quiet) > self.bounds.dead
+                ):
+                    self.breaches.append(
+                        Breach(
+                            "dead",
+                            at,
+                            process[0],
+                            f"still holds {member[0]}, dead since {died:.2f} s",
+                        )
+                    )
--- a/whinpier/standin/upstream.py
+++ b/whinpier/standin/upstream.py
@@ -105,8 +105,16 @@
 
     def entry(self, health: str = "up", born_ms: int = 0, **more: Any) -> dict[str, Any]:
         """Its entry in the platform's list."""
-        return {"host": self.name, "dial": self.address, "site": "a", "class": "m", "block": 0,
-                "health": health, "share": 1.0, "born_ms": born_ms} | more
+        return {
+            "host": self.name,
+            "dial": self.address,
+            "site": "a",
+            "class": "m",
+            "block": 0,
+            "health": health,
+            "share": 1.0,
+            "born_ms": born_ms,
+        } | more
 
     def speed(self) -> float:
         script, age = self.script, time.monotonic() - self.began
@@ -135,7 +143,11 @@
             connection = self.queue.popleft()
             self.busy += 1
             script = self.script
-            work = connection.work if script.by_header else draw(script.spread, script.work, self.chance)
+            work = (
+                connection.work
+                if script.by_header
+                else draw(script.spread, script.work, self.chance)
+            )
             span = work / max(self.speed(), 1e-6)
             asyncio.get_running_loop().call_later(span, self.done, connection, connection.number)
 
@@ -148,9 +160,11 @@
     def answer(self, connection: Connection) -> None:
         script, point = self.script, self.chance.random()
         faults: tuple[tuple[float, Callable[[], None]], ...] = (
-            (script.hang, lambda: None), (script.error, lambda: connection.reply(500, b"")),
+            (script.hang, lambda: None),
+            (script.error, lambda: connection.reply(500, b"")),
             (script.reset, connection.reset),
-            (script.spoilt, lambda: connection.send(b"\0\1noise, and no answer\r\n\r\n")))
+            (script.spoilt, lambda: connection.send(b"\0\1noise, and no answer\r\n\r\n")),
+        )
         for share, act in faults:
             if point < share:
                 act()
@@ -159,15 +173,18 @@
         if script.interim:
             connection.send(b"HTTP/1.1 103 Early Hints\r\n\r\n")
         body = b"x" * script.size if script.size > 2 else b"ok"
-        connection.reply(200, body, (("X-By", self.name),), script.pace,
-                         self.chance.random() < script.closes)
+        connection.reply(
+            200, body, (("X-By", self.name),), script.pace, self.chance.random() < script.closes
+        )
 
     def control(self, connection: Connection, body: bytes) -> None:
         """Told otherwise while it runs: a JSON object of the script's fields; answered with the ledger."""
         if body:
             given = json.loads(body)
             if given == {"meter": True}:
-                connection.reply(200, json.dumps({"most": METER.most, "times": list(METER.times)}).encode())
+                connection.reply(
+                    200, json.dumps({"most": METER.most, "times": list(METER.times)}).encode()
+                )
                 METER.most = METER.now
                 METER.times.clear()
                 return
@@ -182,10 +199,18 @@
                 setattr(self.script, key, value)
             if "cold" in given:
                 self.began = time.monotonic()
-        told = {"script": asdict(self.script), "opened": self.opened, "open": len(self.connections),
-                "most_open": self.most_open, "busy": self.busy, "waiting": len(self.queue),
-                "met": self.ledger.met, "turned_away": self.ledger.turned_away,
-                "last": self.ledger.last, "ran": self.ledger.ran}
+        told = {
+            "script": asdict(self.script),
+            "opened": self.opened,
+            "open": len(self.connections),
+            "most_open": self.most_open,
+            "busy": self.busy,
+            "waiting": len(self.queue),
+            "met": self.ledger.met,
+            "turned_away": self.ledger.turned_away,
+            "last": self.ledger.last,
+            "ran": self.ledger.ran,
+        }
         connection.reply(200, json.dumps(told).encode())
 
 
@@ -239,9 +264,18 @@
         if not self.over:
             self.transport.write(data)
 
-    def reply(self, status: int, body: bytes, headers: tuple[tuple[str, str], ...] = (),
-              pace: float = 0.0, close: bool = False) -> None:
-        lines = "".join(f"{name}: {value}\r\n" for name, value in headers) + "Connection: close\r\n" * close
+    def reply(
+        self,
+        status: int,
+        body: bytes,
+        headers: tuple[tuple[str, str], ...] = (),
+        pace: float = 0.0,
+        close: bool = False,
+    ) -> None:
+        lines = (
+            "".join(f"{name}: {value}\r\n" for name, value in headers)
+            + "Connection: close\r\n" * close
+        )
         head = f"HTTP/1.1 {status} x\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode()
         self.answering = False
         self.ended()
@@ -277,10 +311,10 @@
     end = data.find(b"\r\n\r\n")
     if end < 0:
         return None
-    length = int(header(data[:end + 2], b"content-length") or 0)
+    length = int(header(data[: end + 2], b"content-length") or 0)
     if len(data) < end + 4 + length:
         return None
-    return data[:end + 2], data[end + 4:end + 4 + length], data[end + 4 + length:]
+    return data[: end + 2], data[end + 4 : end + 4 + length], data[end + 4 + length :]
 
 
 def header(head: bytes, name: bytes) -> bytes:
@@ -289,4 +323,4 @@
     if at < 0:
         return b""
     begin = at + len(name) + 3
-    return head[begin:head.find(b"\r\n", begin)].strip()
+    return head[begin : head.find(b"\r\n", begin)].strip()
--- a/whinpier/standin/ways.py
+++ b/whinpier/standin/ways.py
@@ -27,7 +27,9 @@
                 group.create_task(self.pass_on(reader, towards, True))
                 group.create_task(self.pass_on(there, writer, False))
 
-    async def pass_on(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, late: bool) -> None:
+    async def pass_on(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, late: bool
+    ) -> None:
         with suppress(OSError):
             while data := await reader.read(65_536):
                 if late and (wait := self.delay.get(self.name, 0.0)):
--- a/whinpier/tables.py
+++ b/whinpier/tables.py
@@ -49,7 +49,9 @@
             near = difflib.get_close_matches(unknown[1], allowed, 1)
             hint = f" (meant: {near[0]})" if near else ""
             joined = f"{key}.{unknown[1]}" if key != "file" else unknown[1]
-            raise ConfigFault(f"{joined}: is no key here{hint}; allowed: {', '.join(allowed)}") from None
+            raise ConfigFault(
+                f"{joined}: is no key here{hint}; allowed: {', '.join(allowed)}"
+            ) from None
         if missing := re.search(r"missing required field `(.*)`", what):
             joined = f"{key}.{missing[1]}" if key != "file" else missing[1]
             raise ConfigFault(f"{joined}: is missing") from None
@@ -62,7 +64,9 @@
 def type_at(kind: Any, path: str) -> Any:
     """The type that a path such as `.limits.tasks` or `.streams[0]` leads to."""
     for step in re.findall(r"\.(\w+)", path):
-        kind = next(field.type for field in msgspec.structs.fields(bare(kind)) if field.encode_name == step)
+        kind = next(
+            field.type for field in msgspec.structs.fields(bare(kind)) if field.encode_name == step
+        )
     return bare(kind)
 
 
