--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -24,20 +24,20 @@
 import msgspec
 
 from benchmarks.common import Report, main
-from whinpier.bank.agreed import deflated, pieces
-from whinpier.bank.agreement import Agreement
-from whinpier.check import recorddays
-from whinpier.check.records import FAULTS
-from whinpier.lab import record as model
-from whinpier.standin import files
-from whinpier.standin.bank import Bank, Process
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.faults import Fault, Schedule, split
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.operators import Operator, halt
-from whinpier.standin.upstream import Script
-from whinpier.standin.ways import Ways
+from whinpier.fleet.consensus.service import deflated, pieces
+from whinpier.fleet.consensus.node import Agreement
+from whinpier.model_checking import consensus_scenarios
+from whinpier.model_checking.consensus import FAULTS
+from whinpier.simulation import consensus as model
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.faults import Fault, Schedule, split
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.operators import Operator, halt
+from whinpier.testbed.upstream import Script
+from whinpier.testbed.ways import Ways
 
 AGREED, PATIENCE, WORK = 0.25, 1.5, 0.005
 SETTLED = 10.0  # seconds after the last fault within which all hold one state
@@ -559,10 +559,10 @@
 def orders(report: Report, short: bool, seed: int) -> None:
     """The record's state machine, gone through."""
     with ProcessPoolExecutor(max(1, len(os.sched_getaffinity(0))), get_context("spawn")) as pool:
-        whole = [(index, 5 if short else 0) for index in range(len(recorddays.WHOLE))]
+        whole = [(index, 5 if short else 0) for index in range(len(consensus_scenarios.WHOLE))]
         for index, result in enumerate(pool.map(_whole, whole)):
             report.say(
-                f"     {recorddays.WHOLE[index].what}: {result[0]} states, {result[1]} steps, "
+                f"     {consensus_scenarios.WHOLE[index].what}: {result[0]} states, {result[1]} steps, "
                 f"to {result[2]}"
             )
             report.bound("breaches", float(bool(result[3])), most=0)
@@ -571,7 +571,7 @@
                 _walked,
                 [
                     (index, 20_000 if short else 1_000_000, seed)
-                    for index in range(len(recorddays.WALKS))
+                    for index in range(len(consensus_scenarios.WALKS))
                 ],
             )
         )
@@ -583,27 +583,27 @@
             sum(bool(one[1]) for one in walked),
             most=0,
         )
-        names = sorted(set(FAULTS) - recorddays.SLOW)[::3] if short else sorted(FAULTS)
+        names = sorted(set(FAULTS) - consensus_scenarios.SLOW)[::3] if short else sorted(FAULTS)
         missed = [name for name, length in zip(names, pool.map(_found, names)) if not length]
         report.say(f"     put in and not found: {', '.join(missed) or 'none'}")
         report.bound(f"of {len(names)} faults put in not found", len(missed), most=0)
 
 
 def _whole(given: tuple[int, int]) -> tuple[int, int, int, str]:
-    from whinpier.check.explore import every
+    from whinpier.model_checking.explore import every
 
-    days = recorddays.WHOLE[given[0]]
+    days = consensus_scenarios.WHOLE[given[0]]
     result = every(days.make(Agreement), given[1] or days.depth, days.most)
     return result.states, result.steps, result.deepest, result.broken
 
 
 def _walked(given: tuple[int, int, int]) -> tuple[int, str, list[str]]:
-    result = recorddays.WALKS[given[0]].gone_through(Agreement, given[1], given[2])
+    result = consensus_scenarios.WALKS[given[0]].gone_through(Agreement, given[1], given[2])
     return result.steps, result.broken, result.path
 
 
 def _found(name: str) -> int:
-    result = recorddays.found(name)
+    result = consensus_scenarios.found(name)
     return len(result[2]) if result else 0
 
 
--- a/benchmarks/badday.py
+++ b/benchmarks/badday.py
@@ -17,11 +17,11 @@
 from pathlib import Path
 
 from benchmarks.common import Report, main
-from whinpier.lab import record as model
-from whinpier.lab.bank import breaches
-from whinpier.standin import badday, faults
-from whinpier.standin.badday import Day, Outcome
-from whinpier.standin.faulty import FAULTS
+from whinpier.simulation import consensus as model
+from whinpier.simulation.fleet import breaches
+from whinpier.testbed import fault_scenario, faults
+from whinpier.testbed.fault_scenario import Day, Outcome
+from whinpier.testbed.faulty import FAULTS
 
 FIXED = (1, 2, 3, 4)  # days of the short form
 MEMBERS, SECONDS = 6, 18.0
@@ -53,14 +53,14 @@
 
 
 def play(day: Day, folder: Path, fault: str = "") -> Outcome:
-    return badday.play(day, folder, fault)
+    return fault_scenario.play(day, folder, fault)
 
 
 def fixed(report: Report, folder: Path, days: int) -> None:
     """Some days on processes, one after the other, and some in the model."""
     found = []
     for seed in FIXED[:days]:
-        found.append(play(badday.draw(seed, MEMBERS, SECONDS), folder / f"day-{seed}"))
+        found.append(play(fault_scenario.draw(seed, MEMBERS, SECONDS), folder / f"day-{seed}"))
     told(report, found)
     table(report, found)
     broken_here = sum(len(one.broken) for one in found)
@@ -90,7 +90,7 @@
     def one(seed: int) -> Outcome | None:
         if time.monotonic() > ends:
             return None
-        outcome = play(badday.draw(seed, members, seconds), folder / f"day-{seed}")
+        outcome = play(fault_scenario.draw(seed, members, seconds), folder / f"day-{seed}")
         report.say(f"     day {seed}: {'; '.join(outcome.broken)[:300] or 'holds'}")
         return outcome
 
@@ -101,16 +101,16 @@
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
         for outcome in failed:
-            day = badday.draw(outcome.seed, members, seconds)
-            (out / f"day-{outcome.seed}.json").write_text(badday.text(day) + "\n")
+            day = fault_scenario.draw(outcome.seed, members, seconds)
+            (out / f"day-{outcome.seed}.json").write_text(fault_scenario.text(day) + "\n")
             kinds: set[str] = {line.partition(":")[0] for line in outcome.broken}
 
             def fails(other: Day) -> bool:
                 broken = play(other, folder / f"small-{time.monotonic_ns()}").broken
                 return bool(kinds & {line.partition(":")[0] for line in broken})
 
-            small, played = badday.shrink(day, fails)
-            (out / f"day-{outcome.seed}-least.json").write_text(badday.text(small) + "\n")
+            small, played = fault_scenario.shrink(day, fails)
+            (out / f"day-{outcome.seed}-least.json").write_text(fault_scenario.text(small) + "\n")
             report.say(f"     day {outcome.seed}: made smaller by {played} days that were played")
     report.bound(f"of {len(found)} drawn days of {members} processes, broken", len(failed), most=0)
 
@@ -120,7 +120,7 @@
 
     def one(name: str) -> tuple[str, int, str]:
         for place in range(days):
-            day = badday.draw(100 + place, MEMBERS, 24.0)
+            day = fault_scenario.draw(100 + place, MEMBERS, 24.0)
             outcome = play(day, folder / f"{name}-{place}", name)
             if outcome.broken:
                 return name, place + 1, outcome.broken[0][:160]
@@ -152,7 +152,9 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         if given.replay:
-            outcome = play(badday.read(given.replay.read_text()), folder / "day", given.fault)
+            outcome = play(
+                fault_scenario.read(given.replay.read_text()), folder / "day", given.fault
+            )
             told(report, [outcome])
             table(report, [outcome])
             report.bound("properties broken", len(outcome.broken), most=0)
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -13,13 +13,13 @@
 from pathlib import Path
 
 from benchmarks.common import Report, main
-from whinpier.standin import files
-from whinpier.standin.badday import BURST, RATE, excess
-from whinpier.standin.bank import Bank, Process
-from whinpier.standin.clients import Asks
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.upstream import Script
+from whinpier.testbed import files
+from whinpier.testbed.fault_scenario import BURST, RATE, excess
+from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.upstream import Script
 
 EARLIER = "9985b3b"  # before there was a record; a landing
 AGREED, PATIENCE, WORK = 0.25, 1.5, 0.004
--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -11,9 +11,9 @@
 import numpy
 
 from benchmarks.common import Report, main
-from whinpier.decay import SECOND
-from whinpier.lab.bank import Bank
-from whinpier.standin.faults import Fault, Schedule
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.simulation.fleet import Bank
+from whinpier.testbed.faults import Fault, Schedule
 
 BEAT, PAUSE = 0.25, 1.25  # seconds between beats; that a time-out must last in any case
 ENTRY, HEAD = (
--- a/benchmarks/fullsize.py
+++ b/benchmarks/fullsize.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from benchmarks.common import MINE, Report, main
-from whinpier.lab.clock import SECOND
-from whinpier.lab.experiment import checked, read, shipped
-from whinpier.lab.world import World
+from whinpier.simulation.clock import SECOND
+from whinpier.simulation.experiment import checked, read, shipped
+from whinpier.simulation.world import World
 
 KINDS = ("calm", "roll", "herd", "zone", "split", "join")
 POLICIES = ("choice", "oracle", "late_oracle")
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -21,24 +21,24 @@
 from typing import Any
 
 from benchmarks.common import Report, main
-from whinpier.bank.division import Said, Shares, Table
-from whinpier.bank.limits import RATE as A_RATE
-from whinpier.bank.limits import Limit, Share
-from whinpier.bank.nearly import UNHEARD, aged
-from whinpier.check import countdays, sharedays
-from whinpier.check.countfaults import FAULTS as COUNT_FAULTS
-from whinpier.check.counts import Wishful
-from whinpier.check.sharefaults import FAULTS as SHARE_FAULTS
-from whinpier.check.shares import Wishing
-from whinpier.decay import SECOND
-from whinpier.standin import files
-from whinpier.standin.badday import excess
-from whinpier.standin.bank import Bank, Process
-from whinpier.standin.clients import Asks
-from whinpier.standin.faults import Fault, Schedule, split
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.upstream import Script
+from whinpier.fleet.quotas.allocation import Said, Shares, Table
+from whinpier.fleet.quotas.leases import RATE as A_RATE
+from whinpier.fleet.quotas.leases import Limit, Share
+from whinpier.fleet.quotas.fair_share import UNHEARD, aged
+from whinpier.model_checking import count_scenarios, quota_scenarios
+from whinpier.model_checking.count_mutants import FAULTS as COUNT_FAULTS
+from whinpier.model_checking.counts import Wishful
+from whinpier.model_checking.quota_mutants import FAULTS as SHARE_FAULTS
+from whinpier.model_checking.quotas import Wishing
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.testbed import files
+from whinpier.testbed.fault_scenario import excess
+from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.faults import Fault, Schedule, split
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.upstream import Script
 
 AGREED, PATIENCE = 0.25, 0.6
 RATE, BURST, OUT = 240, 16, 8
@@ -319,8 +319,8 @@
 
 
 MACHINES: tuple[tuple[Any, dict[str, Any], Any], ...] = (
-    (sharedays, SHARE_FAULTS, Wishing),
-    (countdays, COUNT_FAULTS, Wishful),
+    (quota_scenarios, SHARE_FAULTS, Wishing),
+    (count_scenarios, COUNT_FAULTS, Wishful),
 )
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,7 +1,7 @@
 """A bank of real processes under traffic and faults: who is lost when, who names which position, its worth.
 
 `faults` plays a schedule on the bank with the stand-in network between its processes and holds what each said
-against what was done (whinpier/standin/referee.py). `table` compares on-time shares of banks that know each
+against what was done (whinpier/testbed/referee.py). `table` compares on-time shares of banks that know each
 other with banks that are told the truth in their files, over the same seconds. `cost` compares CPU with the
 bank on and off. `model` plays drawn faults on simulated time, and every fault that is put back into the code.
 See docs/design/members.md.
@@ -18,20 +18,20 @@
 from typing import Any
 
 from benchmarks.common import Report, main
-from whinpier.bank.forms import member_id
-from whinpier.choice import Choice
-from whinpier.decay import SECOND
-from whinpier.lab.bank import Bank as Model
-from whinpier.lab.bankmutations import MUTATIONS, caught
-from whinpier.model import Upstream, Workload
-from whinpier.standin import files
-from whinpier.standin.bank import Bank, Process
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.faults import Fault, Schedule, draw
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.referee import Bounds, Referee
-from whinpier.standin.upstream import Script
+from whinpier.fleet.messages import member_id
+from whinpier.policy.policy import Choice
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.simulation.fleet import Bank as Model
+from whinpier.simulation.fleet_mutants import MUTATIONS, caught
+from whinpier.policy.model import Upstream, Workload
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.faults import Fault, Schedule, draw
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.referee import Bounds, Referee
+from whinpier.testbed.upstream import Script
 
 AGREED, PATIENCE = 0.25, 1.5
 WORK = 0.01  # seconds of an upstream's one worker: 100 tasks a second each
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -15,11 +15,11 @@
 from pathlib import Path
 
 from benchmarks.common import MINE, Report, apart, main
-from whinpier.standin.clients import Asks
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Load
-from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.upstream import Script
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Load
+from whinpier.testbed.process import Balancer, free_address
+from whinpier.testbed.upstream import Script
 
 RATE = 400.0  # tasks a second: some way below a full core
 SETTINGS = json.loads(Path("example/config.json").read_text())
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -14,13 +14,13 @@
 from pathlib import Path
 
 from benchmarks.common import Report, apart, main
-from whinpier.standin import files
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.ledger import Ledger, percentile
-from whinpier.standin.load import Load
-from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.upstream import Script
+from whinpier.testbed import files
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.ledger import Ledger, percentile
+from whinpier.testbed.load import Load
+from whinpier.testbed.process import Balancer, free_address
+from whinpier.testbed.upstream import Script
 
 KINDS = {"tariff": "rerunnable", "posting": "exclusive", "settlement": "ticketed"}
 PER_POOL = 3
--- a/benchmarks/radius.py
+++ b/benchmarks/radius.py
@@ -23,15 +23,15 @@
 from benchmarks.common import Report, apart, main
 from whinpier.radius.packet import Packet
 from whinpier.radius.spec import ClientSpec, RouteSpec
-from whinpier.radius.table import Clients, Routes
-from whinpier.standin import files
-from whinpier.standin.files import Plain
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Load
-from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.radius import Behaviour, Burst, Caller, Client, Server, Weather, record
-from whinpier.standin.upstream import Script
+from whinpier.radius.client_table import Clients, Routes
+from whinpier.testbed import files
+from whinpier.testbed.files import Plain
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Load
+from whinpier.testbed.process import Balancer, free_address
+from whinpier.testbed.radius import Behaviour, Burst, Caller, Client, Server, Weather, record
+from whinpier.testbed.upstream import Script
 
 CLIENTS, RATE, AGREED = 4, 100.0, 1.5  # seconds: one retransmission of a client is in time
 HTTP_RATE = 150.0
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -20,16 +20,16 @@
 from typing import Any
 
 from benchmarks.common import Report, main
-from whinpier.bank.verdicts import Court
-from whinpier.check import votedays
-from whinpier.check.votes import FAULTS
-from whinpier.standin import files
-from whinpier.standin.bank import Bank, Process
-from whinpier.standin.clients import Asks
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.upstream import Script
-from whinpier.standin.ways import Ways
+from whinpier.fleet.outliers.ejection import Court
+from whinpier.model_checking import ejection_scenarios
+from whinpier.model_checking.ejection import FAULTS
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.upstream import Script
+from whinpier.testbed.ways import Ways
 
 AGREED, PATIENCE, WORK = 0.05, 1.0, 0.01
 RATE = 10.0  # tasks a second of each process: one a second at each of ten upstreams
@@ -280,9 +280,9 @@
     """Votes, gone through."""
     with ProcessPoolExecutor(max(1, len(os.sched_getaffinity(0))), get_context("spawn")) as pool:
         if not short:
-            for index, result in enumerate(pool.map(_whole, range(len(votedays.WHOLE)))):
+            for index, result in enumerate(pool.map(_whole, range(len(ejection_scenarios.WHOLE)))):
                 report.say(
-                    f"     {votedays.WHOLE[index].what}: {result[0]} states, {result[1]} steps"
+                    f"     {ejection_scenarios.WHOLE[index].what}: {result[0]} states, {result[1]} steps"
                 )
                 report.bound("breaches", float(bool(result[2])), most=0)
         walked = list(
@@ -290,7 +290,7 @@
                 _walked,
                 [
                     (index, 20_000 if short else 1_000_000, seed)
-                    for index in range(len(votedays.WALKS))
+                    for index in range(len(ejection_scenarios.WALKS))
                 ],
             )
         )
@@ -306,17 +306,17 @@
 
 
 def _whole(index: int) -> tuple[int, int, str]:
-    result = votedays.WHOLE[index].gone_through(Court)
+    result = ejection_scenarios.WHOLE[index].gone_through(Court)
     return result.states, result.steps, result.broken
 
 
 def _walked(given: tuple[int, int, int]) -> tuple[int, str]:
-    result = votedays.WALKS[given[0]].gone_through(Court, given[1], given[2])
+    result = ejection_scenarios.WALKS[given[0]].gone_through(Court, given[1], given[2])
     return result.steps, result.broken
 
 
 def _found(name: str) -> int:
-    result = votedays.found(name)
+    result = ejection_scenarios.found(name)
     return len(result[2]) if result else 0
 
 
--- a/example/toy.py
+++ b/example/echo_upstreams.py
@@ -1,4 +1,4 @@
-"""`python -m example.toy`: three toy upstreams and a toy discovery on this machine, for example/config.json.
+"""`python -m example.echo_upstreams`: three upstreams and a discovery here, for example/config.json.
 
 Plain threads from the standard library, made to be read and changed, not to carry load. The tests use the
 same servers and make them misbehave.
--- a/tests/test_operator.py
+++ b/tests/config/test_operator.py
@@ -12,7 +12,7 @@
 from whinpier.cli.main import cli
 from whinpier.config import operator
 from whinpier.config.platform import read as read_platform
-from whinpier.spec import ConfigFault, differs
+from whinpier.config.model import ConfigFault, differs
 
 EXAMPLE = "deploy/operator.example.toml"
 
@@ -213,9 +213,12 @@
     text = "import sys, whinpier.__main__; print(*sys.modules)"
     ended = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, timeout=20)
     found = ended.stdout.split()
-    assert "whinpier.runtime.life" in found and not {"msgspec", "click", "rich", "tomllib"} & set(
-        found
-    )
+    assert "whinpier.runtime.process" in found and not {
+        "msgspec",
+        "click",
+        "rich",
+        "tomllib",
+    } & set(found)
     assert not any(name.startswith(tuple(f"whinpier.{part}" for part in ours)) for name in found)
     assert not read_platform({"BALANCER_CONFIG": "example/config.json"}).routed
 
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from whinpier.choice import SECOND, Choice
-from whinpier.model import FULFILLED, READY, HandOff, Task, Upstream, Workload
+from whinpier.policy.policy import SECOND, Choice
+from whinpier.policy.model import FULFILLED, READY, HandOff, Task, Upstream, Workload
 
 MS = SECOND // 1000
 SETTINGS = {
--- a/tests/test_windows.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -13,24 +13,24 @@
 from hypothesis import strategies as st
 
 from tests.waiting import until
-from whinpier.bank.clocks import KEPT, MARGIN, Clocks
-from whinpier.bank.forms import ASK_UNITS, UNITS, Deal
-from whinpier.bank.keeper import Keeper
-from whinpier.bank.limits import COUNT, IN_FLIGHT, RATE, Limit
-from whinpier.bank.nearly import WORD, Nearly, aged, fill
-from whinpier.bank.windows import MOST_GRANTED, Calendar, Units
-from whinpier.check.countdays import WALKS, WHOLE, found
-from whinpier.check.countfaults import FAULTS
-from whinpier.check.counts import Wishful
-from whinpier.check.explore import every, replay
-from whinpier.decay import SECOND
-from whinpier.durable import Torn
-from whinpier.standin import files
-from whinpier.standin.bank import Bank
-from whinpier.standin.clients import Asks
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.upstream import Script
+from whinpier.fleet.clock_offset import KEPT, MARGIN, Clocks
+from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
+from whinpier.fleet.state_store import Keeper
+from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, Limit
+from whinpier.fleet.quotas.fair_share import WORD, Nearly, aged, fill
+from whinpier.fleet.quotas.calendar_quota import MOST_GRANTED, Calendar, Units
+from whinpier.model_checking.count_scenarios import WALKS, WHOLE, found
+from whinpier.model_checking.count_mutants import FAULTS
+from whinpier.model_checking.counts import Wishful
+from whinpier.model_checking.explore import every, replay
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.storage.append_log import Torn
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.upstream import Script
 
 HOUR = 3600
 MINUTES = Calendar("minute")
--- a/tests/test_agreement.py
+++ b/tests/fleet/test_consensus.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from whinpier.bank import agreement as raft
-from whinpier.bank.agreement import (
+from whinpier.fleet.consensus import node as raft
+from whinpier.fleet.consensus.node import (
     COMPACT,
     KEPT,
     LEADER,
@@ -21,7 +21,7 @@
     pack,
     replayed,
 )
-from whinpier.bank.forms import (
+from whinpier.fleet.messages import (
     APPEND,
     ASK_EARLY,
     FETCH,
@@ -35,10 +35,10 @@
     Talk,
     size_of,
 )
-from whinpier.check.explore import every, replay
-from whinpier.check.records import COMMAND, FAULTS, Lines
-from whinpier.check.recorddays import SLOW, WALKS, WHOLE, found
-from whinpier.decay import SECOND
+from whinpier.model_checking.explore import every, replay
+from whinpier.model_checking.consensus import COMMAND, FAULTS, Lines
+from whinpier.model_checking.consensus_scenarios import SLOW, WALKS, WHOLE, found
+from whinpier.policy.decaying_sum import SECOND
 
 QUICK = sorted(set(FAULTS) - SLOW)
 
--- a/tests/test_agreed.py
+++ b/tests/fleet/test_consensus_service.py
@@ -11,13 +11,13 @@
 from tests.waiting import until
 from whinpier.cli.main import cli
 from whinpier.config import operator
-from whinpier.spec import ConfigFault
-from whinpier.standin import files
-from whinpier.standin.bank import Bank
-from whinpier.standin.clients import Asks
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.upstream import Script
+from whinpier.config.model import ConfigFault
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.upstream import Script
 
 AGREEMENT = {
     "voters": ["m0", "m1", "m2"],
--- a/tests/test_bank_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -16,16 +16,16 @@
 from tests.waiting import until
 from whinpier.cli.main import cli
 from whinpier.config import operator
-from whinpier.spec import ConfigFault
-from whinpier.standin import files
-from whinpier.standin.bank import Bank
-from whinpier.standin.clients import Asks
-from whinpier.standin.faults import Fault, Schedule
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Load
-from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.referee import Bounds, Referee
-from whinpier.standin.upstream import Script
+from whinpier.config.model import ConfigFault
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.faults import Fault, Schedule
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Load
+from whinpier.testbed.process import Balancer, free_address
+from whinpier.testbed.referee import Bounds, Referee
+from whinpier.testbed.upstream import Script
 
 UPSTREAMS = {"s-0": "127.0.0.1:9"}
 
@@ -330,7 +330,7 @@
         process.send_signal(signal.SIGKILL)
         process.wait()
         process.stderr.close()
-    assert any("whinpier.runtime.life" in line for line in lines)
-    assert not any("whinpier.bank" in line or "msgspec" in line for line in lines)
+    assert any("whinpier.runtime.process" in line for line in lines)
+    assert not any("whinpier.fleet" in line or "msgspec" in line for line in lines)
     udp = {line.split()[9] for line in Path("/proc/net/udp").read_text().splitlines()[1:]}
     assert not any(f"socket:[{inode}]" in inodes for inode in udp)
--- a/tests/test_bank.py
+++ b/tests/fleet/test_membership.py
@@ -10,18 +10,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from whinpier.bank import forms
-from whinpier.bank.counting import Counting
-from whinpier.bank.forms import Card, Datagram, Seal, Unread, Word
-from whinpier.bank.members import BURST, KNOCKS, MOST_PROBES, SECOND, Members, Times
+from whinpier.fleet import messages
+from whinpier.fleet.fleet_size import Counting
+from whinpier.fleet.messages import Card, Datagram, Seal, Unread, Word
+from whinpier.fleet.membership.membership import BURST, KNOCKS, MOST_PROBES, SECOND, Members, Times
 from whinpier.cli.main import cli
-from whinpier.lab import bankdays
-from whinpier.lab.bank import KEY, POOL, Bank
-from whinpier.lab.bankmutations import MUTATIONS, caught, spoilt
-from whinpier.lab.experiment import shipped
-from whinpier.standin import faults
-from whinpier.standin.faults import Fault, Schedule
-from whinpier.standin.referee import Bounds, Fact, Referee, Said
+from whinpier.simulation import fleet_scenarios
+from whinpier.simulation.fleet import KEY, POOL, Bank
+from whinpier.simulation.fleet_mutants import MUTATIONS, caught, spoilt
+from whinpier.simulation.experiment import shipped
+from whinpier.testbed import faults
+from whinpier.testbed.faults import Fault, Schedule
+from whinpier.testbed.referee import Bounds, Fact, Referee, Said
 
 HALVES = (tuple(range(6)), tuple(range(6, 12)))
 ids, small, short = st.integers(0, 2**64 - 1), st.integers(0, 2**32 - 1), st.text(max_size=20)
@@ -99,14 +99,14 @@
     """Also bytes that are proved to come from the bank: a later build's, or a faulty one's."""
     one = members()
     if sealed:
-        noise = forms.MAGIC + bytes((form,)) + noise
+        noise = messages.MAGIC + bytes((form,)) + noise
         noise += Seal.tag(noise, KEY.keys[0])
     one.receive(noise, ("127.0.0.1", 9), 1)
     assert (
         not one.members
         and sum(count for name, count in one.counts.items() if "unread" in name) == 1
     )
-    if sealed and form != forms.FORM:
+    if sealed and form != messages.FORM:
         assert one.counts["unread_later_form"] == 1
 
 
@@ -137,14 +137,14 @@
         one.refused(("127.0.0.1", 7002), now)
         one.tick(now)
         list(one.rows()), one.shares(POOL), one.where()
-        assert all(len(data) <= forms.LARGEST for _, data in one.take()[0])
+        assert all(len(data) <= messages.LARGEST for _, data in one.take()[0])
         assert one.tally[0] + one.tally[1] + one.tally[2] == len(one.members)
 
 
 def test_a_hundred_members_are_told_within_a_tenth_of_a_second():
     one = members("a", 7001)
     for number in range(100):
-        one.admit(card(f"x{number}", number, 8000 + number), Word(0, 0, forms.HERE), 0, True)
+        one.admit(card(f"x{number}", number, 8000 + number), Word(0, 0, messages.HERE), 0, True)
     start = time.perf_counter()
     told = msgspec.json.encode(list(one.rows()))
     assert time.perf_counter() - start < 0.1 and len(msgspec.json.decode(told)) == 101
@@ -154,18 +154,22 @@
     one = members()
     large = card("n" * 63, 2**63, 7002, build="b" * 63, zone="z" * 63, revision="r" * 63)
     large = msgspec.structs.replace(
-        large, pools=tuple(2**32 - 1 - n for n in range(forms.MOST_POOLS))
+        large, pools=tuple(2**32 - 1 - n for n in range(messages.MOST_POOLS))
     )
     one.card = large
     for number in range(500):
         one.spread(Word(2**64 - 1 - number, 2**32 - 1, 2, 1, 2**64 - 1))
-    for number in range(forms.MOST_POOLS + 1):
-        one.carry(number, bytes(forms.MOST_CONTENTS))
-    known = one.admit(card("b", 5, 7003), Word(card("b", 5, 7003).id, 0, forms.HERE), 0, True)
+    for number in range(messages.MOST_POOLS + 1):
+        one.carry(number, bytes(messages.MOST_CONTENTS))
+    known = one.admit(card("b", 5, 7003), Word(card("b", 5, 7003).id, 0, messages.HERE), 0, True)
     for kind in range(6):
         one.send(kind, ("127.0.0.1", 1), known, 2**63, 2**63)
     sizes = [len(data) for _, data in one.take()[0]]
-    assert len(one.says) == forms.MOST_POOLS and max(sizes) <= forms.LARGEST and max(sizes) > 1_100
+    assert (
+        len(one.says) == messages.MOST_POOLS
+        and max(sizes) <= messages.LARGEST
+        and max(sizes) > 1_100
+    )
     with pytest.raises(ValueError):
         KEY.seal(Datagram(0, 1, 1, ids=[2**63] * 140))
 
@@ -266,14 +270,14 @@
     """Of two hundred few have just heard a suspect: by chance and news it heard of it late, or not at all."""
     one, other = acquainted()
     suspect = one.members[other.card.id]
-    one.suspect(suspect, forms.SILENT)
+    one.suspect(suspect, messages.SILENT)
     told = [data for address, data in one.take()[0] if address[1] == 7002]
-    assert told and suspect.state == forms.SUSPECT
+    assert told and suspect.state == messages.SUSPECT
     now = 2 * SECOND
     other.receive(told[0], one.card.address, now)
     for address, data in other.take()[0]:
         one.receive(data, other.card.address, now)
-    assert suspect.state == forms.HERE and suspect.word.life == 1
+    assert suspect.state == messages.HERE and suspect.word.life == 1
     one.take()
     one.remind(suspect.id, 0)  # of a life that is over: nobody is told
     assert not one.take()[0]
@@ -348,13 +352,13 @@
     one.take()
     known = one.others()[0]
     for number in range(4_000):
-        one.send(forms.ACK, ("127.0.0.1", 9), known)
+        one.send(messages.ACK, ("127.0.0.1", 9), known)
     assert (
         BURST < sum(len(data) for _, data in one.take()[0]) <= 2 * BURST + 1_200
         and one.counts["not_sent"]
     )
     for number in range(5_000):
-        one.bury(Word(number, 0, forms.LEFT))
+        one.bury(Word(number, 0, messages.LEFT))
     assert len(one.tombs) == 4_096
 
 
@@ -374,7 +378,7 @@
     pass_on(a, b, now=0)
     before = b.card.id
     a.replaced(a.members[before])
-    a.send(forms.PING, b.card.address, None, words=[Word(before, 0, forms.REPLACED)])
+    a.send(messages.PING, b.card.address, None, words=[Word(before, 0, messages.REPLACED)])
     for now in range(0, SECOND, SECOND // 10):
         a.tick(now), b.tick(now)
         pass_on(a, b, now=now)
@@ -407,7 +411,7 @@
 @given(st.lists(st.text("abcdefgh", min_size=1, max_size=6), min_size=3, max_size=40, unique=True))
 def test_one_more_moves_each_others_start_by_no_more_than_its_own_width(names):
     def starts(those):
-        ranked = sorted(those, key=lambda name: forms.member_id(name, 0))
+        ranked = sorted(those, key=lambda name: messages.member_id(name, 0))
         return {name: place / len(ranked) for place, name in enumerate(ranked)}
 
     before, after = starts(names[1:]), starts(names)
@@ -516,10 +520,10 @@
     kept = ["--json", "--jobs", "1", "--out", str(tmp_path / "out")]
     found = run.invoke(cli, ["lab", "run", str(file), *kept])
     assert found.exit_code == 0 and json.loads(found.output)["broken"] == 0
-    days = bankdays.read(file)
+    days = fleet_scenarios.read(file)
     with spoilt("never_loses"):
-        assert bankdays.play(bankdays.schedule(days, 1))["broken"]
-        least = bankdays.least(bankdays.schedule(days, 1))
+        assert fleet_scenarios.play(fleet_scenarios.schedule(days, 1))["broken"]
+        least = fleet_scenarios.least(fleet_scenarios.schedule(days, 1))
     assert [fault.kind for fault in least.faults] == ["vanish"] and least.members <= 6
     file.write_text(file.read_text().replace("who = [4]", "who = [9]"))
     found = run.invoke(cli, ["lab", "run", str(file)])
@@ -527,8 +531,8 @@
 
 
 def test_every_experiment_on_the_bank_that_ships_is_well_formed():
-    found = [path for path in shipped().values() if bankdays.is_one(path)]
+    found = [path for path in shipped().values() if fleet_scenarios.is_one(path)]
     assert len(found) >= 6
     for path in found:
-        days = bankdays.read(path)
-        assert bankdays.schedule(days, 1).members == days.bank.members
+        days = fleet_scenarios.read(path)
+        assert fleet_scenarios.schedule(days, 1).members == days.bank.members
--- a/tests/test_said.py
+++ b/tests/fleet/test_operator_limits.py
@@ -6,15 +6,15 @@
 import pytest
 from click.testing import CliRunner
 
-from tests.test_bank import members, pass_on
+from tests.fleet.test_membership import members, pass_on
 from tests.waiting import until
-from whinpier.bank.explain import explained
-from whinpier.bank.register import FADING, MOST, MS, Entry, Register
+from whinpier.fleet.limit_bounds import explained
+from whinpier.fleet.registry import FADING, MOST, MS, Entry, Register
 from whinpier.cli.main import cli
 from whinpier.config import operator
-from whinpier.decay import SECOND
-from whinpier.standin import files
-from whinpier.standin.bank import Bank
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank
 
 
 def test_of_two_words_the_later_holds_everywhere_whatever_order_they_come_in():
--- a/tests/test_verdicts.py
+++ b/tests/fleet/test_outlier_ejection.py
@@ -8,20 +8,20 @@
 from hypothesis import strategies as st
 
 from tests.waiting import until
-from whinpier.bank.forms import EVIDENCE, HEARING, REST, VOTE, VOTE_FOR, Plea
-from whinpier.bank.verdicts import CAP, MOST_HEARINGS, SLACK, Court, Rules
-from whinpier.check.explore import every, replay
-from whinpier.check.votedays import SLOW, WALKS, WHOLE, found
-from whinpier.check.votes import FAULTS
+from whinpier.fleet.messages import EVIDENCE, HEARING, REST, VOTE, VOTE_FOR, Plea
+from whinpier.fleet.outliers.ejection import CAP, MOST_HEARINGS, SLACK, Court, Rules
+from whinpier.model_checking.explore import every, replay
+from whinpier.model_checking.ejection_scenarios import SLOW, WALKS, WHOLE, found
+from whinpier.model_checking.ejection import FAULTS
 from whinpier.config import operator
-from whinpier.decay import SECOND
-from whinpier.spec import ConfigFault
-from whinpier.standin import files
-from whinpier.standin.bank import Bank
-from whinpier.standin.clients import Asks
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.upstream import Script
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.config.model import ConfigFault
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.upstream import Script
 
 POOL, USUAL, MS = 7, 1e7, 1_000_000
 
--- a/tests/test_limits.py
+++ b/tests/fleet/test_quota_leases.py
@@ -9,22 +9,22 @@
 from hypothesis import strategies as st
 
 from tests.waiting import until
-from whinpier.bank import recall
-from whinpier.bank.division import Kept, Said, Shares
-from whinpier.bank.limits import IN_FLIGHT, RATE, SLACK, SPAN, TASK, TURN, Limit, Share
-from whinpier.check.explore import every, replay, walk
-from whinpier.check.sharedays import WALKS, WHOLE, found
-from whinpier.check.sharefaults import FAULTS
-from whinpier.check.shares import Sharing
+from whinpier.fleet import peer_cache
+from whinpier.fleet.quotas.allocation import Kept, Said, Shares
+from whinpier.fleet.quotas.leases import IN_FLIGHT, RATE, SLACK, SPAN, TASK, TURN, Limit, Share
+from whinpier.model_checking.explore import every, replay, walk
+from whinpier.model_checking.quota_scenarios import WALKS, WHOLE, found
+from whinpier.model_checking.quota_mutants import FAULTS
+from whinpier.model_checking.quotas import Sharing
 from whinpier.config import operator
-from whinpier.decay import SECOND
-from whinpier.spec import ConfigFault
-from whinpier.standin import files
-from whinpier.standin.bank import Bank
-from whinpier.standin.clients import Asks
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.upstream import Script
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.config.model import ConfigFault
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.upstream import Script
 
 HOMES = ("a", "b", "c")
 
@@ -240,7 +240,7 @@
 
 def test_tables_of_loans_are_bounded_and_a_flood_of_asks_lends_no_more_than_there_is():
     those = shares(Limit("x", IN_FLIGHT, 3_000, HOMES))
-    from whinpier.bank.forms import ASK_FOR, Deal
+    from whinpier.fleet.messages import ASK_FOR, Deal
 
     for nonce in range(2_000):
         those["a"].deal(Deal(ASK_FOR, those["a"].limit.mark, nonce + 1, 1, 0), 1, 0)
@@ -250,19 +250,19 @@
 
 def test_what_was_agreed_is_kept_in_a_file_and_another_file_is_refused(tmp_path):
     path = str(tmp_path / "recall")
-    assert recall.read(path) == ([], {})
+    assert peer_cache.read(path) == ([], {})
     kept = {"x": Kept(5, 6, ("a", "b"), 7)}
-    recall.write(path, [("127.0.0.1", 7)], kept)
-    assert recall.read(path) == ([("127.0.0.1", 7)], kept)
+    peer_cache.write(path, [("127.0.0.1", 7)], kept)
+    assert peer_cache.read(path) == ([("127.0.0.1", 7)], kept)
     before = (
         '{"form":1,"members":["127.0.0.1:7"],"limits":{"x":[5,6]}}'  # of the build before this one
     )
     (tmp_path / "recall").write_text(before)
-    assert recall.read(path) == ([("127.0.0.1", 7)], {"x": Kept(5, 6)})
+    assert peer_cache.read(path) == ([("127.0.0.1", 7)], {"x": Kept(5, 6)})
     for noise in ("", "{", '{"form":3,"members":[]}', '{"form":1,"members":["a:1"]}', "[" * 5_000):
         (tmp_path / "recall").write_text(noise)
         with pytest.raises(ValueError):
-            recall.read(path)
+            peer_cache.read(path)
 
 
 # The file.
--- a/tests/test_record.py
+++ b/tests/fleet/test_rollouts.py
@@ -7,10 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from whinpier.bank import record as r
-from whinpier.bank.conduct import Conduct, Report, Seat, chosen, split
-from whinpier.bank.forms import Line
-from whinpier.bank.record import (
+from whinpier.fleet.rollouts import state_machine as r
+from whinpier.fleet.rollouts.controller import Conduct, Report, Seat, chosen, split
+from whinpier.fleet.messages import Line
+from whinpier.fleet.rollouts.state_machine import (
     BACK,
     CONFIRMED,
     DRAIN,
@@ -45,7 +45,7 @@
     checked,
     hash_of,
 )
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 
 
 class Book:
--- a/tests/test_buffers.py
+++ b/tests/http/test_buffers.py
@@ -4,8 +4,8 @@
 import pytest
 
 from whinpier import log
-from whinpier.net import buffers
-from whinpier.net.buffers import HEAD, LINES
+from whinpier.http import buffers
+from whinpier.http.buffers import HEAD, LINES
 
 STARTS = {
     h11.SERVER: b"GET /a HTTP/1.1\r\nhost: a\r\n",
--- a/tests/test_endings.py
+++ b/tests/http/test_endings.py
@@ -18,14 +18,14 @@
 from tests.fake_host import MS, FakeHost
 from tests.waiting import LIMIT
 from whinpier.config.platform import read
-from whinpier.decay import SECOND
-from whinpier.model import ERROR, TICKETED
-from whinpier.net import upstreams
-from whinpier.net.clients import AHEAD, IDLE, LINGER
-from whinpier.net.upstreams import Link
-from whinpier.net.wire import Http1
-from whinpier.runtime.life import Life
-from whinpier.spec import kept_till_restart
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import ERROR, TICKETED
+from whinpier.http import upstream_connection
+from whinpier.http.client_connection import AHEAD, IDLE, LINGER
+from whinpier.http.upstream_connection import Link
+from whinpier.http.transport import Http1
+from whinpier.runtime.process import Life
+from whinpier.config.model import kept_till_restart
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 FULL = b"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
@@ -488,7 +488,7 @@
 @pytest.mark.parametrize("second", [GOOD.replace(b"done", b"evil"), b"HTTP/1.1 2"])
 async def test_a_second_answer_that_comes_late_reaches_nobody_else(second, monkeypatch):
     monkeypatch.setattr(
-        upstreams, "REST", 100 * SECOND
+        upstream_connection, "REST", 100 * SECOND
     )  # the moment lasts until the second answer has come
     async with staged() as stage:
         first = stage.client(request())
--- a/tests/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -16,16 +16,16 @@
 import anyio
 import pytest
 
-from example.toy import Discovery, Upstream
+from example.echo_upstreams import Discovery, Upstream
 from tests.waiting import LIMIT, until
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 from whinpier import log
-from whinpier.net.clients import Asked
+from whinpier.http.client_connection import Asked
 from whinpier.config.platform import read
-from whinpier.net.upstreams import Sending
-from whinpier.net.wire import Http1
-from whinpier.runtime.life import Life
-from whinpier.spec import kept_till_restart
+from whinpier.http.upstream_connection import Sending
+from whinpier.http.transport import Http1
+from whinpier.runtime.process import Life
+from whinpier.config.model import kept_till_restart
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 HEAD = "POST /charge HTTP/1.1\r\nHost: a\r\n"
--- a/tests/test_choice.py
+++ b/tests/policy/test_policy.py
@@ -8,8 +8,8 @@
 import pytest
 
 from tests.fake_host import MS, SETTINGS, FakeHost
-from whinpier.choice import SECOND, level
-from whinpier.model import (
+from whinpier.policy.policy import SECOND, level
+from whinpier.policy.model import (
     DRAINING,
     ERROR,
     EXCLUSIVE,
@@ -23,7 +23,7 @@
     TIMED_OUT,
     Upstream,
 )
-from whinpier.peers import Peers
+from whinpier.policy.rate_gossip import Peers
 
 
 @pytest.mark.parametrize(
--- a/tests/test_radius.py
+++ b/tests/radius/test_radius.py
@@ -20,24 +20,24 @@
 from pyrad.dictionary import Dictionary
 
 from tests.waiting import LIMIT, until
-from whinpier import tables
+from whinpier.config import fields
 from whinpier.cli.main import cli
 from whinpier.config import operator
-from whinpier.decay import SECOND
-from whinpier.durable import Torn, notes
-from whinpier.radius import keys
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.storage.append_log import Torn, notes
+from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
-from whinpier.radius.front import Front
-from whinpier.radius.idents import EACH, Idents
+from whinpier.radius.server import Front
+from whinpier.radius.identifiers import EACH, Idents
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.spec import ClientSpec, RouteSpec
-from whinpier.radius.state import MAGIC, MOST, State, StateSpec
-from whinpier.radius.stream import Datagrams
-from whinpier.radius.table import Clients, Routes
-from whinpier.spec import ConfigFault
-from whinpier.standin import files
-from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.radius import (
+from whinpier.radius.response_cache import MAGIC, MOST, State, StateSpec
+from whinpier.radius.stream_server import Datagrams
+from whinpier.radius.client_table import Clients, Routes
+from whinpier.config.model import ConfigFault
+from whinpier.testbed import files
+from whinpier.testbed.process import Balancer, free_address
+from whinpier.testbed.radius import (
     Behaviour,
     Burst,
     Client,
@@ -47,7 +47,7 @@
     proved,
     request,
 )
-from whinpier.standin.radius import record as record_packet
+from whinpier.testbed.radius import record as record_packet
 
 SECRET = b"partner"
 attribute = st.tuples(
@@ -179,52 +179,57 @@
 
 
 def meet(memory, packet, source=("1.1.1.1", 1), now=0, name="c"):
-    key, record = keys.wire_key(source, packet), keys.record_key(packet, name)
-    return memory.meet(name, key, record, keys.content(packet), now)
+    key, record = deduplication.wire_key(source, packet), deduplication.record_key(packet, name)
+    return memory.meet(name, key, record, deduplication.content(packet), now)
 
 
 def test_a_retransmission_joins_what_is_out_and_is_given_the_same_answer_again_for_a_while():
-    memory, packet = keys.Memory(kept=10 * SECOND), record()
+    memory, packet = deduplication.Memory(kept=10 * SECOND), record()
     met, entry = meet(memory, packet)
     entry.task = "out"
-    assert met == keys.NEW and meet(memory, packet) == (keys.JOINS, entry)
+    assert met == deduplication.NEW and meet(memory, packet) == (deduplication.JOINS, entry)
     assert (
-        meet(memory, record(session=b"s2"))[0] == keys.NEW
+        meet(memory, record(session=b"s2"))[0] == deduplication.NEW
     )  # same identifier, another authenticator
     assert meet(memory, packet, source=("1.1.1.1", 2))[1] is entry  # by its record
     memory.answered(entry, b"answer", SECOND)
-    assert meet(memory, packet, now=5 * SECOND)[0] == keys.AGAIN
-    assert meet(memory, packet, now=12 * SECOND)[0] == keys.NEW
+    assert meet(memory, packet, now=5 * SECOND)[0] == deduplication.AGAIN
+    assert meet(memory, packet, now=12 * SECOND)[0] == deduplication.NEW
 
 
 def test_a_later_try_of_a_record_is_known_by_what_it_says_and_a_record_that_differs_is_another():
-    memory, first = keys.Memory(), record()
+    memory, first = deduplication.Memory(), record()
     meet(memory, first)
-    assert meet(memory, record(delay=5))[0] == keys.JOINS
-    assert meet(memory, record(delay=6, extra=b"more"))[0] == keys.NEW
-    assert meet(memory, record(delay=7, status=2))[0] == keys.NEW
-    assert keys.record_key(record(status=3), "c") is None  # interim updates look alike ...
-    moments = [keys.record_key(record(status=3, moment=bytes((0, 0, 0, n))), "c") for n in (1, 2)]
+    assert meet(memory, record(delay=5))[0] == deduplication.JOINS
+    assert meet(memory, record(delay=6, extra=b"more"))[0] == deduplication.NEW
+    assert meet(memory, record(delay=7, status=2))[0] == deduplication.NEW
+    assert deduplication.record_key(record(status=3), "c") is None  # interim updates look alike ...
+    moments = [
+        deduplication.record_key(record(status=3, moment=bytes((0, 0, 0, n))), "c") for n in (1, 2)
+    ]
     assert None not in moments and moments[0] != moments[1]  # ... but for their moment
-    assert keys.record_key(record(nas=b""), "c") is None and keys.record_key(
+    assert deduplication.record_key(record(nas=b""), "c") is None and deduplication.record_key(
         first, "d"
-    ) != keys.record_key(first, "c")
+    ) != deduplication.record_key(first, "c")
 
 
 def test_memory_is_bounded_and_nothing_is_let_go_before_its_time():
     """With answers let go to make room, 600 of 600 retransmissions ran a second time."""
-    memory = keys.Memory(kept=10 * SECOND, most=4, clients=["c"])
+    memory = deduplication.Memory(kept=10 * SECOND, most=4, clients=["c"])
     packets = [record(session=b"%d" % number) for number in range(6)]
     entries = [meet(memory, packet)[1] for packet in packets[:4]]
     for entry in entries:
         entry.task = "out"
     memory.answered(entries[1], b"a", 0)
     assert (
-        meet(memory, packets[4]) == (keys.FULL, None) and meet(memory, packets[1])[0] == keys.AGAIN
+        meet(memory, packets[4]) == (deduplication.FULL, None)
+        and meet(memory, packets[1])[0] == deduplication.AGAIN
     )
     memory.forget(9 * SECOND)
-    assert meet(memory, packets[1], now=9 * SECOND)[0] == keys.AGAIN
-    assert meet(memory, packets[4], now=11 * SECOND)[0] == keys.NEW  # the answer's time is over
+    assert meet(memory, packets[1], now=9 * SECOND)[0] == deduplication.AGAIN
+    assert (
+        meet(memory, packets[4], now=11 * SECOND)[0] == deduplication.NEW
+    )  # the answer's time is over
     memory.forget(100 * SECOND)
     assert len(memory) == 3  # those out, not the one that nobody took up
     for entry in (entries[0], *entries[2:]):
@@ -233,31 +238,31 @@
 
 
 def test_one_clients_flood_takes_the_common_part_and_no_other_clients():
-    memory = keys.Memory(kept=10 * SECOND, most=80, clients=["flood", "quiet"])
+    memory = deduplication.Memory(kept=10 * SECOND, most=80, clients=["flood", "quiet"])
     met = [meet(memory, record(session=b"%d" % number), name="flood")[0] for number in range(100)]
     assert (
-        met.count(keys.NEW) == 60 and met[60:] == [keys.FULL] * 40
+        met.count(deduplication.NEW) == 60 and met[60:] == [deduplication.FULL] * 40
     )  # its own 20 and the 40 common ones
     met = [meet(memory, record(session=b"%d" % number), name="quiet")[0] for number in range(30)]
-    assert met == [keys.NEW] * 20 + [keys.FULL] * 10
+    assert met == [deduplication.NEW] * 20 + [deduplication.FULL] * 10
     memory.change(
         10 * SECOND, 80, {"quiet": SECOND}
     )  # the other was taken out: it is remembered to its end
-    assert meet(memory, record(session=b"0"), name="flood")[0] == keys.JOINS
+    assert meet(memory, record(session=b"0"), name="flood")[0] == deduplication.JOINS
     memory.forget(11 * SECOND)
     assert list(memory.parts) == ["quiet"] and not len(memory)
 
 
 def test_a_full_memory_costs_each_packet_the_same():
     """Every packet walked the whole table for one that was answered."""
-    memory = keys.Memory(kept=SECOND, most=20_000, clients=["c"])
+    memory = deduplication.Memory(kept=SECOND, most=20_000, clients=["c"])
     for number in range(20_000):
         meet(memory, record_of(number))[1].task = "out"
     looked = Looked(memory.parts["c"].entries)
     memory.parts["c"].entries = looked
     for number in range(20_000, 20_200):
-        assert meet(memory, record_of(number), now=5 * SECOND) == (keys.FULL, None)
-    assert looked.moved <= 200 * keys.AT_ONCE
+        assert meet(memory, record_of(number), now=5 * SECOND) == (deduplication.FULL, None)
+    assert looked.moved <= 200 * deduplication.AT_ONCE
 
 
 def record_of(number):
@@ -488,7 +493,7 @@
 
 def kept_in(tmp_path, **more):
     """A memory with its state file, which is flushed by hand."""
-    memory = keys.Memory(kept=10 * SECOND, most=64, clients=["c"])
+    memory = deduplication.Memory(kept=10 * SECOND, most=64, clients=["c"])
     state = State(StateSpec(str(tmp_path / "state"), **more), lambda: 0)
     state.open(memory)
     return memory, state
@@ -511,13 +516,13 @@
     state.close()
     memory, state = kept_in(tmp_path)
     assert [meet(memory, packet)[0] for packet in packets] == [
-        keys.JOINS,
-        keys.AGAIN,
-        keys.JOINS,
-        keys.NEW,
+        deduplication.JOINS,
+        deduplication.AGAIN,
+        deduplication.JOINS,
+        deduplication.NEW,
     ]
     known = meet(memory, record(session=b"1", delay=7))  # by its record, in other words
-    assert known[0] == keys.AGAIN and known[1].answer == b"answer"
+    assert known[0] == deduplication.AGAIN and known[1].answer == b"answer"
     assert meet(memory, packets[0])[1].task is None
     with pytest.raises(Torn, match="another process"):
         kept_in(tmp_path)
@@ -1008,6 +1013,6 @@
     file.write_bytes(b"s3cret\n")
     file.chmod(0o644)
     with pytest.raises(ConfigFault, match="may be read by others"):
-        tables.kept_secret(str(file), "at")
+        fields.kept_secret(str(file), "at")
     file.chmod(0o600)
-    assert tables.kept_secret(str(file), "at") == b"s3cret"
+    assert fields.kept_secret(str(file), "at") == b"s3cret"
--- a/tests/test_radius_streams.py
+++ b/tests/radius/test_streams.py
@@ -10,16 +10,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.test_radius import SECRET, play, ran
+from tests.radius.test_radius import SECRET, play, ran
 from tests.waiting import until
 from whinpier.radius import packet as wire
 from whinpier.radius.packet import BadPacket
 from whinpier.radius.listeners import TlsSpec
-from whinpier.radius.stream import Splitter
-from whinpier.spec import ConfigFault
-from whinpier.standin import files
-from whinpier.standin.process import free_address
-from whinpier.standin.radius import Behaviour, Burst, Caller, proved, record, request
+from whinpier.radius.stream_server import Splitter
+from whinpier.config.model import ConfigFault
+from whinpier.testbed import files
+from whinpier.testbed.process import free_address
+from whinpier.testbed.radius import Behaviour, Burst, Caller, proved, record, request
 
 WORK = Behaviour(delay=0.005, forgets=True)
 
--- a/tests/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -11,15 +11,15 @@
 
 from tests.fake_host import MS, FakeHost
 from tests.waiting import LIMIT, until
-from whinpier.decay import SECOND, Turn
-from whinpier.model import READY, Upstream, Workload
-from whinpier.runtime.budget import Budget, Part
-from whinpier.spec import Limits
-from whinpier.standin import files
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.upstream import Script
+from whinpier.policy.decaying_sum import SECOND, Turn
+from whinpier.policy.model import READY, Upstream, Workload
+from whinpier.runtime.resource_budget import Budget, Part
+from whinpier.config.model import Limits
+from whinpier.testbed import files
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.process import Balancer, free_address
+from whinpier.testbed.upstream import Script
 
 USUAL = Script(workers=4, work=0.002)
 ids = numbers(1)
--- a/tests/test_switch.py
+++ b/tests/runtime/test_reload.py
@@ -10,10 +10,10 @@
 
 from tests.waiting import until
 from whinpier.cli.main import cli
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.upstream import Script
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.process import Balancer, free_address
+from whinpier.testbed.upstream import Script
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 MOVED = {  # as a deployment is put together where each client has a balancer of its own
--- a/tests/test_simhost.py
+++ b/tests/simhost/test_simhost.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from whinpier.model import WireError
-from whinpier.peers import Peers
+from whinpier.policy.model import WireError
+from whinpier.policy.rate_gossip import Peers
 from whinpier.simhost import wire
 from whinpier.simhost.__main__ import Process, main
 
--- a/tests/test_lab.py
+++ b/tests/simulation/test_simulation.py
@@ -7,16 +7,16 @@
 from click.testing import CliRunner
 
 from whinpier.cli.main import cli
-from whinpier.cli.shown import show
-from whinpier.lab import bankdays
-from whinpier.lab.clock import SECOND, Clock
-from whinpier.lab.experiment import KINDS, checked, encoded, put, read, runs, shipped
-from whinpier.lab.ground import Network
-from whinpier.lab.results import Results, compare, interval, run_all
-from whinpier.lab.shrink import failing, shrink, toml
-from whinpier.lab.theory import erlang_c, mean_time
-from whinpier.lab.world import World
-from whinpier.spec import ConfigFault
+from whinpier.cli.tables import show
+from whinpier.simulation import fleet_scenarios
+from whinpier.simulation.clock import SECOND, Clock
+from whinpier.simulation.experiment import KINDS, checked, encoded, put, read, runs, shipped
+from whinpier.simulation.environment import Network
+from whinpier.simulation.results import Results, compare, interval, run_all
+from whinpier.simulation.minimize import failing, shrink, toml
+from whinpier.simulation.theory import erlang_c, mean_time
+from whinpier.simulation.world import World
+from whinpier.config.model import ConfigFault
 
 
 def given(**more):
@@ -282,7 +282,7 @@
     assert {"charges", "lookups", "partners", "festival", "storm", "overlap", "scale"} <= set(
         shipped()
     )
-    for path in (path for path in shipped().values() if not bankdays.is_one(path)):
+    for path in (path for path in shipped().values() if not fleet_scenarios.is_one(path)):
         table, experiment = read(path)
         assert experiment.about and next(iter(runs(table)))
 
--- a/tests/test_forms_kept.py
+++ b/tests/test_forms_kept.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from whinpier.bank import forms
-from whinpier.bank.agreement import replayed
-from whinpier.bank.forms import DEALS, LEND, VOTE, Line, Plainly, Seal, Unread, pool_mark
-from whinpier.bank.record import Record
-from whinpier.durable import notes
+from whinpier.fleet import messages
+from whinpier.fleet.consensus.node import replayed
+from whinpier.fleet.messages import DEALS, LEND, VOTE, Line, Plainly, Seal, Unread, pool_mark
+from whinpier.fleet.rollouts.state_machine import Record
+from whinpier.storage.append_log import notes
 
 KEY = Seal((b"0123456789abcdef",))
 # Written by the build before there was a record, and by the one that brought it.
@@ -50,9 +50,9 @@
     data = base64.b85decode(TALKS)
     found = KEY.open(data)
     assert found.talks[0].lines == [Line(5, 2, b"line")] and found.talks[0].data == b"more"
-    before = msgspec.msgpack.decode(data[forms.HEAD : -forms.TAG], type=Plainly)
+    before = msgspec.msgpack.decode(data[messages.HEAD : -messages.TAG], type=Plainly)
     assert before.cards == found.cards and before.deals == found.deals
-    body = forms.MAGIC + bytes((forms.FORM + 1,)) + data[forms.HEAD : -forms.TAG]
+    body = messages.MAGIC + bytes((messages.FORM + 1,)) + data[messages.HEAD : -messages.TAG]
     try:
         KEY.open(body + KEY.tag(body, KEY.keys[0]))
         raise AssertionError("a later form was read")
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -5,41 +5,49 @@
 
 LAYERS = [  # from below; a module may import from its own layer and from those before it
     (
-        "decay",
-        "model",
         "log",
-        "spec",
         "settings",
-        "files",
-        "durable",
-        "tables",
+        "storage",
         "routing",
-        "observed",
-        "peers",
+        "config.fields",
+        "config.model",
+        "policy.model",
+        "policy.decaying_sum",
+        "policy.statistics",
+        "policy.rate_gossip",
     ),
-    ("choice",),
+    ("policy",),
     ("runtime",),
-    ("net", "simhost"),
-    ("radius", "bank"),
+    ("http", "simhost"),
+    ("radius", "fleet"),
     ("config",),
     ("__main__",),
-    ("standin", "lab", "check", "cli"),
+    ("testbed", "simulation", "model_checking", "cli"),
 ]
 
 
 def layer(name):
-    return next(place for place, parts in enumerate(LAYERS) if name in parts)
+    """The layer of a module, named below `whinpier`, or of the package it is in."""
+    whole = ".".join(name.split(".")[:2])
+    places = {part: place for place, parts in enumerate(LAYERS) for part in parts}
+    return places[whole] if whole in places else places[name.split(".")[0]]
 
 
 def test_what_lies_below_a_protocol_does_not_name_it():
     """A protocol beside HTTP brings its own tables, spec, front and peers; RADIUS came, others will."""
-    for file in ("spec.py", "tables.py", "runtime/life.py", "runtime/pool.py", "runtime/budget.py"):
+    for file in (
+        "config/model.py",
+        "config/fields.py",
+        "runtime/process.py",
+        "runtime/pool.py",
+        "runtime/resource_budget.py",
+    ):
         assert "radius" not in Path("whinpier", file).read_text().lower(), file
 
 
 def test_imports_run_downward():
     for file in Path("whinpier").rglob("*.py"):
-        own = file.relative_to("whinpier").with_suffix("").parts[0]
+        own = ".".join(file.relative_to("whinpier").with_suffix("").parts)
         if own == "__init__":
             continue
         tree = ast.parse(file.read_text())
@@ -56,4 +64,4 @@
             for name in names:
                 parts = name.split(".")
                 if parts[0] == "whinpier" and len(parts) > 1:
-                    assert layer(parts[1]) <= layer(own), f"{file} imports {name}"
+                    assert layer(".".join(parts[1:])) <= layer(own), f"{file} imports {name}"
--- a/tests/test_badday.py
+++ b/tests/testbed/test_fault_scenarios.py
@@ -1,7 +1,7 @@
 """Stories of bad days: days are data, become smaller, and what is held of them can break."""
 
-from whinpier.standin import badday
-from whinpier.standin.badday import (
+from whinpier.testbed import fault_scenario
+from whinpier.testbed.fault_scenario import (
     BURST,
     RATE,
     Day,
@@ -14,9 +14,9 @@
     smaller,
     text,
 )
-from whinpier.standin.faults import Schedule
-from whinpier.standin.faulty import FAULTS
-from whinpier.standin.referee import Fact, Said
+from whinpier.testbed.faults import Schedule
+from whinpier.testbed.faulty import FAULTS
+from whinpier.testbed.referee import Fact, Said
 
 
 def test_days_are_drawn_alike_from_one_seed_and_are_read_as_they_were_written():
@@ -27,7 +27,7 @@
     )
     assert all(read(text(day)) == day for day in days)
     kinds = {fault.kind for day in days for fault in day.schedule.faults}
-    assert kinds == set(badday.DRAWN) and any(day.whole for day in days)
+    assert kinds == set(fault_scenario.DRAWN) and any(day.whole for day in days)
     # The last two are never hit by name, and all has ended well before the end.
     assert all(
         number < 6
@@ -57,13 +57,13 @@
     assert at_once([]) == 0
     kept = [number / RATE for number in range(600)]
     assert excess(kept)[0] <= 0.0
-    assert excess([*kept, *[2.0] * (BURST + int(RATE * badday.BUNCHED) + 2)])[0] > 0.0
+    assert excess([*kept, *[2.0] * (BURST + int(RATE * fault_scenario.BUNCHED) + 2)])[0] > 0.0
 
 
 def judged(said, facts=()):
     """What is held of events that were made up."""
     player = Player.__new__(Player)
-    player.day, player.count, player.outcome = Day(Schedule(4, 25.0)), 4, badday.Outcome(0)
+    player.day, player.count, player.outcome = Day(Schedule(4, 25.0)), 4, fault_scenario.Outcome(0)
 
     class History:
         processes = []
--- a/whinpier/__main__.py
+++ b/whinpier/__main__.py
@@ -13,11 +13,11 @@
 
 # From below upwards: imports that nest leave 0.7 MB more behind than those that do not (measured, of 27).
 from whinpier import log
-from whinpier.spec import Address, ConfigFault, Spec, kept_till_restart
-from whinpier.choice import Choice  # noqa: F401
-from whinpier.runtime.life import Life
+from whinpier.config.model import Address, ConfigFault, Spec, kept_till_restart
+from whinpier.policy.policy import Choice  # noqa: F401
+from whinpier.runtime.process import Life
 from whinpier.config.platform import read
-from whinpier.net.wire import Http1
+from whinpier.http.transport import Http1
 
 BACKLOG = 1024
 
@@ -67,7 +67,7 @@
                 return 1
         wire = Http1()
         if spec.beside:
-            from whinpier.radius.wire import WithRadius  # only where a file has it
+            from whinpier.radius.transport import WithRadius  # only where a file has it
 
             wire = WithRadius(datagrams, further)
         try:
@@ -76,7 +76,7 @@
             log.warn("configuration_fault", fault=fault)
             return 2
         if spec.bank:
-            from whinpier.bank import start as bank  # only where a file has it
+            from whinpier.fleet import bootstrap as bank  # only where a file has it
 
             try:
                 life.bank = bank.start(life, datagrams)
--- a/whinpier/cli/demo.py
+++ b/whinpier/cli/demo.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 from typing import Any
 
-from whinpier.cli.shown import show
-from whinpier.standin import files
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.ledger import percentile
-from whinpier.standin.load import Load
-from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.upstream import Script
+from whinpier.cli.tables import show
+from whinpier.testbed import files
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.ledger import percentile
+from whinpier.testbed.load import Load
+from whinpier.testbed.process import Balancer, free_address
+from whinpier.testbed.upstream import Script
 
 POOLS = {"tariff": "rerunnable", "posting": "exclusive", "settlement": "ticketed"}
 WORK = {"tariff": 0.008, "posting": 0.012, "settlement": 0.015}  # seconds of a worker
--- a/whinpier/cli/bank.py
+++ b/whinpier/cli/fleet.py
@@ -14,8 +14,8 @@
 
 import click
 
-from whinpier.cli.shown import FILE, fail, show
-from whinpier.spec import ConfigFault
+from whinpier.cli.tables import FILE, fail, show
+from whinpier.config.model import ConfigFault
 
 WAIT = 5.0  # seconds for an answer
 SHOWN = ("name", "state", "since", "by", "why", "address", "zone", "way", "heard", "disputed by")
@@ -206,7 +206,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
 def limits_explain(file: Path, members: int, as_json: bool) -> None:
     """Say what each limit of FILE promises, in figures, without starting anything."""
-    from whinpier.bank.explain import explained
+    from whinpier.fleet.limit_bounds import explained
     from whinpier.config import operator as files
 
     try:
--- a/whinpier/cli/bankdemo.py
+++ b/whinpier/cli/fleet_demo.py
@@ -14,12 +14,12 @@
 from pathlib import Path
 from typing import Any
 
-from whinpier.standin import files
-from whinpier.standin.bank import Bank, Process
-from whinpier.standin.clients import Asks
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.upstream import Script
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.clients import Asks
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.upstream import Script
 
 AGREED, PATIENCE, WORK, RATE = 0.25, 1.5, 0.008, 40.0
 Tell = Callable[[str], None]
--- a/whinpier/cli/main.py
+++ b/whinpier/cli/main.py
@@ -14,12 +14,12 @@
 
 import click
 
-from whinpier.cli import record
-from whinpier.cli.bank import bank
-from whinpier.cli.lab import lab
+from whinpier.cli import rollouts
+from whinpier.cli.fleet import bank
+from whinpier.cli.simulation import lab
 from whinpier.cli.radius import radius
-from whinpier.cli.shown import FILE, fail, show
-from whinpier.spec import ConfigFault, Spec
+from whinpier.cli.tables import FILE, fail, show
+from whinpier.config.model import ConfigFault, Spec
 
 MS = 1_000_000  # nanoseconds
 
@@ -230,10 +230,10 @@
     from whinpier.cli.demo import play, tell
 
     if bank:
-        from whinpier.cli import bankdemo
+        from whinpier.cli import fleet_demo
 
         try:
-            story = bankdemo.play(members, 20.0, stay, lambda line: click.echo(line, err=as_json))
+            story = fleet_demo.play(members, 20.0, stay, lambda line: click.echo(line, err=as_json))
         except (OSError, RuntimeError, TimeoutError) as fault:
             fail(f"the demonstration did not run: {fault}", 1)
         click.echo(
@@ -298,7 +298,7 @@
     cli(prog_name="whinpier")
 
 
-record.add_to(bank)
+rollouts.add_to(bank)
 cli.add_command(bank)
 cli.add_command(lab)
 cli.add_command(radius)
--- a/whinpier/cli/radius.py
+++ b/whinpier/cli/radius.py
@@ -11,8 +11,8 @@
 
 import click
 
-from whinpier.cli.shown import FILE, fail, show
-from whinpier.spec import ConfigFault, address
+from whinpier.cli.tables import FILE, fail, show
+from whinpier.config.model import ConfigFault, address
 
 
 @click.group()
@@ -76,7 +76,7 @@
 
 
 def asked(target: str, secret_file: Path) -> tuple[tuple[str, int], bytes]:
-    from whinpier.tables import kept_secret
+    from whinpier.config.fields import kept_secret
 
     try:
         return address(target, "TARGET"), kept_secret(str(secret_file), "--secret-file")
@@ -125,8 +125,8 @@
     as_json: bool,
 ) -> None:
     """Send records to TARGET, each until it is answered. Exits with 1 if one was not, or in two ways."""
-    from whinpier.standin.ledger import percentile
-    from whinpier.standin.radius import Client
+    from whinpier.testbed.ledger import percentile
+    from whinpier.testbed.radius import Client
 
     where, secret = asked(target, secret_file)
 
@@ -172,7 +172,7 @@
     target: str, secret_file: Path, records: int, rate: float, copies: int, nas: str, as_json: bool
 ) -> None:
     """Send RECORDS to TARGET at a rate whatever comes back, then each again byte for byte."""
-    from whinpier.standin.radius import Burst, record
+    from whinpier.testbed.radius import Burst, record
 
     where, secret = asked(target, secret_file)
 
--- a/whinpier/cli/record.py
+++ b/whinpier/cli/rollouts.py
@@ -16,8 +16,8 @@
 
 import click
 
-from whinpier.cli.bank import Call, options, socket_of, span_of
-from whinpier.cli.shown import FILE, fail, show
+from whinpier.cli.fleet import Call, options, socket_of, span_of
+from whinpier.cli.tables import FILE, fail, show
 
 APART = 0.05  # seconds between looks
 SETTLED = ("released", "undone")
@@ -293,7 +293,7 @@
     **more: Any,
 ) -> None:
     """Release FILE (pools, routes, limits of an operator's file), or a build, in waves, a gate after each."""
-    from whinpier.bank.agreed import deflated
+    from whinpier.fleet.consensus.service import deflated
 
     if (file is None) == (not build):
         fail("either FILE or --build is released")
@@ -325,7 +325,7 @@
 
 def put(saying: Saying, content: str, data: bytes) -> None:
     """A file into the record, in pieces, till it is whole there."""
-    from whinpier.bank.agreed import pieces
+    from whinpier.fleet.consensus.service import pieces
 
     for piece in pieces(data):
         saying.call.one("put", name=content, value=piece)
--- a/whinpier/cli/lab.py
+++ b/whinpier/cli/simulation.py
@@ -9,8 +9,8 @@
 
 import click
 
-from whinpier.cli.shown import FILE, FOLDER, fail, show
-from whinpier.spec import ConfigFault
+from whinpier.cli.tables import FILE, FOLDER, fail, show
+from whinpier.config.model import ConfigFault
 
 
 @click.group()
@@ -20,7 +20,7 @@
 
 def found(file: str) -> Path:
     """An experiment by its path, or by the name of one that comes with the project."""
-    from whinpier.lab.experiment import shipped
+    from whinpier.simulation.experiment import shipped
 
     path = Path(file)
     if path.exists():
@@ -35,13 +35,13 @@
 @click.option("--json", "as_json", is_flag=True)
 def list_(as_json: bool) -> None:
     """The experiments that come with the project."""
-    from whinpier.lab import bankdays
-    from whinpier.lab.experiment import read, shipped
+    from whinpier.simulation import fleet_scenarios
+    from whinpier.simulation.experiment import read, shipped
 
     rows: list[dict[str, Any]] = []
     for name, path in shipped().items():
-        if bankdays.is_one(path):
-            days = bankdays.read(path)
+        if fleet_scenarios.is_one(path):
+            days = fleet_scenarios.read(path)
             rows.append(
                 {
                     "experiment": name,
@@ -87,12 +87,12 @@
     """Run the experiment FILE. Exits with 1 if a rule was broken or something did not hold."""
     from rich.progress import Progress
 
-    from whinpier.lab import bankdays
-    from whinpier.lab.experiment import checked, read
-    from whinpier.lab.report import groups, summary
-    from whinpier.lab.results import Results, run_all
+    from whinpier.simulation import fleet_scenarios
+    from whinpier.simulation.experiment import checked, read
+    from whinpier.simulation.report import groups, summary
+    from whinpier.simulation.results import Results, run_all
 
-    if bankdays.is_one(path := found(file)):
+    if fleet_scenarios.is_one(path := found(file)):
         if on == "sockets":
             fail(
                 f"{file}: days of the bank are played in the model here; on processes by benchmarks.members"
@@ -132,20 +132,20 @@
     import msgspec
     from rich.progress import Progress
 
-    from whinpier.lab import bankdays
+    from whinpier.simulation import fleet_scenarios
 
     try:
-        days = bankdays.read(path)
+        days = fleet_scenarios.read(path)
     except ConfigFault as fault:
         fail(str(fault))
     days = msgspec.structs.replace(days, seeds=seeds) if seeds else days
     folder = out or Path("lab-results") / f"bank-{days.name}"
     with Progress(disable=as_json) as progress:
         bar = progress.add_task(days.name, total=None)
-        rows = bankdays.run(
+        rows = fleet_scenarios.run(
             days,
             folder,
-            bankdays.on_cores(jobs),
+            fleet_scenarios.on_cores(jobs),
             lambda done, total: progress.update(bar, completed=done, total=total),
         )
     broken = [row for row in rows if row["broken"]]
@@ -197,8 +197,8 @@
     a: Path, b: Path, only_a: tuple[str, ...], only_b: tuple[str, ...], as_json: bool
 ) -> None:
     """B less A, over pairs of runs with the same values and seed, with 95% intervals."""
-    from whinpier.lab.results import Results, matching
-    from whinpier.lab.results import compare as compared
+    from whinpier.simulation.results import Results, matching
+    from whinpier.simulation.results import compare as compared
 
     first, second = values(only_a), values(only_b)
     try:
@@ -234,7 +234,7 @@
 @click.option("--values", "chosen", multiple=True, metavar="PATH=VALUE")
 def replay(results: Path, seed: int, chosen: tuple[str, ...]) -> None:
     """Play one kept run of RESULTS again; exits with 1 if it does not come out the same."""
-    from whinpier.lab.results import Results, play
+    from whinpier.simulation.results import Results, play
 
     kept = Results(results)
     try:
@@ -263,10 +263,10 @@
 @click.option("--out", type=FILE, default=None, help="Where the smallest experiment goes.")
 def shrink(results: Path, seed: int, chosen: tuple[str, ...], out: Path | None) -> None:
     """Reduce a failing run of RESULTS to the smallest that still fails the same way."""
-    from whinpier.lab.experiment import encoded
-    from whinpier.lab.results import Results
-    from whinpier.lab.shrink import shrink as smallest
-    from whinpier.lab.shrink import toml
+    from whinpier.simulation.experiment import encoded
+    from whinpier.simulation.results import Results
+    from whinpier.simulation.minimize import shrink as smallest
+    from whinpier.simulation.minimize import toml
 
     try:
         run = Results(results).experiment(values(chosen), seed)
@@ -286,8 +286,8 @@
 @click.option("--json", "as_json", is_flag=True)
 def report(results: Path, out: Path | None, chosen: tuple[str, ...], as_json: bool) -> None:
     """Draw RESULTS: one HTML file, a PNG for each plot, a table as JSON."""
-    from whinpier.lab.report import groups, summary, write
-    from whinpier.lab.results import Results, matching
+    from whinpier.simulation.report import groups, summary, write
+    from whinpier.simulation.results import Results, matching
 
     kept = Results(results)
     try:
--- a/whinpier/spec.py
+++ b/whinpier/config/model.py
@@ -8,7 +8,7 @@
 from math import isfinite
 from typing import TYPE_CHECKING, Any, Protocol
 
-from whinpier.model import DRAINING, GONE, READY, Workload
+from whinpier.policy.model import DRAINING, GONE, READY, Workload
 
 if TYPE_CHECKING:
     from whinpier.routing.table import Table
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -18,11 +18,11 @@
 
 from msgspec import Meta, Struct
 
-from whinpier import model
-from whinpier.files import contents
+from whinpier.policy import model
+from whinpier.storage.bounded_files import contents
 from whinpier.routing.table import Route, RouteFault, Table
-from whinpier.runtime.budget import DOOR, MOST_DOOR, spare
-from whinpier.spec import (
+from whinpier.runtime.resource_budget import DOOR, MOST_DOOR, spare
+from whinpier.config.model import (
     Beside,
     ConfigFault,
     Entry,
@@ -35,7 +35,7 @@
     differs,
     kept_till_restart,
 )
-from whinpier.tables import (
+from whinpier.config.fields import (
     UNITS,
     Amount,
     Count,
@@ -304,30 +304,30 @@
         raise ConfigFault(f'{at}.radius: belongs to protocol = "radius", and such a pool needs it')
     if table.radius is None:
         return None
-    from whinpier.radius import tables
+    from whinpier.radius import config
 
-    return tables.servers(table.radius, f"{at}.radius")
+    return config.servers(table.radius, f"{at}.radius")
 
 
 def beside(table: FileTable, pools: dict[str, PoolSpec]) -> dict[str, Beside]:
     """The protocols beside HTTP that the file has clients for."""
     if table.radius is None:
         return {}
-    from whinpier.radius import tables
+    from whinpier.radius import config
 
-    return {"radius": tables.front(table.radius, pools)}
+    return {"radius": config.front(table.radius, pools)}
 
 
 def together(
-    table: FileTable, tables: dict[str, PoolTable], pools: dict[str, PoolSpec], routes: list[Route]
+    table: FileTable, config: dict[str, PoolTable], pools: dict[str, PoolSpec], routes: list[Route]
 ) -> Together | None:
     """How the process knows the others, if the file says so."""
     if table.bank is None:
         return None
-    from whinpier.bank.tables import bank
+    from whinpier.fleet.config import bank
 
     patience = {name: max(one.patience for one in spec.workloads) for name, spec in pools.items()}
-    shared = tuple(name for name, one in tables.items() if one.balancers is None)
+    shared = tuple(name for name, one in config.items() if one.balancers is None)
     return bank(table.bank, table.name, shared, patience, {one.name: one.to.pool for one in routes})
 
 
@@ -375,9 +375,9 @@
     )
 
 
-def parts(tables: dict[str, PoolTable]) -> dict[str, float]:
+def parts(config: dict[str, PoolTable]) -> dict[str, float]:
     """The guaranteed part of each pool: what is said, or an even share of what the others leave."""
-    found = {name: table.limits.guaranteed for name, table in tables.items()}
+    found = {name: table.limits.guaranteed for name, table in config.items()}
     said = [share for share in found.values() if share is not None]
     rest = 1.0 - sum(said)
     if rest < -1e-9:
@@ -406,13 +406,13 @@
         raise ConfigFault(
             f"process.seed: {table.process.seed!r} is not a hexadecimal number"
         ) from None
-    tables = {
+    config = {
         named(name, "pools"): part(value, PoolTable, f"pools.{name}")
         for name, value in table.pools.items()
     }
-    shares = parts(tables)
-    pools = {name: pool(name, one, shares[name]) for name, one in tables.items()}
-    usual = {name: says(one.says, f"pools.{name}.says") for name, one in tables.items()}
+    shares = parts(config)
+    pools = {name: pool(name, one, shares[name]) for name, one in config.items()}
+    usual = {name: says(one.says, f"pools.{name}.says") for name, one in config.items()}
     routes = [
         route(value, f"routes[{index}]", pools, usual) for index, value in enumerate(table.routes)
     ]
@@ -438,7 +438,7 @@
         beside(table, pools),
         table.up.encode(),
         table.process.isolate,
-        bank=together(table, tables, pools, routes),
+        bank=together(table, config, pools, routes),
     )
     check_room(spec)
     return spec
@@ -482,7 +482,7 @@
     folder = agreement.get("folder") if isinstance(agreement, dict) else None
     if not isinstance(folder, str):
         return None
-    from whinpier.bank.spec import RELEASED as NAME  # only where a file has it
+    from whinpier.fleet.spec import RELEASED as NAME  # only where a file has it
 
     path = os.path.join(folder, NAME)
     return contents(path) if os.path.exists(path) else None
--- a/whinpier/config/platform.py
+++ b/whinpier/config/platform.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from whinpier import settings as common
-from whinpier.files import contents
-from whinpier.model import WireError, Workload
-from whinpier.spec import PLATFORM, ConfigFault, PoolSpec, Spec, address, entries
+from whinpier.storage.bounded_files import contents
+from whinpier.policy.model import WireError, Workload
+from whinpier.config.model import PLATFORM, ConfigFault, PoolSpec, Spec, address, entries
 
 CHOICES = {
     "discovery": ("automatic", "subscribe"),
--- a/whinpier/bank/start.py
+++ b/whinpier/fleet/bootstrap.py
@@ -4,9 +4,9 @@
 
 import socket
 
-from whinpier.bank.link import Link
-from whinpier.bank.spec import BankSpec
-from whinpier.runtime.life import Life
+from whinpier.fleet.service import Link
+from whinpier.fleet.spec import BankSpec
+from whinpier.runtime.process import Life
 
 
 def start(life: Life, sockets: list[socket.socket]) -> Link:
--- a/whinpier/bank/clocks.py
+++ b/whinpier/fleet/clock_offset.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Iterable
 
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 
 KEPT = 60 * SECOND  # that a word on a clock counts: some turns of pings in a bank of two hundred
 MARGIN = SECOND // 20  # a late loop, on either side
--- a/whinpier/bank/tables.py
+++ b/whinpier/fleet/config.py
@@ -9,18 +9,18 @@
 
 from msgspec import Meta
 
-from whinpier.bank import forms
-from whinpier.bank.agreement import MOST_VOTERS
-from whinpier.bank.division import Said
-from whinpier.bank.limits import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SPAN, Limit
-from whinpier.bank.members import MS, Times
-from whinpier.bank.record import BALANCERS, MOST_RULES, Rule
-from whinpier.bank.spec import AgreementSpec, BankSpec
-from whinpier.bank.verdicts import Rules
-from whinpier.bank.windows import Calendar
-from whinpier.decay import SECOND
-from whinpier.spec import ConfigFault, address
-from whinpier.tables import Duration, Strict, duration, kept_secret, named, part
+from whinpier.fleet import messages
+from whinpier.fleet.consensus.node import MOST_VOTERS
+from whinpier.fleet.quotas.allocation import Said
+from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SPAN, Limit
+from whinpier.fleet.membership.membership import MS, Times
+from whinpier.fleet.rollouts.state_machine import BALANCERS, MOST_RULES, Rule
+from whinpier.fleet.spec import AgreementSpec, BankSpec
+from whinpier.fleet.outliers.ejection import Rules
+from whinpier.fleet.quotas.calendar_quota import Calendar
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.config.model import ConfigFault, address
+from whinpier.config.fields import Duration, Strict, duration, kept_secret, named, part
 
 MOST_SEEDS = 1_000
 MOST_LIMITS, MOST_HOMES = 64, 1_000
@@ -85,7 +85,7 @@
     wait: Duration = "5s"
     write_off: Duration = "10m"
     cut_off: Duration = "15s"
-    build: Annotated[str, Meta(max_length=63)] = forms.BUILD
+    build: Annotated[str, Meta(max_length=63)] = messages.BUILD
 
 
 class BankTable(Strict, frozen=True):
@@ -128,10 +128,10 @@
     found = []
     for index, path in enumerate(paths):
         key = kept_secret(path, f"{at}[{index}]")
-        if not forms.KEY_LEAST <= len(key) <= forms.KEY_MOST:
+        if not messages.KEY_LEAST <= len(key) <= messages.KEY_MOST:
             raise ConfigFault(
-                f"{at}[{index}]: {path} holds {len(key)} bytes; {forms.KEY_LEAST} to "
-                f"{forms.KEY_MOST} are a key"
+                f"{at}[{index}]: {path} holds {len(key)} bytes; {messages.KEY_LEAST} to "
+                f"{messages.KEY_MOST} are a key"
             )
         found.append(key)
     return tuple(found)
@@ -280,9 +280,9 @@
     table = part(value, BankTable, "bank")
     if len(table.seeds) > MOST_SEEDS:
         raise ConfigFault(f"bank.seeds: {len(table.seeds)} of them; {MOST_SEEDS} at most")
-    if len(pools) > forms.MOST_POOLS:
+    if len(pools) > messages.MOST_POOLS:
         raise ConfigFault(
-            f"bank: {len(pools)} pools would be shared by it, {forms.MOST_POOLS} at most; "
+            f"bank: {len(pools)} pools would be shared by it, {messages.MOST_POOLS} at most; "
             "say balancers in the others"
         )
     if len(os.fsencode(table.control)) > LONGEST_PATH or "\0" in table.control:
--- /dev/null
+++ b/whinpier/fleet/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""The replicated log of the fleet's voters (Raft)."""
--- a/whinpier/bank/agreement.py
+++ b/whinpier/fleet/consensus/node.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from whinpier.bank.forms import (
+from whinpier.fleet.messages import (
     APPEND,
     ASK_EARLY,
     ASK_VOTE,
@@ -40,7 +40,7 @@
     Line,
     Talk,
 )
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 
 MS = SECOND // 1000
 FOLLOWER, EARLY_ASKED, CANDIDATE, LEADER = range(4)
--- a/whinpier/bank/agreed.py
+++ b/whinpier/fleet/consensus/service.py
@@ -21,20 +21,28 @@
 import msgspec
 
 from whinpier import log
-from whinpier.bank import agreement as raft
-from whinpier.bank.agreement import LEADER, Agreement, Copy, compacted, replayed, unpack
-from whinpier.bank.conduct import Conduct, Report, Seat
-from whinpier.bank.forms import FORWARD, HERE, RECORD_NEWS, REPORT, STALE, SUSPECT, Line, Talk
-from whinpier.bank.record import RULES, Orders, Record, Rules, Said, encode, hash_of
-from whinpier.bank.spec import RELEASED, AgreementSpec
-from whinpier.decay import SECOND
-from whinpier.durable import Journal, Torn, framed
-from whinpier.model import FULFILLED
+from whinpier.fleet.consensus import node as raft
+from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, compacted, replayed, unpack
+from whinpier.fleet.rollouts.controller import Conduct, Report, Seat
+from whinpier.fleet.messages import FORWARD, HERE, RECORD_NEWS, REPORT, STALE, SUSPECT, Line, Talk
+from whinpier.fleet.rollouts.state_machine import (
+    RULES,
+    Orders,
+    Record,
+    Rules,
+    Said,
+    encode,
+    hash_of,
+)
+from whinpier.fleet.spec import RELEASED, AgreementSpec
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.storage.append_log import Journal, Torn, framed
+from whinpier.policy.model import FULFILLED
 from whinpier.runtime.pool import Taken
-from whinpier.spec import ConfigFault, Spec
+from whinpier.config.model import ConfigFault, Spec
 
 if TYPE_CHECKING:
-    from whinpier.bank.link import Link
+    from whinpier.fleet.service import Link
 
 MS = SECOND // 1000
 MAGIC = b"whinpier bank record 1\n"
--- a/whinpier/bank/commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from whinpier.bank import record as agreed_on
-from whinpier.bank.agreement import LEADER
-from whinpier.bank.conduct import worded
-from whinpier.bank.forms import MOST_LINE
-from whinpier.bank.record import (
+from whinpier.fleet.rollouts import state_machine as agreed_on
+from whinpier.fleet.consensus.node import LEADER
+from whinpier.fleet.rollouts.controller import worded
+from whinpier.fleet.messages import MOST_LINE
+from whinpier.fleet.rollouts.state_machine import (
     DRAIN,
     FORMS,
     HALT,
@@ -44,7 +44,7 @@
 )
 
 if TYPE_CHECKING:
-    from whinpier.bank.agreed import Agreed
+    from whinpier.fleet.consensus.service import Agreed
 
 KINDS = {
     "drain": DRAIN,
@@ -371,7 +371,7 @@
 
 def file(agreed: Agreed, name: str) -> Any:
     """A released file: by its name, or the one that is good."""
-    from whinpier.bank.agreed import inflated
+    from whinpier.fleet.consensus.service import inflated
 
     name = name or agreed.record.whole.good
     data = agreed.record.content(name) if name else None
--- a/whinpier/bank/control.py
+++ b/whinpier/fleet/control_socket.py
@@ -20,12 +20,12 @@
 from msgspec import Struct
 
 from whinpier import log
-from whinpier.bank.members import MS, UNHEARD
-from whinpier.bank.register import LONGEST
-from whinpier.bank.spec import CALLERS
+from whinpier.fleet.membership.membership import MS, UNHEARD
+from whinpier.fleet.registry import LONGEST
+from whinpier.fleet.spec import CALLERS
 
 if TYPE_CHECKING:
-    from whinpier.bank.link import Link
+    from whinpier.fleet.service import Link
 
 LINE = 4_096  # bytes of what is asked
 WAITING = 1_000  # events that wait for a watcher; then it is told how many it missed
@@ -203,7 +203,7 @@
         """What is about the bank's record."""
         if self.link.agreed is None:
             raise Refused("bank.agreement is not in this file, so that nothing is agreed")
-        from whinpier.bank.commands import Fault, found  # only where a file has it
+        from whinpier.fleet.control_commands import Fault, found  # only where a file has it
 
         try:
             return found(self.link.agreed, asked.ask, asked.name, asked.value)
--- a/whinpier/bank/counting.py
+++ b/whinpier/fleet/fleet_size.py
@@ -7,9 +7,9 @@
 
 from __future__ import annotations
 
-from whinpier.bank.forms import pool_mark
-from whinpier.bank.members import Members
-from whinpier.decay import SECOND
+from whinpier.fleet.messages import pool_mark
+from whinpier.fleet.membership.membership import Members
+from whinpier.policy.decaying_sum import SECOND
 
 LASTING = (
     2 * SECOND
--- a/whinpier/bank/explain.py
+++ b/whinpier/fleet/limit_bounds.py
@@ -7,11 +7,11 @@
 
 from typing import Any
 
-from whinpier.bank.division import Said
-from whinpier.bank.limits import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SLACK
-from whinpier.bank.nearly import UNHEARD, aged
-from whinpier.bank.windows import AHEAD, LEAST_AHEAD
-from whinpier.decay import SECOND
+from whinpier.fleet.quotas.allocation import Said
+from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SLACK
+from whinpier.fleet.quotas.fair_share import UNHEARD, aged
+from whinpier.fleet.quotas.calendar_quota import AHEAD, LEAST_AHEAD
+from whinpier.policy.decaying_sum import SECOND
 
 
 def shown(amount: float, kind: str) -> str:
--- a/whinpier/bank/members.py
+++ b/whinpier/fleet/membership/membership.py
@@ -18,8 +18,8 @@
 from random import Random
 from typing import Any
 
-from whinpier.bank import forms
-from whinpier.bank.forms import (
+from whinpier.fleet import messages
+from whinpier.fleet.messages import (
     ACK,
     ASK,
     DEALS,
@@ -50,8 +50,8 @@
     Unread,
     Word,
 )
-from whinpier.bank.register import Entry, Register
-from whinpier.decay import SECOND
+from whinpier.fleet.registry import Entry, Register
+from whinpier.policy.decaying_sum import SECOND
 
 MS = SECOND // 1000
 Address = tuple[str, int]
@@ -91,7 +91,7 @@
 )  # and one by one for good: a part of the bank that only the file knows
 EXCHANGE_APART, EXCHANGE_SOON = SECOND, SECOND // 4  # between exchanges; where somebody is lost
 TALK_ROOM = (
-    forms.LARGEST - forms.EMPTY_SIZE - forms.WORD_SIZE - 1
+    messages.LARGEST - messages.EMPTY_SIZE - messages.WORD_SIZE - 1
 )  # bytes of a datagram that talks may take
 MASK = 2**64 - 1
 CONNECTED, UNHEARD, GONE = range(3)  # as which a member is counted
@@ -386,16 +386,20 @@
             cards.insert(0, self.card)
             if to is not None:
                 to.introduced += 1
-        if to is not None and to.state != HERE and len(words) < forms.MOST_WORDS:
+        if to is not None and to.state != HERE and len(words) < messages.MOST_WORDS:
             words.insert(0, to.word)  # it has to hear what is said of it
         ids, deals = ids or [], deals or []
-        room = forms.LARGEST - forms.EMPTY_SIZE - 9 * len(ids) - forms.WORD_SIZE * len(words)
-        room -= forms.DEAL_SIZE * len(deals) + forms.PLEA_SIZE * len(pleas or ())
-        room -= sum(forms.size_of(card) for card in cards) + sum(map(forms.size_of, talks or ()))
+        room = (
+            messages.LARGEST - messages.EMPTY_SIZE - 9 * len(ids) - messages.WORD_SIZE * len(words)
+        )
+        room -= messages.DEAL_SIZE * len(deals) + messages.PLEA_SIZE * len(pleas or ())
+        room -= sum(messages.size_of(card) for card in cards) + sum(
+            map(messages.size_of, talks or ())
+        )
         said, entries = [], list(pages or ())
         if to is not None and kind in (PING, ACK) and self.register.news:
             entries = self.register.fill(room, len(self.members), self.now)
-            room -= sum(map(forms.size_of, entries))
+            room -= sum(map(messages.size_of, entries))
         if self.says and kind in (PING, ACK):
             marks = list(self.says)
             for step in range(min(len(marks), 8)):
@@ -409,7 +413,7 @@
         self.tokens_at = max(self.tokens_at, self.now)
         if to is not None and kind != DEALS and not pages and (kind != EXCHANGE or not words):
             # The less may be sent the less news goes with it: what is asked is answered in any case.
-            self.add_news(words, cards, min(room, int(self.tokens * forms.LARGEST / BURST)))
+            self.add_news(words, cards, min(room, int(self.tokens * messages.LARGEST / BURST)))
         plain = (
             kind,
             self.card.id,
@@ -453,14 +457,18 @@
             if card is None:
                 continue
             item[1] += 1
-            if (size := forms.size_of(card)) <= room - 2 * forms.WORD_SIZE and card not in cards:
+            if (
+                size := messages.size_of(card)
+            ) <= room - 2 * messages.WORD_SIZE and card not in cards:
                 cards.append(card)
                 room -= size
             if item[1] < TIMES:  # who gets the word without it asks for it
                 self.cards.append(item)
         there = {word.id for word in words}
         for _ in range(
-            min(len(self.news), max(0, room // forms.WORD_SIZE), forms.MOST_WORDS - len(words))
+            min(
+                len(self.news), max(0, room // messages.WORD_SIZE), messages.MOST_WORDS - len(words)
+            )
         ):
             item = self.news.popleft()
             word = item[0]
@@ -468,7 +476,7 @@
                 continue
             if word.id not in there:
                 words.append(word)
-                room -= forms.WORD_SIZE
+                room -= messages.WORD_SIZE
                 item[1] += 1
             if item[1] < times:
                 self.news.append(item)
@@ -798,7 +806,7 @@
             if known is None or known.word != word:  # nothing new, in most cases
                 self.believe(word, sender, unknown)
         if unknown:
-            self.send(WANT, sender.card.address, sender, ids=unknown[: forms.MOST_IDS])
+            self.send(WANT, sender.card.address, sender, ids=unknown[: messages.MOST_IDS])
         self.heard_deals += [(sender.id, deal) for deal in datagram.deals]
         self.heard_pleas += [(sender.id, plea) for plea in datagram.pleas]
         self.heard_talks += [(sender.id, talk) for talk in datagram.talks]
@@ -809,7 +817,7 @@
             self.counts["said_overtaken"] += len(datagram.said)
             return
         for mark, contents in datagram.said:
-            if sender.said.get(mark) is not None or len(sender.said) < forms.MOST_POOLS:
+            if sender.said.get(mark) is not None or len(sender.said) < messages.MOST_POOLS:
                 sender.said[mark] = contents
                 self.heard_said.append((sender.id, mark, contents))
 
@@ -1018,16 +1026,20 @@
     def on_want(self, datagram: Datagram, member: Member) -> None:
         if self.card.id in datagram.ids:
             member.introduced = 0  # it has forgotten us, or never knew
-        cards, words, room = list[Card](), list[Word](), forms.LARGEST - forms.EMPTY_SIZE - 700
+        cards, words, room = (
+            list[Card](),
+            list[Word](),
+            messages.LARGEST - messages.EMPTY_SIZE - 700,
+        )
         for wanted in datagram.ids:
             found = self.members.get(wanted)
             card = found.card if found else self.card if wanted == self.card.id else None
             if card is None:
                 continue
-            room -= forms.size_of(card) + forms.WORD_SIZE
-            if room < 0 or len(cards) >= forms.MOST_CARDS - 1:
+            room -= messages.size_of(card) + messages.WORD_SIZE
+            if room < 0 or len(cards) >= messages.MOST_CARDS - 1:
                 self.send(EXCHANGE, member.card.address, member, words=words, cards=cards)
-                cards, words, room = [], [], forms.LARGEST - forms.EMPTY_SIZE - 700
+                cards, words, room = [], [], messages.LARGEST - messages.EMPTY_SIZE - 700
             cards.append(card)
             words.append(found.word if found else self.word())
         if cards:
@@ -1046,24 +1058,24 @@
             each.setdefault(other, []).append(deal)
         for other, those in each.items():
             if member := self.members.get(other):
-                for start in range(0, len(those), forms.MOST_DEALS):
+                for start in range(0, len(those), messages.MOST_DEALS):
                     self.send(
                         DEALS,
                         member.card.address,
                         member,
-                        deals=those[start : start + forms.MOST_DEALS],
+                        deals=those[start : start + messages.MOST_DEALS],
                     )
         said: dict[int, list[Plea]] = {}
         for other, plea in pleas:
             said.setdefault(other, []).append(plea)
         for other, words in said.items():
             if member := self.members.get(other):
-                for start in range(0, len(words), forms.MOST_PLEAS):
+                for start in range(0, len(words), messages.MOST_PLEAS):
                     self.send(
                         DEALS,
                         member.card.address,
                         member,
-                        pleas=words[start : start + forms.MOST_PLEAS],
+                        pleas=words[start : start + messages.MOST_PLEAS],
                     )
 
     def send_talks(self, talks: Iterable[tuple[int, Talk]], now: int) -> None:
@@ -1077,8 +1089,8 @@
                 continue
             page, room = list[Talk](), TALK_ROOM
             for talk in those:
-                size = forms.size_of(talk)
-                if page and (size > room or len(page) >= forms.MOST_TALKS):
+                size = messages.size_of(talk)
+                if page and (size > room or len(page) >= messages.MOST_TALKS):
                     self.send(DEALS, member.card.address, member, talks=page)
                     page, room = [], TALK_ROOM
                 page.append(talk)
@@ -1095,8 +1107,8 @@
 
     def tell_register(self, member: Member) -> None:
         """Tell a member all that operators have said."""
-        size = forms.LARGEST - forms.EMPTY_SIZE - 100
-        for page in self.register.pages(size, forms.MOST_ENTRIES, self.now):
+        size = messages.LARGEST - messages.EMPTY_SIZE - 100
+        for page in self.register.pages(size, messages.MOST_ENTRIES, self.now):
             self.send(EXCHANGE, member.card.address, member, pages=page)
 
     def tell_all(self, member: Member, answer: bool) -> None:
@@ -1109,7 +1121,8 @@
         self.shuffle(words)  # what is not sent for want of room comes another time
         self.counts["exchanges"] += 1
         page = min(
-            forms.MOST_WORDS - 1, (forms.LARGEST - forms.EMPTY_SIZE - 700) // forms.WORD_SIZE
+            messages.MOST_WORDS - 1,
+            (messages.LARGEST - messages.EMPTY_SIZE - 700) // messages.WORD_SIZE,
         )
         for start in range(0, len(words), page):
             self.send(
@@ -1186,8 +1199,8 @@
 
     def carry(self, mark: int, contents: bytes) -> None:
         """What a pool's decisions tell the others of that pool, till they say something else."""
-        if len(contents) <= forms.MOST_CONTENTS and (
-            mark in self.says or len(self.says) < forms.MOST_POOLS
+        if len(contents) <= messages.MOST_CONTENTS and (
+            mark in self.says or len(self.says) < messages.MOST_POOLS
         ):
             self.says[mark] = contents
 
@@ -1344,4 +1357,4 @@
 
 
 def place_of(name: str) -> bytes:
-    return forms.member_id(name, 0).to_bytes(8, "big")
+    return messages.member_id(name, 0).to_bytes(8, "big")
--- a/whinpier/bank/forms.py
+++ b/whinpier/fleet/messages.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from whinpier.bank.register import Entry
+from whinpier.fleet.registry import Entry
 
 MAGIC, FORM = b"wB", 1
 BUILD = "0.1.0"  # as which this build is known to the others
--- /dev/null
+++ b/whinpier/fleet/outliers/__init__.py
@@ -0,0 +1,1 @@
+"""Outlier ejection that a quorum of observers agrees on."""
--- a/whinpier/bank/verdicts.py
+++ b/whinpier/fleet/outliers/ejection.py
@@ -18,8 +18,8 @@
 from random import Random
 from typing import Any
 
-from whinpier.bank.forms import EVIDENCE, HEARING, REST, VOTE, VOTE_FOR, Plea
-from whinpier.decay import SECOND, Sum
+from whinpier.fleet.messages import EVIDENCE, HEARING, REST, VOTE, VOTE_FOR, Plea
+from whinpier.policy.decaying_sum import SECOND, Sum
 
 MS = SECOND // 1000
 SPAN = (
--- a/whinpier/bank/watching.py
+++ b/whinpier/fleet/outliers/monitor.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Any
 
-from whinpier.bank.forms import Plea, pool_mark
-from whinpier.bank.members import Members
-from whinpier.bank.verdicts import CAP, SLACK, Court, Rules
-from whinpier.decay import SECOND
-from whinpier.model import ERROR, FULFILLED, NO_CONNECTION, RESET, TIMED_OUT, WITHDRAWN
+from whinpier.fleet.messages import Plea, pool_mark
+from whinpier.fleet.membership.membership import Members
+from whinpier.fleet.outliers.ejection import CAP, SLACK, Court, Rules
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import ERROR, FULFILLED, NO_CONNECTION, RESET, TIMED_OUT, WITHDRAWN
 from whinpier.runtime.pool import Peer, Pool, Sent
 
 if TYPE_CHECKING:
-    from whinpier.runtime.loop import Loop
+    from whinpier.runtime.event_loop import Loop
 
 BAD = frozenset((ERROR, NO_CONNECTION, RESET, TIMED_OUT))  # as bad as one that is very late
 
--- a/whinpier/bank/recall.py
+++ b/whinpier/fleet/peer_cache.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from whinpier.bank.division import Kept
-from whinpier.bank.members import Address
-from whinpier.files import contents
-from whinpier.spec import ConfigFault, address
+from whinpier.fleet.quotas.allocation import Kept
+from whinpier.fleet.membership.membership import Address
+from whinpier.storage.bounded_files import contents
+from whinpier.config.model import ConfigFault, address
 
 MOST, LARGEST = 1_000, 2_000_000  # addresses, bytes: with 64 limits of 1,000 homes
 
--- a/whinpier/bank/division.py
+++ b/whinpier/fleet/quotas/allocation.py
@@ -19,11 +19,11 @@
 
 from msgspec import Struct
 
-from whinpier.bank.forms import Deal, pool_mark
-from whinpier.bank.limits import CONNECTIONS, COUNT, RATE, SLACK, Limit, Share
-from whinpier.bank.nearly import Nearly
-from whinpier.bank.windows import Calendar, Note, Units
-from whinpier.decay import SECOND
+from whinpier.fleet.messages import Deal, pool_mark
+from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, RATE, SLACK, Limit, Share
+from whinpier.fleet.quotas.fair_share import Nearly
+from whinpier.fleet.quotas.calendar_quota import Calendar, Note, Units
+from whinpier.policy.decaying_sum import SECOND
 
 MOST_ROWS = 100  # of one limit's tenants, to people
 NEVER = 1 << 40  # seconds since the epoch: of no window that has begun is anything known
--- a/whinpier/bank/windows.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -20,9 +20,9 @@
 from typing import Any, Literal
 from zoneinfo import ZoneInfo
 
-from whinpier.bank.forms import ASK_UNITS, UNITS, Deal
-from whinpier.bank.limits import ASKED, MOST_LOANS, Limit
-from whinpier.decay import SECOND, Sum
+from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
+from whinpier.fleet.quotas.leases import ASKED, MOST_LOANS, Limit
+from whinpier.policy.decaying_sum import SECOND, Sum
 
 Every = Literal["minute", "hour", "day"]
 AHEAD = SECOND  # of demand that is written ahead as used: what a kill loses, and what a slow disk may take
--- a/whinpier/bank/gates.py
+++ b/whinpier/fleet/quotas/enforcement.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from whinpier.bank.division import Said, Shares, Table
-from whinpier.bank.limits import CONNECTIONS, Share
-from whinpier.decay import SECOND
+from whinpier.fleet.quotas.allocation import Said, Shares, Table
+from whinpier.fleet.quotas.leases import CONNECTIONS, Share
+from whinpier.policy.decaying_sum import SECOND
 from whinpier.runtime.pool import Gate, Passed, Peer, Pool, hashed
 
 if TYPE_CHECKING:
-    from whinpier.runtime.loop import Loop
+    from whinpier.runtime.event_loop import Loop
 
 MOST_TICKETS = (
     65_536  # of tasks that tenants' limits have counted, remembered to know their repeats
--- a/whinpier/bank/nearly.py
+++ b/whinpier/fleet/quotas/fair_share.py
@@ -19,9 +19,9 @@
 from struct import Struct
 from typing import Any
 
-from whinpier.bank.limits import COUNT, IN_FLIGHT, RATE, TASK, Limit
-from whinpier.bank.windows import Calendar
-from whinpier.decay import SECOND, Sum
+from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, TASK, Limit
+from whinpier.fleet.quotas.calendar_quota import Calendar
+from whinpier.policy.decaying_sum import SECOND, Sum
 
 FORM, WORD = 1, Struct("<BQQI")  # demand, used in the window, the window
 TELL = SECOND // 2  # between words to all at once, while demand changes
--- a/whinpier/bank/limits.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -18,8 +18,8 @@
 from random import Random
 from typing import Any
 
-from whinpier.bank.forms import ASK_FOR, BACK, LEND, Deal, pool_mark
-from whinpier.decay import SECOND, Sum
+from whinpier.fleet.messages import ASK_FOR, BACK, LEND, Deal, pool_mark
+from whinpier.policy.decaying_sum import SECOND, Sum
 
 MS = SECOND // 1000
 SPAN = 2 * SECOND  # of a loan: what is lost with a message lies unused for so long
--- a/whinpier/bank/register.py
+++ b/whinpier/fleet/registry.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 
 MS = SECOND // 1000
 MOST, MOST_KEY, MOST_VALUE = 512, 160, 320  # words, characters, bytes
--- a/whinpier/bank/conduct.py
+++ b/whinpier/fleet/rollouts/controller.py
@@ -13,7 +13,7 @@
 
 from msgspec import Meta, Struct
 
-from whinpier.bank.record import (
+from whinpier.fleet.rollouts.state_machine import (
     BACK,
     CONFIRMED,
     DRAINING,
@@ -40,7 +40,7 @@
     key_of,
     shown,
 )
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 
 MS = SECOND // 1000
 GRACE = 3 * SECOND  # of a new leader, till whoever it has not heard of counts as lost
--- a/whinpier/bank/record.py
+++ b/whinpier/fleet/rollouts/state_machine.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from whinpier.bank.forms import Line
+from whinpier.fleet.messages import Line
 
 # Kinds of lines; the first two are the record's own.
 RULES, DRAIN, UNDRAIN, OBSERVED, PUT, RELEASE, PLAN, GATE, HALT, RESUME, UNDO, STRUCK = range(2, 14)
--- a/whinpier/bank/link.py
+++ b/whinpier/fleet/service.py
@@ -21,25 +21,35 @@
 import msgspec
 
 from whinpier import log
-from whinpier.bank import recall
-from whinpier.bank.control import Control
-from whinpier.bank.clocks import Clocks
-from whinpier.bank.counting import Counting
-from whinpier.bank.division import NEVER, Kept, Said, Shares
-from whinpier.bank.forms import BUILD, OLD, RECORD_NEWS, SILENT, WHY, Card, Deal, Seal, pool_mark
-from whinpier.bank.gates import Gates
-from whinpier.bank.keeper import Batch, Keeper
-from whinpier.bank.limits import TURN
-from whinpier.bank.members import GONE, MS, UNHEARD, Address, Event, Member, Members
-from whinpier.bank.nearly import Nearly
-from whinpier.bank.spec import BankSpec
-from whinpier.bank.watching import Watching
-from whinpier.bank.windows import Note, Units
-from whinpier.decay import SECOND
+from whinpier.fleet import peer_cache
+from whinpier.fleet.control_socket import Control
+from whinpier.fleet.clock_offset import Clocks
+from whinpier.fleet.fleet_size import Counting
+from whinpier.fleet.quotas.allocation import NEVER, Kept, Said, Shares
+from whinpier.fleet.messages import (
+    BUILD,
+    OLD,
+    RECORD_NEWS,
+    SILENT,
+    WHY,
+    Card,
+    Deal,
+    Seal,
+    pool_mark,
+)
+from whinpier.fleet.quotas.enforcement import Gates
+from whinpier.fleet.state_store import Batch, Keeper
+from whinpier.fleet.quotas.leases import TURN
+from whinpier.fleet.membership.membership import GONE, MS, UNHEARD, Address, Event, Member, Members
+from whinpier.fleet.quotas.fair_share import Nearly
+from whinpier.fleet.spec import BankSpec
+from whinpier.fleet.outliers.monitor import Watching
+from whinpier.fleet.quotas.calendar_quota import Note, Units
+from whinpier.policy.decaying_sum import SECOND
 
 if TYPE_CHECKING:
-    from whinpier.bank.agreed import Agreed
-    from whinpier.runtime.life import Life
+    from whinpier.fleet.consensus.service import Agreed
+    from whinpier.runtime.process import Life
     from whinpier.runtime.pool import Pool
 
 IP_RECVERR, MSG_ERRQUEUE = 11, 0x2000  # Linux: errors come with the address they are about
@@ -105,7 +115,7 @@
         self.agreed: Agreed | None = None
         self.shared = True  # whether others count this one among those who share the pools
         if spec.agreement:
-            from whinpier.bank.agreed import Agreed  # only where a file has it
+            from whinpier.fleet.consensus.service import Agreed  # only where a file has it
 
             self.agreed = Agreed(self, spec.agreement)
         self.control = Control(self) if spec.control else None
@@ -165,7 +175,7 @@
 
     def recalled(self) -> tuple[list[Address], dict[str, Kept]]:
         try:
-            return recall.read(self.spec.recall) if self.spec.recall else ([], {})
+            return peer_cache.read(self.spec.recall) if self.spec.recall else ([], {})
         except (OSError, ValueError) as fault:
             log.warn("bank_recall_fault", fault=fault)
             return [], {}
@@ -179,7 +189,7 @@
             if now == kept or not any(now):
                 continue
             try:
-                await anyio.to_thread.run_sync(recall.write, self.spec.recall, *now)
+                await anyio.to_thread.run_sync(peer_cache.write, self.spec.recall, *now)
                 kept, well = now, True
             except OSError as fault:
                 if well:
--- a/whinpier/bank/spec.py
+++ b/whinpier/fleet/spec.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, fields, replace
 
-from whinpier.bank.division import Said
-from whinpier.bank.members import Address, Times
-from whinpier.bank.record import Rule
-from whinpier.bank.verdicts import Rules
-from whinpier.decay import SECOND
+from whinpier.fleet.quotas.allocation import Said
+from whinpier.fleet.membership.membership import Address, Times
+from whinpier.fleet.rollouts.state_machine import Rule
+from whinpier.fleet.outliers.ejection import Rules
+from whinpier.policy.decaying_sum import SECOND
 
 RELEASED = "released.toml"  # the file's name in the folder of what is agreed
 CALLERS = 16  # on the control socket at once
--- a/whinpier/bank/keeper.py
+++ b/whinpier/fleet/state_store.py
@@ -12,8 +12,8 @@
 import anyio
 
 from whinpier import log
-from whinpier.decay import SECOND
-from whinpier.durable import Journal, Torn, framed
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.storage.append_log import Journal, Torn, framed
 
 MAGIC = b"whinpier bank state 1\n"
 LEAST = 1 << 16  # bytes below which a file is not compacted
--- a/whinpier/net/buffers.py
+++ b/whinpier/http/buffers.py
@@ -15,8 +15,8 @@
 import h11
 
 from whinpier import log
-from whinpier.runtime.budget import Part
-from whinpier.runtime.loop import Loop
+from whinpier.runtime.resource_budget import Part
+from whinpier.runtime.event_loop import Loop
 
 SIZE = 64 * 1024  # the largest body in one read; a body and its head seldom come in more than two
 KEPT = 8  # a read ends before the next begins: more than one is in use only where reads nest
--- a/whinpier/net/clients.py
+++ b/whinpier/http/client_connection.py
@@ -15,16 +15,16 @@
 import h11
 
 from whinpier import log
-from whinpier.decay import SECOND
-from whinpier.model import Workload
-from whinpier.net import buffers
-from whinpier.net.routes import BadRequest, Target, fits
-from whinpier.net.upstreams import BODILESS, BODY, HOP, Answer, Http
-from whinpier.runtime.budget import Part
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import Workload
+from whinpier.http import buffers
+from whinpier.http.platform_routes import BadRequest, Target, fits
+from whinpier.http.upstream_connection import BODILESS, BODY, HOP, Answer, Http
+from whinpier.runtime.resource_budget import Part
 from whinpier.runtime.pool import hashed
 
 if TYPE_CHECKING:
-    from whinpier.net.door import Door
+    from whinpier.http.listener import Door
 
 HALF = (
     2 * SECOND
--- a/whinpier/net/discovery.py
+++ b/whinpier/http/discovery.py
@@ -14,8 +14,8 @@
 import h11
 
 from whinpier import log
-from whinpier.net import buffers
-from whinpier.spec import Address, ConfigFault, Entry, entries
+from whinpier.http import buffers
+from whinpier.config.model import Address, ConfigFault, Entry, entries
 
 SILENCE = 2.5  # seconds for the next whole piece: one, or an empty line, comes at least every 2
 ANSWER = 1.0  # seconds to connect, and as long until an answer begins: it is on this machine
--- a/whinpier/net/door.py
+++ b/whinpier/http/listener.py
@@ -12,11 +12,11 @@
 import anyio
 
 from whinpier import log
-from whinpier.decay import SECOND
-from whinpier.net.clients import Client
-from whinpier.net.routes import Router
-from whinpier.runtime.budget import Part
-from whinpier.runtime.life import SWEEP, Life
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.http.client_connection import Client
+from whinpier.http.platform_routes import Router
+from whinpier.runtime.resource_budget import Part
+from whinpier.runtime.process import SWEEP, Life
 from whinpier.runtime.pool import Pool
 
 AT_ONCE = 32  # clients taken in before others have their turn: some 3 ms
--- a/whinpier/net/routed.py
+++ b/whinpier/http/operator_routes.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 
 from whinpier import log
-from whinpier.model import Workload
-from whinpier.net.routes import BadRequest, Headers, Target
+from whinpier.policy.model import Workload
+from whinpier.http.platform_routes import BadRequest, Headers, Target
 from whinpier.routing import normal
 from whinpier.routing.table import Asked, Missed, Table
 from whinpier.runtime.pool import Pool
--- a/whinpier/net/routes.py
+++ b/whinpier/http/platform_routes.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from whinpier.model import EXCLUSIVE, RERUNNABLE, TICKETED, Workload
+from whinpier.policy.model import EXCLUSIVE, RERUNNABLE, TICKETED, Workload
 from whinpier.runtime.pool import Pool
-from whinpier.spec import Fields
+from whinpier.config.model import Fields
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/whinpier/net/wire.py
+++ b/whinpier/http/transport.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from whinpier.net.discovery import Discovery
-from whinpier.net.door import Door
-from whinpier.net.routes import Lanes, Router
-from whinpier.net.upstreams import Server
-from whinpier.runtime.life import Front, Life
+from whinpier.http.discovery import Discovery
+from whinpier.http.listener import Door
+from whinpier.http.platform_routes import Lanes, Router
+from whinpier.http.upstream_connection import Server
+from whinpier.runtime.process import Front, Life
 from whinpier.runtime.pool import Peer, Pool, Watch
-from whinpier.spec import Entry
+from whinpier.config.model import Entry
 
 
 class Http1:
@@ -27,7 +27,7 @@
     def router(life: Life) -> Router:
         if life.spec.table is None:
             return Lanes(next(iter(life.pools.values())))
-        from whinpier.net.routed import Routed  # only where there is an operator's file
+        from whinpier.http.operator_routes import Routed  # only where there is an operator's file
 
         return Routed(life.spec.table, life.pools)
 
--- a/whinpier/net/upstreams.py
+++ b/whinpier/http/upstream_connection.py
@@ -15,13 +15,13 @@
 import h11
 
 from whinpier import log
-from whinpier.decay import SECOND
-from whinpier.model import ERROR, FULFILLED, FULL, MOOT, NO_CONNECTION, READY, RESET
-from whinpier.net import buffers
-from whinpier.runtime.budget import Part
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import ERROR, FULFILLED, FULL, MOOT, NO_CONNECTION, READY, RESET
+from whinpier.http import buffers
+from whinpier.runtime.resource_budget import Part
 from whinpier.runtime.pool import Peer, Pool, Sent, Taken
 from whinpier.settings import COLUMNS
-from whinpier.spec import Address
+from whinpier.config.model import Address
 
 BODY = 64 * 1024  # the largest body, by the protocol
 # Of an answer: upstreams have been met whose good ones are six times what the protocol says.
--- a/whinpier/check/records.py
+++ b/whinpier/model_checking/consensus.py
@@ -10,7 +10,7 @@
 from collections.abc import Hashable
 from typing import Any
 
-from whinpier.bank.agreement import (
+from whinpier.fleet.consensus.node import (
     CANDIDATE,
     LEADER,
     LINE,
@@ -24,9 +24,9 @@
     replayed,
     unpack,
 )
-from whinpier.bank.forms import TAKEN, VOTED, Line, Talk
-from whinpier.check.network import Network
-from whinpier.decay import SECOND
+from whinpier.fleet.messages import TAKEN, VOTED, Line, Talk
+from whinpier.model_checking.network import Network
+from whinpier.policy.decaying_sum import SECOND
 
 STEP = SECOND
 PACE = Pace(STEP, STEP, STEP)
--- a/whinpier/check/countfaults.py
+++ b/whinpier/model_checking/count_mutants.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from whinpier.bank.forms import UNITS, Deal
-from whinpier.bank.windows import Note, Slot
-from whinpier.check.counts import Wishful
+from whinpier.fleet.messages import UNITS, Deal
+from whinpier.fleet.quotas.calendar_quota import Note, Slot
+from whinpier.model_checking.counts import Wishful
 
 
 class SendsBeforeItIsWritten(Wishful):
--- a/whinpier/check/countdays.py
+++ b/whinpier/model_checking/count_scenarios.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from whinpier.check import days
-from whinpier.check.countfaults import FAULTS
-from whinpier.check.counts import Counting
-from whinpier.check.days import Days
+from whinpier.model_checking import scenarios
+from whinpier.model_checking.count_mutants import FAULTS
+from whinpier.model_checking.counts import Counting
+from whinpier.model_checking.scenarios import Days
 
 WHOLE = (
     Days("2 members, limit 2, a crash, to 8 steps", lambda cls: Counting(2, 2, 2, 3, 1, 0, cls), 8),
@@ -57,4 +57,6 @@
 
 def found(name: str, steps: int = 400_000) -> tuple[Days, str, list[str]] | None:
     # Each kind of world a little first: most faults show within that, each in another.
-    return days.found(WALKS, FAULTS[name], steps // 10) or days.found(WALKS, FAULTS[name], steps)
+    return scenarios.found(WALKS, FAULTS[name], steps // 10) or scenarios.found(
+        WALKS, FAULTS[name], steps
+    )
--- a/whinpier/check/counts.py
+++ b/whinpier/model_checking/counts.py
@@ -10,10 +10,10 @@
 from collections.abc import Hashable
 from typing import Any
 
-from whinpier.bank.limits import COUNT, Limit
-from whinpier.bank.windows import Both, Calendar, Note, Slot, Units
-from whinpier.check.network import Named, Network
-from whinpier.decay import SECOND
+from whinpier.fleet.quotas.leases import COUNT, Limit
+from whinpier.fleet.quotas.calendar_quota import Both, Calendar, Note, Slot, Units
+from whinpier.model_checking.network import Named, Network
+from whinpier.policy.decaying_sum import SECOND
 
 STEP = 20 * SECOND
 BEGUN = 10_000 * 60  # seconds since the epoch: the start of a window
--- a/whinpier/check/votes.py
+++ b/whinpier/model_checking/ejection.py
@@ -9,10 +9,10 @@
 from collections.abc import Hashable
 from typing import Any
 
-from whinpier.bank.forms import VOTE_FOR, Plea
-from whinpier.bank.verdicts import SLACK, Court, Given, Rules
-from whinpier.check.network import Named, Network
-from whinpier.decay import SECOND
+from whinpier.fleet.messages import VOTE_FOR, Plea
+from whinpier.fleet.outliers.ejection import SLACK, Court, Given, Rules
+from whinpier.model_checking.network import Named, Network
+from whinpier.policy.decaying_sum import SECOND
 
 STEP = SECOND
 RULES = Rules(part=0.2, life=4 * STEP, term=400 * STEP, most_term=400 * STEP, back=0)
--- a/whinpier/check/votedays.py
+++ b/whinpier/model_checking/ejection_scenarios.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from whinpier.check import days
-from whinpier.check.days import Days
-from whinpier.check.votes import FAULTS, Voting
+from whinpier.model_checking import scenarios
+from whinpier.model_checking.scenarios import Days
+from whinpier.model_checking.ejection import FAULTS, Voting
 
 WHOLE = (
     Days(
@@ -44,4 +44,6 @@
 
 def found(name: str, steps: int = 800_000) -> tuple[Days, str, list[str]] | None:
     # Each kind of world a little first: most faults show within that, each in another.
-    return days.found(WALKS, FAULTS[name], steps // 20) or days.found(WALKS, FAULTS[name], steps)
+    return scenarios.found(WALKS, FAULTS[name], steps // 20) or scenarios.found(
+        WALKS, FAULTS[name], steps
+    )
--- a/whinpier/check/sharefaults.py
+++ b/whinpier/model_checking/quota_mutants.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from whinpier.bank.forms import BACK, LEND, Deal
-from whinpier.bank.limits import Loan
-from whinpier.check.shares import Wishing
+from whinpier.fleet.messages import BACK, LEND, Deal
+from whinpier.fleet.quotas.leases import Loan
+from whinpier.model_checking.quotas import Wishing
 
 
 class AddsBeforeTheLenderTookOff(Wishing):
--- a/whinpier/check/sharedays.py
+++ b/whinpier/model_checking/quota_scenarios.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from whinpier.check import days
-from whinpier.check.days import Days
-from whinpier.check.sharefaults import FAULTS
-from whinpier.check.shares import Sharing
+from whinpier.model_checking import scenarios
+from whinpier.model_checking.scenarios import Days
+from whinpier.model_checking.quota_mutants import FAULTS
+from whinpier.model_checking.quotas import Sharing
 
 WHOLE = (
     Days(
@@ -40,4 +40,4 @@
 
 def found(name: str, steps: int = 100_000) -> tuple[Days, str, list[str]] | None:
     # Walks find most of them sooner; what hangs on one order of many is left to the whole exploration.
-    return days.found((WALKS[0], WALKS[3], WALKS[2], WALKS[1], WHOLE[0]), FAULTS[name], steps)
+    return scenarios.found((WALKS[0], WALKS[3], WALKS[2], WALKS[1], WHOLE[0]), FAULTS[name], steps)
--- a/whinpier/check/shares.py
+++ b/whinpier/model_checking/quotas.py
@@ -9,8 +9,8 @@
 from collections.abc import Hashable
 from typing import Any
 
-from whinpier.bank.limits import IN_FLIGHT, SLACK, SPAN, Limit, Share
-from whinpier.check.network import Named, Network
+from whinpier.fleet.quotas.leases import IN_FLIGHT, SLACK, SPAN, Limit, Share
+from whinpier.model_checking.network import Named, Network
 
 STEP = SPAN // 8
 LENGTHS = (2, 6)  # steps that a task takes: the longest is its patience
--- a/whinpier/check/days.py
+++ b/whinpier/model_checking/scenarios.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from whinpier.check.explore import Found, World, every, replay, shorter, walk
+from whinpier.model_checking.explore import Found, World, every, replay, shorter, walk
 
 Make = Callable[[Any], World]  # of the class of the party that is looked at
 
--- a/whinpier/choice.py
+++ b/whinpier/policy/policy.py
@@ -3,7 +3,7 @@
 A host makes one `Choice` per balancer and calls it as things happen: `listed` with the upstreams it holds,
 `arrive` for a task, `came_back` for a hand-off, `left` when a client goes, `bell` when an alarm falls due,
 `reported` for a probe, `told` for a message of another balancer, `list_lost` when the list can't be had.
-`Choice` calls its `Host`, defined in whinpier/model.py; why it decides as it does stands in docs/design.md.
+`Choice` calls its `Host`, defined in whinpier/policy/model.py; why it decides so stands in docs/design.md.
 A task passes Entry, Again and Split: each passes it on, keeps or ends it; what comes back runs the other way.
 """
 
@@ -17,8 +17,8 @@
 from random import Random
 from typing import Any
 
-from whinpier.decay import SECOND, Sum
-from whinpier.model import (
+from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.model import (
     ERROR,
     EXCLUSIVE,
     FULFILLED,
@@ -36,8 +36,8 @@
     Upstream,
     Workload,
 )
-from whinpier.observed import Known, Seen
-from whinpier.peers import Peers
+from whinpier.policy.statistics import Known, Seen
+from whinpier.policy.rate_gossip import Peers
 
 PASS, KEEP, END = "pass on", "keep", "end"
 PERIOD = SECOND  # between solves; the design page's
--- a/whinpier/peers.py
+++ b/whinpier/policy/rate_gossip.py
@@ -4,7 +4,7 @@
 
 from struct import Struct
 
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 
 FORM, MESSAGE = 1, Struct("<Bf")  # which build's form it is, the sender's rate of tasks a second
 HEARD = 30 * SECOND  # for which a rate holds: some messages are lost, and large banks speak seldom
--- a/whinpier/observed.py
+++ b/whinpier/policy/statistics.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from whinpier.decay import SECOND, Sum, Turn
-from whinpier.model import Upstream, Workload
+from whinpier.policy.decaying_sum import SECOND, Sum, Turn
+from whinpier.policy.model import Upstream, Workload
 
 
 class Known:
--- a/whinpier/radius/back.py
+++ b/whinpier/radius/client.py
@@ -13,14 +13,14 @@
 from os import urandom
 
 from whinpier import log
-from whinpier.decay import SECOND
-from whinpier.model import FULFILLED, MOOT, READY
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import FULFILLED, MOOT, READY
 from whinpier.radius import packet as wire
-from whinpier.radius.idents import Idents
+from whinpier.radius.identifiers import Idents
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.spec import ServerSpec
 from whinpier.runtime.pool import Peer, Pool, Sent, Taken
-from whinpier.spec import Address, Entry
+from whinpier.config.model import Address, Entry
 
 AT_ONCE = 64  # datagrams read before others have their turn
 BUFFER = 1 << 20  # bytes that the system keeps of what has come: some thousand answers
--- a/whinpier/radius/tables.py
+++ b/whinpier/radius/config.py
@@ -10,10 +10,19 @@
 
 from whinpier.radius.packet import STATUSES
 from whinpier.radius.spec import ClientSpec, RadiusSpec, RouteSpec, ServerSpec, normal
-from whinpier.radius.state import StateSpec
+from whinpier.radius.response_cache import StateSpec
 from whinpier.radius.listeners import StreamSpec, TlsSpec
-from whinpier.spec import ConfigFault, PoolSpec, address
-from whinpier.tables import UNITS, Count, Duration, Strict, duration, kept_secret, named, part
+from whinpier.config.model import ConfigFault, PoolSpec, address
+from whinpier.config.fields import (
+    UNITS,
+    Count,
+    Duration,
+    Strict,
+    duration,
+    kept_secret,
+    named,
+    part,
+)
 
 
 class ServersTable(Strict, frozen=True):
--- a/whinpier/radius/keys.py
+++ b/whinpier/radius/deduplication.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Generic, TypeVar
 
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 from whinpier.radius import packet as wire
 from whinpier.radius.packet import Packet
 
--- a/whinpier/radius/explain.py
+++ b/whinpier/radius/explain.py
@@ -7,11 +7,11 @@
 
 from typing import Any
 
-from whinpier.radius import keys
+from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.spec import RadiusSpec, realm_of
-from whinpier.radius.table import Clients, Routes
+from whinpier.radius.client_table import Clients, Routes
 
 CODES = {
     wire.ACCOUNTING_REQUEST: "Accounting-Request",
@@ -113,6 +113,6 @@
 
 def recognised(packet: Packet, client: str) -> str:
     """Whether a later try in other words is known as the same record."""
-    if keys.record_key(packet, client) is not None:
+    if deduplication.record_key(packet, client) is not None:
         return "known again in other words, by NAS, session, status and moment"
     return "known by its packet only: it lacks NAS or session, or an update its Event-Timestamp"
--- a/whinpier/radius/idents.py
+++ b/whinpier/radius/identifiers.py
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 
 EACH = 256  # RFC 2865, section 3: one octet
 
--- a/whinpier/radius/listeners.py
+++ b/whinpier/radius/listeners.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from whinpier import log
-from whinpier.files import contents
-from whinpier.spec import Address, ConfigFault
+from whinpier.storage.bounded_files import contents
+from whinpier.config.model import Address, ConfigFault
 
 SOON = timedelta(days=14)  # before the end of a certificate that is said when it is read
 
--- a/whinpier/radius/state.py
+++ b/whinpier/radius/response_cache.py
@@ -13,9 +13,9 @@
 import anyio
 
 from whinpier import log
-from whinpier.decay import SECOND
-from whinpier.durable import Journal, Torn, framed
-from whinpier.radius.keys import Entry, Memory
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.storage.append_log import Journal, Torn, framed
+from whinpier.radius.deduplication import Entry, Memory
 
 MAGIC = b"whinpier radius state 1\n"
 LEAST = 1 << 20  # bytes below which a file is not compacted
--- a/whinpier/radius/front.py
+++ b/whinpier/radius/server.py
@@ -14,20 +14,20 @@
 from typing import TYPE_CHECKING
 
 from whinpier import log
-from whinpier.decay import SECOND
-from whinpier.model import NEVER_RAN, RERUNNABLE, Workload
-from whinpier.radius import keys
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import NEVER_RAN, RERUNNABLE, Workload
+from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
-from whinpier.radius.back import AT_ONCE, BUFFER, Record
+from whinpier.radius.client import AT_ONCE, BUFFER, Record
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.spec import ClientSpec, RadiusSpec
-from whinpier.radius.state import State
-from whinpier.radius.stream import Datagrams, Streams, Way
-from whinpier.radius.table import Clients, Routes
+from whinpier.radius.response_cache import State
+from whinpier.radius.stream_server import Datagrams, Streams, Way
+from whinpier.radius.client_table import Clients, Routes
 from whinpier.runtime.pool import hashed
 
 if TYPE_CHECKING:
-    from whinpier.runtime.life import Life
+    from whinpier.runtime.process import Life
 
 STRANGERS = 200  # packets a second from unknown addresses that are counted one by one
 
@@ -45,7 +45,7 @@
         ends: int,
         front: Front,
         packet: Packet,
-        entry: keys.Entry[Asked],
+        entry: deduplication.Entry[Asked],
         client: ClientSpec,
         secret: bytes,
         way: Way,
@@ -88,7 +88,7 @@
     ) -> None:
         self.life, self.loop, self.spec, self.sockets = life, life.loop, spec, sockets
         self.now = self.loop.clock()
-        self.memory: keys.Memory[Asked] = keys.Memory()
+        self.memory: deduplication.Memory[Asked] = deduplication.Memory()
         self.streams = Streams(self, listeners)
         self.follow(spec)
         self.state = State(spec.state, self.loop.clock) if spec.state else None
@@ -142,7 +142,7 @@
         self.seen[name] = self.seen.get(name, 0) + 1
         return self.seen[name] <= most
 
-    def take(self, sock: socket.socket, data: bytes, source: keys.Source) -> None:
+    def take(self, sock: socket.socket, data: bytes, source: deduplication.Source) -> None:
         """One datagram."""
         client = self.clients.of(source[0])
         if client is None:
@@ -165,12 +165,12 @@
                 self.send(way, wire.answer(packet, secret, True))
             return
         wire.check_record(packet)
-        key = keys.wire_key(way.source, packet)
-        record = keys.record_key(packet, client.name) if self.spec.records else None
+        key = deduplication.wire_key(way.source, packet)
+        record = deduplication.record_key(packet, client.name) if self.spec.records else None
         met, entry = self.memory.meet(
-            client.name, key, record, keys.content(packet), self.loop.clock()
+            client.name, key, record, deduplication.content(packet), self.loop.clock()
         )
-        if met == keys.NEW:
+        if met == deduplication.NEW:
             assert entry is not None
             log.counts["radius_requests"] += 1
             self.enter(way, packet, client, secret, entry)
@@ -184,7 +184,7 @@
                 raise_one_of="radius.most, or lower radius.clients.N.kept",
             )
             return
-        if met == keys.AGAIN and entry.answer is not None:
+        if met == deduplication.AGAIN and entry.answer is not None:
             # Another packet with the same record is answered in its own words, the same packet in the same.
             answer = (
                 entry.answer
@@ -192,13 +192,18 @@
                 else self.answer_to(packet, secret, way, wire.parse(entry.answer).attributes)
             )
             self.send(way, answer)
-        elif met == keys.JOINS and entry.task and entry.key != key:
+        elif met == deduplication.JOINS and entry.task and entry.key != key:
             others = entry.task.others
             if len(others) < 16 and all(other[3] != key for other in others):
                 others.append((way, packet, secret, key))
 
     def enter(
-        self, way: Way, packet: Packet, client: ClientSpec, secret: bytes, entry: keys.Entry[Asked]
+        self,
+        way: Way,
+        packet: Packet,
+        client: ClientSpec,
+        secret: bytes,
+        entry: deduplication.Entry[Asked],
     ) -> None:
         """A new record: a task of the pool that its route names."""
         route = self.routes.of(packet, client.name)
--- a/whinpier/radius/stream.py
+++ b/whinpier/radius/stream_server.py
@@ -17,14 +17,14 @@
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from whinpier import log
-from whinpier.decay import SECOND
-from whinpier.radius import keys
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
 from whinpier.radius.packet import BadPacket
-from whinpier.spec import Address
+from whinpier.config.model import Address
 
 if TYPE_CHECKING:
-    from whinpier.radius.front import Front
+    from whinpier.radius.server import Front
     from whinpier.radius.spec import ClientSpec
 
 RADSEC = (b"radsec",)  # the secret inside TLS (RFC 6614, section 2.3)
@@ -36,7 +36,7 @@
 class Way(Protocol):
     """How a request came, and its answer goes back."""
 
-    source: keys.Source
+    source: deduplication.Source
     secrets: tuple[bytes, ...]
     signed: bool
 
@@ -49,7 +49,9 @@
 
     __slots__ = ("sock", "source", "secrets", "signed")
 
-    def __init__(self, sock: socket.socket, source: keys.Source, client: ClientSpec) -> None:
+    def __init__(
+        self, sock: socket.socket, source: deduplication.Source, client: ClientSpec
+    ) -> None:
         self.sock, self.source, self.secrets, self.signed = (
             sock,
             source,
@@ -99,7 +101,7 @@
         self.streams, self.front, self.context = streams, streams.front, context
         self.number, self.address = number, address
         # Identifiers are a connection's own: two of one address and port, one after the other, are two.
-        self.source: keys.Source = (f"{address}/{number}", port)
+        self.source: deduplication.Source = (f"{address}/{number}", port)
         self.secrets: tuple[bytes, ...] = ()
         self.signed = False
         self.client: ClientSpec | None = None
--- a/whinpier/radius/wire.py
+++ b/whinpier/radius/transport.py
@@ -4,13 +4,13 @@
 
 import socket
 
-from whinpier.net.wire import Http1
-from whinpier.radius.back import Server
-from whinpier.radius.front import Front as RadiusFront
+from whinpier.http.transport import Http1
+from whinpier.radius.client import Server
+from whinpier.radius.server import Front as RadiusFront
 from whinpier.radius.spec import RadiusSpec, ServerSpec
-from whinpier.runtime.life import Front, Life
+from whinpier.runtime.process import Front, Life
 from whinpier.runtime.pool import Peer, Pool
-from whinpier.spec import Entry
+from whinpier.config.model import Entry
 
 
 class WithRadius(Http1):
--- a/whinpier/runtime/loop.py
+++ b/whinpier/runtime/event_loop.py
@@ -16,7 +16,7 @@
 import anyio.abc
 
 from whinpier import log
-from whinpier.decay import SECOND
+from whinpier.policy.decaying_sum import SECOND
 
 MS = SECOND // 1000
 MARGIN = SECOND // 200  # a way to the client, five times over, where the loop is in time
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -14,9 +14,9 @@
 from typing import Any, Protocol
 
 from whinpier import log
-from whinpier.choice import Choice
-from whinpier.decay import SECOND
-from whinpier.model import (
+from whinpier.policy.policy import Choice
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import (
     DRAINING,
     FULFILLED,
     GONE,
@@ -30,9 +30,9 @@
     Upstream,
     Workload,
 )
-from whinpier.runtime.budget import Budget, Part
-from whinpier.runtime.loop import Loop
-from whinpier.spec import Address, Entry, PoolSpec
+from whinpier.runtime.resource_budget import Budget, Part
+from whinpier.runtime.event_loop import Loop
+from whinpier.config.model import Address, Entry, PoolSpec
 
 START = SECOND  # to be told the list before the one that was known must do
 
--- a/whinpier/runtime/life.py
+++ b/whinpier/runtime/process.py
@@ -18,11 +18,19 @@
 import anyio
 
 from whinpier import log
-from whinpier.decay import SECOND, Turn
-from whinpier.runtime.budget import Budget, Part, spare
-from whinpier.runtime.loop import MS, Loop
+from whinpier.policy.decaying_sum import SECOND, Turn
+from whinpier.runtime.resource_budget import Budget, Part, spare
+from whinpier.runtime.event_loop import MS, Loop
 from whinpier.runtime.pool import Peer, Pool, Taken, Watch
-from whinpier.spec import KEPT_TILL_RESTART, Address, ConfigFault, Entry, PoolSpec, Spec, differs
+from whinpier.config.model import (
+    KEPT_TILL_RESTART,
+    Address,
+    ConfigFault,
+    Entry,
+    PoolSpec,
+    Spec,
+    differs,
+)
 
 STILL_COMING = 6 * SECOND // 10  # after SIGTERM new connections go on coming for up to 0.4 s
 # After SIGTERM nothing ends the process sooner than the longest patience and 0.7 s more. The last tenth of
--- a/whinpier/runtime/budget.py
+++ b/whinpier/runtime/resource_budget.py
@@ -9,9 +9,9 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from whinpier.decay import SECOND, Sum
-from whinpier.runtime.loop import MOST_LATE
-from whinpier.spec import Limits, Spec
+from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.runtime.event_loop import MOST_LATE
+from whinpier.config.model import Limits, Spec
 
 SPARE = 24  # descriptors kept back: the standard ones, listener, discovery, the loop's own; a dozen in all
 DOOR, MOST_DOOR = (
--- a/whinpier/settings.py
+++ b/whinpier/settings.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from whinpier import model
-from whinpier.model import WireError, Workload
+from whinpier.policy import model
+from whinpier.policy.model import WireError, Workload
 
 US = 1000  # nanoseconds in one microsecond of the settings
 
--- a/whinpier/simhost/__main__.py
+++ b/whinpier/simhost/__main__.py
@@ -6,7 +6,7 @@
 import traceback
 from typing import Any
 
-from whinpier.model import WireError
+from whinpier.policy.model import WireError
 from whinpier.simhost import wire
 from whinpier.simhost.instance import Instance, text_record
 
--- a/whinpier/simhost/instance.py
+++ b/whinpier/simhost/instance.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from whinpier.choice import Choice
-from whinpier.model import DRAINING, ERROR, GONE, READY, HandOff, Task, Upstream
+from whinpier.policy.policy import Choice
+from whinpier.policy.model import DRAINING, ERROR, GONE, READY, HandOff, Task, Upstream
 from whinpier.settings import US, workloads
 from whinpier.simhost import wire
 
--- a/whinpier/simhost/wire.py
+++ b/whinpier/simhost/wire.py
@@ -7,8 +7,8 @@
 from struct import Struct
 from typing import Any, BinaryIO
 
-from whinpier import model
-from whinpier.model import WireError
+from whinpier.policy import model
+from whinpier.policy.model import WireError
 from whinpier.settings import US, settings as in_our_words
 
 BATCH = Struct("<IIIQ")
--- a/whinpier/lab/balancers.py
+++ b/whinpier/simulation/balancers.py
@@ -11,17 +11,17 @@
 from itertools import count as numbers
 from typing import TYPE_CHECKING, Any
 
-from whinpier.decay import Sum
-from whinpier.lab.clock import Clock
-from whinpier.lab.servers import CONNECTING, Server
-from whinpier.model import FULL, NO_CONNECTION, RESET, Workload
-from whinpier.runtime.budget import Budget
-from whinpier.runtime.loop import Loop
+from whinpier.policy.decaying_sum import Sum
+from whinpier.simulation.clock import Clock
+from whinpier.simulation.servers import CONNECTING, Server
+from whinpier.policy.model import FULL, NO_CONNECTION, RESET, Workload
+from whinpier.runtime.resource_budget import Budget
+from whinpier.runtime.event_loop import Loop
 from whinpier.runtime.pool import Peer, Pool, Sent, Taken, Watch
-from whinpier.spec import Address, Entry
+from whinpier.config.model import Address, Entry
 
 if TYPE_CHECKING:
-    from whinpier.lab.ground import Ground
+    from whinpier.simulation.environment import Ground
 
 
 class SimLoop(Loop):
--- a/whinpier/lab/baselines.py
+++ b/whinpier/simulation/baselines.py
@@ -12,14 +12,14 @@
 from itertools import accumulate
 from typing import TYPE_CHECKING, Any
 
-from whinpier.choice import Choice, Split
-from whinpier.lab.clock import SECOND
-from whinpier.model import READY, Task
-from whinpier.observed import Seen
+from whinpier.policy.policy import Choice, Split
+from whinpier.simulation.clock import SECOND
+from whinpier.policy.model import READY, Task
+from whinpier.policy.statistics import Seen
 
 if TYPE_CHECKING:
-    from whinpier.lab.clock import Clock
-    from whinpier.lab.servers import Server
+    from whinpier.simulation.clock import Clock
+    from whinpier.simulation.servers import Server
     from whinpier.runtime.pool import Pool
 
 
--- a/whinpier/lab/clients.py
+++ b/whinpier/simulation/clients.py
@@ -11,13 +11,13 @@
 from math import cos, pi
 from random import Random
 
-from whinpier.lab.balancers import Asked, Balancer
-from whinpier.lab.clock import SECOND
-from whinpier.lab.experiment import Front as FrontTable
-from whinpier.lab.experiment import Stream
-from whinpier.lab.ground import Ground
-from whinpier.model import EXCLUSIVE, Workload
-from whinpier.standin.work import draw
+from whinpier.simulation.balancers import Asked, Balancer
+from whinpier.simulation.clock import SECOND
+from whinpier.simulation.experiment import Front as FrontTable
+from whinpier.simulation.experiment import Stream
+from whinpier.simulation.environment import Ground
+from whinpier.policy.model import EXCLUSIVE, Workload
+from whinpier.testbed.work import draw
 
 BACK = SECOND // 4  # until a client tries again that was told no time
 REFUSED = SECOND // 1000  # until a client whose connection was refused has another one
--- a/whinpier/lab/record.py
+++ b/whinpier/simulation/consensus.py
@@ -10,15 +10,24 @@
 from random import Random
 from typing import Any
 
-from whinpier.bank import agreement as raft
-from whinpier.bank.agreement import LEADER, Agreement, Copy, unpack
-from whinpier.bank.forms import RECORD_NEWS
-from whinpier.bank.members import Address
-from whinpier.bank.record import DRAIN, RULES, Drain, Record, Rule, Rules, Said, encode
-from whinpier.lab.bank import Bank, Node
-from whinpier.lab.clock import MS, SECOND
-from whinpier.standin.faults import Fault, Schedule
-from whinpier.standin.referee import Bounds
+from whinpier.fleet.consensus import node as raft
+from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, unpack
+from whinpier.fleet.messages import RECORD_NEWS
+from whinpier.fleet.membership.membership import Address
+from whinpier.fleet.rollouts.state_machine import (
+    DRAIN,
+    RULES,
+    Drain,
+    Record,
+    Rule,
+    Rules,
+    Said,
+    encode,
+)
+from whinpier.simulation.fleet import Bank, Node
+from whinpier.simulation.clock import MS, SECOND
+from whinpier.testbed.faults import Fault, Schedule
+from whinpier.testbed.referee import Bounds
 
 SYNC = 3 * MS  # until a disk has what it was given
 TURN = SECOND // 4  # between looks, as processes have it
--- a/whinpier/lab/ground.py
+++ b/whinpier/simulation/environment.py
@@ -12,11 +12,11 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
-from whinpier.lab.clock import SECOND, Clock
+from whinpier.simulation.clock import SECOND, Clock
 
 if TYPE_CHECKING:
-    from whinpier.lab.balancers import Asked, Attempt, Balancer
-    from whinpier.lab.servers import Server
+    from whinpier.simulation.balancers import Asked, Attempt, Balancer
+    from whinpier.simulation.servers import Server
 
 RESENT = SECOND // 5  # after which a lost packet is sent again
 MOST_RESENT = 10
--- a/whinpier/lab/experiment.py
+++ b/whinpier/simulation/experiment.py
@@ -18,10 +18,10 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from whinpier.lab.mutations import MUTATIONS
-from whinpier.spec import ConfigFault
-from whinpier.standin.work import Spread
-from whinpier.tables import Strict, named, part
+from whinpier.simulation.mutations import MUTATIONS
+from whinpier.config.model import ConfigFault
+from whinpier.testbed.work import Spread
+from whinpier.config.fields import Strict, named, part
 
 Positive = Annotated[float, Meta(gt=0.0, le=1e6)]
 Amount = Annotated[float, Meta(ge=0.0, le=1e6)]
--- a/whinpier/lab/troubles.py
+++ b/whinpier/simulation/faults.py
@@ -6,13 +6,13 @@
 from random import Random
 from typing import TYPE_CHECKING, TypeVar
 
-from whinpier.lab.clock import SECOND
-from whinpier.lab.experiment import KINDS, Chance, Trouble
+from whinpier.simulation.clock import SECOND
+from whinpier.simulation.experiment import KINDS, Chance, Trouble
 
 if TYPE_CHECKING:
-    from whinpier.lab.balancers import Balancer
-    from whinpier.lab.servers import Server
-    from whinpier.lab.world import World
+    from whinpier.simulation.balancers import Balancer
+    from whinpier.simulation.servers import Server
+    from whinpier.simulation.world import World
 
 One = TypeVar("One")
 
--- a/whinpier/lab/bank.py
+++ b/whinpier/simulation/fleet.py
@@ -11,11 +11,11 @@
 from random import Random
 from typing import Any
 
-from whinpier.bank.forms import Card, Seal, pool_mark
-from whinpier.bank.members import Address, Members, Times
-from whinpier.lab.clock import MS, SECOND, Clock
-from whinpier.standin.faults import Fault, Schedule
-from whinpier.standin.referee import Bounds, Breach, Fact, Referee, Said
+from whinpier.fleet.messages import Card, Seal, pool_mark
+from whinpier.fleet.membership.membership import Address, Members, Times
+from whinpier.simulation.clock import MS, SECOND, Clock
+from whinpier.testbed.faults import Fault, Schedule
+from whinpier.testbed.referee import Bounds, Breach, Fact, Referee, Said
 
 KEY = Seal((b"only for simulated time, 32 bytes",))
 POOL = pool_mark("all")
--- a/whinpier/lab/bankmutations.py
+++ b/whinpier/simulation/fleet_mutants.py
@@ -10,13 +10,13 @@
 from contextlib import contextmanager
 from typing import Any
 
-from whinpier.bank import forms
-from whinpier.bank.counting import Counting
-from whinpier.bank.forms import HERE, LOST, SILENT, Word
-from whinpier.bank.members import Member, Members
-from whinpier.lab.bank import POOL, Bank
-from whinpier.standin.faults import Fault, Schedule, draw
-from whinpier.standin.referee import Breach
+from whinpier.fleet import messages
+from whinpier.fleet.fleet_size import Counting
+from whinpier.fleet.messages import HERE, LOST, SILENT, Word
+from whinpier.fleet.membership.membership import Member, Members
+from whinpier.simulation.fleet import POOL, Bank
+from whinpier.testbed.faults import Fault, Schedule, draw
+from whinpier.testbed.referee import Breach
 
 Change = tuple[type, str, Any]
 TWELVE = tuple(range(12))
@@ -99,7 +99,7 @@
     """A word is not outdone by what its member said since."""
 
     def rank(self: Word) -> tuple[int, int, int, int]:
-        return self.state >= forms.LEFT, 0, self.state, self.why
+        return self.state >= messages.LEFT, 0, self.state, self.why
 
     return [(Word, "rank", property(rank))]
 
--- a/whinpier/lab/bankdays.py
+++ b/whinpier/simulation/fleet_scenarios.py
@@ -17,13 +17,13 @@
 import msgspec
 from msgspec import Meta
 
-from whinpier.lab.bank import Bank
-from whinpier.lab.bank import breaches as broken
-from whinpier.lab.experiment import Table
-from whinpier.spec import ConfigFault
-from whinpier.standin import faults
-from whinpier.standin.faults import Fault, Schedule
-from whinpier.tables import part
+from whinpier.simulation.fleet import Bank
+from whinpier.simulation.fleet import breaches as broken
+from whinpier.simulation.experiment import Table
+from whinpier.config.model import ConfigFault
+from whinpier.testbed import faults
+from whinpier.testbed.faults import Fault, Schedule
+from whinpier.config.fields import part
 
 Seconds = Annotated[float, Meta(ge=0.0, le=7200.0)]
 
--- a/whinpier/lab/rules.py
+++ b/whinpier/simulation/invariants.py
@@ -5,13 +5,13 @@
 from collections import Counter, deque
 from typing import TYPE_CHECKING
 
-from whinpier.lab.clock import MS, SECOND
-from whinpier.model import EXCLUSIVE, RERUNNABLE, TICKETED
+from whinpier.simulation.clock import MS, SECOND
+from whinpier.policy.model import EXCLUSIVE, RERUNNABLE, TICKETED
 
 if TYPE_CHECKING:
-    from whinpier.lab.balancers import Asked, Attempt, Balancer
-    from whinpier.lab.ground import Ground
-    from whinpier.lab.servers import Server
+    from whinpier.simulation.balancers import Asked, Attempt, Balancer
+    from whinpier.simulation.environment import Ground
+    from whinpier.simulation.servers import Server
 
 SLACK = 50 * MS  # past the end of a task's patience, for the way to the client
 KEPT = 20  # breaches that are told one by one; all are counted
--- a/whinpier/lab/measure.py
+++ b/whinpier/simulation/metrics.py
@@ -12,11 +12,11 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from whinpier.lab.clock import SECOND
+from whinpier.simulation.clock import SECOND
 
 if TYPE_CHECKING:
-    from whinpier.lab.balancers import Asked
-    from whinpier.lab.clock import Clock
+    from whinpier.simulation.balancers import Asked
+    from whinpier.simulation.clock import Clock
 
 LONGEST = 120_000_000  # microseconds
 DIGITS = 3
--- a/whinpier/lab/shrink.py
+++ b/whinpier/simulation/minimize.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from whinpier.lab.experiment import checked, encoded
-from whinpier.lab.troubles import by_chance
-from whinpier.lab.world import World
-from whinpier.spec import ConfigFault
-from whinpier.standin.files import document
+from whinpier.simulation.experiment import checked, encoded
+from whinpier.simulation.faults import by_chance
+from whinpier.simulation.world import World
+from whinpier.config.model import ConfigFault
+from whinpier.testbed.files import document
 
 Given = dict[str, Any]
 
--- a/whinpier/lab/mutations.py
+++ b/whinpier/simulation/mutations.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from whinpier.model import GONE
+from whinpier.policy.model import GONE
 
 if TYPE_CHECKING:
-    from whinpier.model import Task, Upstream
+    from whinpier.policy.model import Task, Upstream
     from whinpier.runtime.pool import Pool
 
 
--- a/whinpier/lab/report.py
+++ b/whinpier/simulation/report.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from whinpier.choice import level
-from whinpier.lab.experiment import File, checked
-from whinpier.lab.results import FIGURES, Results, Row, matching
+from whinpier.policy.policy import level
+from whinpier.simulation.experiment import File, checked
+from whinpier.simulation.results import FIGURES, Results, Row, matching
 
 MOST_LINES = 12  # curves in one plot: more can't be told apart
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
--- a/whinpier/lab/results.py
+++ b/whinpier/simulation/results.py
@@ -17,8 +17,8 @@
 from random import Random
 from typing import Any
 
-from whinpier.lab.experiment import Run, runs
-from whinpier.spec import ConfigFault
+from whinpier.simulation.experiment import Run, runs
+from whinpier.config.model import ConfigFault
 
 AHEAD = 2  # runs handed to each process ahead of time: a grid of thousands is not held in memory
 RESAMPLES = 2_000  # for confidence intervals: steady to a tenth of their width
@@ -29,11 +29,11 @@
 def play(run: Run, on: str) -> Row:
     """One run, in whichever process."""
     if on == "sockets":
-        from whinpier.lab.sockets import play as on_sockets
+        from whinpier.simulation.sockets import play as on_sockets
 
         found = on_sockets(run.experiment, run.seed)
     else:
-        from whinpier.lab.world import World
+        from whinpier.simulation.world import World
 
         found = World(run.experiment, run.seed).play()
     return found | {"key": run.key, "values": run.values, "on": on}
--- a/whinpier/lab/servers.py
+++ b/whinpier/simulation/servers.py
@@ -11,13 +11,13 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from whinpier.lab.clock import SECOND, Clock
-from whinpier.lab.experiment import Machine
-from whinpier.model import ERROR, FULFILLED, FULL, NO_CONNECTION, RESET
-from whinpier.spec import Entry
+from whinpier.simulation.clock import SECOND, Clock
+from whinpier.simulation.experiment import Machine
+from whinpier.policy.model import ERROR, FULFILLED, FULL, NO_CONNECTION, RESET
+from whinpier.config.model import Entry
 
 if TYPE_CHECKING:
-    from whinpier.lab.balancers import Attempt
+    from whinpier.simulation.balancers import Attempt
 
 CONNECTING = SECOND // 4  # that a connection which never comes up is waited for
 
--- a/whinpier/lab/sockets.py
+++ b/whinpier/simulation/sockets.py
@@ -15,18 +15,18 @@
 from random import Random
 from typing import Any
 
-from whinpier.lab.experiment import File, Trouble
-from whinpier.lab.rules import ANSWER, DRAIN, EFFECT, RULES
-from whinpier.lab.troubles import USUAL, by_chance
-from whinpier.lab.world import verdict
-from whinpier.spec import ConfigFault
-from whinpier.standin import files
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.ledger import Ledger, percentile
-from whinpier.standin.load import Load
-from whinpier.standin.process import Balancer, free_address
-from whinpier.standin.upstream import Script
+from whinpier.simulation.experiment import File, Trouble
+from whinpier.simulation.invariants import ANSWER, DRAIN, EFFECT, RULES
+from whinpier.simulation.faults import USUAL, by_chance
+from whinpier.simulation.world import verdict
+from whinpier.config.model import ConfigFault
+from whinpier.testbed import files
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.ledger import Ledger, percentile
+from whinpier.testbed.load import Load
+from whinpier.testbed.process import Balancer, free_address
+from whinpier.testbed.upstream import Script
 
 POSSIBLE = frozenset(("slow", "hang", "fail", "spoilt", "shrink", "surge"))
 MOST_BALANCERS, MOST_UPSTREAMS = 16, 64  # processes and loops of one machine
--- a/whinpier/lab/world.py
+++ b/whinpier/simulation/world.py
@@ -10,20 +10,20 @@
 from typing import Any
 
 from whinpier import log
-from whinpier.lab.balancers import Balancer
-from whinpier.lab.baselines import Sight, dressed
-from whinpier.lab.clients import Clients, Front
-from whinpier.lab.clock import SECOND, Clock
-from whinpier.lab.experiment import File, Machine
-from whinpier.lab.ground import Ground, Network
-from whinpier.lab.measure import Measure
-from whinpier.lab.mutations import MUTATIONS
-from whinpier.lab.rules import RULES, Referee
-from whinpier.lab.servers import Server
-from whinpier.lab.troubles import Troubles, by_chance
-from whinpier.model import GONE, Workload
+from whinpier.simulation.balancers import Balancer
+from whinpier.simulation.baselines import Sight, dressed
+from whinpier.simulation.clients import Clients, Front
+from whinpier.simulation.clock import SECOND, Clock
+from whinpier.simulation.experiment import File, Machine
+from whinpier.simulation.environment import Ground, Network
+from whinpier.simulation.metrics import Measure
+from whinpier.simulation.mutations import MUTATIONS
+from whinpier.simulation.invariants import RULES, Referee
+from whinpier.simulation.servers import Server
+from whinpier.simulation.faults import Troubles, by_chance
+from whinpier.policy.model import GONE, Workload
 from whinpier.runtime.pool import Pool
-from whinpier.spec import Entry, Limits, PoolSpec
+from whinpier.config.model import Entry, Limits, PoolSpec
 
 AFTER = 2 * SECOND  # past the last task's patience: what is late comes in
 
--- a/whinpier/durable.py
+++ b/whinpier/storage/append_log.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from whinpier.spec import ConfigFault
+from whinpier.config.model import ConfigFault
 
 HEAD = struct.Struct("!II")  # bytes of a note, CRC-32 over them
 LONGEST = 8192  # bytes of a note, if nothing else is said
--- a/whinpier/standin/__main__.py
+++ b/whinpier/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m whinpier.standin NAME=PORT ...`: upstreams in a process of their own, told otherwise over HTTP.
+"""`python -m whinpier.testbed NAME=PORT ...`: upstreams in a process of their own, told otherwise over HTTP.
 
 Prints one JSON line with the addresses once they listen; ends with standard input.
 """
@@ -9,8 +9,8 @@
 import json
 import sys
 
-from whinpier.standin.discovery import Discovery
-from whinpier.standin.upstream import Script, Upstream
+from whinpier.testbed.discovery import Discovery
+from whinpier.testbed.upstream import Script, Upstream
 
 
 async def serve(given: dict[str, dict[str, object]], seed: int, discovery: bool) -> None:
--- a/whinpier/standin/clients.py
+++ b/whinpier/testbed/clients.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from whinpier.standin.ledger import Told, percentile
-from whinpier.standin.upstream import header
-from whinpier.standin.work import Spread, draw
+from whinpier.testbed.ledger import Told, percentile
+from whinpier.testbed.upstream import header
+from whinpier.testbed.work import Spread, draw
 
 LATE = 0.02  # seconds: a tenth of the agreed times that are played
 GRACE = 0.25  # seconds past its patience that a client still looks for an answer, to see one that is late
--- a/whinpier/standin/dying.py
+++ b/whinpier/testbed/crash_points.py
@@ -1,4 +1,4 @@
-"""`python -m whinpier.standin.dying FILE`: one balancer that dies at a counted point that FILE says.
+"""`python -m whinpier.testbed.crash_points FILE`: one balancer that dies at a counted point that FILE says.
 
 Points are just before and after each write of the record's file, and each time talks about it are sent. FILE
 holds the number of the point; how many have come is written beside it, in FILE.count. Nothing is counted
@@ -45,8 +45,8 @@
 
 def main() -> int:
     from whinpier.__main__ import main as start
-    from whinpier.bank.agreed import Agreed
-    from whinpier.bank.members import Members
+    from whinpier.fleet.consensus.service import Agreed
+    from whinpier.fleet.membership.membership import Members
 
     points = Points(Path(sys.argv[1]))
     Members.send_talks = points.around(Members.send_talks)  # type: ignore[method-assign]
--- a/whinpier/standin/discovery.py
+++ b/whinpier/testbed/discovery.py
@@ -7,7 +7,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from whinpier.standin.upstream import CONTROL, whole
+from whinpier.testbed.upstream import CONTROL, whole
 
 
 class Discovery:
--- a/whinpier/standin/badday.py
+++ b/whinpier/testbed/fault_scenario.py
@@ -21,17 +21,17 @@
 import msgspec
 from msgspec import Struct
 
-from whinpier.bank.agreed import deflated
-from whinpier.standin import faults as faults_
-from whinpier.standin import files
-from whinpier.standin.bank import Bank, Process
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.faults import Fault, Kind, Schedule, split
-from whinpier.standin.fleet import Fleet
-from whinpier.standin.load import Loads
-from whinpier.standin.operators import Operator, halt
-from whinpier.standin.referee import Bounds, Referee, Said
-from whinpier.standin.upstream import Script
+from whinpier.fleet.consensus.service import deflated
+from whinpier.testbed import faults as faults_
+from whinpier.testbed import files
+from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.faults import Fault, Kind, Schedule, split
+from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.load import Loads
+from whinpier.testbed.operators import Operator, halt
+from whinpier.testbed.referee import Bounds, Referee, Said
+from whinpier.testbed.upstream import Script
 
 AGREED, PATIENCE, WORK = 0.25, 1.5, 0.005
 CHARGES, READS = 4, 5  # upstreams of the exclusive pool, and of the rerunnable one
--- a/whinpier/standin/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -1,4 +1,4 @@
-"""`python -m whinpier.standin.faulty NAME`: one balancer with a known fault put back into the real code.
+"""`python -m whinpier.testbed.faulty NAME`: one balancer with a known fault put back into the real code.
 
 Owns the list of faults that a campaign of bad days has to find. Must never be what a service runs.
 """
@@ -16,37 +16,37 @@
 
 def record_fault(name: str) -> None:
     """One of those that the explorer puts into the record's voters."""
-    from whinpier.bank import agreed
-    from whinpier.check.records import FAULTS
+    from whinpier.fleet.consensus import service
+    from whinpier.model_checking.consensus import FAULTS
 
-    swapped(agreed, "Agreement", FAULTS[name])
+    swapped(service, "Agreement", FAULTS[name])
 
 
 def vote_fault(name: str) -> None:
-    from whinpier.bank import watching
-    from whinpier.check.votes import FAULTS
+    from whinpier.fleet.outliers import monitor
+    from whinpier.model_checking.ejection import FAULTS
 
-    swapped(watching, "Court", FAULTS[name])
+    swapped(monitor, "Court", FAULTS[name])
 
 
 def share_fault(name: str) -> None:
-    from whinpier.bank import division
-    from whinpier.bank.limits import Share
-    from whinpier.check.sharefaults import FAULTS
+    from whinpier.fleet.quotas import allocation
+    from whinpier.fleet.quotas.leases import Share
+    from whinpier.model_checking.quota_mutants import FAULTS
 
-    swapped(division, "Share", type(name, (FAULTS[name],), {"need": Share.need}))
+    swapped(allocation, "Share", type(name, (FAULTS[name],), {"need": Share.need}))
 
 
 def permits_without_end() -> None:
     """No rule holds anybody back."""
-    from whinpier.bank.record import Record
+    from whinpier.fleet.rollouts.state_machine import Record
 
     Record.over = lambda self, key="", zone="", pool="": ""  # type: ignore[method-assign]
 
 
 def done_at_once() -> None:
     """A drain is called done before anybody has confirmed it."""
-    from whinpier.bank.conduct import Conduct
+    from whinpier.fleet.rollouts.controller import Conduct
 
     Conduct.unconfirmed = lambda self, key, drain, seats: {}  # type: ignore[method-assign]
 
@@ -60,28 +60,28 @@
 
 def sends_again() -> None:
     """An exclusive task whose connection broke is sent once more (a fault of the early module)."""
-    from whinpier import choice
+    from whinpier.policy import policy
 
-    choice.EXCLUSIVE = "none"  # type: ignore[attr-defined]
+    policy.EXCLUSIVE = "none"  # type: ignore[attr-defined]
 
 
 def never_lost() -> None:
     """Whoever does not answer is suspected for good."""
-    from whinpier.bank.members import Members
+    from whinpier.fleet.membership.membership import Members
 
     Members.judge = lambda self, *given: None  # type: ignore[method-assign]
 
 
 def never_answers_for_itself() -> None:
     """Who is suspected does not refute it."""
-    from whinpier.bank.members import Members
+    from whinpier.fleet.membership.membership import Members
 
     Members.answer_for = lambda self, word, sender: None  # type: ignore[method-assign]
 
 
 def own_file_refused() -> None:
     """A release could not be taken back to each one's own file (mended in this project)."""
-    from whinpier.bank.agreed import Agreed
+    from whinpier.fleet.consensus.service import Agreed
 
     obey = Agreed.obey
 
--- a/whinpier/standin/bank.py
+++ b/whinpier/testbed/fleet.py
@@ -16,11 +16,11 @@
 from pathlib import Path
 from typing import Any
 
-from whinpier.standin import files
-from whinpier.standin.faults import Fault, Schedule
-from whinpier.standin.links import Address, Links
-from whinpier.standin.process import Balancer
-from whinpier.standin.referee import Fact, Said
+from whinpier.testbed import files
+from whinpier.testbed.faults import Fault, Schedule
+from whinpier.testbed.links import Address, Links
+from whinpier.testbed.process import Balancer
+from whinpier.testbed.referee import Fact, Said
 
 LIMIT = 15.0  # seconds for whatever is waited for
 EVENTS = ("bank_", "member_")
--- a/whinpier/standin/links.py
+++ b/whinpier/testbed/links.py
@@ -5,7 +5,7 @@
 listens at a member's real address the relay lets go of its own for a moment, so that senders are refused as
 they would be without it. Must never lose or change what no rule says, and ends with its standard input.
 
-`python -m whinpier.standin.links` reads one JSON line (`seed`, `members`: name to [advertised, real]
+`python -m whinpier.testbed.links` reads one JSON line (`seed`, `members`: name to [advertised, real]
 address), then one line for each change, and answers each with its counts.
 """
 
@@ -20,7 +20,7 @@
 from random import Random
 from typing import Any
 
-from whinpier.standin.child import Child
+from whinpier.testbed.child import Child
 
 Address = tuple[str, int]
 REFUSING = 0.25  # seconds that a relayed address stays closed once the real one has refused
@@ -241,7 +241,7 @@
     """The relay in a process of its own."""
 
     def __init__(self, members: dict[str, tuple[Address, Address]], seed: int) -> None:
-        super().__init__("whinpier.standin.links", {"seed": seed, "members": members})
+        super().__init__("whinpier.testbed.links", {"seed": seed, "members": members})
 
     def rule(
         self,
--- a/whinpier/standin/load.py
+++ b/whinpier/testbed/load.py
@@ -1,4 +1,4 @@
-"""`python -m whinpier.standin.load`: streams of tasks from a process of its own, which no other slows.
+"""`python -m whinpier.testbed.load`: streams of tasks from a process of its own, which no other slows.
 
 Reads one JSON object from standard input, writes what became of each task of each stream as one JSON list.
 """
@@ -13,8 +13,8 @@
 from dataclasses import asdict
 from typing import Any
 
-from whinpier.standin.clients import Asks, Gateway
-from whinpier.standin.ledger import Told
+from whinpier.testbed.clients import Asks, Gateway
+from whinpier.testbed.ledger import Told
 
 
 class Loads:
@@ -38,7 +38,7 @@
             for address, asks in streams
         ]
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "whinpier.standin.load"],
+            [sys.executable, "-m", "whinpier.testbed.load"],
             text=True,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
--- a/whinpier/standin/operators.py
+++ b/whinpier/testbed/operators.py
@@ -12,9 +12,9 @@
 from random import Random
 from typing import Any
 
-from whinpier.bank.agreed import pieces
-from whinpier.standin.bank import Bank
-from whinpier.standin.fleet import Fleet
+from whinpier.fleet.consensus.service import pieces
+from whinpier.testbed.fleet import Bank
+from whinpier.testbed.upstream_fleet import Fleet
 
 APART = 0.03  # seconds between looks
 LIMIT = 6.0  # seconds that one waits for what it said
--- a/whinpier/standin/process.py
+++ b/whinpier/testbed/process.py
@@ -47,12 +47,12 @@
         `fault`: a known one that is put back.
         """
         module = (
-            ["whinpier.standin.dying", str(dies)]
+            ["whinpier.testbed.crash_points", str(dies)]
             if dies
             else (
-                ["whinpier.standin.shifted", str(wall)]
+                ["whinpier.testbed.shifted", str(wall)]
                 if wall
-                else ["whinpier.standin.faulty", fault]
+                else ["whinpier.testbed.faulty", fault]
                 if fault
                 else ["whinpier"]
             )
--- a/whinpier/standin/upstream.py
+++ b/whinpier/testbed/upstream.py
@@ -17,8 +17,8 @@
 from random import Random
 from typing import Any
 
-from whinpier.standin.ledger import Ledger
-from whinpier.standin.work import Spread, draw
+from whinpier.testbed.ledger import Ledger
+from whinpier.testbed.work import Spread, draw
 
 CONTROL = b"/_standin"  # path where a running upstream is told otherwise, and its ledger is read
 MOST_TIMES = 200_000  # of tasks that a meter remembers
--- a/whinpier/standin/fleet.py
+++ b/whinpier/testbed/upstream_fleet.py
@@ -12,8 +12,8 @@
 from http.client import HTTPException
 from typing import Any
 
-from whinpier.standin.ledger import Ledger
-from whinpier.standin.upstream import CONTROL, Script
+from whinpier.testbed.ledger import Ledger
+from whinpier.testbed.upstream import CONTROL, Script
 
 
 class Fleet:
@@ -21,7 +21,7 @@
 
     def __init__(self, scripts: dict[str, Script], seed: int = 0, discovery: bool = False) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "whinpier.standin"],
+            [sys.executable, "-m", "whinpier.testbed"],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
--- a/whinpier/standin/ways.py
+++ b/whinpier/testbed/ways.py
@@ -1,6 +1,6 @@
 """Stands in for bad ways from one process to upstreams: each byte that it sends there comes late.
 
-`python -m whinpier.standin.ways` reads one JSON line (names with addresses), answers with the addresses to
+`python -m whinpier.testbed.ways` reads one JSON line (names with addresses), answers with the addresses to
 use instead, then takes one line for each change of the delay. Must never lose or reorder what it passes on.
 """
 
@@ -11,7 +11,7 @@
 import sys
 from contextlib import suppress
 
-from whinpier.standin.child import Child
+from whinpier.testbed.child import Child
 
 
 class Way:
@@ -58,7 +58,7 @@
     """The relay in a process of its own."""
 
     def __init__(self, addresses: dict[str, str]) -> None:
-        super().__init__("whinpier.standin.ways", addresses)
+        super().__init__("whinpier.testbed.ways", addresses)
         self.addresses: dict[str, str] = self.begun
 
     def late(self, names: list[str], seconds: float) -> None:
