--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -1,10 +1,11 @@
 """What the bank agrees on, on real processes: drains and releases beside faults, and a way back.
 
-`orders` explores the record's state machine and finds each fault that is put in. `days` plays drawn kills,
-pauses, cuts and losses while two operators change the bank all the time. `release` brings a file to all
-processes in one wave, and three bad ones to their canary. `leader` kills the one that leads at counted
-points of its work. `learn` plays 200 members and 5 voters on simulated time. `cost` holds what it costs an
-idle bank, and a task, against a bank without. See docs/design/agreement.md.
+`orders` explores the record's state machine and finds each fault that is put in. `days` plays drawn
+kills, pauses, cuts and losses while two operators change the bank all the time. `release` brings a
+file to all processes in one wave, and three bad ones to their canary. `leader` kills the one that
+leads at counted points of its work. `learn` plays 200 members and 5 voters on simulated time.
+`cost` holds what it costs an idle bank, and a request, against a bank without. See
+docs/design/agreement.md.
 """
 
 from __future__ import annotations
@@ -409,7 +410,9 @@
 
 
 def leader(report: Report, folder: Path, seed: int, short: bool, each: int = 1) -> None:
-    """The one that leads is killed at counted points of a release, which is carried on or undone by all."""
+    """The one that leads is killed at counted points of a release, which is carried on or undone
+    by all.
+    """
     trial = Trial(folder, 5, seed, dies=True)
     try:
         trial.start()
@@ -445,7 +448,8 @@
     assert process.dies
     process.dies.write_text(str(point))
     other = next(n for n in range(5) if n != leads)
-    # What was said may have been lost with the leader: the process that it was said at says it again.
+    # What was said may have been lost with the leader: the process that it was said at says it
+    # again.
     identity = Random().getrandbits(60) | 1
     value = {
         "content": content,
@@ -495,7 +499,7 @@
 
 
 def cost(report: Report, folder: Path, seed: int, span: float, count: int = 6) -> None:
-    """CPU of an idle bank, and of a task, with the record and without, in the same seconds."""
+    """CPU of an idle bank, and of a request, with the record and without, in the same seconds."""
     idle, busy = {}, {}
     trials = {on: Trial(folder / str(on), count, seed, agreed=on) for on in (True, False)}
     try:
@@ -512,9 +516,9 @@
             idle[on] = (cpu(on) - before[on]) / (time.monotonic() - begun) / count
         before = {on: cpu(on) for on in trials}
         loads = {on: trial.load([0, 1], 150.0, span) for on, trial in trials.items()}
-        tasks = {on: sum(len(one.told) for one in load.results()) for on, load in loads.items()}
+        requests = {on: sum(len(one.told) for one in load.results()) for on, load in loads.items()}
         for on in trials:
-            busy[on] = (cpu(on) - before[on] - idle[on] * count * (span + 2.0)) / tasks[on]
+            busy[on] = (cpu(on) - before[on] - idle[on] * count * (span + 2.0)) / requests[on]
         report.bound(
             "part of a core that the record costs an idle member",
             idle[True] - idle[False],
--- a/benchmarks/badday.py
+++ b/benchmarks/badday.py
@@ -1,9 +1,11 @@
-"""The bank's bad days: drawn faults on everything at once, each promise held, known faults put back.
-
-`fixed` plays some days on processes and some of the members and the record in the model; each property has
-to hold, and the table says how near each bound came. `campaign` plays many, keeps what failed as data, makes
-it smaller. `faults` puts known faults into the real code, one by one, and counts the days until it is found.
-`replay FILE` plays a day that was kept. See docs/design/badday.md.
+"""The bank's bad days: drawn faults on everything at once, each promise held, known faults put
+back.
+
+`fixed` plays some days on processes and some of the members and the record in the model; each
+property has to hold, and the table says how near each bound came. `campaign` plays many, keeps
+what failed as data, makes it smaller. `faults` puts known faults into the real code, one by one,
+and counts the days until it is found. `replay FILE` plays a day that was kept. See
+docs/design/badday.md.
 """
 
 from __future__ import annotations
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -1,8 +1,10 @@
-"""Two builds side by side: a bank rolled from an earlier build to this one, and back, under traffic.
+"""Two builds side by side: a bank rolled from an earlier build to this one, and back, under
+traffic.
 
-The earlier build comes from the project's own history, checked out aside by `git worktree` and taken away
-again. Held: every task one answer, nothing exclusive twice, a limit of the whole bank never over by the
-upstreams' own count, one view of who is there at each step. See docs/design/badday.md.
+The earlier build comes from the project's own history, checked out aside by `git worktree` and
+taken away again. Held: every request one answer, nothing exclusive twice, a limit of the whole
+bank never over by the upstreams' own count, one view of who is there at each step. See
+docs/design/badday.md.
 """
 
 from __future__ import annotations
@@ -89,7 +91,8 @@
         )
         trial.fleet.meter()
         begun = time.monotonic() + 0.2
-        # The last two stay as they are to the end of the traffic: one of the earlier build, one of this.
+        # The last two stay as they are to the end of the traffic: one of the earlier build, one of
+        # this.
         trial.roll([count - 1], None)
         streams = [
             (
--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -1,9 +1,11 @@
-"""Three ways to know who is there, on one simulated network: what each costs, when it knows, how it errs.
+"""Three ways to know who is there, on one simulated network: what each costs, when it knows, how it
+errs.
 
-All-to-all heartbeats, gossip of counters (each sends its whole table of beats to one other, van Renesse 1998)
-and the bank's own machine. A tenth of all datagrams is lost; one member dies in silence. The first two are
-models of their rules alone, with the bytes that their tables need, each with the least time-out that keeps
-what the bank promises: nobody lost for a pause of a second, nor by a tenth of the datagrams lost.
+All-to-all heartbeats, gossip of counters (each sends its whole table of beats to one other, van
+Renesse 1998) and the bank's own machine. A tenth of all datagrams is lost; one member dies in
+silence. The first two are models of their rules alone, with the bytes that their tables need, each
+with the least time-out that keeps what the bank promises: nobody lost for a pause of a second, nor
+by a tenth of the datagrams lost.
 """
 
 from __future__ import annotations
--- a/benchmarks/fullsize.py
+++ b/benchmarks/fullsize.py
@@ -1,7 +1,9 @@
-"""Days of a large bank on the model: restarts, kills, lost zones, silence, replaced fleets; speed; memory.
+"""Days of a large bank on the model: restarts, kills, lost zones, silence, replaced fleets; speed;
+memory.
 
-Every kind beside an oracle and one that sees late, rules kept on all. --short plays them at a tenth of the
-size; the long form plays 200 balancers and 200 upstreams with 20 seeds of each kind, and an hour for memory.
+Every kind beside an oracle and one that sees late, rules kept on all. --short plays them at a tenth
+of the size; the long form plays 200 balancers and 200 upstreams with 20 seeds of each kind, and an
+hour for memory.
 """
 
 from __future__ import annotations
@@ -52,7 +54,8 @@
 
 def days(report: Report, short: bool, seed: int) -> None:
     size, seeds = (SMALL, 1) if short else (200, 20)
-    # The oracles look at every upstream for every task: at full size a few seeds of them are enough.
+    # The oracles look at every upstream for every request: at full size a few seeds of them are
+    # enough.
     runs = [
         (kind, policy, seed + turn)
         for kind in KINDS
@@ -97,7 +100,7 @@
 
 
 def hour(report: Report, seconds: float, seed: int) -> None:
-    """Ever new upstreams, keys and tasks: what there is of each type must not grow."""
+    """Ever new upstreams, keys and requests: what there is of each type must not grow."""
     replaced = [
         {"kind": "replace", "at": float(at), "span": 20.0, "share": 0.6}
         for at in range(10, int(seconds) - 20, 30)
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,7 +1,8 @@
 """The lab held against theory, against sockets and against itself.
 
-The model beside M/M/1 and M/M/n mean times; one experiment on the model and on sockets, calm and troubled;
-two runs of a seed; rules broken on purpose; simulated seconds a second at two sizes, with a profile.
+The model beside M/M/1 and M/M/n mean times; one experiment on the model and on sockets, calm and
+troubled; two runs of a seed; rules broken on purpose; simulated seconds a second at two sizes, with
+a profile.
 """
 
 from __future__ import annotations
@@ -78,7 +79,8 @@
             means = [World(checked(table), seed + turn).play()["mean_s"] for turn in range(seeds)]
             due = mean_time(cores, rate, work)
             mean = sum(means) / seeds
-            # What chance alone makes of so few runs is not the model's fault: two standard errors beside.
+            # What chance alone makes of so few runs is not the model's fault: two standard errors
+            # beside.
             noise = 2.0 * statistics.stdev(means) / seeds**0.5
             report.say(
                 f"     M/M/{cores} at {use:g}: {1000 * mean:.3f} ms, by theory {1000 * due:.3f} ms, "
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,11 +1,13 @@
-"""Limits of the whole bank on real processes: never over by the upstreams' own count, and how much is used.
-
-`orders` explores the state machines: every order of small worlds, walks, and each fault put into the code.
-`moves` sends all traffic to one of eight processes, then to another, and compares with fixed parts in the
-same run. `days` plays drawn faults (kills, pauses, cuts, loss, restarts) on eight processes under skewed
-traffic. `windows` does the same over some minutes with a count of each minute, clocks that are wrong and
-state files. `nearly` moves demand, cuts the bank, and holds the excess against its formula. `cost` counts
-what ten limits, and many tenants, cost a task. See docs/design/limits.md.
+"""Limits of the whole bank on real processes: never over by the upstreams' own count, and how much
+is used.
+
+`orders` explores the state machines: every order of small worlds, walks, and each fault put into
+the code. `moves` sends all traffic to one of eight processes, then to another, and compares with
+fixed parts in the same run. `days` plays drawn faults (kills, pauses, cuts, loss, restarts) on
+eight processes under skewed traffic. `windows` does the same over some minutes with a count of each
+minute, clocks that are wrong and state files. `nearly` moves demand, cuts the bank, and holds the
+excess against its formula. `cost` counts what ten limits, and many tenants, cost a request. See
+docs/design/limits.md.
 """
 
 from __future__ import annotations
@@ -133,7 +135,9 @@
 
 
 def over(times: list[float]) -> float:
-    """The most by which any window held more than the limit allows, in tasks; at most 0 if it was kept."""
+    """The most by which any window held more than the limit allows, in requests; at most 0 if it
+    was kept.
+    """
     return excess(times, RATE, BURST)[0]
 
 
@@ -342,7 +346,7 @@
 
 
 def service(fleet: Fleet) -> Any:
-    """One pool of exclusive tasks at a fleet."""
+    """One pool of exclusive requests at a fleet."""
 
     def made(process: Process) -> files.Plain:
         pool = files.service("t", "exclusive", fleet.addresses, AGREED, PATIENCE)
@@ -358,7 +362,7 @@
     )
 
 
-A_MINUTE = 900  # tasks of each minute
+A_MINUTE = 900  # requests of each minute
 
 
 def windows(report: Report, folder: Path, count: int, seed: int, minutes: int) -> None:
@@ -426,7 +430,8 @@
             at += chance.uniform(4.0, 9.0)
         gateways = loads.results()
         met = fleet.meter()["times"]
-        # Where an upstream's own moment and the bank's may be a little apart, a task counts for neither.
+        # Where an upstream's own moment and the bank's may be a little apart, a request counts for
+        # neither.
         inside = [at for at in met if 0.25 < (wall + at - start) % 60.0 < 59.75]
         each = Counter(int((at - start + wall) // 60.0) for at in inside)
         report.say(
@@ -460,7 +465,9 @@
 
 
 def nearly(report: Report, folder: Path, count: int, seed: int, span: float) -> None:
-    """A rate that is nearly kept: demand that moves, then a bank cut in two, whose parts both ask for all."""
+    """A rate that is nearly kept: demand that moves, then a bank cut in two, whose parts both
+    ask for all.
+    """
     fleet = Fleet({f"s-{n}": Script(workers=64, work=BRIEF) for n in range(4)}, seed)
     limits: files.Plain = {
         "near": {"kind": "rate", "amount": RATE, "burst": BURST, "promise": "nearly"}
@@ -479,7 +486,8 @@
         fleet.meter()
         start, cut = time.monotonic() + 0.5, 3 * span
         half = count // 2
-        # All at one; all at another; one in each half, of which the second begins when the cut does.
+        # All at one; all at another; one in each half, of which the second begins when the cut
+        # does.
         phases = {
             0: [(0.0, span, 1.0)],
             1: [(span, 2 * span, 1.0)],
@@ -535,7 +543,7 @@
 
 
 def cost(report: Report) -> None:
-    """What a task pays for ten limits, and for one that each tenant has, by the number of tenants."""
+    """What a request pays for ten limits, and for one that each tenant has, by the number of tenants."""
 
     def between(now: int) -> tuple[int, int]:
         return now, now
@@ -544,15 +552,15 @@
     shares = Shares("a", ten, 0, Random(1), between)
     shares.look(0, set(), set(), set())
     parts = [table.one for table in shares.tables.values()]
-    now, tasks = 10 * SECOND, 20_000
+    now, requests = 10 * SECOND, 20_000
     for part in parts:
         part.enter(now, now)
     begun = time.perf_counter()
-    for step in range(tasks):
+    for step in range(requests):
         now += 10_000
         for part in parts:
             part.enter(now, now + SECOND)
-    each = (time.perf_counter() - begun) / tasks
+    each = (time.perf_counter() - begun) / requests
     report.say(f"     ten limits: {each * 1e6:.1f} us a task")
     report.bound("ten limits, of the 800 us that a task takes of a core", each / 800e-6, most=0.02)
     found = {}
@@ -562,10 +570,10 @@
         names = [f"t{n}" for n in range(tenants)]
         chance, now = Random(1), 10 * SECOND
         begun = time.perf_counter()
-        for _ in range(tasks):
+        for _ in range(requests):
             now += 100_000
             table.named(names[int(chance.random() * tenants)]).enter(now, now + SECOND)
-        found[tenants] = (time.perf_counter() - begun) / tasks
+        found[tenants] = (time.perf_counter() - begun) / requests
         report.say(
             f"     {tenants} tenants: {found[tenants] * 1e6:.1f} us a task, {len(table.parts)} parts, "
             f"{table.pooled} tasks of strangers that share parts"
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,10 +1,11 @@
-"""A bank of real processes under traffic and faults: who is lost when, who names which position, its worth.
-
-`faults` plays a schedule on the bank with the stand-in network between its processes and holds what each said
-against what was done (whinpier/testbed/referee.py). `table` compares on-time shares of banks that know each
-other with banks that are told the truth in their files, over the same seconds. `cost` compares CPU with the
-bank on and off. `model` plays drawn faults on simulated time, and every fault that is put back into the code.
-See docs/design/members.md.
+"""A bank of real processes under traffic and faults: who is lost when, who names which position,
+its worth.
+
+`faults` plays a schedule on the bank with the stand-in network between its processes and holds what
+each said against what was done (whinpier/testbed/referee.py). `table` compares on-time shares of
+banks that know each other with banks that are told the truth in their files, over the same seconds.
+`cost` compares CPU with the bank on and off. `model` plays drawn faults on simulated time, and
+every fault that is put back into the code. See docs/design/members.md.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.simulation.fleet import Bank as Model
 from whinpier.simulation.fleet_mutants import MUTATIONS, caught
-from whinpier.policy.model import Upstream, Workload
+from whinpier.policy.model import Upstream, RequestClass
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.clients import Asks, Gateway
@@ -34,7 +35,7 @@
 from whinpier.testbed.upstream import Script
 
 AGREED, PATIENCE = 0.25, 1.5
-WORK = 0.01  # seconds of an upstream's one worker: 100 tasks a second each
+WORK = 0.01  # seconds of an upstream's one worker: 100 requests a second each
 
 
 class Trial:
@@ -152,7 +153,8 @@
         for said in bank.said:
             if said.event == "bank_position" and cut_at <= said.at <= cut_at + 3.8:
                 positions[said.process[0]] = (said.at - cut_at, said.pairs["position"])
-        # With one vanished of those known, neither half has over half of all that are reckoned with.
+        # With one vanished of those known, neither half has over half of all that are reckoned
+        # with.
         report.bound(
             "slowest to name its position in a cut, s",
             max(at for at, _ in positions.values()),
@@ -185,10 +187,10 @@
 
 
 def answers(report: Report, trial: Trial, gateways: list[Gateway], dying: set[int]) -> None:
-    tasks = [task for gateway in gateways for task in gateway.told]
+    requests = [request for gateway in gateways for request in gateway.told]
     unanswered = sum(len(gateway.unanswered()) for gateway in gateways)
     twice = sum(len(gateway.answered_twice()) + gateway.surplus for gateway in gateways)
-    report.bound(f"of {len(tasks)} tasks without an answer", unanswered, most=0)
+    report.bound(f"of {len(requests)} tasks without an answer", unanswered, most=0)
     report.bound("answered twice", twice, most=0)
     report.bound("exclusive tasks that ran twice", len(trial.fleet.ledger().twice()), most=0)
 
@@ -216,13 +218,13 @@
 ) -> list[float]:
     found = []
     for begins, ends in windows:
-        tasks = [
-            task
+        requests = [
+            request
             for gateway in gateways
-            for task in gateway.told
-            if begins <= task.due - start < ends
+            for request in gateway.told
+            if begins <= request.due - start < ends
         ]
-        found.append(sum(task.on_time(AGREED) for task in tasks) / max(1, len(tasks)))
+        found.append(sum(request.on_time(AGREED) for request in requests) / max(1, len(requests)))
     return found
 
 
@@ -264,7 +266,9 @@
 
 
 def table(report: Report, folder: Path, upstreams: int, seed: int, span: float, pairs: int) -> None:
-    """Eight that become two and one, under load, against the same told the truth by their files, in turn."""
+    """Eight that become two and one, under load, against the same told the truth by their files,
+    in turn.
+    """
     found: dict[bool, list[list[float]]] = {True: [], False: []}
     for pair in range(pairs):
         for known in (True, False):
@@ -369,8 +373,10 @@
 
 
 def parts(report: Report, balancers: int, upstreams: int, seed: int) -> None:
-    """How much of their parts of the list balancers change when one joins or is lost, and when one flaps."""
-    workload = Workload("t", "rerunnable", SECOND // 4, SECOND, 1.0)
+    """How much of their parts of the list balancers change when one joins or is lost, and when
+    one flaps.
+    """
+    request_class = RequestClass("t", "rerunnable", SECOND // 4, SECOND, 1.0)
     names = sorted(
         (f"m{number}" for number in range(balancers + 1)), key=lambda name: member_id(name, 0)
     )
@@ -387,9 +393,9 @@
         }
         for name in there:
             if name in those:
-                those[name].change(settings(name, there), [workload])
+                those[name].change(settings(name, there), [request_class])
             else:
-                own = Workload("t", "rerunnable", SECOND // 4, SECOND, 1.0)
+                own = RequestClass("t", "rerunnable", SECOND // 4, SECOND, 1.0)
                 those[name] = Choice(
                     Still(),
                     settings(name, there),
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -1,7 +1,9 @@
-"""What the platform's way costs beside an earlier version, in one run: CPU a task, memory at the start.
+"""What the platform's way costs beside an earlier version, in one run: CPU a request, memory at the
+start.
 
-`--before REV` names the earlier version, a commit of this repository, laid out in a temporary folder. Both
-run in turn, several times, on a core of their own, under the same load; the medians are compared.
+`--before REV` names the earlier version, a commit of this repository, laid out in a temporary
+folder. Both run in turn, several times, on a core of their own, under the same load; the medians
+are compared.
 """
 
 from __future__ import annotations
@@ -21,12 +23,12 @@
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
 
-RATE = 400.0  # tasks a second: some way below a full core
+RATE = 400.0  # requests a second: some way below a full core
 SETTINGS = json.loads(Path("example/config.json").read_text())
 
 
 def once(root: Path, folder: Path, seed: int, span: float) -> tuple[float, float, int]:
-    """CPU a task in ms, memory at the start and at the end in MB, of one run of a version."""
+    """CPU a request in ms, memory at the start and at the end in MB, of one run of a version."""
     fleet = Fleet({f"s-{number}": Script(work=0.01) for number in range(4)}, seed, discovery=True)
     listen = free_address()
     given = SETTINGS | {"listen": listen, "discovery": fleet.discovery}
@@ -41,13 +43,13 @@
             Load(balancer.address, Asks("look", RATE / 2, "/look/1", "GET"), seed, start, span),
         ]
         seen = [load.result() for load in loads]
-        tasks = sum(len(gateway.told) for gateway in seen)
-        fulfilled = sum(task.status == 200 for gateway in seen for task in gateway.told)
-        if fulfilled < 0.99 * tasks:
+        requests = sum(len(gateway.told) for gateway in seen)
+        fulfilled = sum(request.status == 200 for gateway in seen for request in gateway.told)
+        if fulfilled < 0.99 * requests:
             raise RuntimeError(
-                f"only {fulfilled} of {tasks} tasks fulfilled: {balancer.log()[-2000:]}"
+                f"only {fulfilled} of {requests} tasks fulfilled: {balancer.log()[-2000:]}"
             )
-        return 1000 * (balancer.cpu() - before) / tasks, memory, tasks
+        return 1000 * (balancer.cpu() - before) / requests, memory, requests
     finally:
         balancer.stop()
         fleet.stop()
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -1,8 +1,8 @@
 """Three pools behind one process, one of them driven to twice its capacity, then shrunk to a third.
 
-The other two are held against a run with the same seed in which nothing happens to the third, and against one
-with isolation turned off. Real processes over loopback; every task and every execution is counted by the
-stand-ins. See docs/design/pools.md.
+The other two are held against a run with the same seed in which nothing happens to the third, and
+against one with isolation turned off. Real processes over loopback; every request and every
+execution is counted by the stand-ins. See docs/design/pools.md.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 
 KINDS = {"tariff": "rerunnable", "posting": "exclusive", "settlement": "ticketed"}
 PER_POOL = 3
-WORK = 0.012  # seconds of a worker for a task: four workers at three upstreams do 1,000 a second
-USUAL = {"tariff": 150.0, "posting": 150.0, "settlement": 100.0}  # tasks a second
+WORK = 0.012  # seconds of a worker for a request: four workers at three upstreams do 1,000 a second
+USUAL = {"tariff": 150.0, "posting": 150.0, "settlement": 100.0}  # requests a second
 CAPACITY = {"tariff": 300.0, "posting": 300.0, "settlement": 200.0}
 AGREED, PATIENCE = 0.25, 1.5
 DESCRIPTORS, MEMORY = 256, 96
@@ -191,7 +191,11 @@
 def late(gateway: Gateway, begins: float, ends: float, part: float) -> float:
     """A percentile of latency, in milliseconds, of what was fulfilled of a stretch."""
     return 1000 * percentile(
-        [task.latency for task in gateway.told if task.status == 200 and begins <= task.due < ends],
+        [
+            request.latency
+            for request in gateway.told
+            if request.status == 200 and begins <= request.due < ends
+        ],
         part,
     )
 
@@ -239,15 +243,15 @@
 
 
 def rules(report: Report, seen: Seen) -> None:
-    """Every task one answer, no exclusive task twice, all within the file's limits."""
+    """Every request one answer, no exclusive request twice, all within the file's limits."""
     gateways = [*seen.gateways.values(), seen.lost]
     report.bound(
         "tasks sent without a final answer", sum(len(g.unanswered()) for g in gateways), most=0
     )
     for gateway in gateways:
-        for task in gateway.unanswered()[:5]:
+        for request in gateway.unanswered()[:5]:
             report.say(
-                f"     {task.id} at {task.due - seen.start:.3f} s, try {task.tries}: {task.how}"
+                f"     {request.id} at {request.due - seen.start:.3f} s, try {request.tries}: {request.how}"
             )
     report.bound(
         "tasks answered twice, answers nobody asked for",
@@ -262,7 +266,7 @@
         if not ran.startswith(f"{name}-")
     )
     report.bound("tasks that ran in another pool", strangers, most=0)
-    others = sum(task.status != 404 for task in seen.lost.told if task.answers)
+    others = sum(request.status != 404 for request in seen.lost.told if request.answers)
     report.bound("no route: other answers than 404", others, most=0)
     report.bound("no route: 99th of the answer, ms", 1000 * seen.lost.latency(0.99, None), most=20)
     report.bound("descriptors", seen.descriptors, most=DESCRIPTORS)
--- a/benchmarks/radius.py
+++ b/benchmarks/radius.py
@@ -1,8 +1,9 @@
-"""RADIUS records on a network that loses, doubles and delays datagrams, with silent and late servers.
+"""RADIUS records on a network that loses, doubles and delays datagrams, with silent and late
+servers.
 
-Counts by the stand-ins' ledgers: executions and answers' contents for each record. A run without faults gives
-the on-time share to compare with, and CPU a packet; HTTP tasks in the same process are held against HTTP
-alone.
+Counts by the stand-ins' ledgers: executions and answers' contents for each record. A run without
+faults gives the on-time share to compare with, and CPU a packet; HTTP requests in the same
+process are held against HTTP alone.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
     records: bool,
     folder: Path,
 ) -> dict[str, Any]:
-    """One run: what records and HTTP tasks came to."""
+    """One run: what records and HTTP requests came to."""
     servers = [
         Server(f"r{number}", b"server", how, weather, seed + number)
         for number, how in enumerate(behaviours)
@@ -210,7 +211,9 @@
 
 
 def look_up(realms: int) -> float:
-    """Microseconds to find client and route of a record, among so many realms, NAS prefixes and networks."""
+    """Microseconds to find client and route of a record, among so many realms, NAS prefixes and
+    networks.
+    """
     routes = Routes(
         [RouteSpec(f"r{number}", "p", "w", f"n{number}.example") for number in range(realms)]
         + [RouteSpec(f"s{number}", "p", "w", nas=f"bsc-{number}-*") for number in range(realms)]
@@ -397,7 +400,8 @@
         f"     client and route among 10 realms, NAS prefixes and networks: {few:.1f} us, "
         f"among 10,000: {many:.1f} us"
     )
-    # Trying each would be a thousand times as much; what is left is the memory that more entries lie in.
+    # Trying each would be a thousand times as much; what is left is the memory that more entries
+    # lie in.
     report.bound("look-up among 10,000 over that among 10", many / few, most=4.0)
     costs = {}
     for over in ("UDP", "TCP", "TLS"):
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,7 +1,9 @@
-"""What a look-up in the table of routes costs at 10, 1,000 and 10,000 routes, beside a plain scan of all.
+"""What a look-up in the table of routes costs at 10, 1,000 and 10,000 routes, beside a plain scan
+of all.
 
-Each table is asked for the same mix: exact hosts, suffixes, templates, prefixes, and what no route takes. The
-bound is that the cost does not grow with the routes of other hosts. See docs/design/pools.md.
+Each table is asked for the same mix: exact hosts, suffixes, templates, prefixes, and what no route
+takes. The bound is that the cost does not grow with the routes of other hosts. See
+docs/design/pools.md.
 """
 
 from __future__ import annotations
@@ -11,7 +13,7 @@
 
 from benchmarks.common import Report, main
 from whinpier.routing import normal
-from whinpier.routing.table import Asked, Missed, Route, Table, scan
+from whinpier.routing.table import RouteQuery, Missed, Route, Table, scan
 
 SIZES = (10, 1_000, 10_000)
 PER_HOST = 10
@@ -55,7 +57,7 @@
     for _ in range(rounds):
         begun = time.perf_counter_ns()
         for method, host, path in asked:
-            table.find(Asked(method, normal.host(host), normal.path(path)))
+            table.find(RouteQuery(method, normal.host(host), normal.path(path)))
         best = min(best, (time.perf_counter_ns() - begun) / len(asked) / 1000)
     return best
 
@@ -74,7 +76,8 @@
         asked = questions(count, number, chance)
         costs[count] = timed(asked, table, rounds)
         few = [
-            Asked(method, normal.host(host), normal.path(path)) for method, host, path in asked[:50]
+            RouteQuery(method, normal.host(host), normal.path(path))
+            for method, host, path in asked[:50]
         ]
         begun = time.perf_counter()
         scanned = [scan(found, one) for one in few]
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -1,10 +1,12 @@
-"""Verdicts of the whole bank on real processes: how soon a slow upstream is out, and who is never wronged.
-
-`slow` has twenty processes with little traffic each and makes one upstream of ten ten times slower, with
-verdicts and without, in the same run. `ways` gives one process bad ways to six of ten upstreams, `all_slow`
-slows them all: nothing may rest. `parts` cuts the bank in two while upstreams fail, and counts what rests
-anywhere. `stale` cuts off a process that goes by a verdict. `orders` explores the votes: every order of small
-worlds, walks, each fault put into the code. See docs/design/verdicts.md.
+"""Verdicts of the whole bank on real processes: how soon a slow upstream is out, and who is never
+wronged.
+
+`slow` has twenty processes with little traffic each and makes one upstream of ten ten times slower,
+with verdicts and without, in the same run. `ways` gives one process bad ways to six of ten
+upstreams, `all_slow` slows them all: nothing may rest. `parts` cuts the bank in two while upstreams
+fail, and counts what rests anywhere. `stale` cuts off a process that goes by a verdict. `orders`
+explores the votes: every order of small worlds, walks, each fault put into the code. See
+docs/design/verdicts.md.
 """
 
 from __future__ import annotations
@@ -32,7 +34,7 @@
 from whinpier.testbed.ways import Ways
 
 AGREED, PATIENCE, WORK = 0.05, 1.0, 0.01
-RATE = 10.0  # tasks a second of each process: one a second at each of ten upstreams
+RATE = 10.0  # requests a second of each process: one a second at each of ten upstreams
 WARM = 6.0  # seconds of traffic before anything is done
 
 
@@ -111,10 +113,15 @@
         found = []
         gateways = [gateway for load in self.loads for gateway in load.results()]
         for first, last in windows:
-            tasks = [
-                task for one in gateways for task in one.told if first <= task.due - begun < last
+            requests = [
+                request
+                for one in gateways
+                for request in one.told
+                if first <= request.due - begun < last
             ]
-            found.append(sum(task.on_time(AGREED) for task in tasks) / max(1, len(tasks)))
+            found.append(
+                sum(request.on_time(AGREED) for request in requests) / max(1, len(requests))
+            )
         return found
 
     def end(self) -> None:
@@ -241,7 +248,8 @@
             trial.slow(names, 0.1)
             ends = begun + WARM + 6.0 * turn + 5.8
             while time.monotonic() < ends:
-                # As each says, one after the other: what ended meanwhile would count as at one moment.
+                # As each says, one after the other: what ended meanwhile would count as at one
+                # moment.
                 each = trial.resting()
                 again = trial.resting()
                 there = set().union(*(one & two for one, two in zip(each.values(), again.values())))
--- a/example/echo_upstreams.py
+++ b/example/echo_upstreams.py
@@ -1,7 +1,8 @@
-"""`python -m example.echo_upstreams`: three upstreams and a discovery here, for example/config.json.
+"""`python -m example.echo_upstreams`: three upstreams and a discovery here, for
+example/config.json.
 
-Plain threads from the standard library, made to be read and changed, not to carry load. The tests use the
-same servers and make them misbehave.
+Plain threads from the standard library, made to be read and changed, not to carry load. The
+tests use the same servers and make them misbehave.
 """
 
 from __future__ import annotations
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -1,4 +1,6 @@
-"""Stories of the operator's file and the command line: what is wrong is named, with what is allowed."""
+"""Stories of the operator's file and the command line: what is wrong is named, with what is
+allowed.
+"""
 
 import json
 import subprocess
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -1,4 +1,6 @@
-"""Stories of the start: what is wrong with a configuration is said in one line; what log lines look like."""
+"""Stories of the start: what is wrong with a configuration is said in one line; what log lines look
+like.
+"""
 
 import json
 import logging
@@ -138,7 +140,9 @@
         until(lambda: answers_up(address))
         own = Path("/proc", str(balancer.pid))
         assert own.joinpath("cmdline").read_bytes().endswith(b"-O\0-m\0whinpier\0")
-        assert not [text for task in own.glob("task/*/children") if (text := task.read_text())]
+        assert not [
+            text for request in own.glob("task/*/children") if (text := request.read_text())
+        ]
         assert "/libc.so" in own.joinpath("maps").read_text()
     finally:
         balancer.terminate()
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from whinpier.policy.policy import SECOND, Choice
-from whinpier.policy.model import FULFILLED, READY, HandOff, Task, Upstream, Workload
+from whinpier.policy.model import FULFILLED, READY, Attempt, Request, Upstream, RequestClass
 
 MS = SECOND // 1000
 SETTINGS = {
@@ -22,45 +22,47 @@
 
     def __init__(self, kind: str = "exclusive", count: int = 3, **settings) -> None:
         self.now = 100 * SECOND
-        self.sent: list[HandOff] = []
+        self.sent: list[Attempt] = []
         self.answers: dict[int, str] = {}
-        self.withdrawn: list[HandOff] = []
+        self.withdrawn: list[Attempt] = []
         self.alarms: list[tuple[int, int]] = []
         self.waits: list[int] = []  # that clients were told
         self.told: list[bytes] = []
         self.probed: list[Upstream] = []
         self.asked: list[int] = []  # when the list was asked for
-        self.tasks = 0
+        self.requests = 0
         group = settings.pop("group", "all")
-        self.workload = Workload(
+        self.request_class = RequestClass(
             "any", kind, 800 * MS, 3000 * MS, 5.0, group=group, window=2 * SECOND
         )
-        self.choice = Choice(self, SETTINGS | settings, [self.workload], settings.pop("seed", 7))
+        self.choice = Choice(
+            self, SETTINGS | settings, [self.request_class], settings.pop("seed", 7)
+        )
         self.upstreams = [Upstream(n, READY, n % 2, 0, 0) for n in range(count)]
         if count:
             self.choice.listed(self.upstreams)
 
     # What the decisions ask for.
 
-    def hand_off(self, task, upstream, stop_at=0):
-        assert not task.ended and upstream.state == READY
-        task.hand_offs.append(HandOff(task, upstream, len(task.hand_offs), self.now))
-        self.sent.append(task.hand_offs[-1])
-        return task.hand_offs[-1]
+    def start_attempt(self, request, upstream, stop_at=0):
+        assert not request.ended and upstream.state == READY
+        request.attempts.append(Attempt(request, upstream, len(request.attempts), self.now))
+        self.sent.append(request.attempts[-1])
+        return request.attempts[-1]
 
-    def _answer(self, task, how):
-        assert task.id not in self.answers, "two final answers"
-        self.answers[task.id], task.ended = how, True
+    def _answer(self, request, how):
+        assert request.id not in self.answers, "two final answers"
+        self.answers[request.id], request.ended = how, True
 
-    def turn_back(self, task, wait=0):
+    def turn_back(self, request, wait=0):
         self.waits.append(wait)
-        self._answer(task, "turned back")
+        self._answer(request, "turned back")
 
-    def scrap(self, task):
-        self._answer(task, "scrapped")
+    def scrap(self, request):
+        self._answer(request, "scrapped")
 
-    def withdraw(self, hand_off):
-        self.withdrawn.append(hand_off)
+    def withdraw(self, attempt):
+        self.withdrawn.append(attempt)
 
     def alarm(self, at, token=0):
         self.alarms.append((max(at, self.now + 1), token))
@@ -79,21 +81,21 @@
 
     # What the story tells.
 
-    def task(self, patience: int = 3000 * MS) -> Task:
-        self.tasks += 1
-        made = Task(self.tasks, self.workload, self.now, self.now + patience)
+    def request(self, patience: int = 3000 * MS) -> Request:
+        self.requests += 1
+        made = Request(self.requests, self.request_class, self.now, self.now + patience)
         self.choice.arrive(made)
         return made
 
-    def came_back(self, hand_off, outcome=FULFILLED, load=None):
-        hand_off.outcome, hand_off.took = outcome, self.now - hand_off.sent
-        first = outcome == FULFILLED and not hand_off.task.ended
+    def came_back(self, attempt, outcome=FULFILLED, load=None):
+        attempt.outcome, attempt.took = outcome, self.now - attempt.sent
+        first = outcome == FULFILLED and not attempt.request.ended
         if first:
-            self._answer(hand_off.task, "fulfilled")
-        self.choice.came_back(hand_off, load, first)
+            self._answer(attempt.request, "fulfilled")
+        self.choice.came_back(attempt, load, first)
 
     def out(self):
-        return [hand_off for hand_off in self.sent if not hand_off.outcome]
+        return [attempt for attempt in self.sent if not attempt.outcome]
 
     def wait(self, span: int) -> None:
         """Let time pass, ringing what falls due."""
@@ -108,16 +110,16 @@
     def traffic(
         self, span: int, every: int = 20 * MS, takes=lambda upstream: 50 * MS, load=None
     ) -> None:
-        """Steady tasks; each upstream answers after what `takes` says, or never where that is None."""
-        until, next_task = self.now + span, self.now
+        """Steady requests; each upstream answers after what `takes` says, or never where that is None."""
+        until, next_request = self.now + span, self.now
         while self.now < until:
-            if self.now >= next_task:
-                self.task()
-                next_task += every
-            for hand_off in self.out():
-                time = takes(hand_off.upstream)
-                if hand_off.sent + 3000 * MS <= self.now:
-                    self.came_back(hand_off, "timed out")
-                elif time is not None and hand_off.sent + time <= self.now:
-                    self.came_back(hand_off, load=load)
+            if self.now >= next_request:
+                self.request()
+                next_request += every
+            for attempt in self.out():
+                time = takes(attempt.upstream)
+                if attempt.sent + 3000 * MS <= self.now:
+                    self.came_back(attempt, "timed out")
+                elif time is not None and attempt.sent + time <= self.now:
+                    self.came_back(attempt, load=load)
             self.wait(5 * MS)
--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -101,7 +101,7 @@
 
 def test_all_demand_at_one_brings_it_nearly_all_of_a_window_and_a_turn_back_says_when_the_next_begins():
     those, passed = {name: units(name) for name in "abc"}, 0
-    for step in range(1_190):  # 59.5 s, ten tasks a second at one
+    for step in range(1_190):  # 59.5 s, ten requests a second at one
         now = step * SECOND // 20
         passed += step % 2 and those["a"].take(now)
         if step % 2:
@@ -262,7 +262,7 @@
     assert low <= 2 * KEPT and high >= 2 * KEPT + 100 * SECOND
 
 
-def test_where_clocks_are_unsure_a_task_counts_in_both_windows():
+def test_where_clocks_are_unsure_a_request_counts_in_both_windows():
     apart = 5 * SECOND
     one = units(amount=2, homes=("a",), between=lambda now: (now - apart, now + apart))
     assert one.take(50 * SECOND) and [slot.start for slot in one.slots] == [0]
@@ -285,7 +285,9 @@
 
 
 def moving(seed, count, in_order):
-    """Words on their way while demand moves; in order, as members keep them, or as the network has them."""
+    """Words on their way while demand moves; in order, as members keep them, or as the network
+    has them.
+    """
     chance, limit = Random(seed), Limit("x", RATE, 100_000, (), 20)
     those = [Nearly(limit, None, 0) for _ in range(count)]
     on_way, settled, newest = [], 3 * aged(count), {}
@@ -347,7 +349,7 @@
     assert one.part <= 50_000
 
 
-def test_tasks_in_flight_and_windows_are_nearly_kept_too():
+def test_requests_in_flight_and_windows_are_nearly_kept_too():
     flight = Nearly(Limit("x", IN_FLIGHT, 3, ()), None, 0)
     passed = 0
     for step in range(40):
@@ -398,7 +400,8 @@
             process.wall = shift - 3_600.0 * (process.number == 2)
         bank.start()
         until(lambda: ready(bank, 0, 1, 2))
-        # Nobody knows of this minute what was used before: only an operator can say that nothing was.
+        # Nobody knows of this minute what was used before: only an operator can say that nothing
+        # was.
         assert all(row["home"] == 0 for number in range(3) for row in bank.ask(number, "limits"))
         for number in range(3):
             bank.ask(number, "begin", name="day")
@@ -425,8 +428,8 @@
         after = sum(one > closes + 0.3 for one in times)
         assert 45 <= before <= 90 and len(times) <= 180
         assert 15 <= after <= 90
-        told = [task for task in seen[0].told if task.status == 503]
-        assert told and all(task.retry_after for task in told)
+        told = [request for request in seen[0].told if request.status == 503]
+        assert told and all(request.retry_after for request in told)
         assert not fleet.ledger().twice()
     finally:
         if loads:
@@ -533,8 +536,9 @@
         )
         seen = loads.results()
         met = fleet.meter()
-        served = {one.asks.name: sum(task.status == 200 for task in one.told) for one in seen}
-        # Of tenant a both processes together, of the third only its route's; the whole is nearly kept.
+        served = {one.asks.name: sum(request.status == 200 for request in one.told) for one in seen}
+        # Of tenant a both processes together, of the third only its route's; the whole is nearly
+        # kept.
         assert served["a"] + served["d"] <= 8 * 5 + 4 + 8 and served["d"] >= 8
         assert served["b"] >= 60 and served["c"] <= 8 * 5 + 4 + 8
         assert met["most"] <= 6 and len(met["times"]) <= 60 * 5 + 10 + 30
@@ -550,7 +554,7 @@
         fleet.stop()
 
 
-def test_a_limit_changes_while_it_serves_and_a_repeat_of_a_task_counts_once_for_its_tenant(
+def test_a_limit_changes_while_it_serves_and_a_repeat_of_a_request_counts_once_for_its_tenant(
     tmp_path,
 ):
     fleet = Fleet({"s": Script(workers=64, work=0.005)}, 1)
@@ -599,7 +603,7 @@
                 return int(sock.recv(200).split()[1])
 
         until(lambda: ask("first", False) == 200)
-        assert [ask("first", True) for _ in range(6)] == [200] * 6  # one task, asked for again
+        assert [ask("first", True) for _ in range(6)] == [200] * 6  # one request, asked for again
         assert [ask(f"t{number}", False) for number in range(4)].count(200) <= 3
     finally:
         bank.end()
--- a/tests/fleet/test_consensus_service.py
+++ b/tests/fleet/test_consensus_service.py
@@ -104,7 +104,7 @@
         one.end()
 
 
-def test_drains_at_five_processes_of_which_the_leader_is_killed_lose_no_task(trial):
+def test_drains_at_five_processes_of_which_the_leader_is_killed_lose_no_request(trial):
     five = trial(5)
     five.load(9.0, 3, 4)
     five.say(1, "drain", "balancer", "m4")
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -76,7 +76,8 @@
     assert (
         referee.judge() == [] and referee.checked["dead"] == 4 and referee.checked["position"] >= 8
     )
-    # The dead one was refused, so it is reckoned with no longer; those across the cut were all the time.
+    # The dead one was refused, so it is reckoned with no longer; those across the cut were all the
+    # time.
     told = [line for line in five.processes[0].balancer.log().splitlines() if "bank_shares" in line]
     assert [line.split("balancers=")[1].split()[0] for line in told][-2:] == ["5", "4"]
     numbers = [one["number"] for one in shares(five, 0, 1, 2, 3)]
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -267,7 +267,9 @@
 
 
 def test_whoever_suspects_tells_the_suspect_so_at_once_and_hears_it_refute():
-    """Of two hundred few have just heard a suspect: by chance and news it heard of it late, or not at all."""
+    """Of two hundred few have just heard a suspect: by chance and news it heard of it late, or
+    not at all.
+    """
     one, other = acquainted()
     suspect = one.members[other.card.id]
     one.suspect(suspect, messages.SILENT)
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -1,4 +1,6 @@
-"""Stories of limits of the whole bank: what may be used never adds up to more, whatever is lost or killed."""
+"""Stories of limits of the whole bank: what may be used never adds up to more, whatever is lost or
+killed.
+"""
 
 import json
 import time
@@ -57,7 +59,7 @@
 
 
 def test_every_order_of_a_small_world_keeps_the_limit():
-    result = every(Sharing(2, 2, 2, 9, 0, 0, tasks=False).lent(), 60)
+    result = every(Sharing(2, 2, 2, 9, 0, 0, requests=False).lent(), 60)
     assert result.whole and not result.broken and result.states > 1_000
     for days in WHOLE[1:]:
         result = every(days.make(Sharing().make), 4)
@@ -303,7 +305,7 @@
     assert said in str(fault.value), str(fault.value)
 
 
-def test_loans_of_tasks_in_flight_last_longer_than_any_task(tmp_path):
+def test_loans_of_requests_in_flight_last_longer_than_any_request(tmp_path):
     (held,) = operator.made(table(tmp_path, kind="in_flight")).bank.limits
     assert (
         held.limit.span == 3 * 3 * SECOND // 2 and held.pools == ("t",) and held.limit.amount == 10
@@ -364,12 +366,13 @@
         times = sorted(met["times"])
         for begin in range(len(times)):
             for end in range(begin, len(times), 13):
-                # Arrivals are bunched by what a balancer or an upstream was late by: half a second is ample.
+                # Arrivals are bunched by what a balancer or an upstream was late by: half a second
+                # is ample.
                 assert end - begin + 1 <= 12 + 60 * (times[end] - times[begin] + 0.5)
         used = sum(start + 3.0 <= at < start + 6.0 for at in times) / 180.0
         assert 0.6 < used <= 1.1, used  # a third was killed; at the least the other two homes
-        turned_back = [task for one in seen for task in one.told if task.status == 503]
-        assert turned_back and all(task.retry_after for task in turned_back)
+        turned_back = [request for one in seen for request in one.told if request.status == 503]
+        assert turned_back and all(request.retry_after for request in turned_back)
         assert not any(one.unanswered() or one.answered_twice() for one in seen)
         assert not fleet.ledger().twice()
         row = bank.ask(2, "limits")[0]
--- a/tests/fleet/test_rollouts.py
+++ b/tests/fleet/test_rollouts.py
@@ -1,4 +1,6 @@
-"""Stories of what the record's lines come to: permits, drains, releases, and what the leader puts in."""
+"""Stories of what the record's lines come to: permits, drains, releases, and what the leader
+puts in.
+"""
 
 from random import Random
 
@@ -497,7 +499,7 @@
 
 
 def gate(book, there, conduct, released, rest, span=10 * SECOND):
-    """Play a window: what tasks came to at the released and at the rest, in figures a second."""
+    """Play a window: what requests came to at the released and at the rest, in figures a second."""
     number = book.release(book.file(b"pools = 1"), 1, names=sorted(there))
     first = sorted(there)[0]
     book.switch(first)
--- a/tests/http/test_buffers.py
+++ b/tests/http/test_buffers.py
@@ -1,4 +1,6 @@
-"""Stories of how a head's bytes are judged: by what they are, not by how they were cut on their way."""
+"""Stories of how a head's bytes are judged: by what they are, not by how they were cut on their
+way.
+"""
 
 import h11
 import pytest
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -1,4 +1,6 @@
-"""Stories of following the list: pieces in every form, watches that die in every way; scripted discovery."""
+"""Stories of following the list: pieces in every form, watches that die in every way; scripted
+discovery.
+"""
 
 import json
 import socket
@@ -89,11 +91,11 @@
 async def followed():
     scripted = Scripted()
     try:
-        async with anyio.create_task_group() as tasks:
-            tasks.start_soon(scripted.client.run)
+        async with anyio.create_task_group() as task_group:
+            task_group.start_soon(scripted.client.run)
             scripted.client.follow(True)
             yield scripted
-            tasks.cancel_scope.cancel()
+            task_group.cancel_scope.cancel()
     finally:
         scripted.listener.close()
 
@@ -142,8 +144,8 @@
 
 @pytest.mark.anyio
 async def test_lists_may_come_indented_whole_and_as_changes():
-    # The short days' herd: each whole list came indented after a new configuration, none was understood, and
-    # for twenty seconds tasks went to upstreams that were draining.
+    # The short days' herd: each whole list came indented after a new configuration, none was
+    # understood, and for twenty seconds requests went to upstreams that were draining.
     async with followed() as scripted:
         line, sock = await scripted.asked()
         assert line == WHOLE
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -1,7 +1,7 @@
 """Stories of the instant in which something ends while something is still owed.
 
-The balancer runs in the test's own loop, its clients and upstreams are bare sockets: between two awaits of
-the test nothing else happens, so that each crossing is forced and none depends on luck.
+The balancer runs in the test's own loop, its clients and upstreams are bare sockets: between two
+awaits of the test nothing else happens, so that each crossing is forced and none depends on luck.
 """
 
 import json
@@ -151,11 +151,11 @@
     stage = Stage(count, **limits)
     stage.pool.counts.clear()
     try:
-        async with anyio.create_task_group() as tasks:
-            tasks.start_soon(stage.life.serve, [stage.listener])
+        async with anyio.create_task_group() as task_group:
+            task_group.start_soon(stage.life.serve, [stage.listener])
             await stage.turns()
             yield stage
-            tasks.cancel_scope.cancel()
+            task_group.cancel_scope.cancel()
     finally:
         for sock in stage.sockets:
             sock.close()
@@ -259,7 +259,7 @@
         await stage.until(lambda: any(client.reading for client in stage.door.clients))
         client.close()
         await stage.until(lambda: not stage.door.clients)
-        assert stage.begun() == 0 and stage.pool.part.requests.used == 0
+        assert stage.begun() == 0 and stage.pool.part.request_bytes.used == 0
 
 
 async def test_who_leaves_while_held_for_room_is_not_sent_when_there_is():
@@ -283,7 +283,7 @@
 
 async def ended(stage):
     with anyio.fail_after(LIMIT):
-        while not stage.life.loop.tasks.cancel_scope.cancel_called:
+        while not stage.life.loop.task_group.cancel_scope.cancel_called:
             await anyio.sleep(0.01)
 
 
@@ -334,8 +334,8 @@
         stage.life.stop()
         await stage.turns()
         stage.life.stop_by = stage.life.loop.clock() + SECOND // 5  # soon
-        for task in list(stage.life.ids.values()):
-            stage.pool.shorten(task, stage.life.stop_by)
+        for pending in list(stage.life.ids.values()):
+            stage.pool.shorten(pending, stage.life.stop_by)
         assert (await stage.read(client, b"\n")).startswith(b"HTTP/1.1 502")
         client.close()
         await ended(stage)
@@ -519,11 +519,11 @@
 # One revision of the settings.
 
 
-def reloaded(stage, lane, **workload):
-    """The balancer goes on by other settings of a workload."""
+def reloaded(stage, lane, **request_class):
+    """The balancer goes on by other settings of a request class."""
     for given in stage.given["settings"]["workloads"]:
         if given["name"] == lane:
-            given |= workload
+            given |= request_class
     stage.life.follow(stage.spec())
 
 
@@ -544,8 +544,8 @@
         links = [link for peer in stage.pool.held.values() for link in peer.links]
         await stage.until(lambda: any(link.sending for link in links))
         link = next(link for link in links if link.sending)
-        task = link.sending.task
-        assert task.workload.most == 1 and task.ends - task.came < SECOND
+        pending = link.sending.request
+        assert pending.request_class.most == 1 and pending.ends - pending.came < SECOND
         link.close()  # as a reset: it may have run
         await stage.turns()
         assert stage.begun() == 3
@@ -573,7 +573,7 @@
 def test_a_keyed_request_is_not_resent_when_it_could_arrive_outside_its_window(after, attempts):
     host = FakeHost(TICKETED)  # a window of 2 s; a connection may take a quarter of one to come up
     host.choice.again.configure({"limits.max_hand_offs": 3})
-    host.task()
+    host.request()
     host.wait(after * MS)
     host.came_back(host.sent[0], ERROR)
     assert len(host.sent) == attempts
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -1,4 +1,6 @@
-"""Stories of the whole program: it is started and spoken to over sockets, by the example's toy servers."""
+"""Stories of the whole program: it is started and spoken to over sockets, by the example's toy
+servers.
+"""
 
 import gc
 import json
@@ -20,7 +22,7 @@
 from tests.waiting import LIMIT, until
 from whinpier.policy.decaying_sum import SECOND
 from whinpier import log
-from whinpier.http.client_connection import Asked
+from whinpier.http.client_connection import HttpRequest
 from whinpier.config.platform import read
 from whinpier.http.upstream_connection import Sending
 from whinpier.http.transport import Http1
@@ -29,7 +31,7 @@
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 HEAD = "POST /charge HTTP/1.1\r\nHost: a\r\n"
-ids = numbers()  # no two tasks have the same
+ids = numbers()  # no two requests have the same
 
 
 class Bank:
@@ -91,11 +93,11 @@
         return answer
 
     def charge(self, **more):
-        """An exclusive task."""
+        """An exclusive request."""
         return self.ask("POST", "/charge", b"{}", **more)
 
     def settle(self, **more):
-        """A ticketed task."""
+        """A ticketed request."""
         return self.ask("POST", "/settle", b"{}", Idempotency_Key="5c", **more)
 
     def met(self):
@@ -164,7 +166,7 @@
     request.connection.close()
 
 
-def test_a_task_goes_on_unchanged_and_its_answer_comes_back_unchanged(tmp_path):
+def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged(tmp_path):
     body, sent = os.urandom(64 * 1024), os.urandom(64 * 1024)
     with started(tmp_path, Upstream(lambda request: request.reply(200, body, X_Note="n"))) as bank:
         answer = bank.ask(
@@ -192,11 +194,11 @@
         assert bank.met()[-1].headers["Idempotency-Key"] == "5c" and bank.upstreams[0].opened == 1
 
 
-def test_two_tasks_sent_at_once_on_one_connection_are_answered_in_turn(tmp_path):
-    task = b"GET /look/%d HTTP/1.1\r\nHost: a\r\nX-Txn: %d\r\nX-Remaining: 1\r\n%s\r\n"
+def test_two_requests_sent_at_once_on_one_connection_are_answered_in_turn(tmp_path):
+    request = b"GET /look/%d HTTP/1.1\r\nHost: a\r\nX-Txn: %d\r\nX-Remaining: 1\r\n%s\r\n"
     echo = Upstream(lambda request: request.reply(200, request.path.encode()))
     with started(tmp_path, echo) as bank:
-        sock = bank.raw(task % (1, 1, b"") + task % (2, 2, b"Connection: close\r\n"))
+        sock = bank.raw(request % (1, 1, b"") + request % (2, 2, b"Connection: close\r\n"))
         said = sock.makefile("rb").read()
         assert said.index(b"/look/1") < said.index(b"/look/2") and said.count(b"200 OK") == 2
 
@@ -230,7 +232,7 @@
         lambda request: request.wfile.write(b"\0\1noise" * 10),
     ],
 )
-def test_what_may_have_run_is_sent_again_only_for_a_ticketed_task(tmp_path, bad, kind):
+def test_what_may_have_run_is_sent_again_only_for_a_ticketed_request(tmp_path, bad, kind):
     turns = iter([bad, good])
     with started(
         tmp_path, *(Upstream(lambda request: next(turns)(request)) for _ in range(2))
@@ -246,7 +248,7 @@
         assert bank.charge().body == b"ok"
 
 
-def test_where_no_connection_comes_up_nothing_ran_and_the_task_goes_elsewhere(tmp_path):
+def test_where_no_connection_comes_up_nothing_ran_and_the_request_goes_elsewhere(tmp_path):
     gone, works = Upstream(good), Upstream(good)
     gone.stop()  # its port refuses
     with started(tmp_path, works) as bank:
@@ -255,7 +257,7 @@
         assert [bank.charge().status for _ in range(10)] == [200] * 10
 
 
-def test_where_connecting_gets_no_answer_the_task_goes_elsewhere_in_time(tmp_path):
+def test_where_connecting_gets_no_answer_the_request_goes_elsewhere_in_time(tmp_path):
     with socket.socket() as vanished, started(tmp_path, Upstream(good)) as bank:
         vanished.bind(("127.0.0.1", 0))
         vanished.listen(0)
@@ -295,12 +297,14 @@
 
 
 @pytest.mark.parametrize("remaining, status", [("0", 504), ("-1.5", 504), ("0.004", 504)])
-def test_a_task_that_comes_too_late_is_answered_at_once_and_not_sent(tmp_path, remaining, status):
+def test_a_request_that_comes_too_late_is_answered_at_once_and_not_sent(
+    tmp_path, remaining, status
+):
     with started(tmp_path, Upstream(good)) as bank:
         assert bank.charge(X_Remaining=remaining).status == status and not bank.met()
 
 
-def test_with_no_upstream_ready_a_task_is_turned_back_soon_with_a_time_to_come_back(tmp_path):
+def test_with_no_upstream_ready_a_request_is_turned_back_soon_with_a_time_to_come_back(tmp_path):
     with started(tmp_path, Upstream(good)) as bank:
         bank.discovery.change(bank.upstreams[0].entry("s-0", "draining"))
         until(lambda: bank.said("draining=1"))
@@ -309,7 +313,7 @@
         assert time.monotonic() - began < 1.0 and not bank.met()
 
 
-def test_a_client_that_leaves_takes_its_task_with_it(tmp_path):
+def test_a_client_that_leaves_takes_its_request_with_it(tmp_path):
     with started(tmp_path, Upstream(silent)) as bank:
         bank.raw(f"{HEAD}X-Txn: 1\r\nX-Remaining: 3\r\nContent-Length: 0\r\n\r\n".encode())
         until(bank.met)
@@ -513,7 +517,7 @@
         ("CONNECT charge HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Remaining: 1\r\n\r\n", 405),
     ],
 )
-def test_what_is_no_task_is_answered_and_never_sent(tmp_path, data, status):
+def test_what_is_no_request_is_answered_and_never_sent(tmp_path, data, status):
     with started(tmp_path, Upstream(good)) as bank:
         answer = HTTPResponse(bank.raw(data.encode()))
         answer.begin()
@@ -530,7 +534,7 @@
         assert not bank.met()
 
 
-def test_an_id_that_another_task_has_or_had_is_refused(tmp_path):
+def test_an_id_that_another_request_has_or_had_is_refused(tmp_path):
     let_go = []
     with started(
         tmp_path, Upstream(lambda request: until(lambda: let_go) and good(request))
@@ -580,11 +584,11 @@
 
 def test_at_the_limit_of_descriptors_no_client_that_has_asked_is_closed_unheard(tmp_path):
     let_go = []
-    task = HEAD + "X-Txn: %d\r\nX-Remaining: 3\r\nContent-Length: 0\r\n\r\n"
+    request = HEAD + "X-Txn: %d\r\nX-Remaining: 3\r\nContent-Length: 0\r\n\r\n"
     slow = Upstream(lambda request: until(lambda: let_go) and good(request))
     with started(tmp_path, slow, sockets={"sockets": 64}) as bank:
         asked = [
-            bank.raw((task % n).encode()).makefile("rb") for n in range(40)
+            bank.raw((request % n).encode()).makefile("rb") for n in range(40)
         ]  # more than it can hold
         turned_back = until(lambda: bank.met()) and [file.readline() for file in asked[-5:]]
         let_go.append("all")
@@ -648,30 +652,30 @@
 
 
 def test_what_is_over_is_freed_without_the_collector(tmp_path):
-    task = f"{HEAD}X-Txn: 1\r\nX-Remaining: 0.5\r\nContent-Length: 0\r\n\r\n".encode()
+    request = f"{HEAD}X-Txn: 1\r\nX-Remaining: 0.5\r\nContent-Length: 0\r\n\r\n".encode()
 
     async def story(config, listener):
-        async with anyio.create_task_group() as tasks:
-            tasks.start_soon(life(config).serve, [listener])
+        async with anyio.create_task_group() as task_group:
+            task_group.start_soon(life(config).serve, [listener])
             async with await anyio.connect_tcp(*config.listen[0]) as client:
                 gc.disable()
                 try:
                     with anyio.fail_after(LIMIT):
-                        await client.send(task)
+                        await client.send(request)
                         assert (await client.receive()).startswith(b"HTTP/1.1 200")
                         while any(
-                            isinstance(thing, (Asked, Sending)) for thing in gc.get_objects()
+                            isinstance(thing, (HttpRequest, Sending)) for thing in gc.get_objects()
                         ):
                             await anyio.sleep(0.02)
                 finally:
                     gc.enable()
-            tasks.cancel_scope.cancel()
+            task_group.cancel_scope.cancel()
 
     with inside(tmp_path, Upstream(good)) as (config, listener):
         anyio.run(story, config, listener)
 
 
-def test_however_hand_offs_end_what_is_counted_is_what_is_on_the_sockets_and_nothing_stays(
+def test_however_attempts_end_what_is_counted_is_what_is_on_the_sockets_and_nothing_stays(
     tmp_path,
 ):
     ways = cycle([good, silent, error, reset, raw(b"noise\r\n\r\n"), turned_away, silent])
@@ -684,16 +688,16 @@
         async def client(number):
             kind = ("charge", "settle")[number % 2]
             key = f"Idempotency-Key: {number}\r\n" * (number % 2)
-            task = HEAD.replace("charge", kind) + f"X-Txn: {number}\r\nX-Remaining: 0.6\r\n{key}"
+            request = HEAD.replace("charge", kind) + f"X-Txn: {number}\r\nX-Remaining: 0.6\r\n{key}"
             async with await anyio.connect_tcp(*config.listen[0]) as stream:
-                await stream.send(f"{task}Content-Length: 2\r\n\r\n{{}}".encode())
+                await stream.send(f"{request}Content-Length: 2\r\n\r\n{{}}".encode())
                 if number % 5:  # each fifth leaves at once
                     await stream.receive()
             split = pool.choice.split
             pictures.append((sum(seen.out for seen in split.ready), split.total, pool.on_wire()))
 
-        async with anyio.create_task_group() as tasks:
-            tasks.start_soon(balancer.serve, [listener])
+        async with anyio.create_task_group() as task_group:
+            task_group.start_soon(balancer.serve, [listener])
             with anyio.fail_after(LIMIT):
                 while not balancer.ready():
                     await anyio.sleep(0.01)
@@ -705,20 +709,20 @@
             assert all(seen == total == sockets for seen, total, sockets in pictures)
             assert (pool.out, len(balancer.fronts[0].strangers)) == (0, 0)
             part = pool.part
-            assert (part.tasks.used, part.bodies.used, part.requests.used) == (0, 0, 0)
+            assert (part.requests.used, part.bodies.used, part.request_bytes.used) == (0, 0, 0)
             assert pool.on_wire() == 0 and all(seen.out == 0 for seen in pool.choice.split.ready)
-            tasks.cancel_scope.cancel()
+            task_group.cancel_scope.cancel()
 
     with inside(tmp_path, *banks) as (config, listener):
         anyio.run(story, config, listener)
 
 
-def test_a_late_loop_ends_tasks_sooner_and_turns_back_a_part_of_what_comes_while_it_is_far_behind():
+def test_a_late_loop_ends_requests_sooner_and_turns_back_a_part_of_what_comes_while_it_is_far_behind():
     whole = life(read({"BALANCER_CONFIG": "example/config.json"}))
     balancer, pool = whole.loop, held(whole)
 
     def turned_back():
-        return whole.fronts[0].no_room(pool) or pool.part.tasks.give()
+        return whole.fronts[0].no_room(pool) or pool.part.requests.give()
 
     at, at_ease = balancer.clock(), balancer.margin()
     balancer.clock = lambda: at
@@ -739,21 +743,23 @@
     assert balancer.margin() == at_ease and not any(turned_back() for _ in range(100))
 
 
-def test_a_decision_that_fails_costs_its_task_and_no_more(tmp_path, monkeypatch):
+def test_a_decision_that_fails_costs_its_request_and_no_more(tmp_path, monkeypatch):
     monkeypatch.setattr(log, "must", lambda holds, what: None)  # as in release builds
 
     async def story(config, listener):
         balancer = life(config)
-        held(balancer).choice.arrive = lambda task: 1 / 0
-        async with anyio.create_task_group() as tasks:
-            tasks.start_soon(balancer.serve, [listener])
+        held(balancer).choice.arrive = lambda request: 1 / 0
+        async with anyio.create_task_group() as task_group:
+            task_group.start_soon(balancer.serve, [listener])
             async with await anyio.connect_tcp(*config.listen[0]) as client:
                 for number in range(2):
-                    task = f"{HEAD}X-Txn: {number}\r\nX-Remaining: 0.5\r\nContent-Length: 0\r\n\r\n"
-                    await client.send(task.encode())
+                    request = (
+                        f"{HEAD}X-Txn: {number}\r\nX-Remaining: 0.5\r\nContent-Length: 0\r\n\r\n"
+                    )
+                    await client.send(request.encode())
                     with anyio.fail_after(LIMIT):
                         assert (await client.receive()).startswith(b"HTTP/1.1 502")
-            tasks.cancel_scope.cancel()
+            task_group.cancel_scope.cancel()
 
     with inside(tmp_path, Upstream(good)) as (config, listener):
         anyio.run(story, config, listener)
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -54,48 +54,48 @@
         (RERUNNABLE, "all", ERROR, 2, None),
     ],
 )
-def test_what_may_have_run_is_sent_again_only_as_its_workload_allows(
+def test_what_may_have_run_is_sent_again_only_as_its_request_class_allows(
     kind, group, outcome, sent, answer
 ):
     host = FakeHost(kind, 2, group=group)  # the two upstreams stand in different zones
-    task = host.task()
+    request = host.request()
     host.came_back(host.sent[0], outcome)
     host.wait(SECOND // 4)
-    assert (len(task.hand_offs), host.answers.get(task.id)) == (sent, answer)
+    assert (len(request.attempts), host.answers.get(request.id)) == (sent, answer)
 
 
-def test_a_ticketed_task_is_not_sent_again_once_its_upstreams_may_have_forgotten_it():
+def test_a_ticketed_request_is_not_sent_again_once_its_upstreams_may_have_forgotten_it():
     host = FakeHost(TICKETED, 1)
-    task = host.task()
+    request = host.request()
     host.wait(2100 * MS)
     host.choice.listed(host.upstreams + [Upstream(9, READY, 0, 0, 0)])
-    host.came_back(task.hand_offs[0], RESET)
-    assert len(task.hand_offs) == 1 and host.answers[task.id] == "turned back"
+    host.came_back(request.attempts[0], RESET)
+    assert len(request.attempts) == 1 and host.answers[request.id] == "turned back"
 
 
 @pytest.mark.parametrize("kind", [EXCLUSIVE, TICKETED, RERUNNABLE])
 def test_a_time_out_at_the_end_is_answered_at_once(kind):
     host = FakeHost(kind, 1)
-    task = host.task()
+    request = host.request()
     host.wait(3000 * MS)
-    host.came_back(task.hand_offs[0], TIMED_OUT)
-    assert host.answers[task.id] == "scrapped"
+    host.came_back(request.attempts[0], TIMED_OUT)
+    assert host.answers[request.id] == "scrapped"
 
 
 @pytest.mark.parametrize("patience", [5 * MS, 60 * MS, 3000 * MS])
-def test_with_nothing_to_send_to_a_task_is_held_briefly_then_turned_back(patience):
+def test_with_nothing_to_send_to_a_request_is_held_briefly_then_turned_back(patience):
     host = FakeHost(count=0)
-    task = host.task(patience)
+    request = host.request(patience)
     host.wait(min(patience, 200 * MS))
-    assert host.answers[task.id] == "turned back" and not host.sent
+    assert host.answers[request.id] == "turned back" and not host.sent
 
 
-def test_a_held_task_goes_out_when_an_upstream_appears():
+def test_a_held_request_goes_out_when_an_upstream_appears():
     host = FakeHost(count=0)
-    task = host.task()
+    request = host.request()
     host.wait(20 * MS)
     host.choice.listed([Upstream(1, READY, 0, 0, 0)])
-    assert len(task.hand_offs) == 1
+    assert len(request.attempts) == 1
 
 
 def test_a_draining_or_missing_upstream_gets_nothing_new():
@@ -124,7 +124,7 @@
     assert sum(sent.upstream.id == 0 for sent in late) < 0.1 * len(late)
 
 
-def test_an_upstream_that_swallows_tasks_loses_its_share_before_its_first_time_out_and_trials_bring_it_back():
+def test_an_upstream_that_swallows_requests_loses_its_share_before_its_first_time_out_and_trials_bring_it_back():
     host = FakeHost(TICKETED, 3)
     host.traffic(3 * SECOND)
     before = len(host.sent)
@@ -138,30 +138,30 @@
     host = FakeHost(RERUNNABLE, 3)
     host.traffic(3 * SECOND)
     for _ in range(30):
-        host.task()
-        for hand_off in host.out():
-            host.came_back(hand_off, ERROR if hand_off.upstream.id == 0 else "fulfilled")
+        host.request()
+        for attempt in host.out():
+            host.came_back(attempt, ERROR if attempt.upstream.id == 0 else "fulfilled")
         host.wait(100 * MS)
     assert host.upstreams[0].seen.share < 0.1
 
 
 @pytest.mark.parametrize("silent, copies", [(True, 1), (False, 0)])
-def test_only_a_task_at_a_silent_upstream_gets_a_second_copy_and_the_loser_is_withdrawn(
+def test_only_a_request_at_a_silent_upstream_gets_a_second_copy_and_the_loser_is_withdrawn(
     silent, copies
 ):
     host = FakeHost(RERUNNABLE, 3)
     host.traffic(3 * SECOND)
-    task, upstream = host.task(), host.sent[-1].upstream
-    for _ in range(100):  # the task is heavy; its upstream answers others, or does not
-        host.task()
-        for hand_off in host.out():
-            if hand_off.task is not task and not (silent and hand_off.upstream is upstream):
-                host.came_back(hand_off)
+    request, upstream = host.request(), host.sent[-1].upstream
+    for _ in range(100):  # the request is heavy; its upstream answers others, or does not
+        host.request()
+        for attempt in host.out():
+            if attempt.request is not request and not (silent and attempt.upstream is upstream):
+                host.came_back(attempt)
         host.wait(5 * MS)
-    assert len(task.hand_offs) == 1 + copies
+    assert len(request.attempts) == 1 + copies
     if silent:
-        host.came_back(task.hand_offs[1])
-        assert host.answers[task.id] == "fulfilled" and task.hand_offs[0] in host.withdrawn
+        host.came_back(request.attempts[1])
+        assert host.answers[request.id] == "fulfilled" and request.attempts[0] in host.withdrawn
 
 
 def test_a_full_fleet_turns_back_at_the_door():
@@ -171,10 +171,10 @@
     assert "turned back" in host.answers.values() and len(host.out()) < 60
 
 
-def test_a_held_task_with_little_patience_is_not_lost_behind_one_with_more():
+def test_a_held_request_with_little_patience_is_not_lost_behind_one_with_more():
     host = FakeHost(count=0)
-    host.task()
-    hasty = host.task(60 * MS)
+    host.request()
+    hasty = host.request(60 * MS)
     host.wait(60 * MS)
     assert host.answers[hasty.id] == "turned back"
 
@@ -185,10 +185,10 @@
     host.traffic(3 * SECOND)
     failed = 0
     for _ in range(100):  # two answer none in this second, one fails whatever it gets
-        host.task()
-        for hand_off in host.out():
-            if hand_off.upstream.id == 0:
-                host.came_back(hand_off, outcome)
+        host.request()
+        for attempt in host.out():
+            if attempt.upstream.id == 0:
+                host.came_back(attempt, outcome)
                 failed += 1
         host.wait(10 * MS)
     assert failed < 15
@@ -198,7 +198,7 @@
 def test_many_balancers_each_keep_to_their_part_of_an_idle_fleet(balancers, most):
     host = FakeHost(EXCLUSIVE, 8, balancers=balancers)
     for _ in range(100):
-        host.task()
+        host.request()
     assert len(host.sent) == most
 
 
@@ -245,10 +245,12 @@
 
 
 def cold_fleet(number, count, rate, burst, kind):
-    """When each of two upstreams that come back cold is sent what by one of `count` balancers, by its age.
+    """When each of two upstreams that come back cold is sent what by one of `count` balancers,
+    by its age.
 
-    `rate` tasks a second come to all together, at random, and `burst` times as many once the two are back;
-    upstreams turn away what is beyond their capacity, a third above what they usually get.
+    `rate` requests a second come to all together, at random, and `burst` times as many once the
+    two are back; upstreams turn away what is beyond their capacity, a third above what they
+    usually get.
     """
     chance = Random(number)
     host = FakeHost(
@@ -265,7 +267,7 @@
         until, due = host.now + span, host.now + int(chance.expovariate(each) * SECOND)
         while host.now < until:
             while due <= host.now:
-                host.task()
+                host.request()
                 due += int(chance.expovariate(each) * SECOND)
             for out in host.out():
                 if out.sent + (120 if out.upstream.id >= 100 else 50) * MS <= host.now:
@@ -273,12 +275,12 @@
             host.sent[:] = host.out()
             host.wait(10 * MS)
 
-    def counted(task, upstream, stop_at=0, send=host.hand_off):
+    def counted(request, upstream, stop_at=0, send=host.start_attempt):
         if upstream.started:
             sent.append((upstream.id, host.now - upstream.started))
-        return send(task, upstream)
+        return send(request, upstream)
 
-    host.hand_off = counted
+    host.start_attempt = counted
     go(5 * SECOND, each, 0.0)
     host.choice.listed(
         host.upstreams[2:] + [Upstream(100 + n, READY, 0, 0, host.now) for n in range(2)]
@@ -295,7 +297,9 @@
 def test_all_balancers_together_never_send_a_cold_upstream_more_than_it_bears_and_bring_it_on(
     count, rate, burst, kind
 ):
-    """Each kept a bound of its own and rounded up: thirty sent 57 in a second and a half where 37 fell it."""
+    """Each kept a bound of its own and rounded up: thirty sent 57 in a second and a half where
+    37 fell it.
+    """
     sent = [one for number in range(count) for one in cold_fleet(number, count, rate, burst, kind)]
     capacity, span = rate / 12 / 0.75, 1500 * MS  # a second, of a warm one
     for upstream in (100, 101):
@@ -324,15 +328,15 @@
     bad = host.upstreams[0]
 
     def part(outcome):
-        """What share of the tasks it gets from two seconds after a hand-off that came back so."""
-        while not (out := [hand_off for hand_off in host.out() if hand_off.upstream is bad]):
+        """What share of the requests it gets from two seconds after an attempt that came back so."""
+        while not (out := [attempt for attempt in host.out() if attempt.upstream is bad]):
             host.traffic(20 * MS)
         host.came_back(out[0], outcome)
         host.traffic(2 * SECOND)
         before = len(host.sent)
         host.traffic(8 * SECOND)
         sent = host.sent[before:]
-        return sum(hand_off.upstream is bad for hand_off in sent) / len(sent)
+        return sum(attempt.upstream is bad for attempt in sent) / len(sent)
 
     assert part(RESET) > 0.1
     assert part(NO_CONNECTION) < 0.1
@@ -346,11 +350,11 @@
     until = host.now + 10 * SECOND
     while host.now < until:
         host.traffic(20 * MS)
-        for hand_off in host.out():
-            if hand_off.upstream is bad:
+        for attempt in host.out():
+            if attempt.upstream is bad:
                 met.append(host.now)
-                host.came_back(hand_off, RESET)
-    assert len(met) < 0.02 * 500  # of 50 tasks a second, where a sound one gets a quarter
+                host.came_back(attempt, RESET)
+    assert len(met) < 0.02 * 500  # of 50 requests a second, where a sound one gets a quarter
 
 
 REPORTED = {"report.source": "inline", "report.columns": ["fulfilled_rate", "busy", "held"]}
@@ -359,7 +363,9 @@
 
 @pytest.mark.parametrize("busy, least, most", [(1.0, 1.5, 1.7), (0.2, 5.0, 6.0)])
 def test_room_follows_the_part_in_use_that_an_upstream_reports(busy, least, most):
-    """Room for six tasks at an upstream of one core had nearly a whole fleet choke within two seconds."""
+    """Room for six requests at an upstream of one core had nearly a whole fleet choke within two
+    seconds.
+    """
     host = FakeHost(count=3, balancers=2, **REPORTED)
     host.traffic(5 * SECOND, load={"fulfilled_rate": 20.0, "busy": busy, "held": 3.0})
     assert all(least <= upstream.seen.wide <= most for upstream in host.upstreams)
@@ -383,14 +389,16 @@
     assert "fulfilled" in host.answers.values()
 
 
-def test_probes_come_with_tasks_to_all_upstreams_in_turn_and_one_that_is_said_to_be_full_gets_nothing():
-    """What has timed out goes on running at an upstream: a balancer's own count of what is out is too low."""
+def test_probes_come_with_requests_to_all_upstreams_in_turn_and_one_that_is_said_to_be_full_gets_nothing():
+    """What has timed out goes on running at an upstream: a balancer's own count of what is out
+    is too low.
+    """
     host = FakeHost(count=3, **PROBED)
     for _ in range(100):
-        host.task()
+        host.request()
         host.choice.reported(host.upstreams[0], {"held": 9.0, "busy": 1.0})
-        for hand_off in host.out():
-            host.came_back(hand_off)
+        for attempt in host.out():
+            host.came_back(attempt)
         host.wait(20 * MS)
     assert len(host.probed) == 50 and set(host.probed) == set(host.upstreams)
     assert not any(sent.upstream is host.upstreams[0] for sent in host.sent[1:])
@@ -461,7 +469,7 @@
 @pytest.mark.parametrize("told, wait", [(True, 200 * MS), (False, 0)])
 def test_a_turn_back_says_when_to_come_back_where_clients_are_told(told, wait):
     host = FakeHost(count=0, **{"limits.retry_after": told})
-    host.task()
+    host.request()
     host.wait(SECOND)
     assert host.waits == [wait]
 
@@ -471,11 +479,13 @@
     host.traffic(3 * SECOND)
     bad = host.upstreams[0]
     host.traffic(300 * MS, takes=lambda upstream: None if upstream is bad else 50 * MS)
-    host.choice.change(SETTINGS | {"limits.second_copies": False}, [host.workload])
-    before = {task.id: len(task.hand_offs) for task in {sent.task for sent in host.out()}}
+    host.choice.change(SETTINGS | {"limits.second_copies": False}, [host.request_class])
+    before = {
+        request.id: len(request.attempts) for request in {sent.request for sent in host.out()}
+    }
     host.traffic(2 * SECOND, takes=lambda upstream: None if upstream is bad else 50 * MS)
     assert before and all(
-        len(sent.task.hand_offs) == before[sent.task.id]
+        len(sent.request.attempts) == before[sent.request.id]
         for sent in host.sent
-        if sent.task.id in before
+        if sent.request.id in before
     )
--- a/tests/radius/test_radius.py
+++ b/tests/radius/test_radius.py
@@ -45,7 +45,7 @@
     Weather,
     attributes,
     proved,
-    request,
+    request_packet,
 )
 from whinpier.testbed.radius import record as record_packet
 
@@ -160,7 +160,7 @@
     back.source = None
     answer = back.ReplyPacket()
     wire.check_answer(wire.parse(answer), answer, wire.parse(ours), SECRET, False)
-    standin = request(3, [(40, b"\0\0\0\1")], SECRET)  # and the stand-in's own
+    standin = request_packet(3, [(40, b"\0\0\0\1")], SECRET)  # and the stand-in's own
     wire.check_request(wire.parse(standin), standin, SECRET, True)
 
 
@@ -186,7 +186,7 @@
 def test_a_retransmission_joins_what_is_out_and_is_given_the_same_answer_again_for_a_while():
     memory, packet = deduplication.Memory(kept=10 * SECOND), record()
     met, entry = meet(memory, packet)
-    entry.task = "out"
+    entry.request = "out"
     assert met == deduplication.NEW and meet(memory, packet) == (deduplication.JOINS, entry)
     assert (
         meet(memory, record(session=b"s2"))[0] == deduplication.NEW
@@ -219,7 +219,7 @@
     packets = [record(session=b"%d" % number) for number in range(6)]
     entries = [meet(memory, packet)[1] for packet in packets[:4]]
     for entry in entries:
-        entry.task = "out"
+        entry.request = "out"
     memory.answered(entries[1], b"a", 0)
     assert (
         meet(memory, packets[4]) == (deduplication.FULL, None)
@@ -257,7 +257,7 @@
     """Every packet walked the whole table for one that was answered."""
     memory = deduplication.Memory(kept=SECOND, most=20_000, clients=["c"])
     for number in range(20_000):
-        meet(memory, record_of(number))[1].task = "out"
+        meet(memory, record_of(number))[1].request = "out"
     looked = Looked(memory.parts["c"].entries)
     memory.parts["c"].entries = looked
     for number in range(20_000, 20_200):
@@ -509,7 +509,7 @@
     memory, state = kept_in(tmp_path)
     packets = [record(session=b"%d" % number) for number in range(4)]
     entries = [meet(memory, packet)[1] for packet in packets]
-    entries[0].task = "out"
+    entries[0].request = "out"
     memory.answered(entries[1], b"answer", 0)
     memory.ended(entries[2], 0)
     memory.given_up(entries[3])
@@ -523,7 +523,7 @@
     ]
     known = meet(memory, record(session=b"1", delay=7))  # by its record, in other words
     assert known[0] == deduplication.AGAIN and known[1].answer == b"answer"
-    assert meet(memory, packets[0])[1].task is None
+    assert meet(memory, packets[0])[1].request is None
     with pytest.raises(Torn, match="another process"):
         kept_in(tmp_path)
     state.close()
@@ -826,9 +826,9 @@
         noise, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, ("127.0.0.1", 0))
         for size in (0, 1, 19, 20, 64, 4096, 4097, 9000):
             noise.sendto(os.urandom(size), address)
-        looped = request(1, [(40, b"\0\0\0\1"), *[(33, b"p")] * 9], SECRET)
+        looped = request_packet(1, [(40, b"\0\0\0\1"), *[(33, b"p")] * 9], SECRET)
         noise.sendto(looped, address)
-        noise.sendto(request(2, [(44, b"no status")], SECRET), address)
+        noise.sendto(request_packet(2, [(44, b"no status")], SECRET), address)
         await asyncio.gather(forger.run(1.0), plain.run(1.0))
         noise.close()
         assert not any(one.answers for one in forger.told) and all(
@@ -877,7 +877,8 @@
         noise, _ = await loop.create_datagram_endpoint(Listener, ("127.0.0.1", 0))
         same = [(32, b"n"), (44, b"s"), (40, b"\0\0\0\1")]
         asked = [
-            request(ident, [*same, (41, bytes((0, 0, 0, ident)))], SECRET) for ident in range(3)
+            request_packet(ident, [*same, (41, bytes((0, 0, 0, ident)))], SECRET)
+            for ident in range(3)
         ]
         for data in asked:  # the server takes its time
             noise.sendto(data, address)
--- a/tests/radius/test_streams.py
+++ b/tests/radius/test_streams.py
@@ -1,4 +1,6 @@
-"""Stories of RADIUS over TCP and TLS: records in a stream, peers that lie, certificates, duplicates."""
+"""Stories of RADIUS over TCP and TLS: records in a stream, peers that lie, certificates,
+duplicates.
+"""
 
 import asyncio
 import datetime
@@ -19,7 +21,7 @@
 from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
 from whinpier.testbed.process import free_address
-from whinpier.testbed.radius import Behaviour, Burst, Caller, proved, record, request
+from whinpier.testbed.radius import Behaviour, Burst, Caller, proved, record, request_packet
 
 WORK = Behaviour(delay=0.005, forgets=True)
 
@@ -28,7 +30,7 @@
 @given(st.lists(st.integers(0, 400), max_size=8), st.lists(st.integers(1, 300), max_size=40))
 def test_packets_come_out_of_a_stream_as_they_went_in_however_it_is_cut(sizes, cuts):
     packets = [
-        request(number, [(40, b"\0\0\0\1"), (25, bytes(size % 250))], SECRET)
+        request_packet(number, [(40, b"\0\0\0\1"), (25, bytes(size % 250))], SECRET)
         for number, size in enumerate(sizes)
     ]
     whole, splitter, found, at = b"".join(packets), Splitter(), [], 0
@@ -92,7 +94,7 @@
             len(burst.answers) == 40 and len(ran(servers)) == 40 and max(ran(servers).values()) == 1
         )
         caller.send(
-            request(200, [], SECRET).replace(b"\4", b"\x0c", 1)
+            request_packet(200, [], SECRET).replace(b"\4", b"\x0c", 1)
         )  # a Status-Server's proof is another
         await asyncio.wait_for(caller.ended.wait(), 5)
         burst.close()
@@ -192,7 +194,7 @@
         await paced(
             caller,
             [
-                request(
+                request_packet(
                     number, [(32, b"n"), (44, b"%d" % number), (40, b"\0\0\0\1")], b"radsec", False
                 )
                 for number in range(20)
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,15 +1,19 @@
-"""Stories of routes: which takes a request, what is refused, and the table held against a plain scan."""
+"""Stories of routes: which takes a request, what is refused, and the table held against a plain
+scan.
+"""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from whinpier.routing import normal
-from whinpier.routing.table import Asked, Missed, Route, RouteFault, Table, scan
+from whinpier.routing.table import RouteQuery, Missed, Route, RouteFault, Table, scan
 
 
 def found(routes, **asked):
-    route = Table(routes).find(Asked(**{"method": "GET", "host": "a.b.c", "path": "/x"} | asked))
+    route = Table(routes).find(
+        RouteQuery(**{"method": "GET", "host": "a.b.c", "path": "/x"} | asked)
+    )
     return route.reason if isinstance(route, Missed) else route.name
 
 
@@ -130,7 +134,7 @@
         ({"path": "/p"}, "longer"),
         ({"path": "/p", "method": "POST", "headers": {"x-a": "1"}}, "valued"),
         ({"path": "/p", "method": "POST", "headers": {"x-a": "2"}}, "post"),
-        ({"path": "/p", "method": "POST", "workload": "w"}, "laned"),
+        ({"path": "/p", "method": "POST", "request_class": "w"}, "laned"),
     ],
 )
 def test_the_most_specific_route_takes_a_request_wherever_it_stands(asked, name):
@@ -144,7 +148,7 @@
         Route("exact", "a.b.c", "/only", False),
         Route("post", "a.b.c", "/p", methods=frozenset(["POST"])),
         Route("valued", "a.b.c", "/p", methods=frozenset(["POST"]), headers={"x-a": "1"}),
-        Route("laned", "a.b.c", "/p", methods=frozenset(["POST"]), workload="w"),
+        Route("laned", "a.b.c", "/p", methods=frozenset(["POST"]), request_class="w"),
     ]
     assert found(routes, **asked) == found(routes[::-1], **asked) == name
 
@@ -162,7 +166,7 @@
     routes = [
         Route("a", "a.b.c", "/x", methods=frozenset(["POST", "GET"][:1])),
         Route("b", "a.b.c", "/y", headers={"x-a": "*"}),
-        Route("c", "a.b.c", "/z", workload="w"),
+        Route("c", "a.b.c", "/z", request_class="w"),
     ]
     assert found(routes, **{"method": "POST"} | asked) == why
 
@@ -201,8 +205,8 @@
             Route("b", headers={"x-a": "2"}),
             Route("c", path="/p", methods=frozenset(["GET"])),
             Route("d", path="/p", methods=frozenset(["PUT"])),
-            Route("e", path="/q", workload="v"),
-            Route("f", path="/q", workload="w"),
+            Route("e", path="/q", request_class="v"),
+            Route("f", path="/q", request_class="w"),
         ]
     )
 
@@ -215,8 +219,8 @@
     st.sampled_from(["x-a", "x-b"]), st.sampled_from(["1", "2", "*"]), max_size=2
 )
 route = st.builds(
-    lambda host, path, prefix, method, header, workload: Route(
-        "", host, "/" + "/".join(path), prefix, method, header, workload
+    lambda host, path, prefix, method, header, request_class: Route(
+        "", host, "/" + "/".join(path), prefix, method, header, request_class
     ),
     hosts,
     segments,
@@ -226,7 +230,7 @@
     st.sampled_from(["", "v"]),
 )
 asked = st.builds(
-    Asked,
+    RouteQuery,
     st.sampled_from(["GET", "POST"]),
     st.sampled_from(["a", "a.b", "b.b", "x.a.b", "q"]),
     st.lists(words, max_size=5).map(lambda parts: "/" + "/".join(parts)),
@@ -241,7 +245,13 @@
     kept = []
     for number, one in enumerate(routes):  # as many of them as are no fault together
         one = Route(
-            f"r{number}", one.host, one.path, one.prefix, one.methods, one.headers, one.workload
+            f"r{number}",
+            one.host,
+            one.path,
+            one.prefix,
+            one.methods,
+            one.headers,
+            one.request_class,
         )
         try:
             Table([*kept, one])
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -12,7 +12,7 @@
 from tests.fake_host import MS, FakeHost
 from tests.waiting import LIMIT, until
 from whinpier.policy.decaying_sum import SECOND, Turn
-from whinpier.policy.model import READY, Upstream, Workload
+from whinpier.policy.model import READY, Upstream, RequestClass
 from whinpier.runtime.resource_budget import Budget, Part
 from whinpier.config.model import Limits
 from whinpier.testbed import files
@@ -54,8 +54,8 @@
             }
             for name in names
         ]
-        workload = {"kind": kind, "agreed_time": self.agreed_time, "patience": "2s"}
-        return {"upstreams": upstreams, "workloads": {"w": workload}} | more
+        request_class = {"kind": kind, "agreed_time": self.agreed_time, "patience": "2s"}
+        return {"upstreams": upstreams, "workloads": {"w": request_class}} | more
 
     def text(self):
         return files.document(
@@ -121,8 +121,8 @@
         assert bank.ask("a, b").status == 400 and bank.ask("a", method="HEAD").status == 405
 
 
-def test_tasks_of_two_pools_sent_at_once_on_one_connection_are_answered_in_turn(tmp_path, fleet):
-    task = "POST /x HTTP/1.1\r\nHost: %s\r\nX-Txn: p%d\r\nX-Remaining: 1\r\nContent-Length: 0\r\n%s\r\n"
+def test_requests_of_two_pools_sent_at_once_on_one_connection_are_answered_in_turn(tmp_path, fleet):
+    request = "POST /x HTTP/1.1\r\nHost: %s\r\nX-Txn: p%d\r\nX-Remaining: 1\r\nContent-Length: 0\r\n%s\r\n"
     with (
         setting(tmp_path, fleet) as bank,
         socket.create_connection(bank.balancer.address, LIMIT) as sock,
@@ -131,10 +131,10 @@
         fleet.tell("a-2", work=0.1, workers=1)
         sock.sendall(
             (
-                task % ("a", 1, "")
-                + task % ("b", 2, "")
-                + task % ("none", 3, "")
-                + task % ("a", 4, "Connection: close\r\n")
+                request % ("a", 1, "")
+                + request % ("b", 2, "")
+                + request % ("none", 3, "")
+                + request % ("a", 4, "Connection: close\r\n")
             ).encode()
         )
         said = sock.makefile("rb").read().decode()
@@ -185,11 +185,13 @@
         assert well.share_on_time() > 0.97 and hung.share_on_time() < 0.2
         assert not hung.unanswered() and not hung.answered_twice() and hung.surplus == 0
         assert all(
-            task.status in (502, 503) or task.on_time(0.5) for task in hung.told if task.answers
+            request.status in (502, 503) or request.on_time(0.5)
+            for request in hung.told
+            if request.answers
         )
 
 
-def test_a_pool_that_is_taken_out_finishes_its_tasks_while_its_route_leads_elsewhere(
+def test_a_pool_that_is_taken_out_finishes_its_requests_while_its_route_leads_elsewhere(
     tmp_path, fleet
 ):
     with setting(tmp_path, fleet) as bank:
@@ -217,7 +219,8 @@
 
 
 def test_reloads_under_load_lose_no_answer_and_run_nothing_twice(tmp_path, fleet):
-    # Held for up to half a second: a machine that stands still for a tenth must not turn tasks back.
+    # Held for up to half a second: a machine that stands still for a tenth must not turn requests
+    # back.
     with setting(tmp_path, fleet, agreed_time="2s") as bank:
         names = [f"moved{next(ids)}", f"stays{next(ids)}"]
         address = bank.balancer.address
@@ -242,9 +245,14 @@
         ledger = fleet.ledger()
         for gateway in gateways:
             # A machine that stands still for longer turns a few back, which loses nothing.
-            assert {task.status for task in gateway.told} <= {200, 503} and gateway.surplus == 0
-            assert sum(task.status == 503 for task in gateway.told) <= 0.02 * len(gateway.told)
-            assert all(task.answers == 1 for task in gateway.told)
+            assert {request.status for request in gateway.told} <= {
+                200,
+                503,
+            } and gateway.surplus == 0
+            assert sum(request.status == 503 for request in gateway.told) <= 0.02 * len(
+                gateway.told
+            )
+            assert all(request.answers == 1 for request in gateway.told)
         assert ledger.twice(names[0]) == ledger.twice(names[1]) == []
         assert bank.balancer.said("event=configured") == 8
 
@@ -316,14 +324,14 @@
 
 def test_a_pool_keeps_to_its_own_limit_and_one_that_ends_gives_its_part_back():
     budget = Budget(1024, 64 << 20)
-    first, second = parts(budget, Limits(0.5, tasks=7), Limits(0.5))
-    assert [first.tasks.take() for _ in range(8)] == [True] * 7 + [False]
+    first, second = parts(budget, Limits(0.5, requests=7), Limits(0.5))
+    assert [first.requests.take() for _ in range(8)] == [True] * 7 + [False]
     second.end()
-    assert budget.tasks.kept == first.tasks.kept() and budget.parts == [first]
+    assert budget.requests.kept == first.requests.kept() and budget.parts == [first]
     for _ in range(7):
-        first.tasks.give()
+        first.requests.give()
     first.end()
-    assert budget.tasks.kept == budget.tasks.used == 0 and not budget.tasks.held
+    assert budget.requests.kept == budget.requests.used == 0 and not budget.requests.held
 
 
 def test_when_the_core_is_full_who_uses_more_than_its_part_is_turned_back_first():
@@ -361,22 +369,22 @@
     assert 0 < both[-1] < 0.75 * alone[-1]
 
 
-def test_settings_that_change_keep_what_is_known_and_a_task_keeps_the_rules_it_came_under():
+def test_settings_that_change_keep_what_is_known_and_a_request_keeps_the_rules_it_came_under():
     host = FakeHost("exclusive", 3)
     host.traffic(4 * SECOND)
-    known, task = [up.seen for up in host.upstreams], host.task()
-    other = Workload("other", "rerunnable", 400 * MS, 2000 * MS, 1.0)
+    known, request = [up.seen for up in host.upstreams], host.request()
+    other = RequestClass("other", "rerunnable", 400 * MS, 2000 * MS, 1.0)
     host.choice.change({"limits.max_hand_offs": 1, "limits.held": 0}, [other])
     assert [up.seen for up in host.upstreams] == known and all(
         seen.answers.value > 1 for seen in known
     )
-    host.came_back(task.hand_offs[0], "reset")
-    assert host.answers[task.id] == "scrapped"  # it came as exclusive
-    host.workload = other
-    again = host.task()
-    host.came_back(again.hand_offs[0], "full")
+    host.came_back(request.attempts[0], "reset")
+    assert host.answers[request.id] == "scrapped"  # it came as exclusive
+    host.request_class = other
+    again = host.request()
+    host.came_back(again.attempts[0], "full")
     assert (
-        len(again.hand_offs) == 1 and host.answers[again.id] == "turned back"
-    )  # one hand-off, nothing held
+        len(again.attempts) == 1 and host.answers[again.id] == "turned back"
+    )  # one attempt, nothing held
     host.traffic(2 * SECOND)
     assert list(host.choice.entry.held) == [other]
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -1,4 +1,6 @@
-"""Stories of a platform's balancer whose settings change while it runs: there, back, and not at all."""
+"""Stories of a platform's balancer whose settings change while it runs: there, back, and not at
+all.
+"""
 
 import asyncio
 import json
@@ -117,9 +119,9 @@
         asyncio.run(story())
         for gateway in gateways:
             assert len(gateway.told) > 50 and gateway.surplus == 0
-            assert {task.answers for task in gateway.told} == {1}
+            assert {request.answers for request in gateway.told} == {1}
             # Not all: a machine that stands still for a tenth of a second has some turned back.
-            assert sum(task.status == 200 for task in gateway.told) > 0.5 * len(gateway.told)
+            assert sum(request.status == 200 for request in gateway.told) > 0.5 * len(gateway.told)
         assert fleet.ledger().twice("charge") == []
         assert running.said("event=settings_changed") == 8
         assert running.said("event=settings_not_honoured keys=limits.peers,limits.probes") == 4
--- a/tests/simhost/test_simhost.py
+++ b/tests/simhost/test_simhost.py
@@ -44,7 +44,7 @@
     return found
 
 
-def test_a_task_goes_to_the_upstream_of_the_latest_list_of_its_number():
+def test_a_request_goes_to_the_upstream_of_the_latest_list_of_its_number():
     gone = struct.pack("<IIBIHQfHH", 2, 1, 1, 111, 0, 0, 1.0, 0, 0)
     ready = struct.pack("<IIBIHQfHH", 2, 1, 1, 222, 0, 0, 1.0, 0, 0)
     told = record(100, struct.pack("<IBII", 3, wire.SCOPE_FULL, 1, 2))
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -1,4 +1,6 @@
-"""Stories of the lab: theory is met, the same seed is the same run, broken rules are caught and shrunk."""
+"""Stories of the lab: theory is met, the same seed is the same run, broken rules are caught and
+shrunk.
+"""
 
 import json
 from pathlib import Path
--- a/tests/test_forms_kept.py
+++ b/tests/test_forms_kept.py
@@ -1,4 +1,6 @@
-"""Examples of each form that a build has written: this one reads them, and is read by the one before."""
+"""Examples of each form that a build has written: this one reads them, and is read by the one
+before.
+"""
 
 import base64
 
--- a/whinpier/__init__.py
+++ b/whinpier/__init__.py
@@ -1,1 +1,1 @@
-"""whinpier: a load balancer that splits tasks by the min-max policy."""
+"""whinpier: a load balancer that splits requests by the min-max policy."""
--- a/whinpier/__main__.py
+++ b/whinpier/__main__.py
@@ -11,7 +11,8 @@
 import anyio
 import h11  # noqa: F401
 
-# From below upwards: imports that nest leave 0.7 MB more behind than those that do not (measured, of 27).
+# From below upwards: imports that nest leave 0.7 MB more behind than those that do not (measured,
+# of 27).
 from whinpier import log
 from whinpier.config.model import Address, ConfigFault, Spec, kept_till_restart
 from whinpier.policy.policy import Choice  # noqa: F401
--- a/whinpier/cli/demo.py
+++ b/whinpier/cli/demo.py
@@ -36,7 +36,9 @@
 
 
 def play(seconds: float, rate: float, seed: int) -> dict[str, Any]:
-    """Run it: what each pool's clients saw before and after an upstream was stopped, and where tasks went."""
+    """Run it: what each pool's clients saw before and after an upstream was stopped, and where
+    requests went.
+    """
     scripts = {
         f"{name}-{number}": Script(work=WORK[name]) for name in POOLS for number in (1, 2, 3)
     }
@@ -92,15 +94,15 @@
 
 
 def row(name: str, part: str, gateway: Gateway, begins: float, ends: float) -> dict[str, Any]:
-    tasks = [task for task in gateway.told if begins <= task.due < ends]
-    times = [1000 * task.latency for task in tasks if task.status == 200]
+    requests = [request for request in gateway.told if begins <= request.due < ends]
+    times = [1000 * request.latency for request in requests if request.status == 200]
     return {
         "pool": name,
         "stretch": part,
-        "tasks": len(tasks),
+        "tasks": len(requests),
         "fulfilled": len(times),
-        "turned_back": sum(task.status == 503 for task in tasks),
-        "scrapped": sum(task.status == 502 for task in tasks),
+        "turned_back": sum(request.status == 503 for request in requests),
+        "scrapped": sum(request.status == 502 for request in requests),
         "on_time": round(gateway.share_on_time(begins, ends), 4),
         "median_ms": round(percentile(times, 0.5), 1),
         "p99_ms": round(percentile(times, 0.99), 1),
--- a/whinpier/cli/fleet.py
+++ b/whinpier/cli/fleet.py
@@ -384,7 +384,9 @@
     operator: Path | None,
     as_json: bool,
 ) -> None:
-    """Let an upstream (POOL/UPSTREAM) rest, or turn back a tenant or route, at the whole bank for a while."""
+    """Let an upstream (POOL/UPSTREAM) rest, or turn back a tenant or route, at the whole bank
+    for a while.
+    """
     call, key = Call(socket_of(path, operator)), key_of(kind, name)
     found = call.one(
         "say", name=key, value={"who": who} | ({"why": why} if why else {}), life_ms=life
@@ -441,7 +443,9 @@
 @click.argument("name")
 @options
 def strike(name: str, path: Path | None, operator: Path | None, as_json: bool) -> None:
-    """Say that NAME, lost by silence, is dead: it is reckoned with no longer. Exits with 1 if it is none."""
+    """Say that NAME, lost by silence, is dead: it is reckoned with no longer. Exits with 1 if it
+    is none.
+    """
     found = Call(socket_of(path, operator)).one("strike", name=name)
     click.echo(json.dumps(found) if as_json else f"{name}: struck, {found['struck']} of its runs")
 
--- a/whinpier/cli/fleet_demo.py
+++ b/whinpier/cli/fleet_demo.py
@@ -1,7 +1,7 @@
 """Plays a bank of some processes on this machine: a drain, a killed leader, a release, a bad one.
 
-Starts and ends all of it itself. With `stay` the bank is left running for a while, for whoever wants to try
-the commands on it.
+Starts and ends all of it itself. With `stay` the bank is left running for a while, for whoever
+wants to try the commands on it.
 """
 
 from __future__ import annotations
--- a/whinpier/cli/main.py
+++ b/whinpier/cli/main.py
@@ -1,7 +1,8 @@
-"""`whinpier`: starts a balancer, checks an operator's file, explains its routes, plays a demonstration.
+"""`whinpier`: starts a balancer, checks an operator's file, explains its routes, plays a
+demonstration.
 
-Exit codes: 0 done, 1 not done, 2 misuse or a faulty configuration, 3 done in part. A fault is one line on
-standard error, without a traceback.
+Exit codes: 0 done, 1 not done, 2 misuse or a faulty configuration, 3 done in part. A fault is one
+line on standard error, without a traceback.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="whinpier", message="%(prog)s %(version)s")
 def cli() -> None:
-    """A load balancer that splits tasks by the min-max policy."""
+    """A load balancer that splits requests by the min-max policy."""
 
 
 @cli.command()
@@ -75,21 +76,23 @@
         spec = settings.read(os.environ | {"BALANCER_CONFIG": str(file)})
     except ConfigFault as fault:
         fail(str(fault))
-    workloads = [workload.name for pool in spec.pools.values() for workload in pool.workloads]
+    request_classes = [
+        request_class.name for pool in spec.pools.values() for request_class in pool.request_classes
+    ]
     if as_json:
         click.echo(
             json.dumps(
                 {
                     "file": str(file),
                     "name": spec.name,
-                    "workloads": workloads,
+                    "workloads": request_classes,
                     "not_honoured": spec.not_honoured,
                 },
                 indent=1,
             )
         )
         return
-    click.echo(f"{file}: good; {len(workloads)} workloads")
+    click.echo(f"{file}: good; {len(request_classes)} workloads")
     for key in spec.not_honoured:
         click.echo(f"{key}: not honoured, the protocol has no way for it")
 
@@ -126,7 +129,7 @@
 ) -> None:
     """Say which route of FILE takes a request, and why. Exits with 1 where none does."""
     from whinpier.routing import normal
-    from whinpier.routing.table import Asked, Missed
+    from whinpier.routing.table import RouteQuery, Missed
 
     spec, given = read(file), {}
     for header in headers:
@@ -137,7 +140,7 @@
     assert spec.table
     try:
         # No host at all is none that a route could name.
-        asked = Asked(
+        asked = RouteQuery(
             method.upper(),
             normal.host(host or "none.invalid"),
             normal.path(path.partition("?")[0]),
@@ -164,7 +167,7 @@
         answer = {
             "route": found.name,
             "pool": to.pool,
-            "workload": to.workload or "as X-Lane names it",
+            "workload": to.request_class or "as X-Lane names it",
             "host": found.host or "any",
             "path": found.path + ("/..." if found.prefix else ""),
             "tried": tried,
@@ -265,9 +268,9 @@
             "list": "%s:%d" % pool.discovery if pool.discovery else f"{len(pool.known)} upstreams",
             "workloads": ", ".join(
                 f"{one.name} ({one.kind}, {one.agreed_time // MS} of {one.patience // MS} ms)"
-                for one in pool.workloads
+                for one in pool.request_classes
             ),
-            "tasks": pool.limits.tasks,
+            "tasks": pool.limits.requests,
             "connections": pool.limits.connections,
         }
         for pool in spec.pools.values()
@@ -284,10 +287,10 @@
             "methods": ",".join(sorted(one.methods)) or "as the workload has",
             "conditions": ", ".join(
                 [f"{name}: {value}" for name, value in one.headers.items()]
-                + [f"x-lane: {one.workload}"] * bool(one.workload)
+                + [f"x-lane: {one.request_class}"] * bool(one.request_class)
             ),
             "pool": one.to.pool,
-            "workload": one.to.workload or "as X-Lane names it",
+            "workload": one.to.request_class or "as X-Lane names it",
             "patience_ms": one.to.patience // MS or None,
         }
         for one in sorted(spec.table.routes, key=lambda one: one.rank())
--- a/whinpier/cli/rollouts.py
+++ b/whinpier/cli/rollouts.py
@@ -1,7 +1,9 @@
-"""`whinpier bank drain|undrain|release|halt|resume|undo|status|...`: what operators say to the bank's record.
+"""`whinpier bank drain|undrain|release|halt|resume|undo|status|...`: what operators say to the
+bank's record.
 
-Each command has an id, by which it counts once, and states the revision that it rests on. Must never call
-done what the record does not: 0 done, 1 refused, 3 done in part, with the names of those that are left.
+Each command has an id, by which it counts once, and states the revision that it rests on. Must
+never call done what the record does not: 0 done, 1 refused, 3 done in part, with the names of those
+that are left.
 """
 
 from __future__ import annotations
@@ -292,7 +294,9 @@
     as_json: bool,
     **more: Any,
 ) -> None:
-    """Release FILE (pools, routes, limits of an operator's file), or a build, in waves, a gate after each."""
+    """Release FILE (pools, routes, limits of an operator's file), or a build, in waves, a gate
+    after each.
+    """
     from whinpier.fleet.consensus.service import deflated
 
     if (file is None) == (not build):
--- a/whinpier/config/fields.py
+++ b/whinpier/config/fields.py
@@ -1,7 +1,8 @@
-"""What every part's tables in an operator's file share: typed structs, names, durations, secrets, faults.
+"""What every part's tables in an operator's file share: typed structs, names, durations, secrets,
+faults.
 
-Owns what is said of a faulty key: its place, what is allowed, what may have been meant. Knows no part's keys,
-so that each part brings its own. Not imported without such a file.
+Owns what is said of a faulty key: its place, what is allowed, what may have been meant. Knows no
+part's keys, so that each part brings its own. Not imported without such a file.
 """
 
 from __future__ import annotations
@@ -62,7 +63,7 @@
 
 
 def type_at(kind: Any, path: str) -> Any:
-    """The type that a path such as `.limits.tasks` or `.streams[0]` leads to."""
+    """The type that a path such as `.limits.requests` or `.streams[0]` leads to."""
     for step in re.findall(r"\.(\w+)", path):
         kind = next(
             field.type for field in msgspec.structs.fields(bare(kind)) if field.encode_name == step
--- a/whinpier/config/model.py
+++ b/whinpier/config/model.py
@@ -1,4 +1,6 @@
-"""Plain types of what is configured: the process, its pools, their lists. Reads no file, decides nothing."""
+"""Plain types of what is configured: the process, its pools, their lists. Reads no file, decides
+nothing.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +10,7 @@
 from math import isfinite
 from typing import TYPE_CHECKING, Any, Protocol
 
-from whinpier.policy.model import DRAINING, GONE, READY, Workload
+from whinpier.policy.model import DRAINING, GONE, READY, RequestClass
 
 if TYPE_CHECKING:
     from whinpier.routing.table import Table
@@ -29,7 +31,7 @@
     "window",
     "streamed",
     "stretch",
-)  # of a workload
+)  # of a request class
 KEPT_TILL_RESTART = ("name", "listen", "seed", "sockets", "memory", "isolate")  # of a process
 PLATFORM = "all"  # the one pool of a process without an operator's file
 
@@ -57,7 +59,7 @@
     """What one pool may have of the process; None: no limit of its own."""
 
     guaranteed: float = 1.0  # the part of descriptors, bodies and CPU that it always has
-    tasks: int | None = None  # without an answer
+    requests: int | None = None  # without an answer
     connections: int | None = None  # to upstreams
     bodies: int | None = None  # bytes of requests and answers held
 
@@ -87,7 +89,7 @@
 
     name: str
     settings: dict[str, Any]
-    workloads: list[Workload]
+    request_classes: list[RequestClass]
     zones: list[str]
     kinds: list[str]
     tenants: list[str]
@@ -110,14 +112,17 @@
 
 
 def differs(old: PoolSpec, new: PoolSpec) -> list[str]:
-    """Which keys of a pool differ; workloads by what is configured of them, not by what is known."""
+    """Which keys of a pool differ; request classes by what is configured of them, not by what is known."""
     found = [
         key.name
         for key in fields(PoolSpec)
-        if key.name != "workloads" and getattr(old, key.name) != getattr(new, key.name)
+        if key.name != "request_classes" and getattr(old, key.name) != getattr(new, key.name)
     ]
     told = [
-        [tuple(getattr(workload, key) for key in CONFIGURED) for workload in spec.workloads]
+        [
+            tuple(getattr(request_class, key) for key in CONFIGURED)
+            for request_class in spec.request_classes
+        ]
         for spec in (old, new)
     ]
     return found + ["workloads"] * (told[0] != told[1])
@@ -151,7 +156,9 @@
 
 
 class Together(Protocol):
-    """What the part of a process that knows other processes is configured by; only that part knows more."""
+    """What the part of a process that knows other processes is configured by; only that part
+    knows more.
+    """
 
     @property
     def descriptors(self) -> int:
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -1,7 +1,9 @@
-"""The one place where the operator's file is read, checked as a whole and made into what the process runs by.
+"""The one place where the operator's file is read, checked as a whole and made into what the
+process runs by.
 
-Owns its keys and what is said about a faulty one: the file, the key and what is allowed. Not imported without
-such a file. Must never let through a part of a faulty file, or raise anything but a ConfigFault for it.
+Owns its keys and what is said about a faulty one: the file, the key and what is allowed. Not
+imported without such a file. Must never let through a part of a faulty file, or raise anything but
+a ConfigFault for it.
 """
 
 from __future__ import annotations
@@ -67,7 +69,7 @@
 
 
 class WorkloadTable(Strict, frozen=True):
-    """One kind of task."""
+    """One kind of request."""
 
     kind: Literal["rerunnable", "ticketed", "exclusive"]
     agreed_time: Duration
@@ -91,20 +93,22 @@
     started_ms: Annotated[int, Meta(ge=0, le=2**53)] = 0
 
 
-class LimitsTable(Strict, frozen=True):
+class LimitsTable(Strict, frozen=True, rename={"requests": "tasks"}):
     """What a pool may have of the process."""
 
     guaranteed: Part | None = None
-    tasks: Count | None = None
+    requests: Count | None = None
     held: Whole | None = None
     connections: Count | None = None
     bodies_kb: Count | None = None
 
 
-class PoolTable(Strict, frozen=True):
+class PoolTable(
+    Strict, frozen=True, rename={"request_classes": "workloads", "attempts": "hand_offs"}
+):
     """One pool."""
 
-    workloads: dict[str, Any]
+    request_classes: dict[str, Any]
     protocol: Literal["http", "radius"] = "http"
     radius: Any = None
     upstreams: list[Any] | None = None
@@ -117,7 +121,7 @@
     zones: list[str] = []
     kinds: list[str] = []
     tenants: list[str] = []
-    hand_offs: Annotated[int, Meta(ge=1, le=16)] = 3
+    attempts: Annotated[int, Meta(ge=1, le=16)] = 3
     second_copies: bool = False
     cancelling: bool = True
     warm_keys: bool = False  # no longer there: said, not passed over
@@ -131,7 +135,7 @@
     crossing: Amount = 0.0
 
 
-class RouteTable(Strict, frozen=True):
+class RouteTable(Strict, frozen=True, rename={"request_class": "workload"}):
     """One route."""
 
     name: str
@@ -142,7 +146,7 @@
     methods: list[Literal["GET", "POST", "PUT", "PATCH", "DELETE"]] = []
     headers: dict[str, str] = {}
     lane: str = ""
-    workload: str = ""
+    request_class: str = ""
     patience: Duration | None = None
     says: Says | None = None
 
@@ -198,7 +202,7 @@
     )
 
 
-def workload(name: str, value: Any, at: str) -> model.Workload:
+def request_class(name: str, value: Any, at: str) -> model.RequestClass:
     table = part(value, WorkloadTable, at)
     agreed = duration(table.agreed_time, f"{at}.agreed_time", UNITS["ms"])
     patience = duration(table.patience, f"{at}.patience", UNITS["ms"])
@@ -207,7 +211,7 @@
     window = duration(table.window, f"{at}.window")
     if window and table.kind != "ticketed":
         raise ConfigFault(f"{at}.window: only a ticketed workload has one")
-    return model.Workload(
+    return model.RequestClass(
         name, table.kind, agreed, patience, table.payoff, table.late_payoff, table.group, window
     )
 
@@ -242,7 +246,7 @@
     at = f"pools.{name}"
     if (table.upstreams is None) == (table.discovery is None):
         raise ConfigFault(f"{at}: either upstreams or discovery says where its list comes from")
-    if not table.workloads:
+    if not table.request_classes:
         raise ConfigFault(f"{at}.workloads: none is named")
     if table.zone and table.zone not in table.zones:
         raise ConfigFault(f"{at}.zone: {table.zone!r} is not in zones")
@@ -252,15 +256,15 @@
         raise ConfigFault(
             f"{at}.number: {table.number} is not below balancers, {table.balancers or 1}"
         )
-    workloads = [
-        workload(named(key, f"{at}.workloads"), inner, f"{at}.workloads.{key}")
-        for key, inner in table.workloads.items()
+    request_classes = [
+        request_class(named(key, f"{at}.workloads"), inner, f"{at}.workloads.{key}")
+        for key, inner in table.request_classes.items()
     ]
     settings: dict[str, Any] = {
         "balancers": table.balancers or 1,
         "slot_no": table.number,
         "zone": table.zones.index(table.zone) if table.zone else 0,
-        "limits.max_hand_offs": table.hand_offs,
+        "limits.max_hand_offs": table.attempts,
         "limits.second_copies": table.second_copies,
         "limits.cancelling": table.cancelling,
         "rules.cold": duration(table.warm_up, f"{at}.warm_up"),
@@ -276,7 +280,7 @@
     return PoolSpec(
         name,
         settings,
-        workloads,
+        request_classes,
         list(table.zones),
         list(table.kinds),
         list(table.tenants),
@@ -288,7 +292,7 @@
         known=entries(table.upstreams or [], table, f"{at}.upstreams"),
         limits=Limits(
             guaranteed,
-            limits.tasks,
+            limits.requests,
             limits.connections,
             limits.bodies_kb * 1024 if limits.bodies_kb else None,
         ),
@@ -326,7 +330,9 @@
         return None
     from whinpier.fleet.config import bank
 
-    patience = {name: max(one.patience for one in spec.workloads) for name, spec in pools.items()}
+    patience = {
+        name: max(one.patience for one in spec.request_classes) for name, spec in pools.items()
+    }
     shared = tuple(name for name, one in config.items() if one.balancers is None)
     return bank(table.bank, table.name, shared, patience, {one.name: one.to.pool for one in routes})
 
@@ -335,7 +341,7 @@
     """Where a route leads."""
 
     pool: str
-    workload: str
+    request_class: str
     patience: int
     fields: Fields
 
@@ -347,8 +353,11 @@
         raise ConfigFault(f"{at}.pool: {table.pool!r} is none of {', '.join(pools)}")
     if table.path is not None and table.prefix is not None:
         raise ConfigFault(f"{at}: either path or prefix, not both")
-    kinds = {workload.name: workload.kind for workload in pools[table.pool].workloads}
-    name = table.workload or (next(iter(kinds)) if len(kinds) == 1 else "")
+    kinds = {
+        request_class.name: request_class.kind
+        for request_class in pools[table.pool].request_classes
+    }
+    name = table.request_class or (next(iter(kinds)) if len(kinds) == 1 else "")
     name = name or (table.lane if table.lane in kinds else "")
     if name and name not in kinds:
         raise ConfigFault(f"{at}.workload: {name!r} is none of {', '.join(kinds)}")
@@ -507,7 +516,8 @@
     except (OSError, ValueError, RecursionError) as fault:
         raise ConfigFault(f"{path}: {fault}") from None
     except (ArithmeticError, AttributeError, KeyError, TypeError) as fault:
-        # Guards against a kind of fault that no check has thought of: it must not end a running balancer.
+        # Guards against a kind of fault that no check has thought of: it must not end a running
+        # balancer.
         raise ConfigFault(f"{path}: {type(fault).__name__}: {fault}") from None
 
 
--- a/whinpier/config/platform.py
+++ b/whinpier/config/platform.py
@@ -1,8 +1,8 @@
 """The one place where the environment and the platform's file are read, checked and given defaults.
 
-Owns the names of keys, the units they come in and what is said about a faulty one. It is asked at the start
-and at each SIGHUP, by the same code. Must never let a fault through without the name of its key, wait for a
-file that is none, or raise anything but a ConfigFault.
+Owns the names of keys, the units they come in and what is said about a faulty one. It is asked at
+the start and at each SIGHUP, by the same code. Must never let a fault through without the name of
+its key, wait for a file that is none, or raise anything but a ConfigFault.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from whinpier import settings as common
 from whinpier.storage.bounded_files import contents
-from whinpier.policy.model import WireError, Workload
+from whinpier.policy.model import WireError, RequestClass
 from whinpier.config.model import PLATFORM, ConfigFault, PoolSpec, Spec, address, entries
 
 CHOICES = {
@@ -67,7 +67,9 @@
 
 
 def honoured(found: dict[str, Any]) -> list[str]:
-    """Take back what the protocol has no way for, so that no decision waits for it; the keys of what was."""
+    """Take back what the protocol has no way for, so that no decision waits for it; the keys of
+    what was.
+    """
     # Guards against rooms that wait for reports which only a probe would bring.
     refused = [key for key in ("limits.peers", "limits.probes") if found.get(key)]
     found.update(dict.fromkeys(refused, False))
@@ -77,8 +79,10 @@
     return refused
 
 
-def check_settings(found: dict[str, Any]) -> list[Workload]:
-    """The workloads, after every figure that the balancer or its decisions rely on has been looked at."""
+def check_settings(found: dict[str, Any]) -> list[RequestClass]:
+    """The request classes, after every figure that the balancer or its decisions rely on has been
+    looked at.
+    """
     checked(found, "workloads.count", int, None, 1)
     for index in range(found["workloads.count"]):
         for name in ("agreed_time", "patience"):
@@ -121,7 +125,7 @@
     for index in range(found["workloads.count"]):
         one_of(found, f"workloads.{index}.key_scope", ("all", "zone", "cell"))
     try:
-        return common.workloads(found)
+        return common.request_classes(found)
     except (WireError, TypeError, ValueError) as fault:
         raise ConfigFault(f"settings: {fault}") from None
 
@@ -129,8 +133,8 @@
 def read(environment: Mapping[str, str]) -> Spec:
     """The configuration; the environment says what the file does not.
 
-    The file goes first since it alone can be replaced under a running balancer: an address of discovery that
-    the environment gave at the start may be an old one.
+    The file goes first since it alone can be replaced under a running balancer: an address of
+    discovery that the environment gave at the start may be an old one.
     """
     path = environment.get("BALANCER_CONFIG")
     if not path:
@@ -151,7 +155,8 @@
         ValueError,
         RecursionError,
     ) as fault:
-        # Guards against a kind of fault that no check has thought of: it must not end a running balancer.
+        # Guards against a kind of fault that no check has thought of: it must not end a running
+        # balancer.
         raise ConfigFault(f"settings: {type(fault).__name__}: {fault}") from None
 
 
@@ -174,16 +179,17 @@
     if "settings" not in given:
         raise ConfigFault("settings: is missing")
     found = common.settings(flat(checked(given, "settings", dict, {})))
-    workloads = check_settings(found)
+    request_classes = check_settings(found)
     refused = honoured(found)
     pool = PoolSpec(
         name=PLATFORM,
         settings=found,
-        workloads=workloads,
+        request_classes=request_classes,
         zones=names(found, "failure_domains"),
         kinds=names(found, "kinds"),
         tenants=names(found, "orgs"),
-        # A quarter of a second and a minute are what the simulator's settings say where they are given.
+        # A quarter of a second and a minute are what the simulator's settings say where they are
+        # given.
         connect_limit=found.get("limits.connect_timeout", 250_000_000),
         idle_limit=found.get("limits.keepalive", 60_000_000_000),
         discovery=address(given["discovery"], "discovery"),
--- a/whinpier/fleet/clock_offset.py
+++ b/whinpier/fleet/clock_offset.py
@@ -1,10 +1,11 @@
 """Decides what time of day it is for the whole bank, and how sure of it this member is.
 
-Wall clocks may be wrong by an hour, or step. Each member tells its own with what it sends; an answer to a
-ping bounds the other's clock by when the ping went and when the answer came. The bank's time is where a
-majority lies closest together, and it may be off by as far as that majority lies apart. Free of I/O: times
-are nanoseconds, `now` of this process's clock, walls since the epoch. Must never let one wrong clock move the
-bank's time, or call sure what only one clock says when others were heard before.
+Wall clocks may be wrong by an hour, or step. Each member tells its own with what it sends; an
+answer to a ping bounds the other's clock by when the ping went and when the answer came. The bank's
+time is where a majority lies closest together, and it may be off by as far as that majority lies
+apart. Free of I/O: times are nanoseconds, `now` of this process's clock, walls since the epoch.
+Must never let one wrong clock move the bank's time, or call sure what only one clock says when
+others were heard before.
 """
 
 from __future__ import annotations
@@ -52,8 +53,8 @@
         low, high = closest(found)
         self.voices = min(self.voices, 1 + len(those))
         if len(found) <= self.voices // 2:
-            # Guards against one that is cut off, and whose own clock then has the only voice: until it hears
-            # the others again both what they said and what it says itself may be true.
+            # Guards against one that is cut off, and whose own clock then has the only voice: until
+            # it hears the others again both what they said and what it says itself may be true.
             more = (now - self.at) // DRIFT
             low, high = min(low, self.low - more), max(high, self.high + more)
         else:
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -1,4 +1,6 @@
-"""The table `bank` of an operator's file: its keys, what is said of a faulty one. Not imported without it."""
+"""The table `bank` of an operator's file: its keys, what is said of a faulty one. Not imported
+without it.
+"""
 
 from __future__ import annotations
 
@@ -138,7 +140,9 @@
 
 
 def limit(name: str, value: Any, pools: dict[str, int], routes: dict[str, str]) -> Said:
-    """One limit; `pools` are all there are, with the longest patience of each, `routes` with their pool."""
+    """One limit; `pools` are all there are, with the longest patience of each, `routes` with
+    their pool.
+    """
     at = f"bank.limits.{named(name, 'bank.limits')}"
     table = part(value, LimitTable, at)
     nearly = table.promise == "nearly"
@@ -217,7 +221,7 @@
 
 
 def whole(amount: float, kind: str, at: str) -> int:
-    """An amount in the limit's own unit: thousandths of a task a second, or tasks."""
+    """An amount in the limit's own unit: thousandths of a request a second, or requests."""
     if kind == RATE:
         if round(amount * 1000) < 1:
             raise ConfigFault(f"{at}: {amount!r} is less than a task in 1,000 s")
@@ -274,8 +278,8 @@
 ) -> BankSpec:
     """What the bank's part of the process runs by, or a ConfigFault that names the key.
 
-    `pools` are shared by as many as the bank says; `every` pool has its longest patience, in nanoseconds;
-    `routes` have their pool.
+    `pools` are shared by as many as the bank says; `every` pool has its longest patience, in
+    nanoseconds; `routes` have their pool.
     """
     table = part(value, BankTable, "bank")
     if len(table.seeds) > MOST_SEEDS:
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -1,12 +1,14 @@
 """Decides one ordered record that a few voters of the bank keep and all members learn.
 
-After Raft (Ongaro, Ousterhout 2014): terms, votes asked for before an election is begun, a log that a leader
-copies to voters, what most of them hold for good is agreed, voters are changed one at a time. Who does not
-vote learns what is agreed from whoever is ahead. Why so, what was weighed: docs/design/agreement.md.
-
-A state machine without I/O: it is handed talks, time, chance and word of what is on the disk; it gives talks,
-notes for the disk and lines that are agreed. Must never let a vote or a term out before it is on the disk,
-count a line as held before it is there, vote twice in a term, or let a member act on what is not agreed.
+After Raft (Ongaro, Ousterhout 2014): terms, votes asked for before an election is begun, a log that
+a leader copies to voters, what most of them hold for good is agreed, voters are changed one at a
+time. Who does not vote learns what is agreed from whoever is ahead. Why so, what was weighed:
+docs/design/agreement.md.
+
+A state machine without I/O: it is handed talks, time, chance and word of what is on the disk; it
+gives talks, notes for the disk and lines that are agreed. Must never let a vote or a term out
+before it is on the disk, count a line as held before it is there, vote twice in a term, or let a
+member act on what is not agreed.
 """
 
 from __future__ import annotations
@@ -55,7 +57,8 @@
 MOST_READS = 64
 MOST_STATE = 4 << 20  # bytes of a state that is learned as a whole
 PIECE_SIZE, PIECES = 900, 12  # bytes of one, and how many are sent for each that is asked for
-SERVED = 12  # talks with lines that a member gives learners in one beat: 60 kB a second, however many ask
+# talks with lines that a member gives learners in one beat: 60 kB a second, however many ask
+SERVED = 12
 GENERATIONS = (
     256  # a record's number is what it was at first, times this, and how often it was recovered
 )
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -1,8 +1,10 @@
-"""Puts the record beside the process: its file, its talks, what the process is told to do, what it reports.
+"""Puts the record beside the process: its file, its talks, what the process is told to do, what it
+reports.
 
-Hands time, talks and word of the disk to `agreement`, what is agreed to pools and the process, commands of
-operators to whoever leads; asks `conduct` while this one leads. Must never decide anything, act on what is
-not agreed, wait for a disk or a member on the task path, or call done what the record does not.
+Hands time, talks and word of the disk to `agreement`, what is agreed to pools and the process,
+commands of operators to whoever leads; asks `conduct` while this one leads. Must never decide
+anything, act on what is not agreed, wait for a disk or a member on the request path, or call done
+what the record does not.
 """
 
 from __future__ import annotations
@@ -38,7 +40,7 @@
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.storage.append_log import Journal, Torn, framed
 from whinpier.policy.model import FULFILLED
-from whinpier.runtime.pool import Taken
+from whinpier.runtime.pool import PendingRequest
 from whinpier.config.model import ConfigFault, Spec
 
 if TYPE_CHECKING:
@@ -246,11 +248,11 @@
         self.agreement.retire()
         self.pass_on()
 
-    def judge(self, task: Taken, how: str) -> None:
-        """A task has its final answer."""
+    def judge(self, request: PendingRequest, how: str) -> None:
+        """A request has its final answer."""
         self.ended += 1
         if how == FULFILLED:
-            self.on_time += task.pool.now - task.came <= task.workload.agreed_time
+            self.on_time += request.pool.now - request.came <= request.request_class.agreed_time
         elif how == "scrapped":
             self.scrapped += 1
         else:
@@ -701,7 +703,9 @@
 
 
 def stamp_of(copy: Copy | Agreement) -> int:
-    """How much a disk has promised: rises with each vote, term and line; an old copy of its file has less."""
+    """How much a disk has promised: rises with each vote, term and line; an old copy of its file
+    has less.
+    """
     last = copy.start + len(copy.lines)
     return copy.term << 32 | min(2 * last + bool(copy.voted), 2**32 - 1)
 
@@ -739,7 +743,9 @@
 
 
 def file_of(content: str, data: bytes) -> bytes | None:
-    """A released file as it lies on the disk, its name in the first line; None without one. As `inflated`."""
+    """A released file as it lies on the disk, its name in the first line; None without one. As
+    `inflated`.
+    """
     return b"# release %s\n" % content.encode() + inflated(data) if data else None
 
 
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -1,7 +1,7 @@
 """What operators ask of the bank's record, and say to it, by the control socket.
 
-Reads what they say into commands with an id each, and shows what is agreed. Must never say that something is
-done before the record does, or let a command through that the record could not read.
+Reads what they say into commands with an id each, and shows what is agreed. Must never say that
+something is done before the record does, or let a command through that the record could not read.
 """
 
 from __future__ import annotations
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -1,7 +1,7 @@
 """Owns the control socket: what the process knows of the bank can be asked while it serves.
 
-One JSON object a line each way, with the id that the caller gave. Must never let a caller hold the process: a
-line is bounded, so is what waits to be read, and each write has a deadline.
+One JSON object a line each way, with the id that the caller gave. Must never let a caller hold the
+process: a line is bounded, so is what waits to be read, and each write has a deadline.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 )
 
 
-class Asked(Struct, forbid_unknown_fields=True):
+class ControlRequest(Struct, forbid_unknown_fields=True):
     """One request."""
 
     ask: str
@@ -134,9 +134,9 @@
 
     async def answer(self, line: bytes, stream: anyio.abc.SocketStream) -> bool:
         """Answer one line; whether the caller may ask more."""
-        asked: Asked | None = None
+        asked: ControlRequest | None = None
         try:
-            asked = msgspec.json.decode(line, type=Asked)
+            asked = msgspec.json.decode(line, type=ControlRequest)
             if asked.ask == "watch":
                 await self.watch(asked, stream)
                 return False
@@ -146,7 +146,7 @@
         await say(stream, whole)
         return True
 
-    def found(self, asked: Asked) -> Any:
+    def found(self, asked: ControlRequest) -> Any:
         link = self.link
         members = link.members
         members.enter(link.loop.clock())
@@ -199,7 +199,7 @@
             "register, say, " + ", ".join(sorted(ASKS))
         )
 
-    def of_record(self, asked: Asked) -> Any:
+    def of_record(self, asked: ControlRequest) -> Any:
         """What is about the bank's record."""
         if self.link.agreed is None:
             raise Refused("bank.agreement is not in this file, so that nothing is agreed")
@@ -210,7 +210,7 @@
         except Fault as fault:
             raise Refused(str(fault)) from None
 
-    def say(self, asked: Asked) -> Any:
+    def say(self, asked: ControlRequest) -> Any:
         """An operator's word to the whole bank."""
         kind, _, name = asked.name.partition("/")
         if not 1_000 <= asked.life_ms <= LONGEST:
@@ -253,7 +253,7 @@
         log.say("bank_limit_begun", limit=name)
         return {"begun": name}
 
-    async def watch(self, asked: Asked, stream: anyio.abc.SocketStream) -> None:
+    async def watch(self, asked: ControlRequest, stream: anyio.abc.SocketStream) -> None:
         """Tell events as they come; one that reads too slowly is told how many it missed."""
         queue: deque[dict[str, Any]] = deque()
         came, missed = anyio.Event(), 0
--- a/whinpier/fleet/fleet_size.py
+++ b/whinpier/fleet/fleet_size.py
@@ -1,8 +1,8 @@
 """Decides what pools are told of the bank: how many balancers share each, and which this one is.
 
-Too few is by far the dearer mistake: those who think they are alone together push everything over. So the
-number rises at once and falls only for good reason, and late. Free of I/O. Must never tell a pool fewer than
-have to be reckoned with, or change its number more than once a second.
+Too few is by far the dearer mistake: those who think they are alone together push everything over.
+So the number rises at once and falls only for good reason, and late. Free of I/O. Must never tell a
+pool fewer than have to be reckoned with, or change its number more than once a second.
 """
 
 from __future__ import annotations
--- a/whinpier/fleet/limit_bounds.py
+++ b/whinpier/fleet/limit_bounds.py
@@ -1,4 +1,5 @@
-"""Says what each limit of a file promises, in figures: how far over, how much may lie unused, how long.
+"""Says what each limit of a file promises, in figures: how far over, how much may lie unused, how
+long.
 
 By the formulas of docs/design/limits.md, for the file at hand. Reads nothing, decides nothing.
 """
--- a/whinpier/fleet/membership/membership.py
+++ b/whinpier/fleet/membership/membership.py
@@ -1,12 +1,15 @@
-"""Decides who is in the bank: who is here, suspect, lost or left, by whose word, and one's own position.
-
-After SWIM (Das, Gupta, Motivala 2002): pings in turn, others asked to ping, news carried by what is sent
-anyway, suspicion that the suspect can refute; with Lifeguard's care for one's own slowness and whole views
-exchanged where digests differ. Why so, and what was weighed, stands in docs/design/members.md.
-
-A state machine without I/O: it is handed datagrams, refused addresses, time and chance, and gives datagrams,
-events and the time to be called next. Times are nanoseconds of one monotonic clock. Must never take an
-unheard member for dead without evidence, believe what may be an old datagram, or hold more than its bounds.
+"""Decides who is in the bank: who is here, suspect, lost or left, by whose word, and one's own
+position.
+
+After SWIM (Das, Gupta, Motivala 2002): pings in turn, others asked to ping, news carried by what is
+sent anyway, suspicion that the suspect can refute; with Lifeguard's care for one's own slowness and
+whole views exchanged where digests differ. Why so, and what was weighed, stands in
+docs/design/members.md.
+
+A state machine without I/O: it is handed datagrams, refused addresses, time and chance, and gives
+datagrams, events and the time to be called next. Times are nanoseconds of one monotonic clock. Must
+never take an unheard member for dead without evidence, believe what may be an old datagram, or hold
+more than its bounds.
 """
 
 from __future__ import annotations
@@ -65,7 +68,8 @@
 MOST_WALLS = 1_024  # clocks that were heard and not looked at yet
 MOST_PROBES = 512  # out at once, own and for others: two seconds of them
 REMINDERS = 4  # to a suspect within its time: of such rounds, 10% lost each way, one in 800 fails
-HELPERS = 3  # asked to ping whom this one can't reach: with 10% loss four in a hundred such rounds still fail
+# asked to ping whom this one can't reach: with 10% loss four in a hundred such rounds still fail
+HELPERS = 3
 ASK_FIRST = 0.4  # of the time to answer, after which others are asked as well
 FRESH = SECOND  # for so long having heard it oneself outweighs a word that it is lost
 STOPPED = (
@@ -76,7 +80,8 @@
 WINDOW = 1_024  # datagrams of one sender that may come out of order: 3 s late at 300 a second
 TIMES = 3  # each piece of news is sent, for each doubling of the bank
 BYTES, BURST = 64_000, 64_000  # a second, and at once: what goes beyond waits for another turn
-KNOCKS = 400.0  # a second that are answered of those who are not known: a bank of hundreds starts at once
+# a second that are answered of those who are not known: a bank of hundreds starts at once
+KNOCKS = 400.0
 RETRY = SECOND // 4  # between pings to one of those that are lost
 PRESENTED = (
     6  # members that a new one is told of: three hundred met so learn of each other within a second
@@ -274,7 +279,8 @@
 
     def due(self) -> int:
         """When `tick` wants to be called."""
-        # Most pings are answered at once; what was to be done had they not been is no reason to wake.
+        # Most pings are answered at once; what was to be done had they not been is no reason to
+        # wake.
         while self.alarms[0][4] and self.alarms[0][4] not in self.probes:
             heapq.heappop(self.alarms)
         return self.alarms[0][0]
@@ -412,7 +418,8 @@
         self.tokens = min(BURST, self.tokens + BYTES * max(0, self.now - self.tokens_at) / SECOND)
         self.tokens_at = max(self.tokens_at, self.now)
         if to is not None and kind != DEALS and not pages and (kind != EXCHANGE or not words):
-            # The less may be sent the less news goes with it: what is asked is answered in any case.
+            # The less may be sent the less news goes with it: what is asked is answered in any
+            # case.
             self.add_news(words, cards, min(room, int(self.tokens * messages.LARGEST / BURST)))
         plain = (
             kind,
@@ -432,7 +439,8 @@
             pleas or [],
         )
         data = self.seal.seal(Datagram(*plain, talks) if talks else Plainly(*plain))
-        # Guards against a seed that spends all on views and strangers, and seems dead to those who know it.
+        # Guards against a seed that spends all on views and strangers, and seems dead to those who
+        # know it.
         if kind == EXCHANGE:
             spared = BURST // 4 if cards else BURST // 2
         else:
@@ -510,7 +518,8 @@
         elif self.now - self.began < YOUNG and all(
             one.card.address in self.seeds for one in self.others()
         ):
-            often = SEED_SOON  # hundreds may have started at once that know the same seeds and nobody else
+            # hundreds may have started at once that know the same seeds and nobody else
+            often = SEED_SOON
         self.at(self.now + often, self.probe_next)
         for _ in range(len(self.turn) + 1):
             if not self.turn:
@@ -545,8 +554,8 @@
             return
         if member.heard or self.now - self.began >= YOUNG:
             self.suspect(member, SILENT)
-        # Else it is known by others' word only, and may not know this one: with hundreds that start at once
-        # its answers are bounded, and whoever has heard it would notice its death.
+        # Else it is known by others' word only, and may not know this one: with hundreds that start
+        # at once its answers are bounded, and whoever has heard it would notice its death.
 
     def suspect(self, member: Member, why: int) -> None:
         self.adopt(member, Word(member.id, member.word.life, SUSPECT, why, self.card.id))
@@ -554,8 +563,8 @@
 
     def remind(self, member_id: int, life: int) -> None:
         """Whoever suspects tells the suspect so itself, until it has refuted or its time is over."""
-        # Guards against a loss by hearsay alone: in a bank of hundreds few have heard it just now, so that
-        # none of them may tell it, and by news it may hear too late.
+        # Guards against a loss by hearsay alone: in a bank of hundreds few have heard it just now,
+        # so that none of them may tell it, and by news it may hear too late.
         member = self.members.get(member_id)
         if member is not None and member.state == SUSPECT and member.word.life == life:
             self.tell(member)
@@ -608,7 +617,8 @@
     def try_seeds(self) -> None:
         """Ask the addresses of the file: some at once until somebody answers, then one now and then."""
         early = not self.joined
-        # Guards against parts that each gathered round another seed, and one whose first tries met a cut.
+        # Guards against parts that each gathered round another seed, and one whose first tries met
+        # a cut.
         young = self.count() == 1 or self.now - self.began < YOUNG
         if self.recalled and not young:
             self.seeds = {
@@ -813,7 +823,8 @@
         for entry in datagram.entries:
             self.register.take(entry, self.now)
         if datagram.count < sender.high:
-            # Guards against an older demand that stands in for a newer one, as datagrams pass each other.
+            # Guards against an older demand that stands in for a newer one, as datagrams pass each
+            # other.
             self.counts["said_overtaken"] += len(datagram.said)
             return
         for mark, contents in datagram.said:
@@ -866,7 +877,8 @@
             self.tell(member)
             return
         if word.state == LOST and member.state in (HERE, LEAVING):
-            # Guards against the verdicts of a part that was cut off: whoever it lost can refute first.
+            # Guards against the verdicts of a part that was cut off: whoever it lost can refute
+            # first.
             word = Word(word.id, word.life, SUSPECT, word.why, word.by)
         self.adopt(member, word)
         if word.state == SUSPECT and heard and self.random() < HELPERS / self.count():
@@ -1148,7 +1160,8 @@
             )
         if member is None or member.state > LOST:
             return
-        # Guards against one answer that was late on its way: twice, apart, with nothing heard between.
+        # Guards against one answer that was late on its way: twice, apart, with nothing heard
+        # between.
         if not member.refusals:
             member.refused_since = now
             self.at(now + self.times.probe // 2, self.ask_again, member.id)
@@ -1273,8 +1286,8 @@
     def shares(self, mark: int) -> list[tuple[bytes, int]]:
         """Who has to be reckoned with in a pool, this one too, in an order that is everywhere the same.
 
-        By a hash of the name, so that a restart keeps its place and one that comes or goes moves each other's
-        place by no more than its own width.
+        By a hash of the name, so that a restart keeps its place and one that comes or goes moves
+        each other's place by no more than its own width.
         """
         found = [
             (place_of(member.card.name), member.id)
--- a/whinpier/fleet/messages.py
+++ b/whinpier/fleet/messages.py
@@ -1,8 +1,8 @@
 """Each datagram of the bank with its form: packed, sealed by the bank's key, opened, bounded.
 
-A datagram is `MAGIC`, one byte of form, a MessagePack body and a keyed BLAKE2b tag over all before it. Must
-never read a body whose tag does not prove that it comes from the bank, make a datagram of more than `LARGEST`
-bytes, or raise anything but `Unread` for what came in.
+A datagram is `MAGIC`, one byte of form, a MessagePack body and a keyed BLAKE2b tag over all before
+it. Must never read a body whose tag does not prove that it comes from the bank, make a datagram of
+more than `LARGEST` bytes, or raise anything but `Unread` for what came in.
 """
 
 from __future__ import annotations
@@ -126,7 +126,9 @@
 
 
 class Deal(Struct, frozen=True, array_like=True):
-    """A part of a limit is asked for, lent, given back; tasks of a window are asked for, or handed over."""
+    """A part of a limit is asked for, lent, given back; requests of a window are asked for, or
+    handed over.
+    """
 
     kind: Annotated[int, Meta(ge=ASK_FOR, le=OLD)]
     limit: Small  # by its mark
@@ -164,7 +166,9 @@
 
 
 class Talk(Struct, frozen=True, array_like=True):
-    """About the record: `disk` says which copy its sender keeps; what the numbers mean hangs on the kind."""
+    """About the record: `disk` says which copy its sender keeps; what the numbers mean hangs on
+    the kind.
+    """
 
     kind: Annotated[int, Meta(ge=ASK_EARLY, le=REPORT)]
     record: Id
--- a/whinpier/fleet/outliers/ejection.py
+++ b/whinpier/fleet/outliers/ejection.py
@@ -1,13 +1,14 @@
 """Decides which upstreams the whole bank lets rest, by what witnesses, and until when.
 
-Each member measures how much slower than its own usual an upstream answers it. Who suspects one asks the
-others what they have seen; where enough of those who tried it, by their own measure and in good standing
-themselves, saw the same, it asks for votes. A pool has a few slots for what rests; each slot goes to one
-upstream at a time, by the votes of most of all members that are reckoned with, for a few seconds; so no two
-judges and no two parts of a bank that is cut let more rest than there are slots: docs/design/verdicts.md.
-
-Free of I/O: handed time, chance, messages. Must never count the word of one whose own ways are bad, let rest
-what all see slow, apply a verdict beyond its lease, or vote for two in one slot.
+Each member measures how much slower than its own usual an upstream answers it. Who suspects one
+asks the others what they have seen; where enough of those who tried it, by their own measure and in
+good standing themselves, saw the same, it asks for votes. A pool has a few slots for what rests;
+each slot goes to one upstream at a time, by the votes of most of all members that are reckoned
+with, for a few seconds; so no two judges and no two parts of a bank that is cut let more rest than
+there are slots: docs/design/verdicts.md.
+
+Free of I/O: handed time, chance, messages. Must never count the word of one whose own ways are bad,
+let rest what all see slow, apply a verdict beyond its lease, or vote for two in one slot.
 """
 
 from __future__ import annotations
@@ -68,7 +69,7 @@
     answers: Sum
     ratios: Sum
     suspicion: float = 0.0
-    out: dict[int, int] = field(default_factory=dict)  # hand-offs without an answer: since when
+    out: dict[int, int] = field(default_factory=dict)  # attempts without an answer: since when
 
 
 @dataclass(slots=True)
@@ -154,7 +155,7 @@
             self.lift(known, 0)
 
     def sent(self, pool: int, key: int, number: int, now: int) -> None:
-        """A hand-off has gone out."""
+        """An attempt has gone out."""
         if (seen := self.of(pool, key, now)) is not None:
             seen.out[number] = now
 
@@ -382,8 +383,8 @@
         )
         if given is None:
             return
-        # Its vote was given after it was asked for, and came back `one` after that: by so much its own clock
-        # may be late at most.
+        # Its vote was given after it was asked for, and came back `one` after that: by so much its
+        # own clock may be late at most.
         until = given.at + self.rules.life - plea.one
         self.strikes[known] = plea.two, now
         while len(self.strikes) > MOST_KNOWN:
--- a/whinpier/fleet/outliers/monitor.py
+++ b/whinpier/fleet/outliers/monitor.py
@@ -1,7 +1,8 @@
 """Puts the bank's verdicts where pools look: what answers say goes in, what rests comes out.
 
-Knows both sides' names for an upstream: its host in a pool, a number in the bank, which a restart changes.
-Must never let an upstream rest that the court has not said, or tell it of answers that no upstream gave.
+Knows both sides' names for an upstream: its host in a pool, a number in the bank, which a restart
+changes. Must never let an upstream rest that the court has not said, or tell it of answers that no
+upstream gave.
 """
 
 from __future__ import annotations
@@ -55,8 +56,8 @@
             self.court.listed(self.mark, zones)
 
     def usual(self) -> float:
-        """What a task usually takes here, over its workloads, in nanoseconds."""
-        known = [workload.known.usual for workload in self.pool.spec.workloads]
+        """What a request usually takes here, over its request classes, in nanoseconds."""
+        known = [request_class.known.usual for request_class in self.pool.spec.request_classes]
         return float(max(known))
 
     def sent(self, sent: Sent) -> None:
@@ -64,7 +65,10 @@
             self.court.sent(self.mark, key, id(sent), self.loop.clock())
 
     def came(self, sent: Sent) -> None:
-        key, ratio = self.keys.get(sent.peer.host), sent.took / sent.task.workload.known.usual
+        key, ratio = (
+            self.keys.get(sent.peer.host),
+            sent.took / sent.request.request_class.known.usual,
+        )
         if key is None:
             return
         if sent.outcome in BAD:
--- a/whinpier/fleet/peer_cache.py
+++ b/whinpier/fleet/peer_cache.py
@@ -1,7 +1,8 @@
-"""Where members were, kept in a file, so that a bank that was all restarted finds itself without its seeds.
+"""Where members were, kept in a file, so that a bank that was all restarted finds itself without
+its seeds.
 
-A help, not a promise: what can't be read or written is said once, and the process goes on by its seeds. Must
-never be read or written on the task path, or hold more than a bound.
+A help, not a promise: what can't be read or written is said once, and the process goes on by its
+seeds. Must never be read or written on the request path, or hold more than a bound.
 """
 
 from __future__ import annotations
@@ -26,7 +27,8 @@
 
     form: int
     members: list[str]
-    # By name: the division that was agreed, this one's home in it, and whose homes it had (not in form 1).
+    # By name: the division that was agreed, this one's home in it, and whose homes it had (not in
+    # form 1).
     limits: dict[str, Kept] = {}
 
 
--- a/whinpier/fleet/quotas/allocation.py
+++ b/whinpier/fleet/quotas/allocation.py
@@ -1,9 +1,11 @@
-"""Decides how limits are divided among the members that hold them, and by which division this one may go.
+"""Decides how limits are divided among the members that hold them, and by which division this one
+may go.
 
-A division is what the operator's files say: limits, amounts, homes. Two may stand side by side while files
-change; a member goes by the smaller of both until all go by the new one. What a member held by the last
-division that was agreed outlives its process, and counts again once most of that division's homes are heard
-to go by it or by this file: who comes back from long ago finds that they do not. Why: docs/design/limits.md.
+A division is what the operator's files say: limits, amounts, homes. Two may stand side by side
+while files change; a member goes by the smaller of both until all go by the new one. What a member
+held by the last division that was agreed outlives its process, and counts again once most of that
+division's homes are heard to go by it or by this file: who comes back from long ago finds that they
+do not. Why: docs/design/limits.md.
 
 Free of I/O. Must never let a home count by a division that may have been left.
 """
@@ -89,7 +91,7 @@
     connections: bool = False  # what is limited is connections to an upstream
 
     def with_amount(self, amount: float) -> Said:
-        """The same with another amount, in tasks or tasks a second."""
+        """The same with another amount, in requests or requests a second."""
         unit = 1000 if self.limit.kind == RATE else 1
         return replace(self, limit=replace(self.limit, amount=max(1, int(amount * unit))))
 
@@ -113,7 +115,7 @@
         self.parts: dict[int, Held] = {}
         self.names: dict[int, str] = {}
         self.live: dict[int, None] = {}  # those in which something goes on
-        self.pooled = 0  # tasks of strangers that had no part of their own
+        self.pooled = 0  # requests of strangers that had no part of their own
         self.pinned = {
             name for name, _ in said.amounts
         }  # that stay, whether anything goes on or not
@@ -202,7 +204,8 @@
     ) -> None:
         """`kept`: what the last run went by; `notes`: what it had of windows, of those since `since` (s).
 
-        `sinces`: the same of single limits, by mark, of which an operator said that nothing was used before.
+        `sinces`: the same of single limits, by mark, of which an operator said that nothing was
+        used before.
         """
         self.name, self.chance, self.between, self.lasting = name, chance, between, lasting
         self.kept = dict(kept)
@@ -318,7 +321,8 @@
     def settle(self, now: int) -> None:
         for name, table in self.tables.items():
             kept = self.kept.get(name)
-            # Nobody who held some of a window's count may have left it to the others, or it is there twice.
+            # Nobody who held some of a window's count may have left it to the others, or it is
+            # there twice.
             stay = set(kept.homes) if kept else set()
             at_once = bool(stay) and stay <= set(table.said.limit.homes)
             for part in table.parts.values():
@@ -332,8 +336,9 @@
     ) -> bool:
         """Who goes by this division; whether it is agreed from now on.
 
-        `there`: members heard to go by this epoch, `apart`: heard to go by another, `silent`: reckoned with
-        and not heard; this member itself is left out of all. `voices`: clocks that the bank's time is from.
+        `there`: members heard to go by this epoch, `apart`: heard to go by another, `silent`:
+        reckoned with and not heard; this member itself is left out of all. `voices`: clocks that
+        the bank's time is from.
         """
         if self.agreed or not self.tables:
             return False
@@ -374,12 +379,14 @@
 
     def tell(self, now: int) -> bool:
         """Whether this member goes by its file by now, so that the others may hear of it."""
-        # Guards against a raise elsewhere while something is still out here that the file no longer allows.
+        # Guards against a raise elsewhere while something is still out here that the file no longer
+        # allows.
         if self.told == self.epoch or not all(
             part.within(now) for table in self.tables.values() for part in table.parts.values()
         ):
             return False
-        # The others may raise theirs from here on: going back to the last division is a change like any.
+        # The others may raise theirs from here on: going back to the last division is a change like
+        # any.
         self.hold_to(self.tables)
         self.told = self.epoch
         return True
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -1,14 +1,16 @@
-"""Decides how many tasks of a calendar window this member may still pass: a count that is never exceeded.
-
-Each home has its part of each window, and what it does not need it hands over: the giver takes off first, has
-that on its disk, and only then sends; the receiver adds what it had asked for, once. What is lost on the way
-is lost until the window is over. What is used is on the disk before it is used, some tasks ahead, so that a
-new run after kill -9 counts as used what may have been. A task that may fall into either of two windows, as
-clocks are not sure, is counted in both. Why so: docs/design/limits.md.
-
-Free of I/O: handed time, chance, messages and word of what is on the disk. Must never pass a task that is not
-counted on the disk, hand over what may be used here, or count a window of which an earlier run may have used
-what is not known.
+"""Decides how many requests of a calendar window this member may still pass: a count that is never
+exceeded.
+
+Each home has its part of each window, and what it does not need it hands over: the giver takes off
+first, has that on its disk, and only then sends; the receiver adds what it had asked for, once.
+What is lost on the way is lost until the window is over. What is used is on the disk before it is
+used, some requests ahead, so that a new run after kill -9 counts as used what may have been. A
+request that may fall into either of two windows, as clocks are not sure, is counted in both. Why
+so: docs/design/limits.md.
+
+Free of I/O: handed time, chance, messages and word of what is on the disk. Must never pass a
+request that is not counted on the disk, hand over what may be used here, or count a window of which
+an earlier run may have used what is not known.
 """
 
 from __future__ import annotations
@@ -25,8 +27,9 @@
 from whinpier.policy.decaying_sum import SECOND, Sum
 
 Every = Literal["minute", "hour", "day"]
-AHEAD = SECOND  # of demand that is written ahead as used: what a kill loses, and what a slow disk may take
-LEAST_AHEAD = 8  # tasks
+# of demand that is written ahead as used: what a kill loses, and what a slow disk may take
+AHEAD = SECOND
+LEAST_AHEAD = 8  # requests
 FORESEEN = 5 * SECOND  # of demand that a member has in hand before it asks for more
 RESERVED = 30 * SECOND  # of its own demand that a home keeps when it is asked
 LOOK = 2 * SECOND  # over which demand is counted
@@ -84,13 +87,13 @@
         return max(0, self.own - self.used)
 
     def give(self, now: int, ran: bool = True) -> None:
-        """A task that was counted here is over: what never ran gives back what it took."""
+        """A request that was counted here is over: what never ran gives back what it took."""
         self.used -= not ran
 
 
 @dataclass(slots=True)
 class Both:
-    """What a task took that may fall into either of two windows."""
+    """What a request took that may fall into either of two windows."""
 
     slots: list[Slot]
 
@@ -221,7 +224,8 @@
         self.slots = [self.opened(start, end, now) for start, end in wanted]
         open_now = {slot.start for slot in self.slots}
         self.asks = {nonce: ask for nonce, ask in self.asks.items() if ask.start in open_now}
-        # Until the earlier edge of what it may be leaves the first window, or the later one enters another.
+        # Until the earlier edge of what it may be leaves the first window, or the later one enters
+        # another.
         span = min(first[1] * SECOND - low, last[1] * SECOND - high)
         self.edge_low, self.edge_high = now, now + max(1, min(span, SECOND // 10))
 
@@ -235,7 +239,7 @@
         return slot
 
     def take(self, now: int, ends: int = 0) -> bool:
-        """Whether one task may pass."""
+        """Whether one request may pass."""
         self.counted += 1
         if not self.edge_low <= now < self.edge_high:
             self.settle(now)
@@ -266,7 +270,7 @@
             self.write(slot)
 
     def enter(self, now: int, ends: int = 0) -> Slot | Both | None:
-        """The same; what gives back, if the task never runs."""
+        """The same; what gives back, if the request never runs."""
         if not self.take(now, ends):
             return None
         return self.slots[0] if len(self.slots) == 1 else Both(self.slots)
@@ -282,13 +286,13 @@
     # What is needed, and who has it.
 
     def rate(self, now: int) -> int:
-        """Tasks a second that ask here."""
+        """Requests a second that ask here."""
         self.wanted.add(now, self.counted)
         self.counted = 0
         return int(self.wanted.rate(now) + 0.999)
 
     def foreseen(self, slot: Slot, now: int, span: int) -> int:
-        """Tasks that will ask here within a span, while the window lasts."""
+        """Requests that will ask here within a span, while the window lasts."""
         rest = slot.end * SECOND - self.between(now)[0]
         return self.rate(now) * max(0, min(span, rest)) // SECOND
 
@@ -297,7 +301,8 @@
         self.settle(now)
         after = self.slots[-1].end
         if self.between(now)[1] + SOON > after * SECOND and self.rate(now):
-            # Guards against the first tasks of a window being turned back until its first note is written.
+            # Guards against the first requests of a window being turned back until its first note
+            # is written.
             self.opened(*self.calendar.bounds(after), now)
         for nonce, ask in list(self.asks.items()):
             if now - ask.at > AGAIN and ask.tries < TRIES:
--- a/whinpier/fleet/quotas/enforcement.py
+++ b/whinpier/fleet/quotas/enforcement.py
@@ -1,8 +1,8 @@
-"""Decides which limits of the whole bank a task passes, and puts them where pools look.
+"""Decides which limits of the whole bank a request passes, and puts them where pools look.
 
-By the pools, routes and tenants that the file names; what is limited at upstreams comes to the decisions as
-a plain number, how many more each may be sent. Must never count a task in a limit twice, or a client's repeat
-of a task that a tenant's limit has counted.
+By the pools, routes and tenants that the file names; what is limited at upstreams comes to the
+decisions as a plain number, how many more each may be sent. Must never count a request in a limit
+twice, or a client's repeat of a request that a tenant's limit has counted.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
     from whinpier.runtime.event_loop import Loop
 
 MOST_TICKETS = (
-    65_536  # of tasks that tenants' limits have counted, remembered to know their repeats
+    65_536  # of requests that tenants' limits have counted, remembered to know their repeats
 )
 REMEMBERED = 30 * SECOND  # for longer no client waits and asks again
-NOBODY = "none"  # whose tasks name no tenant
+NOBODY = "none"  # whose requests name no tenant
 
 
 class Door:
-    """What tasks of one pool pass, by the route they came and the tenant they are of."""
+    """What requests of one pool pass, by the route they came and the tenant they are of."""
 
     def __init__(self, gates: Gates, those: list[Said]) -> None:
         self.gates = gates
@@ -42,7 +42,7 @@
                 self.plain.append((routes, gates.shares.tables[said.limit.name].one))
 
     def everywhere(self) -> tuple[Gate, ...]:
-        """Those that every task passes."""
+        """Those that every request passes."""
         return tuple(gate for routes, gate in self.plain if not routes)
 
     def asks(self) -> bool:
@@ -50,7 +50,7 @@
         return bool(self.tenants or self.gates.closed) or any(routes for routes, _ in self.plain)
 
     def of(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> list[Gate]:
-        """What one task passes beside that; `again`: its client says that it asked for it before."""
+        """What one request passes beside that; `again`: its client says that it asked for it before."""
         if shut := self.gates.shut(route, tenant):
             return [shut]
         found = [gate for routes, gate in self.plain if routes and route in routes]
@@ -130,7 +130,7 @@
                 self.meet(peer, tables)
 
     def shut(self, route: str, tenant: bytes) -> Shut | None:
-        """What stands before a task whose route or tenant is closed."""
+        """What stands before a request whose route or tenant is closed."""
         if not self.closed:
             return None
         until = max(
@@ -191,13 +191,15 @@
 
 
 class Narrow:
-    """A limit at one upstream: tasks in flight, from all members together."""
+    """A limit at one upstream: requests in flight, from all members together."""
 
     def __init__(self, peer: Peer, part: Share) -> None:
         self.peer, self.part = peer, part
 
     def spare(self, now: int) -> int:
-        patience = max(workload.patience for workload in self.peer.pool.spec.workloads)
+        patience = max(
+            request_class.patience for request_class in self.peer.pool.spec.request_classes
+        )
         return self.part.lasting(now, now + patience) - self.part.used
 
     def enter(self, now: int, ends: int) -> Passed | None:
--- a/whinpier/fleet/quotas/fair_share.py
+++ b/whinpier/fleet/quotas/fair_share.py
@@ -1,14 +1,15 @@
 """Decides which part of a limit this member may use, by what all tell of their demand: nearly kept.
 
-Each member tells what it is asked for, and takes its max-min part of the limit over what all told: who asks
-for little has that, the rest is shared evenly among those who ask for more. It goes by the least that it told
-itself within the time that a word needs to reach all, and by the most that the others told within it; so
-while words come in time the parts add up to no more than the limit, however demand moves. Who is unheard
-counts for an even share at the least, so that parts of a bank that is cut do not add up to more either, once
-they know that they are. By how much it can go over until then stands in docs/design/limits.md.
-
-Free of I/O: handed time, words and how many there are. Must never count an unheard member for nothing, or use
-at once what it has only just begun to ask for.
+Each member tells what it is asked for, and takes its max-min part of the limit over what all told:
+who asks for little has that, the rest is shared evenly among those who ask for more. It goes by the
+least that it told itself within the time that a word needs to reach all, and by the most that the
+others told within it; so while words come in time the parts add up to no more than the limit,
+however demand moves. Who is unheard counts for an even share at the least, so that parts of a bank
+that is cut do not add up to more either, once they know that they are. By how much it can go over
+until then stands in docs/design/limits.md.
+
+Free of I/O: handed time, words and how many there are. Must never count an unheard member for
+nothing, or use at once what it has only just begun to ask for.
 """
 
 from __future__ import annotations
@@ -45,7 +46,9 @@
 
 
 def fill(amount: float, demands: Iterable[float]) -> float:
-    """The level to which all demands are met, so that together they come to `amount`; infinite if all fit."""
+    """The level to which all demands are met, so that together they come to `amount`; infinite
+    if all fit.
+    """
     order = sorted(demands)
     left = amount
     for place, demand in enumerate(order):
@@ -123,7 +126,7 @@
         return good
 
     def enter(self, now: int, ends: int = 0) -> Nearly | None:
-        """The same; what gives back once the task is over."""
+        """The same; what gives back once the request is over."""
         return self if self.take(now, ends) else None
 
     def give(self, now: int, ran: bool = True) -> None:
@@ -163,7 +166,9 @@
     # What is asked for, and told.
 
     def demand(self, now: int) -> int:
-        """In the limit's unit: thousandths of a task a second, tasks in flight, tasks of a window's rest."""
+        """In the limit's unit: thousandths of a request a second, requests in flight, requests of a
+        window's rest.
+        """
         self.wanted.add(now, self.asks)
         self.refused.add(now, self.refusals)
         self.asks = self.refusals = 0
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -1,13 +1,15 @@
-"""Decides what part of a limit of the whole bank this member may use just now, and whom it asks for more.
-
-A limit is cut into homes, one for each member that the operator's file names; they add up to the limit. A
-member lends what it does not need of its home for a span, by the borrower's word and at once; the lender
-takes off first, the borrower's span runs from when it asked and the lender's from when it lent, and longer.
-So whatever is lost, late, doubled, cut or killed, all that may be used adds up to no more than the limit;
-what can happen is that some of it lies unused till a span is over. Why so: docs/design/limits.md.
-
-Free of I/O: handed time, messages and chance. Amounts are whole: slots of tasks in flight, or thousandths of
-a task a second. Must never use, or lend, what may be in use elsewhere.
+"""Decides what part of a limit of the whole bank this member may use just now, and whom it asks for
+more.
+
+A limit is cut into homes, one for each member that the operator's file names; they add up to the
+limit. A member lends what it does not need of its home for a span, by the borrower's word and at
+once; the lender takes off first, the borrower's span runs from when it asked and the lender's from
+when it lent, and longer. So whatever is lost, late, doubled, cut or killed, all that may be used
+adds up to no more than the limit; what can happen is that some of it lies unused till a span is
+over. Why so: docs/design/limits.md.
+
+Free of I/O: handed time, messages and chance. Amounts are whole: slots of requests in flight, or
+thousandths of a request a second. Must never use, or lend, what may be in use elsewhere.
 """
 
 from __future__ import annotations
@@ -24,12 +26,12 @@
 MS = SECOND // 1000
 SPAN = 2 * SECOND  # of a loan: what is lost with a message lies unused for so long
 SLACK = SECOND // 4  # that a lender waits longer: a late loop, clocks that run apart by a hundredth
-TASK = 10**12  # levels of a bucket count in thousandths of a task a second times nanoseconds
+TASK = 10**12  # levels of a bucket count in thousandths of a request a second times nanoseconds
 TURN = SECOND // 10  # between looks at what is needed
 ASKED = 6  # members asked in one turn
 MOST_LOANS = 256  # of one limit, each way
 LOOK = SECOND * 4 // 10  # over which what is asked for is counted: a burst of a second shows as one
-GAP = 8.0  # mean distances between tasks that none comes: by chance once in 3,000 tasks
+GAP = 8.0  # mean distances between requests that none comes: by chance once in 3,000 requests
 ANSWER = SECOND // 2  # an ask that has no answer by then is over
 RATE, IN_FLIGHT, COUNT, CONNECTIONS = "rate", "in_flight", "count", "connections"
 
@@ -40,9 +42,9 @@
 
     name: str
     kind: str  # RATE, IN_FLIGHT, COUNT or CONNECTIONS, which are in flight and lent to nobody
-    amount: int  # thousandths of a task a second, or tasks
+    amount: int  # thousandths of a request a second, or requests
     homes: tuple[str, ...]  # members that hold it
-    burst: int = 0  # of a rate: tasks at once, beyond which nothing is saved up
+    burst: int = 0  # of a rate: requests at once, beyond which nothing is saved up
     span: int = SPAN  # of its loans: of those in flight over twice the longest patience
     window: str = ""  # of a count: which windows, in which time zone
     key: int = 0  # of which of many, where each has the limit for itself
@@ -94,13 +96,13 @@
     def __init__(self, limit: Limit, name: str, now: int, chance: Random, fence: int) -> None:
         self.limit, self.name, self.bits = limit, name, chance.getrandbits
         self.shuffle = chance.shuffle
-        # Of a run before this one loans may be out, and tasks that go on at upstreams.
+        # Of a run before this one loans may be out, and requests that go on at upstreams.
         self.home, self.fenced_till = limit.home(name), now + fence
         self.lends_for = self.borrows_for = limit.span
         self.lent: dict[int, Loan] = {}
         self.borrowed: dict[int, Loan] = {}
         self.asked: dict[int, Asked] = {}
-        self.used, self.last_end = 0, 0  # tasks in flight, and when the last of them is over
+        self.used, self.last_end = 0, 0  # requests in flight, and when the last of them is over
         self.level, self.level_at = 0, now
         self.mine, self.mine_till = 0, now  # what may be used, and till when that is known
         self.wanted, self.refused, self.wanted_at = Sum(LOOK, now), Sum(LOOK, now), now
@@ -110,7 +112,7 @@
             0,
             now,
         )  # in flight: what lasts over `horizon`, till when that holds
-        self.horizon = limit.span // 3  # of patience: tasks of usual length
+        self.horizon = limit.span // 3  # of patience: requests of usual length
         self.nothing: dict[int, int] = {}  # who had nothing to lend: when
         self.passed, self.turned_back = 0, 0
         self.out: list[tuple[int, Deal]] = []  # to whom, what
@@ -173,7 +175,7 @@
         return self.limit.burst * TASK * mine // max(1, self.limit.amount)
 
     def take(self, now: int, ends: int = 0) -> bool:
-        """Whether one task may pass; `ends` is when it is over at the latest, of those in flight."""
+        """Whether one request may pass; `ends` is when it is over at the latest, of those in flight."""
         self.asks += 1
         self.wanted_at = now
         if self.limit.kind == RATE:
@@ -185,8 +187,8 @@
             good = self.level >= TASK
             self.level -= TASK * good
         else:
-            # All that is out now and this one fit into what is there till this one ends, so at each moment
-            # till then as well.
+            # All that is out now and this one fit into what is there till this one ends, so at each
+            # moment till then as well.
             good = self.used < self.lasting(now, ends)
             self.used += good
             self.last_end = max(self.last_end, ends) if good else self.last_end
@@ -198,7 +200,7 @@
         return good
 
     def lasting(self, now: int, ends: int) -> int:
-        """What is there now and at `ends`, remembered for tasks of usual length."""
+        """What is there now and at `ends`, remembered for requests of usual length."""
         if ends - now > self.horizon:
             return self.count(now, ends)
         if now >= self.sure_till:
@@ -214,7 +216,7 @@
         return self.sure
 
     def give(self, now: int, ran: bool = True) -> None:
-        """A task is over; of a rate, what never ran gives back what it took."""
+        """A request is over; of a rate, what never ran gives back what it took."""
         if self.limit.kind == IN_FLIGHT:
             self.used -= 1
             self.last_end = self.last_end if self.used else 0
@@ -223,7 +225,7 @@
             self.level = min(self.level + TASK, self.cap)
 
     def enter(self, now: int, ends: int = 0) -> Share | None:
-        """The same; what gives back once the task is over."""
+        """The same; what gives back once the request is over."""
         return self if self.take(now, ends) else None
 
     def wait(self, now: int) -> int:
@@ -231,7 +233,8 @@
         if self.limit.kind == IN_FLIGHT:
             return SECOND // 4
         mine = self.known(now)
-        # Its turn in the queue of those who ask: not sooner than all that was turned back of late would pass.
+        # Its turn in the queue of those who ask: not sooner than all that was turned back of late
+        # would pass.
         due = (TASK - self.level) // mine if mine and self.level < TASK else 0
         self.fold(now)
         others = int(self.refused.read(now)) * TASK // max(1, mine) // 2 if mine else SPAN
@@ -263,7 +266,7 @@
         if asked < 0.05:
             return 0
         rate = int((asked + 2 * sqrt(asked) + 0.5) * 1000 * SECOND / LOOK)
-        # A bucket has to hold a whole task, or none ever passes.
+        # A bucket has to hold a whole request, or none ever passes.
         whole = -(-self.limit.amount // max(1, self.limit.burst))
         return min(self.limit.amount, max(rate, whole))
 
@@ -288,7 +291,8 @@
                 self.asked.pop(nonce, None)
                 self.say(loan.other, BACK, nonce, loan.amount, 0)
             elif loan.until - now < self.renew and nonce not in self.asked:
-                # Each time another turn, answered or not: an answer that comes late must not count from now.
+                # Each time another turn, answered or not: an answer that comes late must not count
+                # from now.
                 loan.turn += 1
                 self.ask(now, loan.other, loan.amount, nonce, loan.turn)
         self.changed(now)
--- a/whinpier/fleet/registry.py
+++ b/whinpier/fleet/registry.py
@@ -1,10 +1,11 @@
-"""Decides what operators have said to the whole bank, and for how long: a small table that all come to hold.
-
-Of two words on one key the later version holds, of two of one version that of the higher member. Each has an
-end, so that what was said and forgotten does not stay; lifting it is a word too. Words go with datagrams
-that are sent anyway, and whole tables where digests differ. It is not an agreement: while parts of the bank
-are cut off they may go by different words. Free of I/O. Must never hold a word beyond its end by more than
-its way took, or more words than `MOST`.
+"""Decides what operators have said to the whole bank, and for how long: a small table that all come
+to hold.
+
+Of two words on one key the later version holds, of two of one version that of the higher member.
+Each has an end, so that what was said and forgotten does not stay; lifting it is a word too. Words
+go with datagrams that are sent anyway, and whole tables where digests differ. It is not an
+agreement: while parts of the bank are cut off they may go by different words. Free of I/O. Must
+never hold a word beyond its end by more than its way took, or more words than `MOST`.
 """
 
 from __future__ import annotations
--- a/whinpier/fleet/rollouts/controller.py
+++ b/whinpier/fleet/rollouts/controller.py
@@ -1,8 +1,10 @@
-"""Decides what the leader of the record puts into it of its own: who is out, back, done; how gates went.
+"""Decides what the leader of the record puts into it of its own: who is out, back, done; how gates
+went.
 
-Handed time, who is there, what each member reports, what is agreed; gives commands for the record. All that
-it keeps is measured anew by whoever leads next. Free of I/O. Must never call a drain done that one of the
-members has not confirmed, a member back by another run's word, or a gate good that has nothing to judge by.
+Handed time, who is there, what each member reports, what is agreed; gives commands for the record.
+All that it keeps is measured anew by whoever leads next. Free of I/O. Must never call a drain done
+that one of the members has not confirmed, a member back by another run's word, or a gate good that
+has nothing to judge by.
 """
 
 from __future__ import annotations
@@ -67,7 +69,7 @@
     clean: Annotated[
         tuple[int, ...], Meta(max_length=64)
     ] = ()  # drains of upstreams where nothing is out
-    ended: Count = 0  # tasks with their answer
+    ended: Count = 0  # requests with their answer
     on_time: Count = 0
     scrapped: Count = 0
     turned_back: Count = 0
@@ -87,7 +89,7 @@
 
 @dataclass
 class Share:
-    """What tasks came to in a group of members over a window, as parts of all that ended."""
+    """What requests came to in a group of members over a window, as parts of all that ended."""
 
     ended: int = 0
     on_time: float = 1.0
@@ -136,7 +138,7 @@
         self.said_at: dict[str, int] = {}  # by drain: when it was last said who is left
         self.planned = (0, 0)  # which release, when
         self.window: Window | None = None
-        self.usual = Share()  # what tasks came to while no release was on
+        self.usual = Share()  # what requests came to while no release was on
         self.usual_first: dict[str, Report] = {}
         self.usual_at = now
 
@@ -272,10 +274,11 @@
         if self.planned[0] == release.number and now - self.planned[1] < AGAIN:
             return []
         self.planned = release.number, now
-        # Those with traffic come first: what a canary does is nothing to judge by where it does nothing.
+        # Those with traffic come first: what a canary does is nothing to judge by where it does
+        # nothing.
         names = sorted(
             chosen(release.given.selector, seats),
-            key=lambda name: (self.tasks_of(name) < release.given.gate.least, name),
+            key=lambda name: (self.requests_of(name) < release.given.gate.least, name),
         )
         waves = split(names, release.given.waves)
         found: list[Plan] = []
@@ -288,8 +291,8 @@
         found.append(Plan(release.number, max(0, len(waves) - 1), [], [], True))
         return [(PLAN, encode(plan)) for plan in found]
 
-    def tasks_of(self, name: str) -> int:
-        """Tasks that ended at a member of late."""
+    def requests_of(self, name: str) -> int:
+        """Requests that ended at a member of late."""
         report = self.reports[name][2] if name in self.reports else Report()
         first = self.usual_first.get(name)
         return report.ended - first.ended if first else report.ended
--- a/whinpier/fleet/rollouts/state_machine.py
+++ b/whinpier/fleet/rollouts/state_machine.py
@@ -1,10 +1,12 @@
-"""Decides what the lines of the bank's record come to: permits, drains, releases, what each member is to do.
-
-A pure function of the lines: every member that has learned the same lines holds the same, and finds in it its
-own orders. Being out (drained, switching to a release) takes a permit, given where a line is applied; who
-failed without asking counts as out. Free of I/O, time and chance; wall clocks are carried for people to read
-only. Must never let more be out by permit than the rules allow, free a permit before its holder is known to
-be back or written off, answer one command twice in two ways, or hold more than its bounds.
+"""Decides what the lines of the bank's record come to: permits, drains, releases, what each member
+is to do.
+
+A pure function of the lines: every member that has learned the same lines holds the same, and finds
+in it its own orders. Being out (drained, switching to a release) takes a permit, given where a line
+is applied; who failed without asking counts as out. Free of I/O, time and chance; wall clocks are
+carried for people to read only. Must never let more be out by permit than the rules allow, free a
+permit before its holder is known to be back or written off, answer one command twice in two ways,
+or hold more than its bounds.
 """
 
 from __future__ import annotations
@@ -32,10 +34,9 @@
     STRUCK: "strike",
 }  # what operators say
 BALANCERS, UPSTREAMS = "balancers", "upstreams"
-# What a leader has seen. LOST: without asking. BACK: it serves again. CONFIRMED: a drain is done. SWITCHED:
-# it runs what it was told to. FAILED: it refuses, or did not come back. WRITTEN_OFF: lost for so long that it
-# is reckoned with no more.
-# LEFT: who has not confirmed a drain yet, for people.
+# What a leader has seen. LOST: without asking. BACK: it serves again. CONFIRMED: a drain is done.
+# SWITCHED: it runs what it was told to. FAILED: it refuses, or did not come back. WRITTEN_OFF: lost
+# for so long that it is reckoned with no more. LEFT: who has not confirmed a drain yet, for people.
 LOST, BACK, CONFIRMED, SWITCHED, FAILED, WRITTEN_OFF, LEFT = range(7)
 BANK = "bank"  # who did what no operator said
 DRAINING, DONE, UNDRAINING = "draining", "done", "undraining"
@@ -63,7 +64,9 @@
 
 
 class Said(Struct, frozen=True, array_like=True):
-    """What every operator's command has: an id by which it counts once, who, why, when, what it rests on."""
+    """What every operator's command has: an id by which it counts once, who, why, when, what it
+    rests on.
+    """
 
     id: Annotated[int, Meta(ge=1)]
     who: Text
@@ -127,7 +130,7 @@
     errors: float = 0.02  # and more scrapped
     turned_back: float = 0.05  # and more turned back
     memory: float = 1.5  # times what the rest holds
-    least: int = 20  # tasks, without which there is nothing to judge by
+    least: int = 20  # requests, without which there is nothing to judge by
     back_ms: int = 20_000  # for a member to come back
     hold: bool = False  # what fails is held where it is, and not undone
 
@@ -520,7 +523,8 @@
             if release.phase == WAVES:
                 self.halt(release, f"{name}: {seen.text}")
             elif release.phase == UNDOING:
-                # It is not known to be back, so that it counts as out: by its drain or loss, or by this.
+                # It is not known to be back, so that it counts as out: by its drain or loss, or by
+                # this.
                 release.todo = [one for one in release.todo if one != name]
             return
         del self.whole.outs[seen.key]
@@ -724,7 +728,8 @@
             if what is not None:
                 release.before.setdefault(name, told.get(name, release.good))
             if out is not None and out.why == "drain":
-                # It is out already, and switches as it is: it takes no permit, and nobody waits for it.
+                # It is out already, and switches as it is: it takes no permit, and nobody waits for
+                # it.
                 told[name] = release.before.get(name, release.good) if what is None else what
                 release.met = [one for one in release.met if one != name] + [name] * (
                     what is not None
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -1,7 +1,8 @@
 """Owns the bank's datagrams: their socket, the clock, the log lines, what pools are told.
 
-Hands bytes and times to `members` and sends what it gives back. Must never decide anything, let a flood take
-the loop's time beyond a bound, or end the process for anything that comes or fails to go.
+Hands bytes and times to `members` and sends what it gives back. Must never decide anything, let a
+flood take the loop's time beyond a bound, or end the process for anything that comes or fails to
+go.
 """
 
 from __future__ import annotations
@@ -207,7 +208,7 @@
         self.gates.put(self.life.pools.values(), self.spec.limits)
         if self.watching:
             self.watching.put(self.life.pools.values(), self.spec.pools)
-        # Before the first task: until it knows better, as many as the file lets it expect.
+        # Before the first request: until it knows better, as many as the file lets it expect.
         self.count(self.now)
 
     def speaker(self, name: str) -> Callable[[bytes], None]:
--- a/whinpier/http/buffers.py
+++ b/whinpier/http/buffers.py
@@ -1,7 +1,8 @@
-"""Owns how bytes pass a socket: buffers of one size, one read each, how messages are framed, what is written.
+"""Owns how bytes pass a socket: buffers of one size, one read each, how messages are framed, what
+is written.
 
-Must never hand out a buffer twice, keep more of them than a few reads need, stop the loop to write, or take
-for plain what the parser or the checks here would refuse.
+Must never hand out a buffer twice, keep more of them than a few reads need, stop the loop to write,
+or take for plain what the parser or the checks here would refuse.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 SIZE = 64 * 1024  # the largest body in one read; a body and its head seldom come in more than two
 KEPT = 8  # a read ends before the next begins: more than one is in use only where reads nest
 
-# What makes the lines of a head others for one reader than for the next: a line feed or a carriage return
-# that stands alone, and a line folded onto the one before.
+# What makes the lines of a head others for one reader than for the next: a line feed or a carriage
+# return that stands alone, and a line folded onto the one before.
 TWO_WAYS = re.compile(rb"(?<!\r)\n|\r(?!\n|\Z)|\r\n[ \t]")
 
 # A head in its plainest form: visible characters and spaces, and no line feed but at a line's end.
@@ -60,7 +61,8 @@
 def plain(
     form: re.Pattern[bytes], data: bytes
 ) -> tuple[re.Match[bytes], list[tuple[bytes, bytes]], bytes] | None:
-    """Start line, headers and body of a message in its plainest form, whole and alone; None of any other.
+    """Start line, headers and body of a message in its plainest form, whole and alone; None of
+    any other.
 
     Nothing is refused here: what is in any way unusual is for the parser to judge.
     """
@@ -97,8 +99,9 @@
 def check_head(parser: h11.Connection) -> None:
     """Refuse a head that is too large, or whose lines can be read two ways.
 
-    To be asked before the parser takes the head, which bounds only what it cannot take yet: one that came in
-    a single read could have any size. What stands first in it decides, so that its cuts make no difference.
+    To be asked before the parser takes the head, which bounds only what it cannot take yet: one
+    that came in a single read could have any size. What stands first in it decides, so that its
+    cuts make no difference.
     """
     ahead = parser.trailing_data[0]
     end = ahead.find(b"\r\n\r\n", 0, HEAD)
@@ -124,17 +127,22 @@
 
 
 def check_framing(headers: list[tuple[bytes, bytes]], version: bytes) -> None:
-    """Refuse a message whose end can be read two ways. The parser sees to lengths that differ or are none."""
+    """Refuse a message whose end can be read two ways. The parser sees to lengths that differ or
+    are none.
+    """
     names = [name for name, _ in headers]
     if version not in (b"1.1", b"1.0"):
         raise h11.RemoteProtocolError("another version of HTTP", error_status_hint=505)
-    # Guards against a task hidden in the body of another: one reader goes by the length, the next by chunks.
+    # Guards against a request hidden in the body of another: one reader goes by the length, the
+    # next by chunks.
     if b"transfer-encoding" in names and (b"content-length" in names or version == b"1.0"):
         raise h11.RemoteProtocolError("a length and chunks")
 
 
 class Connection:
-    """What both sides do with a socket: take in what comes, write what it takes, and the rest as it can."""
+    """What both sides do with a socket: take in what comes, write what it takes, and the rest as
+    it can.
+    """
 
     loop: Loop
     sock: socket.socket
@@ -154,7 +162,8 @@
 
     def watch(self, metered: bool) -> None:
         """Have what comes read as it comes, until the connection ends."""
-        # anyio.wait_readable tells the system anew for each read, and wakes a task: a fifth of all work.
+        # anyio.wait_readable tells the system anew for each read, and wakes a request: a fifth of
+        # all work.
         self.events = asyncio.get_running_loop()
         self.events.add_reader(self.sock, self.came_metered if metered else self.came)
 
