--- a/whinpier/http/client_connection.py
+++ b/whinpier/http/client_connection.py
@@ -1,7 +1,8 @@
-"""Owns the connections of clients: reads their tasks, answers each once, notices who has left.
+"""Owns the connections of clients: reads their requests, answers each once, notices who has left.
 
-The headers of clients are read here and in `routes.py`, nowhere else. Must never write an answer that a pool
-did not give, a second one, or a turn-back of its own for a task that the decisions have seen.
+The headers of clients are read here and in `routes.py`, nowhere else. Must never write an answer
+that a pool did not give, a second one, or a turn-back of its own for a request that the decisions
+have seen.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 from whinpier import log
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import Workload
+from whinpier.policy.model import RequestClass
 from whinpier.http import buffers
 from whinpier.http.platform_routes import BadRequest, Target, fits
 from whinpier.http.upstream_connection import BODILESS, BODY, HOP, Answer, Http
@@ -41,15 +42,15 @@
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
-class Asked(Http):
-    """A task with the client that waits for it and what goes on to an upstream."""
+class HttpRequest(Http):
+    """A request with the client that waits for it and what goes on to an upstream."""
 
     __slots__ = ("client",)
 
     def __init__(
-        self, client: Client, workload: Workload, came: int, ends: int, txn: bytes
+        self, client: Client, request_class: RequestClass, came: int, ends: int, txn: bytes
     ) -> None:
-        super().__init__(client.loop.next_id(), workload, came, ends)
+        super().__init__(client.loop.next_id(), request_class, came, ends)
         self.client, self.id_given, self.body = client, txn, b"".join(client.parts)
         head = [b"%s %s HTTP/1.1\r\n" % (client.method, client.target)]
         head += [b"%s: %s\r\n" % pair for pair in client.headers if pair[0] not in HOP]
@@ -58,7 +59,7 @@
         self.head = b"".join(head)
 
     def waited_for(self) -> bool:
-        return self.client.task is self
+        return self.client.request is self
 
     def abandoned(self) -> bool:
         return self.client.has_left()
@@ -92,8 +93,8 @@
         self.since = (
             door.loop.clock()
         )  # since when it is here, is idle, is read, is answered for good
-        self.task: Asked | None = None
-        self.to: tuple[Target, Workload] | None = None  # where what is asked for goes
+        self.request: HttpRequest | None = None
+        self.to: tuple[Target, RequestClass] | None = None  # where what is asked for goes
         self.member: Part | None = None  # of the pool it asked last
         self.lost: BadRequest | None = None  # why it goes nowhere
         self.paid: Part | None = None  # whose bodies its own counts among
@@ -113,7 +114,7 @@
             self.spilt += len(data)
         if not data or self.spilt > SPILL:
             self.close()
-        elif self.task is None and not self.last:
+        elif self.request is None and not self.last:
             fresh, self.reading = not self.reading, True
             if fresh and self not in self.door.strangers:  # their time runs from when they came
                 self.since = self.loop.clock()
@@ -123,8 +124,8 @@
         elif not self.last and not self.flooded:
             self.parser.receive_data(data)
             if len(self.parser.trailing_data[0]) > AHEAD:
-                # Its request is owed an answer, behind which the connection ends; till then what comes is
-                # passed over unread, so that its leaving is still seen.
+                # Its request is owed an answer, behind which the connection ends; till then what
+                # comes is passed over unread, so that its leaving is still seen.
                 log.warn("client_floods")
                 self.flooded = True
 
@@ -140,7 +141,7 @@
         try:
             self.find_way()
             self.take_body(body)
-            self.request()
+            self.handle_request()
         except BadRequest as bad:
             self.refuse(bad)
         return True
@@ -175,7 +176,7 @@
             raise BadRequest(413, "body too large")
         if self.paid is None and self.to:
             self.paid = self.to[0].pool.part
-        if self.paid is None or not self.paid.requests.take(len(data)):
+        if self.paid is None or not self.paid.request_bytes.take(len(data)):
             raise BadRequest(503, "too many bodies at once")
         self.size += len(data)
         self.parts.append(data)
@@ -183,7 +184,7 @@
     def parse(self) -> None:
         """Take in requests as far as they have come; one at a time is worked on."""
         try:
-            while not self.closed and not self.last and self.task is None:
+            while not self.closed and not self.last and self.request is None:
                 if not self.begun:
                     buffers.check_head(self.parser)
                 event = self.parser.next_event()
@@ -194,7 +195,7 @@
                 elif isinstance(event, h11.EndOfMessage):
                     buffers.check_trailers(event)
                     self.reading = self.begun = False
-                    self.request()
+                    self.handle_request()
                 elif self.lost:
                     raise self.lost
                 else:
@@ -221,8 +222,8 @@
             raise BadRequest(413, "body too large")
         self.find_way()
 
-    def request(self) -> None:
-        """A whole request: a question of the front, or a task."""
+    def handle_request(self) -> None:
+        """A whole request: a question of the front, or a request."""
         self.door.strangers.pop(self, None)
         if self.lost:
             raise self.lost
@@ -231,8 +232,8 @@
             self.answer(200 if ready else 503, b"up\n" if ready else b"starting\n")
             return
         pool = self.to[0].pool
-        task = self.read_task(*self.to)
-        if task.ends <= self.loop.clock():
+        request = self.read_request(*self.to)
+        if request.ends <= self.loop.clock():
             log.counts["came_too_late"] += 1
             self.answer(504, b"too late\n")
             return
@@ -245,20 +246,22 @@
                 target.route,
                 fields.get(target.fields.tenant, b""),
                 fields.get(target.fields.ticket, b""),
-                task.repeat,
+                request.repeat,
             )
         if full:
             log.counts["turned_back_at_the_door"] += 1
             self.answer(
-                503, b"turned back\n", retry_after(pool.wait or task.workload.agreed_time // 4)
+                503,
+                b"turned back\n",
+                retry_after(pool.wait or request.request_class.agreed_time // 4),
             )
             pool.wait = 0
             return
-        self.task = task
-        pool.take(task, pool.through)
+        self.request = request
+        pool.take(request, pool.through)
 
-    def read_task(self, target: Target, workload: Workload) -> Asked:
-        """The task that a request stands for, with all that its headers say of it."""
+    def read_request(self, target: Target, request_class: RequestClass) -> HttpRequest:
+        """The request that a request stands for, with all that its headers say of it."""
         headers, door, fields = self.fields, self.door, target.fields
         if len(headers) < len(self.headers):
             names = [name for name, _ in self.headers]
@@ -266,31 +269,32 @@
                 raise BadRequest(400, "a header that may come once came twice")
         if len(self.parser.trailing_data[0]) > AHEAD:
             raise BadRequest(400, "too many requests ahead of their turn")
-        fits(self.method, target, workload, headers.get(fields.ticket), self.size)
+        fits(self.method, target, request_class, headers.get(fields.ticket), self.size)
         txn = headers.get(fields.txn, b"")
         if not txn and not fields.optional:
             raise BadRequest(400, "no " + fields.txn.decode().title())
         if txn in door.ids:
-            # Guards against a second effect or another client's answer: an id is new with every request.
+            # Guards against a second effect or another client's answer: an id is new with every
+            # request.
             raise BadRequest(409, "an X-Txn that another request has")
         given = headers.get(fields.remaining)
-        patience = min(workload.patience, target.patience or workload.patience)
+        patience = min(request_class.patience, target.patience or request_class.patience)
         if given is not None or not fields.optional:
             if given is None or not NUMBER.fullmatch(given):
                 raise BadRequest(400, f"no {fields.remaining.decode().title()} that can be read")
             patience = min(int(float(given) * SECOND), patience)
         came = self.loop.clock()
-        task = Asked(self, workload, came, door.life.ends(came, patience), txn)
+        request = HttpRequest(self, request_class, came, door.life.ends(came, patience), txn)
         query = self.target.partition(b"?")[2]
         key = parse_qs(query).get(fields.query_key, [b""])[0] if query else b""
         key = key or headers.get(fields.key, b"")
-        task.key = hashed(key) if key else 0
-        task.tenant = target.pool.tenants.get(headers.get(fields.tenant, b""), 0)
-        task.repeat = headers.get(fields.repeat) == b"1"
-        return task
+        request.key = hashed(key) if key else 0
+        request.tenant = target.pool.tenants.get(headers.get(fields.tenant, b""), 0)
+        request.repeat = headers.get(fields.repeat) == b"1"
+        return request
 
     def refuse(self, bad: BadRequest) -> None:
-        """Answer what is no task, and end the connection."""
+        """Answer what is no request, and end the connection."""
         log.warn("bad_request", status=bad.status, why=bad)
         self.reading = False
         self.answer(bad.status, f"{bad}\n".encode("utf-8", "replace"), bad.headers, last=bad.last)
@@ -303,10 +307,11 @@
         last: bool = False,
     ) -> None:
         """Write the one answer to what was asked."""
-        self.task = None
+        self.request = None
         self.release()
         self.last = last or self.flooded or self.door.closing or self.door.crowded(self.member)
-        # Where the client ends its connection, or has not sent its request whole, nothing can follow.
+        # Where the client ends its connection, or has not sent its request whole, nothing can
+        # follow.
         self.last = self.last or not (self.plain or self.parser.their_state is h11.DONE)
         head = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b""))]
         head += [b"%s: %s\r\n" % pair for pair in headers or []]
@@ -331,7 +336,7 @@
     def release(self) -> None:
         """Its body counts no longer."""
         if self.paid:
-            self.paid.requests.give(self.size)
+            self.paid.request_bytes.give(self.size)
         self.parts, self.size, self.paid = [], 0, None
 
     def put(self, data: bytes) -> None:
@@ -347,7 +352,8 @@
 
     def half_close(self) -> None:
         """End this side, and read on for a moment: nothing of what comes now is taken."""
-        # Guards against a close over unread bytes, which would take what is still on its way with it.
+        # Guards against a close over unread bytes, which would take what is still on its way with
+        # it.
         self.last, self.since = True, self.loop.clock()
         try:
             self.sock.shutdown(socket.SHUT_WR)
@@ -356,8 +362,8 @@
 
     def sweep(self, now: int) -> None:
         """Every wait for a client has an end."""
-        if self.task is not None:
-            return  # the task's own end is the limit
+        if self.request is not None:
+            return  # the request's own end is the limit
         waited = now - self.since
         if self.left or self.reading:
             if waited > HALF:
@@ -379,7 +385,7 @@
         return not self.closed and self.idle()
 
     def idle(self) -> bool:
-        return self.task is None and not self.reading and not self.last and not self.left
+        return self.request is None and not self.reading and not self.last and not self.left
 
     def unused(self) -> bool:
         """Whether closing loses nothing: it had its last answer, or is idle and nothing has come unread."""
@@ -401,7 +407,7 @@
         self.join(None)
         self.door.gone(self)
         self.hang_up()
-        if task := self.task:
-            self.task = None
-            task.pool.client_left(task)
+        if request := self.request:
+            self.request = None
+            request.pool.client_left(request)
         self.door.roomier()
--- a/whinpier/http/discovery.py
+++ b/whinpier/http/discovery.py
@@ -1,6 +1,8 @@
-"""Owns the connection to discovery: the list, then a watch of its changes, taken up again when it is lost.
+"""Owns the connection to discovery: the list, then a watch of its changes, taken up again when it
+is lost.
 
-Must never let through anything but a whole, well-formed piece of the list: till then the last good one stays.
+Must never let through anything but a whole, well-formed piece of the list: till then the last good
+one stays.
 """
 
 from __future__ import annotations
@@ -32,7 +34,9 @@
 
 
 class Pieces:
-    """Puts the pieces of a list together from bytes: JSON objects on one line each, or indented over many."""
+    """Puts the pieces of a list together from bytes: JSON objects on one line each, or indented
+    over many.
+    """
 
     def __init__(self) -> None:
         self.data, self.depth = bytearray(), 0
@@ -94,7 +98,8 @@
 
     def move(self, address: Address) -> None:
         """Follow the list at another address; what is known stays until that one has told its whole list."""
-        # Guards against changes missed between the two: numbers of one need not be those of the other.
+        # Guards against changes missed between the two: numbers of one need not be those of the
+        # other.
         self.address, self.seq, self.wait = address, None, FIRST
         self.hang_up()
 
@@ -137,8 +142,8 @@
         parser, pieces = h11.Connection(h11.CLIENT), Pieces()
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as self.sock:
             try:
-                # One limit for all that is waited for, which whole pieces alone put off: bytes that never
-                # make one are silence too.
+                # One limit for all that is waited for, which whole pieces alone put off: bytes that
+                # never make one are silence too.
                 with anyio.fail_after(ANSWER) as limit:
                     await self.connect(parser, query)
                     limit.deadline = anyio.current_time() + ANSWER
--- a/whinpier/http/listener.py
+++ b/whinpier/http/listener.py
@@ -1,6 +1,8 @@
-"""Owns the listeners, the clients taken in by them, and who of them has to go when descriptors are short.
+"""Owns the listeners, the clients taken in by them, and who of them has to go when descriptors are
+short.
 
-Must never close a client whose task is here and not read, or leave what waits at a listener unseen for long.
+Must never close a client whose request is here and not read, or leave what waits at a listener
+unseen for long.
 """
 
 from __future__ import annotations
@@ -57,10 +59,10 @@
         ticket: bytes = b"",
         again: bool = False,
     ) -> bool:
-        """Whether a task is turned back at the door; if not it counts among its pool's from now on."""
+        """Whether a request is turned back at the door; if not it counts among its pool's from now on."""
         budget = self.budget
         usual = budget.connections - budget.most_clients
-        if len(self.clients) > budget.most_clients and budget.tasks.used >= usual:
+        if len(self.clients) > budget.most_clients and budget.requests.used >= usual:
             return True
         return self.life.no_room(pool, route, tenant, ticket, again)
 
@@ -74,9 +76,11 @@
         self.space.set()
 
     def let_go(self) -> None:
-        """Close a client that is not in use: one that has had its last answer, has asked nothing, or is idle.
+        """Close a client that is not in use: one that has had its last answer, has asked
+        nothing, or is idle.
 
-        Guards against ending one whose task is here already and only not read yet: that task would be lost.
+        Guards against ending one whose request is here already and only not read yet: that
+        request would be lost.
         """
         now = self.loop.clock()
         done = (client for client in self.clients if client.last)
@@ -104,8 +108,8 @@
         if len(self.clients) >= budget.most_clients:
             self.let_go()
         budget.make_room()
-        # Guards against clients without end where few connections to upstreams are open, so that the whole
-        # never seems full.
+        # Guards against clients without end where few connections to upstreams are open, so that
+        # the whole never seems full.
         most = min(budget.most_clients, budget.connections - budget.links.used) + budget.door
         if len(self.clients) >= most:
             return False
@@ -128,7 +132,8 @@
                     if not self.welcome(listener):
                         break
                 else:
-                    # Guards against clients that come faster than they are taken in: alarms would never ring.
+                    # Guards against clients that come faster than they are taken in: alarms would
+                    # never ring.
                     await anyio.sleep(0)
                     continue
                 log.warn(
@@ -147,7 +152,7 @@
 
     def start(self, listeners: list[socket.socket]) -> None:
         for listener in listeners:
-            self.loop.tasks.start_soon(self.accept, listener)
+            self.loop.task_group.start_soon(self.accept, listener)
             log.say("listening", address="%s:%d" % listener.getsockname(), debug=__debug__)
 
     def sweep(self) -> None:
--- a/whinpier/http/operator_routes.py
+++ b/whinpier/http/operator_routes.py
@@ -1,7 +1,7 @@
-"""Owns the operator's way from a request to its pool and workload: by the table of routes.
+"""Owns the operator's way from a request to its pool and request class: by the table of routes.
 
-Not imported without an operator's file. Must never pass on what can be read two ways, or let a request past
-its route.
+Not imported without an operator's file. Must never pass on what can be read two ways, or let a
+request past its route.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 from collections.abc import Mapping
 
 from whinpier import log
-from whinpier.policy.model import Workload
+from whinpier.policy.model import RequestClass
 from whinpier.http.platform_routes import BadRequest, Headers, Target
 from whinpier.routing import normal
-from whinpier.routing.table import Asked, Missed, Table
+from whinpier.routing.table import RouteQuery, Missed, Table
 from whinpier.runtime.pool import Pool
 
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))  # whose answers end as they say
@@ -30,7 +30,7 @@
             to, pool = route.to, pools[route.to.pool]
             self.targets[route.name] = Target(
                 pool,
-                pool.workloads.get(to.workload.encode()),
+                pool.request_classes.get(to.request_class.encode()),
                 to.fields,
                 to.patience,
                 bool(route.methods),
@@ -39,7 +39,7 @@
 
     def route(
         self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
-    ) -> tuple[Target, Workload]:
+    ) -> tuple[Target, RequestClass]:
         if method not in METHODS:
             raise BadRequest(405, f"{method!r} is no method of a task")
         found = {
@@ -55,7 +55,7 @@
             host, path = normal.host(host), normal.path(path)
         except (normal.Unclear, UnicodeDecodeError) as unclear:
             raise BadRequest(400, f"can be read two ways: {unclear}") from None
-        asked = Asked(method.decode(), host, path, found, found.get("x-lane", ""))
+        asked = RouteQuery(method.decode(), host, path, found, found.get("x-lane", ""))
         route = self.table.find(asked)
         if isinstance(route, Missed):
             log.counts["no_route"] += 1
@@ -67,13 +67,13 @@
             if names.count(name.encode()) > 1:
                 raise BadRequest(400, f"{name}, which its route looks at, came twice")
         to = self.targets[route.name]
-        workload = to.workload
-        if workload is None:
-            lane = asked.workload.encode("latin-1")
-            workload = to.pool.workloads.get(lane)
-            if workload is None:
-                raise BadRequest(404, f"no such workload: {asked.workload!r}", last=False)
-        return to, workload
+        request_class = to.request_class
+        if request_class is None:
+            lane = asked.request_class.encode("latin-1")
+            request_class = to.pool.request_classes.get(lane)
+            if request_class is None:
+                raise BadRequest(404, f"no such workload: {asked.request_class!r}", last=False)
+        return to, request_class
 
     @staticmethod
     def absolute(host: str, target: str) -> tuple[str, str]:
--- a/whinpier/http/platform_routes.py
+++ b/whinpier/http/platform_routes.py
@@ -1,6 +1,7 @@
-"""Owns what a request has to say to be a task, and the platform's way to its workload: by lane.
+"""Owns what a request has to say to be a request, and the platform's way to its request class: by
+lane.
 
-Must never pass on what does not look as its workload's requests do.
+Must never pass on what does not look as its request class's requests do.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from whinpier.policy.model import EXCLUSIVE, RERUNNABLE, TICKETED, Workload
+from whinpier.policy.model import EXCLUSIVE, RERUNNABLE, TICKETED, RequestClass
 from whinpier.runtime.pool import Pool
 from whinpier.config.model import Fields
 
@@ -16,7 +17,7 @@
 
 
 class BadRequest(Exception):
-    """A request that is no task; the text says why, `headers` go with the answer."""
+    """A request that is no request; the text says why, `headers` go with the answer."""
 
     def __init__(
         self, status: int, text: str, headers: Headers | None = None, last: bool = True
@@ -30,9 +31,9 @@
     """Where a request goes: of its pool, by which rules, and which of its headers say what."""
 
     pool: Pool
-    workload: Workload | None  # None: the one that the request names
+    request_class: RequestClass | None  # None: the one that the request names
     fields: Fields
-    patience: int = 0  # nanoseconds at most; 0: the workload's
+    patience: int = 0  # nanoseconds at most; 0: the request class's
     any_method: bool = (
         False  # whether the route names its methods, so that none needs to fit the kind
     )
@@ -44,37 +45,39 @@
 
     def route(
         self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
-    ) -> tuple[Target, Workload]:
+    ) -> tuple[Target, RequestClass]:
         """Raises BadRequest for what goes nowhere. `fields` are the headers by name, the last of each."""
 
 
 class Lanes:
-    """The platform's way: the first part of the path names the workload, of the only pool."""
+    """The platform's way: the first part of the path names the request class, of the only pool."""
 
     def __init__(self, pool: Pool) -> None:
         self.target = Target(pool, None, Fields())
 
     def route(
         self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
-    ) -> tuple[Target, Workload]:
+    ) -> tuple[Target, RequestClass]:
         path = target.partition(b"?")[0]
         lane = path.lstrip(b"/").partition(b"/")[0]
-        workload = self.target.pool.workloads.get(lane)  # as the pool has them now
-        if workload is None or fields.get(b"x-lane", lane) != lane:
+        request_class = self.target.pool.request_classes.get(lane)  # as the pool has them now
+        if request_class is None or fields.get(b"x-lane", lane) != lane:
             raise BadRequest(404, f"no such lane: {lane!r}")
-        return self.target, workload
+        return self.target, request_class
 
 
 def fits(
-    method: bytes, target: Target, workload: Workload, ticket: bytes | None, size: int
+    method: bytes, target: Target, request_class: RequestClass, ticket: bytes | None, size: int
 ) -> None:
-    """Refuse a request that does not look as its workload's do."""
-    if not target.any_method and method != (b"GET" if workload.kind == RERUNNABLE else b"POST"):
+    """Refuse a request that does not look as its request class's do."""
+    if not target.any_method and method != (
+        b"GET" if request_class.kind == RERUNNABLE else b"POST"
+    ):
         raise BadRequest(405, f"{method!r} does not fit the lane")
     if (
-        workload.kind == TICKETED
+        request_class.kind == TICKETED
         and not ticket
-        or workload.kind == EXCLUSIVE
+        or request_class.kind == EXCLUSIVE
         and ticket
         or method == b"GET"
         and size
--- a/whinpier/http/transport.py
+++ b/whinpier/http/transport.py
@@ -1,4 +1,6 @@
-"""Puts HTTP/1.1 together for the life of the process: its door, its upstreams, its watch of the list."""
+"""Puts HTTP/1.1 together for the life of the process: its door, its upstreams, its watch of the
+list.
+"""
 
 from __future__ import annotations
 
--- a/whinpier/http/upstream_connection.py
+++ b/whinpier/http/upstream_connection.py
@@ -1,7 +1,9 @@
-"""Owns the connections to upstreams: pooled, one task at a time on each, and what became of every hand-off.
+"""Owns the connections to upstreams: pooled, one request at a time on each, and what became of
+every attempt.
 
-An outcome hangs on whether the last byte of the task was written: before that it never ran, from then on it
-may have. Must never send a hand-off twice, send on a connection that has ended, or tell two outcomes of one.
+An outcome hangs on whether the last byte of the request was written: before that it never ran, from
+then on it may have. Must never send an attempt twice, send on a connection that has ended, or tell
+two outcomes of one.
 """
 
 from __future__ import annotations
@@ -19,23 +21,24 @@
 from whinpier.policy.model import ERROR, FULFILLED, FULL, MOOT, NO_CONNECTION, READY, RESET
 from whinpier.http import buffers
 from whinpier.runtime.resource_budget import Part
-from whinpier.runtime.pool import Peer, Pool, Sent, Taken
+from whinpier.runtime.pool import Peer, Pool, Sent, PendingRequest
 from whinpier.settings import COLUMNS
 from whinpier.config.model import Address
 
 BODY = 64 * 1024  # the largest body, by the protocol
 # Of an answer: upstreams have been met whose good ones are six times what the protocol says.
 ANSWER = 1024 * 1024
-# All that the parser needs to know of a task: that an answer is due. The task is written as it came, since
-# building it by h11 costs over twice as much.
+# All that the parser needs to know of a request: that an answer is due. The request is written as
+# it came, since building it by h11 costs over twice as much.
 DUE = h11.Request(method="GET", target="/", headers=[("host", "upstream")])
 BODILESS = frozenset((204, 304))
-INTERIM = 64  # interim answers to one task: more are rubbish
-# A kept connection is let go at half its idle limit: the other side may close it any time from then on, and
-# what is written to one just closed may have run.
+INTERIM = 64  # interim answers to one request: more are rubbish
+# A kept connection is let go at half its idle limit: the other side may close it any time from then
+# on, and what is written to one just closed may have run.
 KEEP = 0.5
-# After an answer a connection rests for so long before it carries the next request: a second answer comes
-# some milliseconds late (1 to 4 were seen), and on a connection in use it would pass for the next request's.
+# After an answer a connection rests for so long before it carries the next request: a second answer
+# comes some milliseconds late (1 to 4 were seen), and on a connection in use it would pass for the
+# next request's.
 REST = SECOND // 100
 HOP = frozenset(
     (
@@ -54,7 +57,7 @@
 
 
 class Answer:
-    """What an upstream sent for one hand-off, as far as it has come."""
+    """What an upstream sent for one attempt, as far as it has come."""
 
     __slots__ = ("status", "headers", "parts", "size", "interim")
 
@@ -88,8 +91,8 @@
         return found or None
 
 
-class Http(Taken):
-    """A task as it goes on to an upstream that speaks HTTP/1.1."""
+class Http(PendingRequest):
+    """A request as it goes on to an upstream that speaks HTTP/1.1."""
 
     __slots__ = ("head", "body")
     head: bytes  # but for what is left of its patience
@@ -97,11 +100,11 @@
 
 
 class Sending(Sent):
-    """A hand-off on its way."""
+    """An attempt on its way."""
 
-    def __init__(self, task: Http, server: Server, now: int) -> None:
-        super().__init__(task, server, now)
-        self.asked = task
+    def __init__(self, request: Http, server: Server, now: int) -> None:
+        super().__init__(request, server, now)
+        self.asked = request
         self.link: Link | None = None
 
 
@@ -115,13 +118,13 @@
         self.pool, self.loop, self.host, self.address = pool, pool.loop, host, address
         self.links: set[Link] = set()
         self.idle: list[Link] = []  # the one last used is used next, so that the others can go
-        self.waiting: deque[Sending] = deque()  # hand-offs that wait for a connection
+        self.waiting: deque[Sending] = deque()  # attempts that wait for a connection
         self.opening, self.resting = 0, 0
 
-    def hand(self, task: Taken) -> Sent:
-        assert isinstance(task, Http)
-        sending = Sending(task, self, self.pool.now)
-        task.hand_offs.append(sending)
+    def hand(self, request: PendingRequest) -> Sent:
+        assert isinstance(request, Http)
+        sending = Sending(request, self, self.pool.now)
+        request.attempts.append(sending)
         self.send(sending)
         return sending
 
@@ -179,7 +182,7 @@
         return True
 
     def free(self, link: Link) -> None:
-        """A connection can take a hand-off."""
+        """A connection can take an attempt."""
         many = self.most_links is not None and len(self.links) > self.most_links
         if (
             self.state != READY
@@ -278,7 +281,7 @@
             self.server.free(self)
 
     def start(self, sending: Sending) -> None:
-        """Write a hand-off; what the socket does not take at once goes out as it can."""
+        """Write an attempt; what the socket does not take at once goes out as it can."""
         log.must(
             self.sending is None and not self.closed, "a connection carries one task at a time"
         )
@@ -332,7 +335,7 @@
             self.spoilt("an answer that does not end")
 
     def spoilt(self, why: object) -> None:
-        """What came is no answer, yet the upstream is there: an error that may have done the task."""
+        """What came is no answer, yet the upstream is there: an error that may have done the request."""
         log.warn("upstream_rubbish", upstream=self.server.host, fault=why)
         sending, written = self.sending, not self.left
         self.give_up()
@@ -380,7 +383,7 @@
         elif isinstance(event, h11.EndOfMessage):
             buffers.check_trailers(event)
             parser = self.parser
-            # Guards against one task's surplus bytes passing for the next one's answer.
+            # Guards against one request's surplus bytes passing for the next one's answer.
             self.finish(
                 parser is not None
                 and not parser.trailing_data[0]
@@ -409,7 +412,7 @@
         self.pool.settle(sending, outcome, answer, answer.load(self.pool.columns))
 
     def part(self) -> Sending | None:
-        """Let go of the hand-off on it, whose answer counts no longer among the bodies."""
+        """Let go of the attempt on it, whose answer counts no longer among the bodies."""
         sending, self.sending = self.sending, None
         if sending:
             if self.answer.size:
@@ -418,7 +421,7 @@
         return sending
 
     def close(self) -> None:
-        """End the connection. A hand-off on it has its outcome by whether it was written whole."""
+        """End the connection. An attempt on it has its outcome by whether it was written whole."""
         if self.closed:
             return
         self.closed = True
--- a/whinpier/log.py
+++ b/whinpier/log.py
@@ -39,7 +39,9 @@
 
 
 class Bounded(logging.Filter):
-    """Lets a few lines of each event through in a second and says with the next one how many it kept back."""
+    """Lets a few lines of each event through in a second and says with the next one how many it
+    kept back.
+    """
 
     def __init__(self) -> None:
         super().__init__()
--- a/whinpier/model_checking/__init__.py
+++ b/whinpier/model_checking/__init__.py
@@ -1,1 +1,3 @@
-"""Exploration of orderings: the real state machines, driven through every order of events of small worlds."""
+"""Exploration of orderings: the real state machines, driven through every order of events of small
+worlds.
+"""
--- a/whinpier/model_checking/consensus.py
+++ b/whinpier/model_checking/consensus.py
@@ -1,8 +1,8 @@
 """The world of the record: voters, what is on their disks, talks in any order, crashes, pauses.
 
-A crash loses what was not synced. A member that is simply not called has paused. Known of the world and not
-to any member: which line was first applied at each number, who led in each term, what was agreed when a
-read was asked for.
+A crash loses what was not synced. A member that is simply not called has paused. Known of the world
+and not to any member: which line was first applied at each number, who led in each term, what was
+agreed when a read was asked for.
 """
 
 from __future__ import annotations
@@ -419,8 +419,9 @@
 class Coarse(Recording):
     """The same world in larger steps: an election between two, a leader's copies to one, both ways.
 
-    Each is some of the small steps in one of their orders, so that what breaks here can break there; what is
-    sent to others meanwhile is late, or lost where the network is full. Longer days are reached so.
+    Each is some of the small steps in one of their orders, so that what breaks here can break
+    there; what is sent to others meanwhile is late, or lost where the network is full. Longer days
+    are reached so.
     """
 
     def steps(self) -> list[tuple[str, Hashable]]:
--- a/whinpier/model_checking/counts.py
+++ b/whinpier/model_checking/counts.py
@@ -1,7 +1,9 @@
-"""The world of one count of calendar windows: messages in any order, lost, doubled; disks, crashes, clocks.
+"""The world of one count of calendar windows: messages in any order, lost, doubled; disks, crashes,
+clocks.
 
-A window lasts three steps of time. Each member has a disk that holds what it was given before a crash, and
-may fail; its clock may be unsure by a step to either side. What passes is counted by the true time.
+A window lasts three steps of time. Each member has a disk that holds what it was given before a
+crash, and may fail; its clock may be unsure by a step to either side. What passes is counted by the
+true time.
 """
 
 from __future__ import annotations
--- a/whinpier/model_checking/ejection.py
+++ b/whinpier/model_checking/ejection.py
@@ -1,7 +1,8 @@
-"""The world of slots that upstreams rest in: judges, votes, leases; messages in any order, crashes, pauses.
+"""The world of slots that upstreams rest in: judges, votes, leases; messages in any order, crashes,
+pauses.
 
-Time goes by in steps of a quarter of a verdict's life. A member that is simply not called has paused. What is
-known of the world and not to any member: whatever rests anywhere at one moment.
+Time goes by in steps of a quarter of a verdict's life. A member that is simply not called has
+paused. What is known of the world and not to any member: whatever rests anywhere at one moment.
 """
 
 from __future__ import annotations
--- a/whinpier/model_checking/explore.py
+++ b/whinpier/model_checking/explore.py
@@ -1,7 +1,9 @@
-"""Goes through every order of events of a small world, or walks it at random; a breach is a list of steps.
+"""Goes through every order of events of a small world, or walks it at random; a breach is a list of
+steps.
 
-A world is copied, never undone. Two worlds with one mark are taken for one: a mark must hold all that decides
-what can happen from there. Must never draw from chance that is not seeded, or keep more than `most` states.
+A world is copied, never undone. Two worlds with one mark are taken for one: a mark must hold all
+that decides what can happen from there. Must never draw from chance that is not seeded, or keep
+more than `most` states.
 """
 
 from __future__ import annotations
--- a/whinpier/model_checking/network.py
+++ b/whinpier/model_checking/network.py
@@ -1,4 +1,6 @@
-"""What worlds of members that send each other deals have in common: messages in any order, lost, doubled."""
+"""What worlds of members that send each other deals have in common: messages in any order, lost,
+doubled.
+"""
 
 from __future__ import annotations
 
--- a/whinpier/model_checking/quota_scenarios.py
+++ b/whinpier/model_checking/quota_scenarios.py
@@ -1,4 +1,6 @@
-"""The worlds in which sharing a limit is explored, whole or by walks, and each fault has to be found."""
+"""The worlds in which sharing a limit is explored, whole or by walks, and each fault has to be
+found.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +12,12 @@
 WHOLE = (
     Days(
         "renewing: 2 members, limit 2, every order of messages, losses and times",
-        lambda cls: Sharing(2, 2, 2, 18, 0, 0, cls, tasks=False).lent(),
+        lambda cls: Sharing(2, 2, 2, 18, 0, 0, cls, requests=False).lent(),
         60,
     ),
     Days(
         "messages: 2 members, limit 2, needs that change, to 9 steps",
-        lambda cls: Sharing(2, 2, 2, 4, 0, 1, cls, tasks=False),
+        lambda cls: Sharing(2, 2, 2, 4, 0, 1, cls, requests=False),
         9,
     ),
     Days(
@@ -29,15 +31,16 @@
     Days("3 members, limit 3, tasks, crashes", lambda cls: Sharing(3, 3, 6, 160, 2, 20, cls)),
     Days(
         "2 members, limit 4, messages alone",
-        lambda cls: Sharing(2, 4, 5, 200, 0, 40, cls, tasks=False),
+        lambda cls: Sharing(2, 4, 5, 200, 0, 40, cls, requests=False),
     ),
     Days(
         "3 members, limit 3, messages alone",
-        lambda cls: Sharing(3, 3, 6, 200, 0, 40, cls, tasks=False),
+        lambda cls: Sharing(3, 3, 6, 200, 0, 40, cls, requests=False),
     ),
 )
 
 
 def found(name: str, steps: int = 100_000) -> tuple[Days, str, list[str]] | None:
-    # Walks find most of them sooner; what hangs on one order of many is left to the whole exploration.
+    # Walks find most of them sooner; what hangs on one order of many is left to the whole
+    # exploration.
     return scenarios.found((WALKS[0], WALKS[3], WALKS[2], WALKS[1], WHOLE[0]), FAULTS[name], steps)
--- a/whinpier/model_checking/quotas.py
+++ b/whinpier/model_checking/quotas.py
@@ -1,7 +1,9 @@
-"""The world of one limit that members share: messages in any order, lost, doubled, late; crashes, pauses.
+"""The world of one limit that members share: messages in any order, lost, doubled, late; crashes,
+pauses.
 
-Time goes by in steps of an eighth of a loan's span. A member that is simply not called has paused: it wakes
-with what it believed. What is out when a process dies goes on running at its upstream till its end.
+Time goes by in steps of an eighth of a loan's span. A member that is simply not called has paused:
+it wakes with what it believed. What is out when a process dies goes on running at its upstream till
+its end.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 from whinpier.model_checking.network import Named, Network
 
 STEP = SPAN // 8
-LENGTHS = (2, 6)  # steps that a task takes: the longest is its patience
+LENGTHS = (2, 6)  # steps that a request takes: the longest is its patience
 FENCE = SPAN + SLACK
 
 
@@ -38,15 +40,17 @@
         crashes: int = 1,
         copies: int = 1,
         make: type[Wishing] = Wishing,
-        tasks: bool = True,
+        requests: bool = True,
     ) -> None:
         super().__init__(members, messages, crashes, copies)
         self.limit = Limit("x", IN_FLIGHT, amount, tuple(f"m{n}" for n in range(members)))
         self.make, self.left = make, times
-        self.lengths = LENGTHS if tasks else ()  # without any only the messages are gone through
+        self.lengths = LENGTHS if requests else ()  # without any only the messages are gone through
         self.wishing = True
         self.shares: list[Wishing] = [self.started(place, 0) for place in range(members)]
-        self.tasks: list[list[int]] = [[] for _ in range(members)]  # ends of what is out, by place
+        self.requests: list[list[int]] = [
+            [] for _ in range(members)
+        ]  # ends of what is out, by place
         self.orphans: list[int] = []  # of members that died
 
     def party(self, place: int) -> Wishing:
@@ -73,7 +77,7 @@
             for length in self.lengths:
                 if share.used < self.limit.amount:
                     found.append((f"m{place} takes a task of {length}", ("take", place, length)))
-            if self.tasks[place]:
+            if self.requests[place]:
                 found.append((f"m{place} ends a task", ("end", place)))
             for wish in (0, self.limit.amount) if self.wishing else ():
                 if wish != share.wish:
@@ -87,10 +91,10 @@
     def do_take(self, place: int, length: int) -> None:
         ends = self.now + length * STEP
         if self.shares[place].take(self.now, ends):
-            self.tasks[place].append(ends)
+            self.requests[place].append(ends)
 
     def do_end(self, place: int) -> None:
-        self.tasks[place].remove(min(self.tasks[place]))
+        self.requests[place].remove(min(self.requests[place]))
         self.shares[place].give(self.now)
 
     def do_wish(self, place: int, wish: int) -> None:
@@ -102,8 +106,8 @@
 
     def do_crash(self, place: int) -> None:
         self.crashes -= 1
-        self.orphans += self.tasks[place]
-        self.tasks[place] = []
+        self.orphans += self.requests[place]
+        self.requests[place] = []
         self.runs[place] += 100
         self.shares[place] = self.started(place, FENCE)
 
@@ -111,14 +115,14 @@
         self.left -= 1
         self.now += STEP
         # Whatever is out has its end, also where its member is paused or dead.
-        for place, tasks in enumerate(self.tasks):
-            for ends in [ends for ends in tasks if ends <= self.now]:
-                tasks.remove(ends)
+        for place, requests in enumerate(self.requests):
+            for ends in [ends for ends in requests if ends <= self.now]:
+                requests.remove(ends)
                 self.shares[place].give(self.now)
         self.orphans = [ends for ends in self.orphans if ends > self.now]
 
     def broken(self) -> str:
-        out = sum(map(len, self.tasks)) + len(self.orphans)
+        out = sum(map(len, self.requests)) + len(self.orphans)
         if out > self.limit.amount:
             return f"{out} in flight of {self.limit.amount}"
         may = sum(max(share.count(self.now), share.used) for share in self.shares)
@@ -163,8 +167,8 @@
                 for sender, to, deal in self.network
             )
         )
-        tasks = tuple(
+        requests = tuple(
             tuple(sorted(ends - self.now for ends in those))
-            for those in (*self.tasks, self.orphans)
+            for those in (*self.requests, self.orphans)
         )
-        return shares, network, tasks, tuple(self.runs), self.left, self.crashes, self.copies
+        return shares, network, requests, tuple(self.runs), self.left, self.crashes, self.copies
--- a/whinpier/policy/decaying_sum.py
+++ b/whinpier/policy/decaying_sum.py
@@ -36,10 +36,12 @@
 
 
 class Turn:
-    """Deals out a stated number over each span of time, one by one; of a part of one, one comes by chance.
+    """Deals out a stated number over each span of time, one by one; of a part of one, one comes
+    by chance.
 
-    Many that deal out parts of one number independently keep their sum, which each rounding up would not.
-    What is not used by the next turn lapses: no store is left to be used by all at once.
+    Many that deal out parts of one number independently keep their sum, which each rounding up
+    would not. What is not used by the next turn lapses: no store is left to be used by all at
+    once.
     """
 
     __slots__ = ("open", "ends")
--- a/whinpier/policy/model.py
+++ b/whinpier/policy/model.py
@@ -1,4 +1,5 @@
-"""Plain types shared by the decisions and whatever hosts them, and the Host they call. No decisions here.
+"""Plain types shared by the decisions and whatever hosts them, and the Host they call. No decisions
+here.
 
 All times are whole nanoseconds on the host's clock.
 """
@@ -12,7 +13,7 @@
 RERUNNABLE, TICKETED, EXCLUSIVE = "rerunnable", "ticketed", "exclusive"
 READY, DRAINING, GONE = "ready", "draining", "gone"
 
-# How a hand-off came back.
+# How an attempt came back.
 FULFILLED, ERROR, TIMED_OUT, RESET, WITHDRAWN = (
     "fulfilled",
     "error",
@@ -29,8 +30,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Workload:
-    """One kind of task, with what its users expect of it."""
+class RequestClass:
+    """One kind of request, with what its users expect of it."""
 
     name: str
     kind: str
@@ -67,11 +68,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Task:
-    """What a client asked for once; a client's next try is another task."""
+class Request:
+    """What a client asked for once; a client's next try is another request."""
 
     id: int
-    workload: Workload
+    request_class: RequestClass
     came: int
     ends: int  # the client gives up then
     key: int = 0
@@ -79,16 +80,16 @@
     work_hint: int | None = None
     repeat: bool = False
     write: bool = False
-    hand_offs: list[HandOff] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     ended: bool = False
     held_until: int = 0  # by the decisions, at the latest
 
 
 @dataclass(slots=True, eq=False)
-class HandOff:
-    """One sending of a task to an upstream; `outcome` is None while it is out."""
+class Attempt:
+    """One sending of a request to an upstream; `outcome` is None while it is out."""
 
-    task: Task
+    request: Request
     upstream: Upstream
     number: int
     sent: int
@@ -102,16 +103,16 @@
 
     now: int
 
-    def hand_off(self, task: Task, upstream: Upstream, stop_at: int = 0) -> HandOff:
-        """Send the task; 0 as `stop_at` means until the client gives up."""
+    def start_attempt(self, request: Request, upstream: Upstream, stop_at: int = 0) -> Attempt:
+        """Send the request; 0 as `stop_at` means until the client gives up."""
 
-    def withdraw(self, hand_off: HandOff) -> None:
-        """Stop waiting for a hand-off; its outcome still comes back."""
+    def withdraw(self, attempt: Attempt) -> None:
+        """Stop waiting for an attempt; its outcome still comes back."""
 
-    def turn_back(self, task: Task, wait: int = 0) -> None:
+    def turn_back(self, request: Request, wait: int = 0) -> None:
         """Final answer: not done, trying again is harmless, best after `wait`."""
 
-    def scrap(self, task: Task) -> None:
+    def scrap(self, request: Request) -> None:
         """Final answer: not fulfilled, nothing promised."""
 
     def alarm(self, at: int, token: int = 0) -> None:
--- a/whinpier/policy/policy.py
+++ b/whinpier/policy/policy.py
@@ -1,10 +1,12 @@
-"""Every decision of the balancer: which upstream gets a task, when it is sent again, when it is given up.
-
-A host makes one `Choice` per balancer and calls it as things happen: `listed` with the upstreams it holds,
-`arrive` for a task, `came_back` for a hand-off, `left` when a client goes, `bell` when an alarm falls due,
-`reported` for a probe, `told` for a message of another balancer, `list_lost` when the list can't be had.
-`Choice` calls its `Host`, defined in whinpier/policy/model.py; why it decides so stands in docs/design.md.
-A task passes Entry, Again and Split: each passes it on, keeps or ends it; what comes back runs the other way.
+"""Every decision of the balancer: which upstream gets a request, when it is sent again, when it is
+given up.
+
+A host makes one `Choice` per balancer and calls it as things happen: `listed` with the upstreams it
+holds, `arrive` for a request, `came_back` for an attempt, `left` when a client goes, `bell` when an
+alarm falls due, `reported` for a probe, `told` for a message of another balancer, `list_lost` when
+the list can't be had. `Choice` calls its `Host`, defined in whinpier/policy/model.py; why it
+decides so stands in docs/design.md. A request passes Entry, Again and Split: each passes it on,
+keeps or ends it; what comes back runs the other way.
 """
 
 from __future__ import annotations
@@ -30,11 +32,11 @@
     RERUNNABLE,
     TIMED_OUT,
     WITHDRAWN,
-    HandOff,
+    Attempt,
     Host,
-    Task,
+    Request,
     Upstream,
-    Workload,
+    RequestClass,
 )
 from whinpier.policy.statistics import Known, Seen
 from whinpier.policy.rate_gossip import Peers
@@ -59,18 +61,21 @@
 
 
 class Entry:
-    """First stage: takes a task in; what no upstream has room for is held a moment, then turned back."""
+    """First stage: takes a request in; what no upstream has room for is held a moment, then
+    turned back.
+    """
 
-    HOLD = 0.25  # of the agreed time at most: rides out a short stop and leaves the rest for the upstream
+    # of the agreed time at most: rides out a short stop and leaves the rest for the upstream
+    HOLD = 0.25
 
     def __init__(self, choice: Choice, settings: dict[str, Any]) -> None:
         self.choice, self.host = choice, choice.host
-        self.held: dict[Workload, deque[Task]] = {
-            workload: deque() for workload in choice.workloads
+        self.held: dict[RequestClass, deque[Request]] = {
+            request_class: deque() for request_class in choice.request_classes
         }
         self.answered = Sum(
             2 * SECOND, self.host.now
-        )  # follows a fleet that turns slow, not single tasks
+        )  # follows a fleet that turns slow, not single requests
         self.configure(settings)
 
     def configure(self, settings: dict[str, Any]) -> None:
@@ -78,90 +83,109 @@
         self.worst = float(settings.get("goal.worst_class", 0.0))
         self.most = int(settings.get("limits.held", 1 << 30))
         self.held |= {
-            workload: self.held.get(workload, deque()) for workload in self.choice.workloads
+            request_class: self.held.get(request_class, deque())
+            for request_class in self.choice.request_classes
         }
 
     def rank(self) -> None:
-        """Order the workloads by what their tasks add for the work they cost, the worst served lifted."""
-        here = [kind for kind, tasks in self.held.items() if tasks or kind in self.choice.workloads]
-        asked = {workload: workload.known.asked.read(self.host.now) + 1.0 for workload in here}
+        """Order the request classes by what their requests add for the work they cost, the worst
+        served lifted.
+        """
+        here = [
+            kind
+            for kind, requests in self.held.items()
+            if requests or kind in self.choice.request_classes
+        ]
+        asked = {
+            request_class: request_class.known.asked.read(self.host.now) + 1.0
+            for request_class in here
+        }
         least = min(
-            asked, key=lambda workload: workload.known.kept.read(self.host.now) / asked[workload]
+            asked,
+            key=lambda request_class: request_class.known.kept.read(self.host.now)
+            / asked[request_class],
         )
-        payoff = sum(workload.payoff * count for workload, count in asked.items())
+        payoff = sum(request_class.payoff * count for request_class, count in asked.items())
 
-        def worth(workload: Workload) -> float:
-            lift = self.worst / asked[workload] if workload is least else 0.0
-            return float((self.whole * workload.payoff / payoff + lift) / workload.known.usual)
+        def worth(request_class: RequestClass) -> float:
+            lift = self.worst / asked[request_class] if request_class is least else 0.0
+            return float(
+                (self.whole * request_class.payoff / payoff + lift) / request_class.known.usual
+            )
 
         self.held = {
-            workload: self.held[workload] for workload in sorted(here, key=worth, reverse=True)
+            request_class: self.held[request_class]
+            for request_class in sorted(here, key=worth, reverse=True)
         }
 
-    def waiting(self, workload: Workload | None = None) -> int:
-        """How many are held, or of those how many would go before a new task of a workload."""
+    def waiting(self, request_class: RequestClass | None = None) -> int:
+        """How many are held, or of those how many would go before a new request of a request class."""
         first = list(self.held)
-        first = first[: first.index(workload) + 1] if workload in self.held else first
+        first = first[: first.index(request_class) + 1] if request_class in self.held else first
         return sum(len(self.held[other]) for other in first)
 
-    def take(self, task: Task) -> str:
-        return self.hold(task) if self.waiting(task.workload) else PASS
+    def take(self, request: Request) -> str:
+        return self.hold(request) if self.waiting(request.request_class) else PASS
 
-    def hold(self, task: Task) -> str:
-        """Keep a task until there is room, unless too many wait for it to be reached in time."""
-        now, workload = self.host.now, task.workload
+    def hold(self, request: Request) -> str:
+        """Keep a request until there is room, unless too many wait for it to be reached in time."""
+        now, request_class = self.host.now, request.request_class
         # 20 ms before its client gives up at the latest, so that its answer is timely.
-        task.held_until = min(
-            task.came + int(self.HOLD * workload.agreed_time), task.ends - SECOND // 50
+        request.held_until = min(
+            request.came + int(self.HOLD * request_class.agreed_time), request.ends - SECOND // 50
         )
-        wait = task.held_until - now
+        wait = request.held_until - now
         if (
             wait <= 0
-            or self.waiting(workload) > 3 + self.answered.rate(now) * wait / SECOND
+            or self.waiting(request_class) > 3 + self.answered.rate(now) * wait / SECOND
             or self.waiting() >= self.most
         ):
-            return self.choice.finish(task)
-        self.held.setdefault(workload, deque()).append(task)
+            return self.choice.finish(request)
+        self.held.setdefault(request_class, deque()).append(request)
         self.choice.wake(now + SECOND // 100)
         return KEEP
 
     def release(self) -> None:
         """Send on what is held while there is room: the most worth first, of that the oldest."""
-        for tasks in self.held.values():
-            while tasks and (tasks[0].ended or self.choice.run(tasks[0], 1) != PASS):
-                tasks.popleft()
+        for requests in self.held.values():
+            while requests and (requests[0].ended or self.choice.run(requests[0], 1) != PASS):
+                requests.popleft()
 
     def expire(self) -> None:
         """Turn back what has been held long enough."""
-        for tasks in self.held.values():
-            for task in [task for task in tasks if task.held_until <= self.host.now or task.ended]:
-                tasks.remove(task)
-                if not task.ended:
-                    self.choice.finish(task)
-
-    def back(self, hand_off: HandOff, first: bool) -> None:
-        now, task = self.host.now, hand_off.task
-        if hand_off.outcome == FULFILLED:
+        for requests in self.held.values():
+            for request in [
+                request
+                for request in requests
+                if request.held_until <= self.host.now or request.ended
+            ]:
+                requests.remove(request)
+                if not request.ended:
+                    self.choice.finish(request)
+
+    def back(self, attempt: Attempt, first: bool) -> None:
+        now, request = self.host.now, attempt.request
+        if attempt.outcome == FULFILLED:
             self.answered.add(now)
-            task.workload.known.kept.add(
-                now, float(first and now <= task.came + task.workload.agreed_time)
+            request.request_class.known.kept.add(
+                now, float(first and now <= request.came + request.request_class.agreed_time)
             )
-        if hand_off.upstream.seen.out < hand_off.upstream.seen.room:
+        if attempt.upstream.seen.out < attempt.upstream.seen.room:
             self.release()
 
 
 class Again:
-    """Second stage: keeps to what each workload allows when a task is sent more than once."""
+    """Second stage: keeps to what each request class allows when a request is sent more than once."""
 
     LATE = (
         2.0  # an answer is late after this many mean latencies: by then an upstream in doubt shows
     )
-    COPIES = 0.1  # second copies and repeats, per task: enough for one bad upstream in ten
+    COPIES = 0.1  # second copies and repeats, per request: enough for one bad upstream in ten
 
     def __init__(self, choice: Choice, settings: dict[str, Any]) -> None:
         self.choice, self.host = choice, choice.host
-        self.tasks, self.copies = Sum(5 * SECOND, self.host.now), Sum(5 * SECOND, self.host.now)
-        self.due: list[tuple[int, int, HandOff]] = []
+        self.requests, self.copies = Sum(5 * SECOND, self.host.now), Sum(5 * SECOND, self.host.now)
+        self.due: list[tuple[int, int, Attempt]] = []
         self.number = numbers()
         self.configure(settings)
 
@@ -170,39 +194,42 @@
         self.setup = (
             settings.get("limits.connect_timeout", SECOND // 4) + SECOND // 20
         )  # till it has come
-        for workload in self.choice.workloads:  # a task keeps what held when it came
-            workload.most, workload.copies = (
+        for request_class in self.choice.request_classes:  # a request keeps what held when it came
+            request_class.most, request_class.copies = (
                 int(settings.get("limits.max_hand_offs", 1)),
                 self.second_copies,
             )
-            workload.cancelling = settings.get("limits.cancelling", False)
+            request_class.cancelling = settings.get("limits.cancelling", False)
         self.due = self.due if self.second_copies else []  # no copy is sent by settings of before
 
-    def take(self, task: Task) -> str:
-        return PASS if not task.hand_offs or self.allowed(task) else self.choice.finish(task)
+    def take(self, request: Request) -> str:
+        return (
+            PASS if not request.attempts or self.allowed(request) else self.choice.finish(request)
+        )
 
     @staticmethod
-    def may_have_run(task: Task) -> HandOff | None:
+    def may_have_run(request: Request) -> Attempt | None:
         return next(
-            (hand_off for hand_off in task.hand_offs if hand_off.outcome not in NEVER_RAN), None
+            (attempt for attempt in request.attempts if attempt.outcome not in NEVER_RAN), None
         )
 
-    def allowed(self, task: Task) -> bool:
-        """Whether the rules let the task be sent once more, to whichever upstream `fits`."""
-        now, ran, workload = self.host.now, self.may_have_run(task), task.workload
-        # A second effect: an exclusive task is never repeated, a ticketed one only while it is remembered.
+    def allowed(self, request: Request) -> bool:
+        """Whether the rules let the request be sent once more, to whichever upstream `fits`."""
+        now, ran, request_class = self.host.now, self.may_have_run(request), request.request_class
+        # A second effect: an exclusive request is never repeated, a ticketed one only while it is
+        # remembered.
         once = (
             ran is None
-            or workload.kind == RERUNNABLE
-            or workload.kind != EXCLUSIVE
-            and now + self.setup < ran.sent + workload.window
+            or request_class.kind == RERUNNABLE
+            or request_class.kind != EXCLUSIVE
+            and now + self.setup < ran.sent + request_class.window
         )
-        return once and len(task.hand_offs) < workload.most and now < task.ends
+        return once and len(request.attempts) < request_class.most and now < request.ends
 
-    def fits(self, task: Task, upstream: Upstream) -> bool:
+    def fits(self, request: Request, upstream: Upstream) -> bool:
         """Whether the upstream drops repeats of what may have run before."""
-        ran, group = self.may_have_run(task), task.workload.group
-        if ran is None or task.workload.kind == RERUNNABLE or group == "all":
+        ran, group = self.may_have_run(request), request.request_class.group
+        if ran is None or request.request_class.kind == RERUNNABLE or group == "all":
             return True
         return (
             upstream.zone == ran.upstream.zone
@@ -210,76 +237,79 @@
             else upstream.cell == ran.upstream.cell
         )
 
-    def harmless(self, task: Task) -> bool:
+    def harmless(self, request: Request) -> bool:
         """Whether the client may be told that trying again does no harm."""
-        kind, everywhere = task.workload.kind, task.workload.group == "all"
+        kind, everywhere = request.request_class.kind, request.request_class.group == "all"
         return (
             kind == RERUNNABLE
-            or self.may_have_run(task) is None
+            or self.may_have_run(request) is None
             or kind != EXCLUSIVE
             and everywhere
         )
 
     def afford(self) -> bool:
         """Count one repeat, if they are still rare enough not to feed a jam."""
-        rare = self.copies.read(now := self.host.now) < self.COPIES * self.tasks.read(now) + 1.0
+        rare = self.copies.read(now := self.host.now) < self.COPIES * self.requests.read(now) + 1.0
         self.copies.add(now, float(rare))
         return rare
 
-    def sent(self, hand_off: HandOff) -> None:
-        """Look again at a repeatable task when its answer is late."""
-        workload = hand_off.task.workload
-        due = self.host.now + int(self.LATE * workload.known.usual)
+    def sent(self, attempt: Attempt) -> None:
+        """Look again at a repeatable request when its answer is late."""
+        request_class = attempt.request.request_class
+        due = self.host.now + int(self.LATE * request_class.known.usual)
         if (
-            workload.kind != EXCLUSIVE
-            and workload.copies
+            request_class.kind != EXCLUSIVE
+            and request_class.copies
             and self.second_copies
-            and due < hand_off.task.ends
+            and due < attempt.request.ends
         ):
-            heapq.heappush(self.due, (due, next(self.number), hand_off))
+            heapq.heappush(self.due, (due, next(self.number), attempt))
             self.choice.wake(due)
 
     def check(self) -> None:
         """Send second copies of what an upstream in doubt holds: copies of what is only heavy tip a fleet."""
         while self.due and self.due[0][0] <= self.host.now:
-            hand_off = heapq.heappop(self.due)[2]
-            task = hand_off.task
-            if task.ended or hand_off.outcome or hand_off is not task.hand_offs[-1]:
+            attempt = heapq.heappop(self.due)[2]
+            request = attempt.request
+            if request.ended or attempt.outcome or attempt is not request.attempts[-1]:
                 continue
-            if not self.choice.split.doubted(hand_off.upstream.seen, hand_off):
-                self.sent(hand_off)
-            elif self.allowed(task) and not self.choice.entry.waiting() and self.afford():
-                self.choice.split.take(task)
-
-    def back(self, hand_off: HandOff, first: bool) -> None:
-        task = hand_off.task
-        others = [other for other in task.hand_offs if not other.outcome]
-        if task.ended or (others and self.host.now < task.ends):
+            if not self.choice.split.doubted(attempt.upstream.seen, attempt):
+                self.sent(attempt)
+            elif self.allowed(request) and not self.choice.entry.waiting() and self.afford():
+                self.choice.split.take(request)
+
+    def back(self, attempt: Attempt, first: bool) -> None:
+        request = attempt.request
+        others = [other for other in request.attempts if not other.outcome]
+        if request.ended or (others and self.host.now < request.ends):
             self.call_off(others if first else [])
-        elif hand_off.outcome not in NEVER_RAN and not self.afford():
-            self.choice.finish(task)
-        elif self.choice.run(task, 1) == PASS:
-            self.choice.entry.hold(task)
+        elif attempt.outcome not in NEVER_RAN and not self.afford():
+            self.choice.finish(request)
+        elif self.choice.run(request, 1) == PASS:
+            self.choice.entry.hold(request)
 
-    def call_off(self, hand_offs: list[HandOff]) -> None:
-        for hand_off in hand_offs:
-            if not hand_off.outcome and hand_off.task.workload.cancelling:
-                self.host.withdraw(hand_off)
+    def call_off(self, attempts: list[Attempt]) -> None:
+        for attempt in attempts:
+            if not attempt.outcome and attempt.request.request_class.cancelling:
+                self.host.withdraw(attempt)
 
 
 class Split:
-    """Last stage: draws an upstream by the shares of the min-max solve and hands the task over."""
+    """Last stage: draws an upstream by the shares of the min-max solve and hands the request over."""
 
     DOUBT = 4.0  # answers overdue: by chance once in e^4, about one in fifty
     TRIALS = 0.01  # of sends, to idle upstreams; the design page's
     LEAST = 2  # upstreams to choose from: with one bad there is still one
-    MOST = 6.0  # out at an upstream from all balancers: room for one with a few cores, busy and kept so
+    # out at an upstream from all balancers: room for one with a few cores, busy and kept so
+    MOST = 6.0
     LATE_USE = 0.85  # the part in use that an upstream is kept to whose reports are seconds old
     IN_USE = 0.95  # and one that was asked just now: what waits there beyond it is late
     MUTE = (
         20  # answers without a load report, after which an upstream counts as one that gives none
     )
-    PROBES = 0.5  # a task: each upstream of a part some times a second, and 0.3 % of a task's work
+    PROBES = (
+        0.5  # a request: each upstream of a part some times a second, and 0.3 % of a request's work
+    )
     FRESH = SECOND // 2  # a probe's word holds: a few turns of what is in work
     SPEAK = 20.0  # messages a second that each balancer gets at most, however many there are
 
@@ -317,7 +347,9 @@
             settings.get("rules.fall_multiple", 2.0),
             settings.get("rules.fall", SECOND),
         )
-        agreed = [workload.agreed_time / SECOND for workload in self.choice.workloads]
+        agreed = [
+            request_class.agreed_time / SECOND for request_class in self.choice.request_classes
+        ]
         self.ease = self.ease or min(agreed) / 5  # a start until it is known
         self.crossing = float(settings.get("prices.cross_zone", 0.0)) * max(
             agreed
@@ -342,8 +374,9 @@
 
     def want(self, count: int) -> int:
         """How many upstreams of a list to keep to."""
-        # Guards against knowing little of many, and against more balancers at an upstream than there is room
-        # for tasks, as each may send one: with so many by its part of all traffic they are no more.
+        # Guards against knowing little of many, and against more balancers at an upstream than
+        # there is room for requests, as each may send one: with so many by its part of all traffic
+        # they are no more.
         wide = sum(seen.wide for seen in self.pool) / len(self.pool) if self.pool else self.MOST
         return min(count, max(self.LEAST, int(wide * count * self.traffic + 0.5)))
 
@@ -353,7 +386,8 @@
         want, sound = self.want(count), sum(not self.doubted(seen) for seen in pool)
         if want == count:
             pool = list(self.ready)
-        # In steps, with what is connected kept. If most of them are in doubt others are taken besides.
+        # In steps, with what is connected kept. If most of them are in doubt others are taken
+        # besides.
         elif 4 * min(len(pool), 2 * sound) <= 3 * want:
             step, start, held = count // want, self.number * count // self.balancers, set(pool)
             walk = (
@@ -377,7 +411,7 @@
             self.host.tell(None, self.peers.pack(self.arrived.rate(now)))
 
     def came(self) -> None:
-        """Count a task; as often as they come upstreams are asked for their load, in turn."""
+        """Count a request; as often as they come upstreams are asked for their load, in turn."""
         self.arrived.add(self.host.now)
         self.asking += self.PROBES
         if self.probes and self.asking % 1.0 < self.PROBES and self.pool:
@@ -390,8 +424,9 @@
         if self.probes and "held" in load:
             seen.held, seen.probed = load["held"], now
         if "busy" in load:
-            # Guards against room for six at one of a single core: its room grows and shrinks by e a second
-            # for each whole part in use that is missing or too many, to what just keeps it in use.
+            # Guards against room for six at one of a single core: its room grows and shrinks by e a
+            # second for each whole part in use that is missing or too many, to what just keeps it
+            # in use.
             use, span = (
                 self.IN_USE if self.probes else self.LATE_USE,
                 min(now - seen.told, SECOND) / SECOND,
@@ -406,10 +441,12 @@
         )
         return 1.0 if old >= most else self.cold_from + (1.0 - self.cold_from) * max(0, old) / most
 
-    def doubted(self, seen: Seen, but: HandOff | None = None) -> bool:
-        # Guards against one that takes tasks and answers none: what is out bounds its latency by its age.
+    def doubted(self, seen: Seen, but: Attempt | None = None) -> bool:
+        # Guards against one that takes requests and answers none: what is out bounds its latency by
+        # its age.
         seen.watch(now := self.host.now)
-        # For `but`, a heavy task must not pass for a silent upstream: without it, one more must be overdue.
+        # For `but`, a heavy request must not pass for a silent upstream: without it, one more must
+        # be overdue.
         return seen.silence > self.DOUBT and (
             not but or seen.silence - (now - max(but.sent, seen.heard)) * but.pull > 1.0
         )
@@ -424,7 +461,8 @@
         now = self.host.now
         own, mean = self.arrived.rate(now), self.measure(now)
         fleet = self.peers.rate(own, self.balancers, now)
-        # Its part of all traffic. One task a second each as a start: before anything came all are alike.
+        # Its part of all traffic. One request a second each as a start: before anything came all
+        # are alike.
         self.traffic = (own + 1.0) / (fleet + self.balancers)
         self.choose()
         pool, sure, part = self.pool, self.sure(), len(self.pool) / max(1, len(self.ready))
@@ -432,18 +470,20 @@
             fleet * part,
             max(1.0, part / self.traffic),
         )  # of all, at these upstreams
-        # Latencies fade over the time it takes to hear some thirty answers of each: fewer say little where
-        # tasks differ much. Bounds: three seconds, and half of what a trouble usually lasts.
+        # Latencies fade over the time it takes to hear some thirty answers of each: fewer say
+        # little where requests differ much. Bounds: three seconds, and half of what a trouble
+        # usually lasts.
         self.span = int(min(max(30.0 * len(pool) / max(own, 1.0), 3.0), 10.0) * SECOND)
         for seen in pool:
             seen.share, seen.due.span, seen.answers.span = 0.0, self.span, self.span
             seen.cold = self.age(seen.upstream) < 1.0
             self.make_room(seen)
-        # What a warm one answers from here in the time that lets a cold one fall is the measure for that one.
+        # What a warm one answers from here in the time that lets a cold one fall is the measure for
+        # that one.
         self.cold, even = [seen for seen in pool if seen.cold], own / max(1, len(pool))
         warm, answers = (
             len(pool) - len(self.cold),
-            [w.known.answers.rate(now) for w in self.choice.workloads],
+            [w.known.answers.rate(now) for w in self.choice.request_classes],
         )
         self.usual = (max(sum(answers) / warm, even / 4) if warm else even) * self.fall / SECOND
         # Until latencies and a rate exist the draw is even.
@@ -460,17 +500,17 @@
         self.bounds = list(accumulate(seen.share for seen in self.drawn))
 
     def measure(self, now: int) -> float:
-        """Mean latency in seconds over the mix of workloads as it comes; 0 while nothing is known."""
+        """Mean latency in seconds over the mix of request classes as it comes; 0 while nothing is known."""
         took = answers = 0.0
-        for workload in self.choice.workloads:
-            known, answered = workload.known, workload.known.answers.read(now)
+        for request_class in self.choice.request_classes:
+            known, answered = request_class.known, request_class.known.answers.read(now)
             known.usual = (
                 max(known.took.read(now) / answered, 1e3) if answered > 0.5 else known.usual
             )
             answers, took = answers + answered, took + known.took.value
         mean = took / answers / SECOND if answers > 0.5 else 0.0
-        # Against fifty answers, and after three seconds: the quickest come first, and a restarted balancer
-        # must not think them usual. Forgotten slower than a trouble lasts.
+        # Against fifty answers, and after three seconds: the quickest come first, and a restarted
+        # balancer must not think them usual. Forgotten slower than a trouble lasts.
         if now >= self.arrived.begun + 3 * SECOND:
             self.ease = min(self.ease * 1.01, (took / SECOND + 50.0 * self.ease) / (answers + 50.0))
         self.crowded = mean > 2.0 * self.ease
@@ -487,23 +527,25 @@
         costs = []
         for seen in sure:
             seen.given = max(0.0, middle - 1.0 / mean) if seen.given is None else seen.given
-            # What was measured counts against three answers at the mean: who is little heard of is near it.
+            # What was measured counts against three answers at the mean: who is little heard of is
+            # near it.
             heard = seen.answers.read(now)
             costs.append((heard + 3.0) / (heard * known.get(seen, middle) + 3.0 * middle))
         return costs
 
     def make_room(self, seen: Seen) -> None:
-        # Guards against crowding, where upstreams lose speed or turn tasks away: its part of what all may
-        # have out, or, by Little's law, what is answered in a fifth more than the latency at ease.
+        # Guards against crowding, where upstreams lose speed or turn requests away: its part of
+        # what all may have out, or, by Little's law, what is answered in a fifth more than the
+        # latency at ease.
         if not self.reports or seen.mute > self.MUTE:
             seen.wide = self.MOST
         seen.part = seen.wide / self.sharing
         if seen.wide == self.MOST:
             seen.part = max(seen.part, seen.answers.rate(self.host.now) * 1.2 * self.ease)
-        seen.room = max(1.0, seen.part) - 0.5  # rounded to whole tasks
+        seen.room = max(1.0, seen.part) - 0.5  # rounded to whole requests
 
-    def open_to(self, seen: Seen, task: Task) -> bool:
-        """Whether the rules and plain sense let this upstream have the task."""
+    def open_to(self, seen: Seen, request: Request) -> bool:
+        """Whether the rules and plain sense let this upstream have the request."""
         upstream, now = seen.upstream, self.host.now
         if seen.held >= seen.wide and now < seen.probed + self.FRESH:
             return False  # a probe has just said that it holds what all may have out
@@ -512,100 +554,115 @@
             or now < seen.shut_until
             or upstream.state != READY
             or upstream.spare < 1
-            or any(sent.upstream is upstream for sent in task.hand_offs)
-            or task.hand_offs
-            and not self.choice.again.fits(task, upstream)
+            or any(sent.upstream is upstream for sent in request.attempts)
+            or request.attempts
+            and not self.choice.again.fits(request, upstream)
         ):
             return False
         if (age := self.age(upstream)) >= 1.0:
             return True
-        # Guards against a cold one that all balancers push over together, each by rounding up: it is due its
-        # part by age of what a warm one answers; more, by what it bears, only where tasks wait for room.
+        # Guards against a cold one that all balancers push over together, each by rounding up: it
+        # is due its part by age of what a warm one answers; more, by what it bears, only where
+        # requests wait for room.
         part = age * self.usual * (0.8 * self.bears if self.choice.entry.waiting() else 1.0)
         return seen.turn.due(now, self.fall, part, self.random)
 
-    def find(self, task: Task) -> Seen | None:
-        """The upstream for a task; None where nothing may be sent to."""
-        # Guards against many that each round up to one: all parts bound what is out, at ease if not overdue.
+    def find(self, request: Request) -> Seen | None:
+        """The upstream for a request; None where nothing may be sent to."""
+        # Guards against many that each round up to one: all parts bound what is out, at ease if not
+        # overdue.
         out, parts, sound = 0, 0.0, self.DOUBT if self.crowded else 1.0
         for seen in self.pool:
             if seen.silence <= sound:
                 out, parts = out + seen.out, parts + seen.part
-        if task.workload.known is next(iter(self.choice.entry.held)).known:
+        if request.request_class.known is next(iter(self.choice.entry.held)).known:
             out = min(
-                out, task.workload.known.out
+                out, request.request_class.known.out
             )  # what adds most for its work is not kept out by the rest
         if out >= max(1.0, parts) - 0.5 * self.crowded:
             return None
-        # Trials rather go with tasks that may be repeated: they may meet what answers nothing.
-        if self.owed >= (1.0 if task.workload.kind != EXCLUSIVE else 4.0) and not task.hand_offs:
+        # Trials rather go with requests that may be repeated: they may meet what answers nothing.
+        if (
+            self.owed >= (1.0 if request.request_class.kind != EXCLUSIVE else 4.0)
+            and not request.attempts
+        ):
             self.owed = 0.0
             if idle := [
                 seen
                 for seen in self.pool
                 if seen.out == 0
-                and self.open_to(seen, task)
+                and self.open_to(seen, request)
                 and (seen.share == 0.0 or self.doubted(seen))
             ]:
                 return self.pick(idle)
-        # After cold ones that are due one, four draws by share: enough to pass by the few that can't have it.
+        # After cold ones that are due one, four draws by share: enough to pass by the few that
+        # can't have it.
         points = (self.random() * self.bounds[-1] for _ in range(4 if self.drawn else 0))
         warm = (self.drawn[bisect_right(self.bounds, at, 0, len(self.drawn) - 1)] for at in points)
         fit = (
             seen
             for seen in chain(self.cold, warm)
-            if not self.doubted(seen) and self.open_to(seen, task)
+            if not self.doubted(seen) and self.open_to(seen, request)
         )
         found = next(fit, None)
         if found is not None and found.out > 2.0 * self.total / len(self.pool):
             found = next(fit, found)  # over twice the mean is out there: drawn once more
         return found or min(
-            (seen for seen in self.sure() if self.open_to(seen, task)),
+            (seen for seen in self.sure() if self.open_to(seen, request)),
             key=lambda seen: seen.out,
             default=None,
         )
 
-    def take(self, task: Task) -> str:
-        if (seen := self.find(task)) is None:
+    def take(self, request: Request) -> str:
+        if (seen := self.find(request)) is None:
             return PASS  # nothing may be sent to: whoever called knows what is left to do
-        hand_off = self.host.hand_off(task, seen.upstream)
+        attempt = self.host.start_attempt(request, seen.upstream)
         seen.watch(self.host.now)
-        hand_off.pull = 1.0 / task.workload.known.usual  # the answers due of it in a nanosecond
-        seen.pull += hand_off.pull
+        attempt.pull = (
+            1.0 / request.request_class.known.usual
+        )  # the answers due of it in a nanosecond
+        seen.pull += attempt.pull
         seen.out, self.total, self.owed = seen.out + 1, self.total + 1, self.owed + self.TRIALS
         seen.turn.open = False
-        task.workload.known.out += 1
-        self.choice.again.sent(hand_off)
+        request.request_class.known.out += 1
+        self.choice.again.sent(attempt)
         return KEEP
 
-    def back(self, hand_off: HandOff, first: bool) -> None:
-        seen, workload, outcome = hand_off.upstream.seen, hand_off.task.workload, hand_off.outcome
+    def back(self, attempt: Attempt, first: bool) -> None:
+        seen, request_class, outcome = (
+            attempt.upstream.seen,
+            attempt.request.request_class,
+            attempt.outcome,
+        )
         seen.watch(now := self.host.now)
-        seen.out, self.total, workload.known.out = (
+        seen.out, self.total, request_class.known.out = (
             seen.out - 1,
             self.total - 1,
-            workload.known.out - 1,
+            request_class.known.out - 1,
         )
-        seen.pull = seen.pull - hand_off.pull if seen.out else 0.0
+        seen.pull = seen.pull - attempt.pull if seen.out else 0.0
         if outcome in (FULFILLED, ERROR, FULL):
             seen.silence, seen.heard = 0.0, now
         elif outcome == NO_CONNECTION:
-            # Guards against one that is down before the list says so. A reset alone is no reason: of one that
-            # died the next connection tells, which harms no task, and one that lives would get trials only.
+            # Guards against one that is down before the list says so. A reset alone is no reason:
+            # of one that died the next connection tells, which harms no request, and one that lives
+            # would get trials only.
             seen.silence = max(seen.silence, 5.0)
         if outcome in (MOOT, WITHDRAWN):
             return  # its time is counted, an answer never came
         if outcome == FULFILLED:
-            workload.known.took.add(now, hand_off.took)
-            workload.known.answers.add(now)
+            request_class.known.took.add(now, attempt.took)
+            request_class.known.answers.add(now)
             seen.shut_until = 0
         else:
-            # Guards against quick failures that look fast: they count as time-outs, with the whole patience.
-            seen.missing += max(0, workload.patience - hand_off.took) * hand_off.pull
+            # Guards against quick failures that look fast: they count as time-outs, with the whole
+            # patience.
+            seen.missing += max(0, request_class.patience - attempt.took) * attempt.pull
             if outcome != TIMED_OUT:
-                # Guards against task after task for an upstream that is full, down or fails quickly, and so
-                # seems to have room: it gets none for as long as its latency now says.
-                seen.shut_until = now + int(workload.known.usual * seen.ratio(now))
+                # Guards against request after request for an upstream that is full, down or fails
+                # quickly, and so seems to have room: it gets none for as long as its latency now
+                # says.
+                seen.shut_until = now + int(request_class.known.usual * seen.ratio(now))
         seen.answers.add(now)
         seen.mute += 1
         self.make_room(seen)
@@ -615,11 +672,11 @@
     """One balancer's decisions."""
 
     def __init__(
-        self, host: Host, settings: dict[str, Any], workloads: list[Workload], seed: int
+        self, host: Host, settings: dict[str, Any], request_classes: list[RequestClass], seed: int
     ) -> None:
-        self.host, self.workloads, self.next_wake = host, workloads, 0
-        for workload in workloads:
-            workload.known = Known(workload, host.now)
+        self.host, self.request_classes, self.next_wake = host, request_classes, 0
+        for request_class in request_classes:
+            request_class.known = Known(request_class, host.now)
         self.entry, self.again = Entry(self, settings), Again(self, settings)
         self.split = Split(self, settings, seed)
         self.following, self.tries, self.ask_at = False, 0, 0
@@ -637,8 +694,9 @@
         self.ask_later()
 
     def ask_later(self) -> None:
-        # Guards against a bank that asks in step for a list that can answer only so many: by chance within
-        # two seconds, and within twice as long after each call in vain, which may itself take half of that.
+        # Guards against a bank that asks in step for a list that can answer only so many: by chance
+        # within two seconds, and within twice as long after each call in vain, which may itself
+        # take half of that.
         if self.asks and not self.following:
             within, chance = (
                 min(2 * SECOND << min(self.tries, 9), self.ask_within),
@@ -654,11 +712,11 @@
         self.following = False
         self.ask_later()
 
-    def change(self, settings: dict[str, Any], workloads: list[Workload]) -> None:
-        """Go on by other settings; what is known of upstreams, and of workloads that stay, is kept."""
-        self.workloads = workloads
-        for workload in workloads:
-            workload.known = workload.known or Known(workload, self.host.now)
+    def change(self, settings: dict[str, Any], request_classes: list[RequestClass]) -> None:
+        """Go on by other settings; what is known of upstreams, and of request classes that stay, is kept."""
+        self.request_classes = request_classes
+        for request_class in request_classes:
+            request_class.known = request_class.known or Known(request_class, self.host.now)
         for stage in (self.entry, self.again, self.split):
             stage.configure(settings)
         self.configure(settings)
@@ -670,42 +728,45 @@
         self.split.listed(upstreams)
         self.entry.release()
 
-    def arrive(self, task: Task) -> None:
+    def arrive(self, request: Request) -> None:
         self.split.came()
-        self.again.tasks.add(self.host.now)
-        task.workload.known.asked.add(self.host.now)
-        if self.run(task, 0) == PASS:
-            self.entry.hold(task)
+        self.again.requests.add(self.host.now)
+        request.request_class.known.asked.add(self.host.now)
+        if self.run(request, 0) == PASS:
+            self.entry.hold(request)
 
-    def run(self, task: Task, first: int) -> str:
-        """Pass a task along the stages; it comes out again if none could place it."""
+    def run(self, request: Request, first: int) -> str:
+        """Pass a request along the stages; it comes out again if none could place it."""
         for stage in (self.entry, self.again, self.split)[first:]:
-            if (verdict := stage.take(task)) != PASS:
+            if (verdict := stage.take(request)) != PASS:
                 return verdict
         return PASS
 
-    def came_back(self, hand_off: HandOff, load: dict[str, float] | None, first: bool) -> None:
-        """A hand-off has its outcome; `first` if it ended the task. Late ones still count as measured."""
-        self.reported(hand_off.upstream, load)
+    def came_back(self, attempt: Attempt, load: dict[str, float] | None, first: bool) -> None:
+        """An attempt has its outcome; `first` if it ended the request. Late ones still count as measured."""
+        self.reported(attempt.upstream, load)
         for stage in (self.split, self.again, self.entry):
-            stage.back(hand_off, first)
+            stage.back(attempt, first)
 
     def reported(self, upstream: Upstream, load: dict[str, float] | None) -> None:
         """What an upstream says of its load, with an answer or when probed."""
         if load and upstream.seen:
             self.split.reported(upstream.seen, load)
 
-    def finish(self, task: Task) -> str:
-        """The final answer to a task that was not fulfilled: turned back if that is true to say."""
-        if self.again.harmless(task) and self.host.now < task.ends:
-            # A quarter of the agreed time: a jam has moved on, and the next try can still be in time.
-            self.host.turn_back(task, task.workload.agreed_time // 4 if self.retry_after else 0)
+    def finish(self, request: Request) -> str:
+        """The final answer to a request that was not fulfilled: turned back if that is true to say."""
+        if self.again.harmless(request) and self.host.now < request.ends:
+            # A quarter of the agreed time: a jam has moved on, and the next try can still be in
+            # time.
+            self.host.turn_back(
+                request, request.request_class.agreed_time // 4 if self.retry_after else 0
+            )
         else:
-            self.host.scrap(task)
+            self.host.scrap(request)
         return END
 
-    def left(self, task: Task) -> None:
-        self.again.call_off(task.hand_offs)
+    def left(self, request: Request) -> None:
+        self.again.call_off(request.attempts)
 
     def told(self, balancer: int, contents: bytes) -> None:
         self.split.peers.hear(balancer, contents, self.split.balancers, self.host.now)
--- a/whinpier/policy/rate_gossip.py
+++ b/whinpier/policy/rate_gossip.py
@@ -6,9 +6,9 @@
 
 from whinpier.policy.decaying_sum import SECOND
 
-FORM, MESSAGE = 1, Struct("<Bf")  # which build's form it is, the sender's rate of tasks a second
+FORM, MESSAGE = 1, Struct("<Bf")  # which build's form it is, the sender's rate of requests a second
 HEARD = 30 * SECOND  # for which a rate holds: some messages are lost, and large banks speak seldom
-MOST = 1e9  # tasks a second: what is beyond, or no number, is not believed
+MOST = 1e9  # requests a second: what is beyond, or no number, is not believed
 
 
 class Peers:
--- a/whinpier/policy/statistics.py
+++ b/whinpier/policy/statistics.py
@@ -1,20 +1,20 @@
-"""What one balancer has observed of a workload and of an upstream. Measures; decides nothing."""
+"""What one balancer has observed of a request class and of an upstream. Measures; decides nothing."""
 
 from __future__ import annotations
 
 from whinpier.policy.decaying_sum import SECOND, Sum, Turn
-from whinpier.policy.model import Upstream, Workload
+from whinpier.policy.model import Upstream, RequestClass
 
 
 class Known:
-    """What this balancer has observed of one workload."""
+    """What this balancer has observed of one request class."""
 
-    def __init__(self, workload: Workload, now: int) -> None:
+    def __init__(self, request_class: RequestClass, now: int) -> None:
         # 10 s: tells the work of one from the other's, whatever single upstreams do.
         self.took, self.answers, self.asked, self.kept = (Sum(10 * SECOND, now) for _ in range(4))
         self.out, self.usual = (
             0,
-            workload.agreed_time / 4,
+            request_class.agreed_time / 4,
         )  # mean latency over the fleet; a start until known
 
 
@@ -34,13 +34,14 @@
             now,
         )
         self.share, self.part, self.room, self.shut_until = 0.0, 1.0, 1.0, 0
-        # Of its load reports. Room for two at first crowds not even a single core (2, 2.5 and 3 were alike).
+        # Of its load reports. Room for two at first crowds not even a single core (2, 2.5 and 3
+        # were alike).
         self.wide, self.told, self.held, self.probed, self.mute = 2.0, now, 0.0, 0, 0
         self.cold = False  # not warm yet, at the last solve
         self.given: float | None = None  # its rate, smoothed as its latency is
 
     def watch(self, now: int) -> None:
-        """Count how many answers were due since last looked at, had its hand-offs taken the usual time."""
+        """Count how many answers were due since last looked at, had its attempts taken the usual time."""
         if self.pull:
             missing = self.pull * (now - self.at)
             self.silence += missing
--- a/whinpier/radius/client.py
+++ b/whinpier/radius/client.py
@@ -1,8 +1,9 @@
 """Owns the way to RADIUS servers: sockets, identifiers, retransmissions, and which answer is one.
 
-A hand-off is one packet, sent again unchanged to the same server until it is answered or given up (RFC 2866,
-section 2): servers know it again. A datagram that was sent may have run, whatever comes back. Must never take
-for an answer what is not proved by the server's secret, or what answers another packet.
+An attempt is one packet, sent again unchanged to the same server until it is answered or given up
+(RFC 2866, section 2): servers know it again. A datagram that was sent may have run, whatever comes
+back. Must never take for an answer what is not proved by the server's secret, or what answers
+another packet.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 from whinpier.radius.identifiers import Idents
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.spec import ServerSpec
-from whinpier.runtime.pool import Peer, Pool, Sent, Taken
+from whinpier.runtime.pool import Peer, Pool, Sent, PendingRequest
 from whinpier.config.model import Address, Entry
 
 AT_ONCE = 64  # datagrams read before others have their turn
 BUFFER = 1 << 20  # bytes that the system keeps of what has come: some thousand answers
 
 
-class Record(Taken):
+class Record(PendingRequest):
     """An accounting record on its way."""
 
     __slots__ = ("packet",)
@@ -34,10 +35,10 @@
 
 
 class Sending(Sent):
-    """A hand-off with its packet as it was sent."""
+    """An attempt with its packet as it was sent."""
 
-    def __init__(self, task: Record, peer: Server, now: int, slot: tuple[int, int]) -> None:
-        super().__init__(task, peer, now)
+    def __init__(self, request: Record, peer: Server, now: int, slot: tuple[int, int]) -> None:
+        super().__init__(request, peer, now)
         self.slot, self.tries = slot, 0
         # What it was sent with, whatever becomes of its server's address and secret meanwhile.
         self.asked: Packet
@@ -57,12 +58,12 @@
         self.sockets: dict[int, socket.socket] = {}
         self.waiting: dict[tuple[int, int], Sending] = {}
 
-    def hand(self, task: Taken) -> Sent:
-        assert isinstance(task, Record)
+    def hand(self, request: PendingRequest) -> Sent:
+        assert isinstance(request, Record)
         now = self.pool.now
         slot = self.idents.take(now)
-        sending = Sending(task, self, now, slot or (-1, -1))
-        task.hand_offs.append(sending)
+        sending = Sending(request, self, now, slot or (-1, -1))
+        request.attempts.append(sending)
         if slot is None or not self.open(slot[0]):
             log.counts["radius_no_identifier"] += 1
             if slot:
@@ -74,11 +75,11 @@
             wire.ACCOUNTING_REQUEST,
             slot[1],
             attributes=[
-                pair for pair in task.packet.attributes if pair[0] != wire.MESSAGE_AUTHENTICATOR
+                pair for pair in request.packet.attributes if pair[0] != wire.MESSAGE_AUTHENTICATOR
             ],
         )
         # What it waited here is told, so that the record's time stays true (RFC 2866, section 5.2).
-        waited = max(0, now - task.came) // SECOND
+        waited = max(0, now - request.came) // SECOND
         asked.attributes = [
             (kind, delayed(value, waited)) if kind == wire.DELAY_TIME else (kind, value)
             for kind, value in asked.attributes
@@ -117,7 +118,8 @@
 
     def transmit(self, sending: Sending) -> None:
         """Send the packet, now and again, until it is answered or given up."""
-        # Guards against a second run: from another socket, or at another address, it would be a new request.
+        # Guards against a second run: from another socket, or at another address, it would be a new
+        # request.
         moved = self.sockets.get(sending.slot[0]) is not sending.sock
         if moved or self.waiting.get(sending.slot) is not sending:
             return
@@ -147,7 +149,8 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Its port is closed, or was a moment ago. What was sent before may have run: it is silent.
+                # Its port is closed, or was a moment ago. What was sent before may have run: it is
+                # silent.
                 log.counts["radius_refused"] += 1
                 return
             except KeyError:
--- a/whinpier/radius/client_table.py
+++ b/whinpier/radius/client_table.py
@@ -1,7 +1,9 @@
-"""Which client a datagram is from and which route takes a record, compiled: the cost grows with neither.
+"""Which client a datagram is from and which route takes a record, compiled: the cost grows with
+neither.
 
-Owns the order of routes: the most specific realm first, then the client, the NAS, the status. Free of I/O;
-the same answer as trying each in that order, which is what its properties are tested against.
+Owns the order of routes: the most specific realm first, then the client, the NAS, the status. Free
+of I/O; the same answer as trying each in that order, which is what its properties are tested
+against.
 """
 
 from __future__ import annotations
@@ -22,7 +24,8 @@
         for client in clients:
             for network in client.networks:
                 found.setdefault(network.prefixlen, {})[int(network.network_address)] = client
-        # What is left of an address of each width, the narrowest networks first: 33 look-ups at the most.
+        # What is left of an address of each width, the narrowest networks first: 33 look-ups at the
+        # most.
         self.widths = [
             ((1 << 32) - (1 << (32 - width)), found[width]) for width in sorted(found, reverse=True)
         ]
--- a/whinpier/radius/config.py
+++ b/whinpier/radius/config.py
@@ -50,12 +50,12 @@
     kept: Duration | None = None
 
 
-class RecordRouteTable(Strict, frozen=True):
+class RecordRouteTable(Strict, frozen=True, rename={"request_class": "workload"}):
     """Which records go where."""
 
     name: str
     pool: str
-    workload: str = ""
+    request_class: str = ""
     realm: str = ""
     statuses: list[Literal["start", "stop", "interim", "on", "off"]] = []
     client: str = ""
@@ -175,8 +175,8 @@
         spec = pools.get(one.pool)
         if spec is None or spec.protocol != "radius":
             raise ConfigFault(f"{at}.pool: {one.pool!r} is no pool that speaks RADIUS")
-        kinds = [workload.name for workload in spec.workloads]
-        name = one.workload or (kinds[0] if len(kinds) == 1 else "")
+        kinds = [request_class.name for request_class in spec.request_classes]
+        name = one.request_class or (kinds[0] if len(kinds) == 1 else "")
         if name not in kinds:
             raise ConfigFault(f"{at}.workload: {name!r} is none of {', '.join(kinds)}")
         if one.client and one.client not in table.clients:
--- a/whinpier/radius/deduplication.py
+++ b/whinpier/radius/deduplication.py
@@ -1,9 +1,10 @@
 """What makes two requests one: retransmissions by what is on the wire, records by what they say.
 
-Owns the memory of requests and of their answers, bounded in number and time. A retransmission has the same
-source, identifier and authenticator (RFC 5080, section 2.2.2); the same identifier with another authenticator
-is a new request. Must never take two different records for one, answer one request in two ways, or forget
-before its time what may come again: what there is no room for is not taken.
+Owns the memory of requests and of their answers, bounded in number and time. A retransmission has
+the same source, identifier and authenticator (RFC 5080, section 2.2.2); the same identifier with
+another authenticator is a new request. Must never take two different records for one, answer one
+request in two ways, or forget before its time what may come again: what there is no room for is not
+taken.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 T = TypeVar("T")
 
 NEW, JOINS, AGAIN, FULL = "new", "joins", "answered again", "full"
-COMMON = 0.5  # of the memory, for whoever comes; the rest is dealt out evenly, so that each has some of both
+# of the memory, for whoever comes; the rest is dealt out evenly, so that each has some of both
+COMMON = 0.5
 AT_ONCE = 64  # entries looked at for their age with each packet: many times what one packet adds
 
 
@@ -34,9 +36,9 @@
 def record_key(packet: Packet, client: str) -> bytes | None:
     """What a record has in common with a later try of it, whose Acct-Delay-Time makes it look another.
 
-    16 bytes of a hash over client, NAS, session, status, and the moment that it tells of where there is one;
-    None where the record does not say enough to be known again. Interim updates of a session are told apart
-    by their Event-Timestamp; without one they are not known again.
+    16 bytes of a hash over client, NAS, session, status, and the moment that it tells of where
+    there is one; None where the record does not say enough to be known again. Interim updates of
+    a session are told apart by their Event-Timestamp; without one they are not known again.
     """
     session, status = packet.first(wire.SESSION_ID), packet.first(wire.STATUS_TYPE)
     nas = [packet.first(kind) or b"" for kind in (wire.NAS_IDENTIFIER, wire.NAS_IP, wire.NAS_IPV6)]
@@ -54,14 +56,14 @@
 class Entry(Generic[T]):
     """A request that was met: who waits for its answer, or the answer that it had."""
 
-    __slots__ = ("part", "key", "record", "content", "until", "task", "answer")
+    __slots__ = ("part", "key", "record", "content", "until", "request", "answer")
 
     def __init__(
         self, part: Part[T], key: bytes, record: bytes | None, content: bytes, until: int
     ) -> None:
         self.part, self.key, self.record, self.content = part, key, record, content
         self.until = until
-        self.task: T | None = None
+        self.request: T | None = None
         self.answer: bytes | None = None
 
 
@@ -77,9 +79,9 @@
 class Memory(Generic[T]):
     """Requests by client and key; what is kept of one client is not touched by what another sends.
 
-    `kept` is nanoseconds that an answer is kept, `most` bounds the entries of all clients together. Each
-    client always has an even share of half of them; the other half is for whoever comes. Nothing is let go to
-    make room, answered or not: a retransmission of it would run again.
+    `kept` is nanoseconds that an answer is kept, `most` bounds the entries of all clients together.
+    Each client always has an even share of half of them; the other half is for whoever comes.
+    Nothing is let go to make room, answered or not: a retransmission of it would run again.
     """
 
     def __init__(
@@ -115,7 +117,8 @@
         self.forget_of(part, now, AT_ONCE)
         entry = part.entries.get(key)
         if entry is None and record is not None and (known := part.records.get(record)) is not None:
-            # Guards against two records that look alike to the key: a difference in content makes them two.
+            # Guards against two records that look alike to the key: a difference in content makes
+            # them two.
             if known.content == content:
                 entry = known
         if entry is not None:
@@ -164,7 +167,7 @@
         self.put_last(entry, now)
 
     def put_last(self, entry: Entry[T], now: int) -> None:
-        entry.task = None
+        entry.request = None
         if entry.key in entry.part.entries:
             entry.until = now + entry.part.kept
             entry.part.entries.move_to_end(entry.key)
@@ -192,7 +195,7 @@
             entry = next(iter(entries.values()))
             if entry.until > now:
                 return
-            if entry.task is not None:
+            if entry.request is not None:
                 entry.until = now + part.kept
                 entries.move_to_end(entry.key)
             else:
--- a/whinpier/radius/explain.py
+++ b/whinpier/radius/explain.py
@@ -18,7 +18,8 @@
     wire.ACCOUNTING_RESPONSE: "Accounting-Response",
     wire.STATUS_SERVER: "Status-Server",
 }
-# Names and forms of the attributes that decide or are often seen (RFC 2865, 2866, 2869); others by number.
+# Names and forms of the attributes that decide or are often seen (RFC 2865, 2866, 2869); others by
+# number.
 TEXT, NUMBER, ADDRESS, BYTES = "text", "number", "address", "bytes"
 NAMES = {
     1: ("User-Name", TEXT),
@@ -105,7 +106,7 @@
                 f"status {packet.number(wire.STATUS_TYPE)}"
             )
         found["route"] = route.name
-        step("route", f"{route.name}: pool {route.pool}, workload {route.workload}")
+        step("route", f"{route.name}: pool {route.pool}, workload {route.request_class}")
     except BadPacket as bad:
         found["refused"] = str(bad)
     return found
--- a/whinpier/radius/identifiers.py
+++ b/whinpier/radius/identifiers.py
@@ -1,7 +1,8 @@
-"""Identifiers of hand-offs: 256 for each socket, given out, taken back, and kept apart after a time-out.
+"""Identifiers of attempts: 256 for each socket, given out, taken back, and kept apart after a
+time-out.
 
-Must never give out one that an earlier request may still be answered on: a late answer would pass for
-another's.
+Must never give out one that an earlier request may still be answered on: a late answer would pass
+for another's.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 class Idents:
     """The identifiers of all sockets towards one upstream.
 
-    `sockets` grows up to `most` as they are needed. `quarantine` is nanoseconds that one is kept back after a
-    time-out: the longest that an answer may be on its way.
+    `sockets` grows up to `most` as they are needed. `quarantine` is nanoseconds that one is kept
+    back after a time-out: the longest that an answer may be on its way.
     """
 
     most: int = 4
--- a/whinpier/radius/listeners.py
+++ b/whinpier/radius/listeners.py
@@ -1,4 +1,5 @@
-"""What listeners of streams are configured by, with the files that TLS needs: plain types below both sides.
+"""What listeners of streams are configured by, with the files that TLS needs: plain types below
+both sides.
 
 Reads certificates and keys when it is asked to. Must never listen, or know how a stream is read.
 """
--- a/whinpier/radius/packet.py
+++ b/whinpier/radius/packet.py
@@ -1,8 +1,8 @@
 """RADIUS packets: bytes to types and back, and the authenticators that prove them.
 
-Owns what a packet may look like (RFC 2865, section 3) and how it is proved (RFC 2866, section 3; RFC 2869,
-section 5.14, with RFC 5080, section 2.2.2). Must never raise anything but a BadPacket for bytes from the
-network, or compare a proof in a time that tells how far it was right.
+Owns what a packet may look like (RFC 2865, section 3) and how it is proved (RFC 2866, section 3;
+RFC 2869, section 5.14, with RFC 5080, section 2.2.2). Must never raise anything but a BadPacket for
+bytes from the network, or compare a proof in a time that tells how far it was right.
 """
 
 from __future__ import annotations
@@ -37,7 +37,9 @@
 
 
 class BadPacket(Exception):
-    """Bytes that are no packet, or one that is not proved; the text says why. They are met with silence."""
+    """Bytes that are no packet, or one that is not proved; the text says why. They are met with
+    silence.
+    """
 
 
 @dataclass(slots=True)
@@ -128,7 +130,9 @@
 
 
 def sign(packet: Packet, secret: bytes, authenticator: bytes) -> None:
-    """Put a Message-Authenticator first, so that nothing chosen stands before it, over the packet with it."""
+    """Put a Message-Authenticator first, so that nothing chosen stands before it, over the
+    packet with it.
+    """
     rest = [pair for pair in packet.attributes if pair[0] != MESSAGE_AUTHENTICATOR]
     packet.attributes = [(MESSAGE_AUTHENTICATOR, NOTHING), *rest]
     whole = Packet(packet.code, packet.id, authenticator, packet.attributes).pack()
@@ -180,8 +184,8 @@
 def check_record(packet: Packet) -> None:
     """Raises BadPacket for a record that can be read two ways, before anything of it is remembered.
 
-    What decides (whose record it is, of which session, what it tells) is there once, of the length that its
-    type has (RFC 2866, section 5.13).
+    What decides (whose record it is, of which session, what it tells) is there once, of the length
+    that its type has (RFC 2866, section 5.13).
     """
     if len(packet.all(PROXY_STATE)) > MOST_PROXIES:
         raise BadPacket("more proxies than a way has: a loop")
--- a/whinpier/radius/response_cache.py
+++ b/whinpier/radius/response_cache.py
@@ -1,7 +1,8 @@
-"""Owns the state file of RADIUS: which records may have run and how they were answered, over restarts.
+"""Owns the state file of RADIUS: which records may have run and how they were answered, over
+restarts.
 
-Notes of a durable file, written in batches beside the loop and compacted once it holds much that is over.
-Must never grow without bound, or say that something is on the disk before it is.
+Notes of a durable file, written in batches beside the loop and compacted once it holds much that
+is over. Must never grow without bound, or say that something is on the disk before it is.
 """
 
 from __future__ import annotations
@@ -19,7 +20,8 @@
 
 MAGIC = b"whinpier radius state 1\n"
 LEAST = 1 << 20  # bytes below which a file is not compacted
-LIVE = 3.0  # times what is live that a file may hold: it is written anew once in so many times its size
+# times what is live that a file may hold: it is written anew once in so many times its size
+LIVE = 3.0
 USUAL = 200  # bytes of the notes on one request, with its answer
 AGAIN = SECOND // 2  # until what could not be written is tried again
 MOST = 65_536  # notes that wait to be written: some 10 MB, or 30 s of two thousand a second
@@ -110,7 +112,8 @@
             self.since = self.clock()
             self.came.set()
         elif len(self.queue) >= MOST:
-            # Guards against a disk that stays full while records go on: what is live is written anew later.
+            # Guards against a disk that stays full while records go on: what is live is written
+            # anew later.
             self.queue.clear()
             self.anew = True
         self.queue.append(framed((kind, client, entry.key, *more)))
--- a/whinpier/radius/server.py
+++ b/whinpier/radius/server.py
@@ -1,8 +1,9 @@
-"""Owns the way from RADIUS clients: which datagrams are requests, whose, met before or not; the answers.
+"""Owns the way from RADIUS clients: which datagrams are requests, whose, met before or not; the
+answers.
 
-RADIUS has no refusal for accounting: what was not fulfilled gets no answer, and the client's own timer says
-when it comes back. Must never answer what is not proved, spend more than a bound on a flood, or take a
-retransmission for a new task.
+RADIUS has no refusal for accounting: what was not fulfilled gets no answer, and the client's own
+timer says when it comes back. Must never answer what is not proved, spend more than a bound on a
+flood, or take a retransmission for a new request.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 from whinpier import log
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import NEVER_RAN, RERUNNABLE, Workload
+from whinpier.policy.model import NEVER_RAN, RERUNNABLE, RequestClass
 from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
 from whinpier.radius.client import AT_ONCE, BUFFER, Record
@@ -32,7 +33,7 @@
 STRANGERS = 200  # packets a second from unknown addresses that are counted one by one
 
 
-class Asked(Record):
+class RadiusRequest(Record):
     """A record with whoever waits for its answer."""
 
     __slots__ = ("front", "client", "secret", "way", "entry", "over", "others")
@@ -40,17 +41,17 @@
     def __init__(
         self,
         number: int,
-        workload: Workload,
+        request_class: RequestClass,
         came: int,
         ends: int,
         front: Front,
         packet: Packet,
-        entry: deduplication.Entry[Asked],
+        entry: deduplication.Entry[RadiusRequest],
         client: ClientSpec,
         secret: bytes,
         way: Way,
     ) -> None:
-        super().__init__(number, workload, came, ends)
+        super().__init__(number, request_class, came, ends)
         self.client, self.secret, self.way = client, secret, way
         self.front, self.packet, self.entry = front, packet, entry
         self.id_given = b""
@@ -66,14 +67,14 @@
         self.front.reply(self, answer)
 
     def turned_back(self, wait: int) -> None:
-        """Silence; it never ran, or may run again, so that its next try is a new task."""
+        """Silence; it never ran, or may run again, so that its next try is a new request."""
         self.over = True
         self.front.silent(self, True)
 
     def scrapped(self) -> None:
         self.over = True
-        ran = any(sent.outcome not in NEVER_RAN for sent in self.hand_offs)
-        self.front.silent(self, not ran or self.workload.kind == RERUNNABLE)
+        ran = any(sent.outcome not in NEVER_RAN for sent in self.attempts)
+        self.front.silent(self, not ran or self.request_class.kind == RERUNNABLE)
 
 
 class Front:
@@ -88,7 +89,7 @@
     ) -> None:
         self.life, self.loop, self.spec, self.sockets = life, life.loop, spec, sockets
         self.now = self.loop.clock()
-        self.memory: deduplication.Memory[Asked] = deduplication.Memory()
+        self.memory: deduplication.Memory[RadiusRequest] = deduplication.Memory()
         self.streams = Streams(self, listeners)
         self.follow(spec)
         self.state = State(spec.state, self.loop.clock) if spec.state else None
@@ -153,9 +154,9 @@
         if not self.allowed(client.name, client.most):
             log.counts["radius_flood"] += 1
             return
-        self.request(Datagrams(sock, source, client), data, client)
+        self.on_packet(Datagrams(sock, source, client), data, client)
 
-    def request(self, way: Way, data: bytes, client: ClientSpec) -> None:
+    def on_packet(self, way: Way, data: bytes, client: ClientSpec) -> None:
         """One packet of a client, however it came. Raises BadPacket."""
         packet = wire.parse(data)
         secret = way.secrets[wire.proved_by(packet, data, way.secrets, way.signed)]
@@ -185,15 +186,16 @@
             )
             return
         if met == deduplication.AGAIN and entry.answer is not None:
-            # Another packet with the same record is answered in its own words, the same packet in the same.
+            # Another packet with the same record is answered in its own words, the same packet in
+            # the same.
             answer = (
                 entry.answer
                 if entry.key == key
                 else self.answer_to(packet, secret, way, wire.parse(entry.answer).attributes)
             )
             self.send(way, answer)
-        elif met == deduplication.JOINS and entry.task and entry.key != key:
-            others = entry.task.others
+        elif met == deduplication.JOINS and entry.request and entry.key != key:
+            others = entry.request.others
             if len(others) < 16 and all(other[3] != key for other in others):
                 others.append((way, packet, secret, key))
 
@@ -203,18 +205,19 @@
         packet: Packet,
         client: ClientSpec,
         secret: bytes,
-        entry: deduplication.Entry[Asked],
+        entry: deduplication.Entry[RadiusRequest],
     ) -> None:
-        """A new record: a task of the pool that its route names."""
+        """A new record: a request of the pool that its route names."""
         route = self.routes.of(packet, client.name)
         pool = self.life.pools.get(route.pool) if route else None
         if route is None or pool is None:
             log.counts["no_route"] += 1
             self.memory.given_up(entry)
             return
-        workload = pool.workloads[route.workload.encode()]
+        request_class = pool.request_classes[route.request_class.encode()]
         if self.state and not self.state.takes():
-            # Guards against a record whose next run would not know of it: its client sends it again.
+            # Guards against a record whose next run would not know of it: its client sends it
+            # again.
             log.counts["radius_not_kept"] += 1
             self.memory.given_up(entry)
             return
@@ -223,27 +226,27 @@
             self.memory.given_up(entry)
             return
         now = self.loop.clock()
-        ends = self.life.ends(now, workload.patience)
-        task = Asked(
-            self.loop.next_id(), workload, now, ends, self, packet, entry, client, secret, way
+        ends = self.life.ends(now, request_class.patience)
+        request = RadiusRequest(
+            self.loop.next_id(), request_class, now, ends, self, packet, entry, client, secret, way
         )
         session = packet.first(wire.SESSION_ID) or b""
-        task.key = hashed(session) if session else 0
-        entry.task = task
+        request.key = hashed(session) if session else 0
+        entry.request = request
         if self.state:
-            self.state.once_kept(partial(pool.take, task, pool.through))
+            self.state.once_kept(partial(pool.take, request, pool.through))
         else:
-            pool.take(task, pool.through)
+            pool.take(request, pool.through)
 
     # The one final answer.
 
-    def reply(self, task: Asked, answer: Packet) -> None:
-        own = task.packet
+    def reply(self, request: RadiusRequest, answer: Packet) -> None:
+        own = request.packet
         attributes = [pair for pair in answer.attributes if pair[0] != wire.PROXY_STATE]
-        data = self.answer_to(own, task.secret, task.way, attributes)
-        self.memory.answered(task.entry, data, self.loop.clock())
-        self.send(task.way, data)
-        for way, packet, secret, _ in task.others:
+        data = self.answer_to(own, request.secret, request.way, attributes)
+        self.memory.answered(request.entry, data, self.loop.clock())
+        self.send(request.way, data)
+        for way, packet, secret, _ in request.others:
             self.send(way, self.answer_to(packet, secret, way, attributes))
 
     @staticmethod
@@ -254,16 +257,17 @@
         try:
             return wire.answer(packet, secret, way.signed, attributes=attributes)
         except ValueError:
-            # Proxy-States have to go back, and did fit in the request; a client needs nothing else of it.
+            # Proxy-States have to go back, and did fit in the request; a client needs nothing else
+            # of it.
             log.warn("radius_answer_too_large", source=way.source[0])
             return wire.answer(packet, secret, way.signed)
 
-    def silent(self, task: Asked, harmless: bool) -> None:
+    def silent(self, request: RadiusRequest, harmless: bool) -> None:
         """No answer goes. What may have run and must not run twice is remembered; all else may come again."""
         if harmless:
-            self.memory.given_up(task.entry)
+            self.memory.given_up(request.entry)
         else:
-            self.memory.ended(task.entry, self.loop.clock())
+            self.memory.ended(request.entry, self.loop.clock())
 
     def send(self, way: Way, data: bytes) -> None:
         # What was not sent is answered from memory when it is asked for again, over whichever way.
--- a/whinpier/radius/spec.py
+++ b/whinpier/radius/spec.py
@@ -47,7 +47,7 @@
 
     name: str
     pool: str
-    workload: str
+    request_class: str
     realm: str = ""  # after the @ of the user's name; `*.x` for any below; empty: any
     statuses: frozenset[int] = frozenset()
     client: str = ""
--- a/whinpier/radius/stream_server.py
+++ b/whinpier/radius/stream_server.py
@@ -1,8 +1,10 @@
-"""Owns RADIUS over TCP and TLS from clients (RFC 6613, 6614): connections, records in a stream, and whose.
+"""Owns RADIUS over TCP and TLS from clients (RFC 6613, 6614): connections, records in a stream, and
+whose.
 
-A connection is the space of its identifiers. Whatever can't be read or isn't proved ends it, since what comes
-behind can't be told apart any more (RFC 6613, section 2.6.4). Must never hold more of a stream than a packet
-and one read, wait for a peer without an end, or take a peer for a client whose certificate does not say so.
+A connection is the space of its identifiers. Whatever can't be read or isn't proved ends it, since
+what comes behind can't be told apart any more (RFC 6613, section 2.6.4). Must never hold more of a
+stream than a packet and one read, wait for a peer without an end, or take a peer for a client whose
+certificate does not say so.
 """
 
 from __future__ import annotations
@@ -100,7 +102,8 @@
     ) -> None:
         self.streams, self.front, self.context = streams, streams.front, context
         self.number, self.address = number, address
-        # Identifiers are a connection's own: two of one address and port, one after the other, are two.
+        # Identifiers are a connection's own: two of one address and port, one after the other, are
+        # two.
         self.source: deduplication.Source = (f"{address}/{number}", port)
         self.secrets: tuple[bytes, ...] = ()
         self.signed = False
@@ -158,7 +161,7 @@
                     self.front.loop.at((now // SECOND + 1) * SECOND, self.front, self.go_on)
                 return
             try:
-                self.front.request(self, self.waiting.popleft(), self.client)
+                self.front.on_packet(self, self.waiting.popleft(), self.client)
             except BadPacket as bad:
                 self.refuse(bad)
             except Exception:  # no bytes end the loop
--- a/whinpier/routing/__init__.py
+++ b/whinpier/routing/__init__.py
@@ -1,1 +1,3 @@
-"""Which pool and workload a request is for: names in one form, and a table of routes. No I/O, no protocol."""
+"""Which pool and request class a request is for: names in one form, and a table of routes. No I/O,
+no protocol.
+"""
--- a/whinpier/routing/normal.py
+++ b/whinpier/routing/normal.py
@@ -1,7 +1,8 @@
-"""Owns the one form of a host and of a path in which routes are matched (RFC 3986, sections 3.2.2 and 6.2.2).
+"""Owns the one form of a host and of a path in which routes are matched (RFC 3986, sections 3.2.2
+and 6.2.2).
 
-Must never guess: what one reader would take for this and the next for that is refused with a reason, since a
-request could otherwise slip past its route.
+Must never guess: what one reader would take for this and the next for that is refused with a
+reason, since a request could otherwise slip past its route.
 """
 
 from __future__ import annotations
--- a/whinpier/routing/table.py
+++ b/whinpier/routing/table.py
@@ -1,12 +1,14 @@
 """Owns the table of routes: which of them takes a request, and which faults a set of routes has.
 
-Of all routes whose every condition holds the most specific one takes the request. In order of weight:
+Of all routes whose every condition holds the most specific one takes the request. In order of
+weight:
 
 1. the host: an exact name, then the longest suffix, then any;
 2. the path, segment by segment from the left: a literal, then a parameter, and last the end of a prefix;
-3. a named method before any; 4. more headers before fewer; 5. a named workload before any.
+3. a named method before any; 4. more headers before fewer; 5. a named request class before any.
 
-Must never let the order in the file decide: two routes that this order cannot tell apart are a fault.
+Must never let the order in the file decide: two routes that this order cannot tell apart are a
+fault.
 """
 
 from __future__ import annotations
@@ -36,9 +38,9 @@
 class Route:
     """One route: conditions, all of which must hold, and where it leads.
 
-    `host` is a name, `*.suffix` (one label more at least) or empty for any. `path` is `/a/b`, with `{name}`
-    for any one segment; with `prefix` further whole segments may follow. `headers` asks for a value, or by
-    `*` for any. `to` is not looked at here.
+    `host` is a name, `*.suffix` (one label more at least) or empty for any. `path` is `/a/b`, with
+    `{name}` for any one segment; with `prefix` further whole segments may follow. `headers` asks
+    for a value, or by `*` for any. `to` is not looked at here.
     """
 
     name: str
@@ -47,7 +49,7 @@
     prefix: bool = True
     methods: frozenset[str] = frozenset()
     headers: Mapping[str, str] = field(default_factory=dict)
-    workload: str = ""
+    request_class: str = ""
     to: Any = None
 
     def segments(self) -> list[str]:
@@ -64,9 +66,9 @@
 
     def finer(self) -> Rank:
         """What sorts routes of one host and path."""
-        return not self.methods, -len(self.headers), not self.workload
+        return not self.methods, -len(self.headers), not self.request_class
 
-    def takes(self, asked: Asked) -> bool:
+    def takes(self, asked: RouteQuery) -> bool:
         """Whether all conditions hold; the plain way, which the table must agree with."""
         if self.host.startswith("*."):
             if not asked.host.endswith(self.host[1:]):
@@ -80,7 +82,7 @@
             asked
         )
 
-    def missing(self, asked: Asked) -> str:
+    def missing(self, asked: RouteQuery) -> str:
         """The condition beside host and path that does not hold; empty where all do."""
         if self.methods and asked.method not in self.methods:
             return "method"
@@ -88,27 +90,31 @@
             given = asked.headers.get(name)
             if given is None or value not in (ANY, given):
                 return f"header {name}"
-        return "workload" if self.workload and asked.workload != self.workload else ""
+        return (
+            "workload" if self.request_class and asked.request_class != self.request_class else ""
+        )
 
     def meets(self, other: Route) -> bool:
         """Whether some request of their common host and path fulfils both."""
         if self.methods and other.methods and not self.methods & other.methods:
             return False
-        if self.workload and other.workload and self.workload != other.workload:
+        if self.request_class and other.request_class and self.request_class != other.request_class:
             return False
         both = self.headers.keys() & other.headers.keys()
         return all(len({self.headers[name], other.headers[name]} - {ANY}) < 2 for name in both)
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """What routes look at of a request: host and path in their one form, names of headers in lower case."""
+class RouteQuery:
+    """What routes look at of a request: host and path in their one form, names of headers in
+    lower case.
+    """
 
     method: str
     host: str
     path: str
     headers: Mapping[str, str] = field(default_factory=dict)
-    workload: str = ""
+    request_class: str = ""
 
 
 @dataclass(slots=True)
@@ -236,13 +242,13 @@
                     yield node
         yield self.others
 
-    def matching(self, asked: Asked) -> Iterator[Route]:
+    def matching(self, asked: RouteQuery) -> Iterator[Route]:
         """The routes whose host and path fit, the most specific first."""
         parts = split(asked.path)
         for node in self.hosts(asked.host):
             yield from node.matching(parts)
 
-    def find(self, asked: Asked) -> Route | Missed:
+    def find(self, asked: RouteQuery) -> Route | Missed:
         """The route that takes a request, or why there is none."""
         methods, reason = set[str](), "host or path"
         for route in self.matching(asked):
@@ -254,12 +260,12 @@
             reason = missing
         return Missed("method" if methods else reason, frozenset(methods))
 
-    def explain(self, asked: Asked) -> Iterator[tuple[Route, str]]:
+    def explain(self, asked: RouteQuery) -> Iterator[tuple[Route, str]]:
         """Each route whose host and path fit, the most specific first, with the condition that fails."""
         for route in self.matching(asked):
             yield route, route.missing(asked)
 
 
-def scan(routes: Iterable[Route], asked: Asked) -> Route | None:
+def scan(routes: Iterable[Route], asked: RouteQuery) -> Route | None:
     """The route that takes a request, by looking at all of them: what the table is held against."""
     return min((route for route in routes if route.takes(asked)), key=Route.rank, default=None)
--- a/whinpier/runtime/__init__.py
+++ b/whinpier/runtime/__init__.py
@@ -1,1 +1,3 @@
-"""What carries the decisions: loop, pools, what they share, the life of the process. No protocol's bytes."""
+"""What carries the decisions: loop, pools, what they share, the life of the process. No protocol's
+bytes.
+"""
--- a/whinpier/runtime/event_loop.py
+++ b/whinpier/runtime/event_loop.py
@@ -1,6 +1,7 @@
 """Owns the clock, the alarm heap, the one way into the decisions, and how late all of it is.
 
-Must never call the decisions from inside one of their calls, nor let a fault in one call end the process.
+Must never call the decisions from inside one of their calls, nor let a fault in one call end the
+process.
 """
 
 from __future__ import annotations
@@ -34,7 +35,8 @@
     """One clock, one heap of alarms, one queue of calls."""
 
     def __init__(self, judge: Callable[[int, int], None] = lambda now, lag: None) -> None:
-        # One clock on the scale of born_ms: set by the wall clock once, so that no step of that disturbs it.
+        # One clock on the scale of born_ms: set by the wall clock once, so that no step of that
+        # disturbs it.
         self.offset = time.time_ns() - time.monotonic_ns()
         self.now = self.clock()
         self.judge = judge  # told how late an alarm rang, once a turn
@@ -44,7 +46,7 @@
         self.todo: deque[tuple[Timed, Callable[..., None], tuple[Any, ...]]] = deque()
         self.inside = False
         self.lag, self.late, self.late_at = 0, 0, self.now  # since the last figures; of late
-        self.tasks: anyio.abc.TaskGroup
+        self.task_group: anyio.abc.TaskGroup
 
     def clock(self) -> int:
         return time.monotonic_ns() + self.offset
@@ -67,7 +69,7 @@
             self.inside = False
 
     def faulty(self, call: Callable[..., None]) -> None:
-        """A call has raised. One fault must not end the process: the task's end answers it."""
+        """A call has raised. One fault must not end the process: the request's end answers it."""
         log.fault("decision_fault", call=getattr(call, "__name__", call))
 
     def at(self, at: int, host: Timed, call: Callable[..., None], *args: Any) -> None:
@@ -100,13 +102,14 @@
         self.judge(now, lag)
 
     def margin(self) -> int:
-        """How long before its client gives up a task is over here."""
-        # Guards against a loop that is late under load: it has read the task late, and rings its end late.
+        """How long before its client gives up a request is over here."""
+        # Guards against a loop that is late under load: it has read the request late, and rings its
+        # end late.
         return MARGIN + 2 * min(self.late, 2 * MOST_LATE)
 
     def spawn(self, run: Callable[[], Awaitable[None]], end: Callable[[], None]) -> None:
         """Run a network task; its fault ends what it served, never the process."""
-        self.tasks.start_soon(self.guarded, run, end)
+        self.task_group.start_soon(self.guarded, run, end)
 
     @staticmethod
     async def guarded(run: Callable[[], Awaitable[None]], end: Callable[[], None]) -> None:
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -1,8 +1,10 @@
-"""Is the host of one pool's decisions: its list and upstreams, its tasks, what became of each hand-off.
+"""Is the host of one pool's decisions: its list and upstreams, its requests, what became of each
+attempt.
 
-Knows protocols by two interfaces only: a `Taken` task writes its one final answer to whoever asked, a `Peer`
-sends hand-offs to one upstream and tells the one outcome of each. Must never decide anything, give a task two
-final answers or none, or tell the decisions of an outcome twice.
+Knows protocols by two interfaces only: a `PendingRequest` request writes its one final answer to
+whoever asked, a `Peer` sends attempts to one upstream and tells the one outcome of each. Must never
+decide anything, give a request two final answers or none, or tell the decisions of an outcome
+twice.
 """
 
 from __future__ import annotations
@@ -25,10 +27,10 @@
     READY,
     TIMED_OUT,
     WITHDRAWN,
-    HandOff,
-    Task,
+    Attempt,
+    Request,
     Upstream,
-    Workload,
+    RequestClass,
 )
 from whinpier.runtime.resource_budget import Budget, Part
 from whinpier.runtime.event_loop import Loop
@@ -41,7 +43,7 @@
     """Whoever watches how upstreams answer."""
 
     def sent(self, sent: Sent) -> None:
-        """A hand-off has gone out."""
+        """An attempt has gone out."""
 
     def came(self, sent: Sent) -> None:
         """It has its outcome."""
@@ -55,7 +57,7 @@
 
 
 class Gate(Protocol):
-    """A limit that tasks pass at the door, or hand-offs at an upstream."""
+    """A limit that requests pass at the door, or attempts at an upstream."""
 
     def enter(self, now: int, ends: int) -> Passed | None:
         """What one more is given, which is over by `ends`; None if it may not pass."""
@@ -64,16 +66,16 @@
         """Nanoseconds after which one that may not may come again."""
 
 
-class Taken(Task):
-    """A task with whoever waits for its answer; a protocol says how the answer is written."""
+class PendingRequest(Request):
+    """A request with whoever waits for its answer; a protocol says how the answer is written."""
 
     __slots__ = ("id_given", "pool", "gates")
-    id_given: bytes  # the id its client gave it, empty if none: no two tasks have the same
+    id_given: bytes  # the id its client gave it, empty if none: no two requests have the same
     pool: Pool
     gates: tuple[Passed, ...]  # what limits gave it
 
     def waited_for(self) -> bool:
-        """Whether its client still waits for this task's answer."""
+        """Whether its client still waits for this request's answer."""
         raise NotImplementedError
 
     def abandoned(self) -> bool:
@@ -93,11 +95,11 @@
         raise NotImplementedError
 
 
-class Sent(HandOff):
-    """A hand-off with its upstream; `settled` once its outcome is told, or about to be."""
+class Sent(Attempt):
+    """An attempt with its upstream; `settled` once its outcome is told, or about to be."""
 
-    def __init__(self, task: Taken, peer: Peer, now: int) -> None:
-        super().__init__(task, peer, len(task.hand_offs), now)
+    def __init__(self, request: PendingRequest, peer: Peer, now: int) -> None:
+        super().__init__(request, peer, len(request.attempts), now)
         self.peer, self.settled = peer, False
         self.gates: tuple[Passed, ...] = ()  # what limits at its upstream gave it
 
@@ -112,12 +114,12 @@
     passes: tuple[Gate, ...] = ()  # limits that whatever is sent there passes
     most_links: int | None = None  # connections to it at once, by a limit beside the process's own
 
-    def hand(self, task: Taken) -> Sent:
-        """Send a task, and settle the hand-off with the pool once its outcome is known."""
+    def hand(self, request: PendingRequest) -> Sent:
+        """Send a request, and settle the attempt with the pool once its outcome is known."""
         raise NotImplementedError
 
     def stop(self, sent: Sent) -> None:
-        """Wait no longer for a hand-off; whoever stops it tells its outcome."""
+        """Wait no longer for an attempt; whoever stops it tells its outcome."""
         raise NotImplementedError
 
     def unsent(self, sent: Sent) -> bool:
@@ -144,7 +146,7 @@
         return iter(())
 
     def out(self) -> int:
-        """How many hand-offs are out, counted anew on the wire."""
+        """How many attempts are out, counted anew on the wire."""
         raise NotImplementedError
 
 
@@ -167,7 +169,7 @@
 
     loop: Loop
     budget: Budget
-    ids: dict[bytes | int, Taken]
+    ids: dict[bytes | int, PendingRequest]
 
     def peer(self, pool: Pool, entry: Entry, number: int) -> Peer: ...
 
@@ -198,32 +200,34 @@
         self.now = self.loop.clock()
         self.began = self.now
         self.held: dict[str, Peer] = {}  # the list as last told
-        self.leavers: dict[Peer, None] = {}  # no longer listed, with hand-offs still out
-        self.out = 0  # tasks without an answer
+        self.leavers: dict[Peer, None] = {}  # no longer listed, with attempts still out
+        self.out = 0  # requests without an answer
         self.told_once, self.leaving, self.ended = False, False, False
         self.on_end: Callable[[], None] = lambda: None
-        self.gates: tuple[Gate, ...] = ()  # limits that tasks of this pool pass at the door
+        self.gates: tuple[Gate, ...] = ()  # limits that requests of this pool pass at the door
         # By route, tenant, ticket, and whether it is a repeat.
         self.further: Callable[[str, bytes, bytes, bool], Iterable[Gate]] | None = None
-        self.through: tuple[Passed, ...] = ()  # what the task at the door was given
+        self.through: tuple[Passed, ...] = ()  # what the request at the door was given
         self.closed: Gate | None = None  # that was last met closed
         self.met: Callable[[Peer], None] | None = None  # called with each upstream that is new
         self.witness: Witness | None = None
         self.rested: set[str] = set()  # upstreams that get nothing new, whatever the list says
         self.drained: frozenset[str] = frozenset()  # the same, over restarts of theirs
-        self.judge: Callable[[Taken, str], None] | None = None  # told of each final answer
+        self.judge: Callable[[PendingRequest, str], None] | None = None  # told of each final answer
         self.listings = 0  # how often the list has changed
         self.wait = 0  # what the gate that was last closed says; 0: none was
         self.speaks: Callable[[bytes], None] | None = None  # to the other balancers of this pool
         self.counted: dict[str, Any] = {}  # settings that stand in for those of the file
         self.settle_names(spec)
-        self.choice = Choice(self, spec.settings, list(spec.workloads), seed)
+        self.choice = Choice(self, spec.settings, list(spec.request_classes), seed)
         self.source = house.watch(self)
 
     def settle_names(self, spec: PoolSpec) -> None:
         self.spec = spec
         self.columns: list[str] = spec.settings["report.columns"]
-        self.workloads: dict[bytes, Workload] = {w.name.encode(): w for w in spec.workloads}
+        self.request_classes: dict[bytes, RequestClass] = {
+            w.name.encode(): w for w in spec.request_classes
+        }
         self.tenants = {name.encode(): index for index, name in enumerate(spec.tenants)}
 
     def start(self) -> None:
@@ -235,11 +239,15 @@
             self.source.follow(self.spec.settings.get("discovery") != "subscribe")
 
     def change(self, spec: PoolSpec) -> None:
-        """Go on by another configuration; tasks, connections and what is known of upstreams stay."""
-        before, kept = self.spec, {workload.name: workload for workload in self.spec.workloads}
-        for new in spec.workloads:
-            # Guards against a mixture of two files: a request that is here keeps the workload it came with,
-            # with all that says how it may be repeated; only what was measured goes on under the new one.
+        """Go on by another configuration; requests, connections and what is known of upstreams stay."""
+        before, kept = (
+            self.spec,
+            {request_class.name: request_class for request_class in self.spec.request_classes},
+        )
+        for new in spec.request_classes:
+            # Guards against a mixture of two files: a request that is here keeps the request class
+            # it came with, with all that says how it may be repeated; only what was measured goes
+            # on under the new one.
             old = kept.get(new.name)
             if old and (old.kind, old.group, old.streamed) == (new.kind, new.group, new.streamed):
                 new.known = old.known
@@ -268,21 +276,22 @@
 
     # What the decisions ask for.
 
-    def hand_off(self, task: Task, upstream: Upstream, stop_at: int = 0) -> HandOff:
-        assert isinstance(task, Taken) and isinstance(upstream, Peer)
-        log.must(not task.ended, "nothing is sent for a task that has its answer")
+    def start_attempt(self, request: Request, upstream: Upstream, stop_at: int = 0) -> Attempt:
+        assert isinstance(request, PendingRequest) and isinstance(upstream, Peer)
+        log.must(not request.ended, "nothing is sent for a task that has its answer")
         log.must(upstream.state == READY, "nothing new is sent to what drains or is gone")
-        # Guards against attempts for nobody: a late loop decides before it reads that the client has left.
-        gates = () if task.abandoned() else upstream.passes
-        given = self.given(gates, self.now, task.ends) if gates else ()
-        if given is None or task.ended:
+        # Guards against attempts for nobody: a late loop decides before it reads that the client
+        # has left.
+        gates = () if request.abandoned() else upstream.passes
+        given = self.given(gates, self.now, request.ends) if gates else ()
+        if given is None or request.ended:
             # What was free has ended meanwhile: it is not sent, and the decisions hear so at once.
-            sent = Sent(task, upstream, self.now)
-            task.hand_offs.append(sent)
+            sent = Sent(request, upstream, self.now)
+            request.attempts.append(sent)
             self.settle(sent, MOOT)
             return sent
         self.counts["handed_off"] += 1
-        sent = upstream.hand(task)
+        sent = upstream.hand(request)
         if sent.settled:  # as it was handed over: nothing was sent
             for gate in given:
                 gate.give(self.now, False)
@@ -290,22 +299,22 @@
             sent.gates = given
         if self.witness:
             self.witness.sent(sent)
-        if stop_at and stop_at < task.ends:
+        if stop_at and stop_at < request.ends:
             self.loop.at(stop_at, self, self.stop_waiting, sent, TIMED_OUT)
         return sent
 
-    def withdraw(self, hand_off: HandOff) -> None:
-        self.stop_waiting(hand_off, WITHDRAWN)
+    def withdraw(self, attempt: Attempt) -> None:
+        self.stop_waiting(attempt, WITHDRAWN)
 
-    def turn_back(self, task: Task, wait: int = 0) -> None:
-        assert isinstance(task, Taken)
-        if self.finish(task, "turned_back"):
-            task.turned_back(wait)
+    def turn_back(self, request: Request, wait: int = 0) -> None:
+        assert isinstance(request, PendingRequest)
+        if self.finish(request, "turned_back"):
+            request.turned_back(wait)
 
-    def scrap(self, task: Task) -> None:
-        assert isinstance(task, Taken)
-        if self.finish(task, "scrapped"):
-            task.scrapped()
+    def scrap(self, request: Request) -> None:
+        assert isinstance(request, PendingRequest)
+        if self.finish(request, "scrapped"):
+            request.scrapped()
 
     def alarm(self, at: int, token: int = 0) -> None:
         if not self.ended:
@@ -340,7 +349,10 @@
 
     def recount(self) -> None:
         self.loop.enter(
-            self, self.choice.change, self.spec.settings | self.counted, list(self.spec.workloads)
+            self,
+            self.choice.change,
+            self.spec.settings | self.counted,
+            list(self.spec.request_classes),
         )
 
     def hears(self, balancer: int, contents: bytes) -> None:
@@ -361,9 +373,9 @@
     # What comes in.
 
     def passes(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> bool:
-        """Whether one more task passes all gates; what closes them says when to come back."""
+        """Whether one more request passes all gates; what closes them says when to come back."""
         now, self.wait = self.loop.clock(), 0
-        ends = now + max(workload.patience for workload in self.spec.workloads)
+        ends = now + max(request_class.patience for request_class in self.spec.request_classes)
         gates = self.gates
         if self.further is not None:
             gates = (*gates, *self.further(route, tenant, ticket, again))
@@ -387,75 +399,76 @@
             found.append(one)
         return tuple(found)
 
-    def take(self, task: Taken, gates: tuple[Passed, ...] = ()) -> None:
-        """A client's task, and what limits at the door gave it."""
-        task.gates = gates
+    def take(self, request: PendingRequest, gates: tuple[Passed, ...] = ()) -> None:
+        """A client's request, and what limits at the door gave it."""
+        request.gates = gates
         self.out += 1
         self.counts["tasks"] += 1
-        task.pool = self
-        self.house.ids[task.id_given or task.id] = task
-        self.loop.at(task.ends, self, self.time_up, task)
-        self.loop.enter(self, self.choice.arrive, task)
-
-    def finish(self, task: Taken, how: str) -> bool:
-        """Whether a task, which has no answer yet, is to have its final one now."""
-        log.must(not task.ended and task.waited_for(), "a task has one final answer")
-        if task.ended or not task.waited_for():
+        request.pool = self
+        self.house.ids[request.id_given or request.id] = request
+        self.loop.at(request.ends, self, self.time_up, request)
+        self.loop.enter(self, self.choice.arrive, request)
+
+    def finish(self, request: PendingRequest, how: str) -> bool:
+        """Whether a request, which has no answer yet, is to have its final one now."""
+        log.must(not request.ended and request.waited_for(), "a task has one final answer")
+        if request.ended or not request.waited_for():
             return False
-        self.end_task(task)
+        self.end_request(request)
         self.counts[how] += 1
         if self.judge:
-            self.judge(task, how)
+            self.judge(request, how)
         return True
 
-    def end_task(self, task: Taken) -> None:
-        task.ended = True
+    def end_request(self, request: PendingRequest) -> None:
+        request.ended = True
         self.out -= 1
-        self.part.tasks.give()
-        if task.gates:
-            ran = any(sent.outcome not in NEVER_RAN for sent in task.hand_offs)
-            for gate in task.gates:
+        self.part.requests.give()
+        if request.gates:
+            ran = any(sent.outcome not in NEVER_RAN for sent in request.attempts)
+            for gate in request.gates:
                 gate.give(self.now, ran)
-        for sent in task.hand_offs:
-            # Guards against an attempt that waits for a connection and would begin for nobody. To call off
-            # what is out is the decisions' matter, and not allowed everywhere; this has not begun.
+        for sent in request.attempts:
+            # Guards against an attempt that waits for a connection and would begin for nobody. To
+            # call off what is out is the decisions' matter, and not allowed everywhere; this has
+            # not begun.
             if isinstance(sent, Sent) and not sent.settled and sent.peer.unsent(sent):
                 self.stop_waiting(sent, MOOT)
         if self.leaving:
             self.check_end()
 
-    def time_up(self, task: Taken) -> None:
+    def time_up(self, request: PendingRequest) -> None:
         """Its client gives up now: what is still out has timed out, and an answer goes in any case."""
-        for hand_off in list(task.hand_offs):
-            self.stop_waiting(hand_off, TIMED_OUT)
-        self.loop.todo.append((self, self.last_word, (task,)))
+        for attempt in list(request.attempts):
+            self.stop_waiting(attempt, TIMED_OUT)
+        self.loop.todo.append((self, self.last_word, (request,)))
 
-    def last_word(self, task: Taken) -> None:
-        # Guards against a fault in a decision: even then a task has its answer in time.
-        if not task.ended:
+    def last_word(self, request: PendingRequest) -> None:
+        # Guards against a fault in a decision: even then a request has its answer in time.
+        if not request.ended:
             log.must(False, "the decisions end a task by its patience")
-            self.scrap(task)
-        # Guards against long stops of the loop: tasks and hand-offs point to each other, so that without this
-        # they would pile up, of an age that only a full collection looks at.
-        task.hand_offs.clear()
-        self.house.ids.pop(task.id_given or task.id, None)
-
-    def shorten(self, task: Taken, ends: int) -> None:
-        """A task is over sooner than its client thinks, as the process is."""
-        if task.ends > ends:
-            task.ends = ends
-            self.loop.at(ends, self, self.time_up, task)
-
-    def stop_waiting(self, hand_off: HandOff, outcome: str) -> None:
-        assert isinstance(hand_off, Sent)
-        if not hand_off.settled:
-            hand_off.peer.stop(hand_off)
-            self.settle(hand_off, outcome)
+            self.scrap(request)
+        # Guards against long stops of the loop: requests and attempts point to each other, so that
+        # without this they would pile up, of an age that only a full collection looks at.
+        request.attempts.clear()
+        self.house.ids.pop(request.id_given or request.id, None)
+
+    def shorten(self, request: PendingRequest, ends: int) -> None:
+        """A request is over sooner than its client thinks, as the process is."""
+        if request.ends > ends:
+            request.ends = ends
+            self.loop.at(ends, self, self.time_up, request)
+
+    def stop_waiting(self, attempt: Attempt, outcome: str) -> None:
+        assert isinstance(attempt, Sent)
+        if not attempt.settled:
+            attempt.peer.stop(attempt)
+            self.settle(attempt, outcome)
 
     def settle(
         self, sent: Sent, outcome: str, answer: Any = None, load: dict[str, float] | None = None
     ) -> None:
-        """A hand-off has its outcome, once; `answer` is what a fulfilled task is given."""
+        """An attempt has its outcome, once; `answer` is what a fulfilled request is given."""
         log.must(not sent.settled, "a hand-off has one outcome")
         if not sent.settled:
             sent.settled = True
@@ -469,23 +482,26 @@
         sent.outcome, sent.took = outcome, self.now - sent.sent
         if self.witness:
             self.witness.came(sent)
-        task = sent.task
-        assert isinstance(task, Taken)
+        request = sent.request
+        assert isinstance(request, PendingRequest)
         self.counts["came_back_" + outcome.replace(" ", "_")] += 1
         if outcome not in (FULFILLED, WITHDRAWN):
             log.note(
-                "not_fulfilled", upstream=sent.peer.host, outcome=outcome, lane=task.workload.name
+                "not_fulfilled",
+                upstream=sent.peer.host,
+                outcome=outcome,
+                lane=request.request_class.name,
             )
-        first = outcome == FULFILLED and not task.ended
-        if first and self.finish(task, "fulfilled"):
-            task.fulfilled(answer)
+        first = outcome == FULFILLED and not request.ended
+        if first and self.finish(request, "fulfilled"):
+            request.fulfilled(answer)
         self.choice.came_back(sent, load, first)
 
-    def client_left(self, task: Taken) -> None:
-        if not task.ended:
-            self.end_task(task)
+    def client_left(self, request: PendingRequest) -> None:
+        if not request.ended:
+            self.end_request(request)
             self.counts["clients_left"] += 1
-            self.loop.enter(self, self.choice.left, task)
+            self.loop.enter(self, self.choice.left, request)
 
     # The list.
 
@@ -504,7 +520,8 @@
                 continue
             if peer is None or (entry.started and entry.started != peer.started):
                 if peer is None and fresh and not entry.started:
-                    # Guards against pushing over what the operator has only just started and listed.
+                    # Guards against pushing over what the operator has only just started and
+                    # listed.
                     entry = replace(entry, started=self.house.since(entry.dial))
                 peer = self.house.peer(self, entry, hashed(entry.host.encode()))
                 self.rested.discard(entry.host)  # another run, of which nothing is known
@@ -566,7 +583,7 @@
         self.tell_list()
 
     def out_at(self, host: str) -> int:
-        """How many hand-offs are out at an upstream, over all its runs."""
+        """How many attempts are out at an upstream, over all its runs."""
         return sum(peer.out() for peer in self.peers() if peer.host == host)
 
     def tag(self) -> dict[str, str]:
@@ -623,5 +640,5 @@
         self.on_end()
 
     def on_wire(self) -> int:
-        """How many hand-offs are out, counted on the wire: what the decisions' own count must be."""
+        """How many attempts are out, counted on the wire: what the decisions' own count must be."""
         return sum(peer.out() for peer in self.peers())
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -1,6 +1,7 @@
 """Owns the life of the process: its pools, its fronts, signals, reload and the end.
 
-Must never let a signal or a faulty file end the process, or leave a task without an answer at the end.
+Must never let a signal or a faulty file end the process, or leave a request without an answer at
+the end.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from whinpier.policy.decaying_sum import SECOND, Turn
 from whinpier.runtime.resource_budget import Budget, Part, spare
 from whinpier.runtime.event_loop import MS, Loop
-from whinpier.runtime.pool import Peer, Pool, Taken, Watch
+from whinpier.runtime.pool import Peer, Pool, PendingRequest, Watch
 from whinpier.config.model import (
     KEPT_TILL_RESTART,
     Address,
@@ -33,8 +34,9 @@
 )
 
 STILL_COMING = 6 * SECOND // 10  # after SIGTERM new connections go on coming for up to 0.4 s
-# After SIGTERM nothing ends the process sooner than the longest patience and 0.7 s more. The last tenth of
-# that is for a late loop, and what comes before it for answering what is out, with no more taken.
+# After SIGTERM nothing ends the process sooner than the longest patience and 0.7 s more. The last
+# tenth of that is for a late loop, and what comes before it for answering what is out, with no more
+# taken.
 LONGEST = 3 * SECOND  # of a patience, as it counts for that
 AFTERWARDS, CLOSING = 6 * SECOND // 10, 4 * SECOND // 10
 SWEEP = (
@@ -98,8 +100,8 @@
         self.budget = Budget(spec.sockets, spec.memory, spec.isolate, spare(spec))
         self.loop = Loop(self.budget.judge)
         self.ids: dict[
-            bytes | int, Taken
-        ] = {}  # of tasks till the end of their patience, answered or not
+            bytes | int, PendingRequest
+        ] = {}  # of requests till the end of their patience, answered or not
         self.cold: dict[
             tuple[Address, int], Turn
         ] = {}  # when a run of an upstream is due one, of all pools
@@ -134,7 +136,8 @@
 
     def shared(self, entry: Entry) -> Turn | None:
         """When one run of an upstream is due a request while it is cold, for all pools that list it."""
-        # Guards against two pools that each keep a cold upstream's bound, and together push it over.
+        # Guards against two pools that each keep a cold upstream's bound, and together push it
+        # over.
         if not self.spec.routed:
             return None
         return self.cold.setdefault((entry.dial, entry.started), Turn(self.loop.clock()))
@@ -171,21 +174,24 @@
         ticket: bytes = b"",
         again: bool = False,
     ) -> bool:
-        """Whether a pool takes no task at the door; if it does the task counts among its own from now on.
+        """Whether a pool takes no request at the door; if it does the request counts among its own
+        from now on.
 
         `again`: its client says that it is a repeat.
         """
         shed = pool.part.shed
         turned_back = self.closing or pool.leaving or bool(shed and self.random() < shed)
-        if turned_back or not pool.part.tasks.take():
+        if turned_back or not pool.part.requests.take():
             return True
         if (pool.gates or pool.further) and not pool.passes(route, tenant, ticket, again):
-            pool.part.tasks.give()
+            pool.part.requests.give()
             return True
         return False
 
     def ends(self, came: int, patience: int) -> int:
-        """When a task is over here: its client must have the answer, and the process must still be there."""
+        """When a request is over here: its client must have the answer, and the process must
+        still be there.
+        """
         margin = self.loop.margin()
         return min(came + patience, self.stop_by or came + patience) - margin
 
@@ -195,7 +201,8 @@
         """SIGHUP: read the configuration again; a faulty one changes nothing."""
         log.counts["reloads"] += 1
         try:
-            # Guards against the loop standing still while a file of thousands of routes is read and checked.
+            # Guards against the loop standing still while a file of thousands of routes is read and
+            # checked.
             new = await anyio.to_thread.run_sync(self.reread) if self.spec.routed else self.reread()
         except ConfigFault as fault:
             log.warn("configuration_fault", fault=fault)
@@ -322,7 +329,7 @@
         """End in order, once."""
         if not self.stopping:
             self.stopping = True
-            self.loop.spawn(self.terminate, self.loop.tasks.cancel_scope.cancel)
+            self.loop.spawn(self.terminate, self.loop.task_group.cancel_scope.cancel)
 
     def out(self) -> int:
         return sum(pool.out for pool in (*self.pools.values(), *self.going))
@@ -330,19 +337,22 @@
     async def terminate(self) -> None:
         """SIGTERM: serve those who are connected for as long as may be, then close behind each answer.
 
-        Guards against clients with nobody to serve them: they stay with the connections they have, the next
-        run does not start sooner for an early end, and there may be no other balancer.
+        Guards against clients with nobody to serve them: they stay with the connections they
+        have, the next run does not start sooner for an early end, and there may be no other
+        balancer.
         """
         loop = self.loop
         log.say("stopping", out=self.out(), **self.told())
         longest = max(
-            workload.patience for spec in self.spec.pools.values() for workload in spec.workloads
+            request_class.patience
+            for spec in self.spec.pools.values()
+            for request_class in spec.request_classes
         )
         self.stop_by = loop.clock() + min(longest, LONGEST) + AFTERWARDS
         if self.bank:
             self.bank.leave()
-        for task in list(self.ids.values()):
-            task.pool.shorten(task, self.stop_by - loop.margin())
+        for request in list(self.ids.values()):
+            request.pool.shorten(request, self.stop_by - loop.margin())
         await anyio.sleep(STILL_COMING / SECOND)
         while (
             any(front.anyone() for front in self.fronts) and loop.clock() < self.stop_by - CLOSING
@@ -358,7 +368,7 @@
         if self.bank:
             self.bank.goodbye()
         log.say("stopped", out=self.out(), **self.total())
-        loop.tasks.cancel_scope.cancel()
+        loop.task_group.cancel_scope.cancel()
 
     def told(self) -> dict[str, int]:
         return {name: count for front in self.fronts for name, count in front.figures().items()}
@@ -374,8 +384,8 @@
     async def serve(self, listeners: list[socket.socket]) -> None:
         """Run until told to stop."""
         loop = self.loop
-        async with anyio.create_task_group() as loop.tasks:
-            loop.spawn(self.heed, loop.tasks.cancel_scope.cancel)
+        async with anyio.create_task_group() as loop.task_group:
+            loop.spawn(self.heed, loop.task_group.cancel_scope.cancel)
             for pool in self.pools.values():
                 pool.start()
             if self.bank:
@@ -388,4 +398,4 @@
             gc.callbacks.append(self.collecting)
             gc.freeze()
             gc.set_threshold(10_000, 20, 50)
-            loop.tasks.start_soon(loop.ring)
+            loop.task_group.start_soon(loop.ring)
--- a/whinpier/runtime/resource_budget.py
+++ b/whinpier/runtime/resource_budget.py
@@ -1,8 +1,9 @@
-"""Owns what pools share: descriptors, tasks in the house, bodies and CPU, in guaranteed parts.
+"""Owns what pools share: descriptors, requests in the house, bodies and CPU, in guaranteed parts.
 
-What one pool does not use is lent to others, but for a part of it that is kept for its return; what is lent
-is called back as it falls free. Must never let a pool that stays within its guaranteed part wait for one that
-does not, beyond the tasks that are out already. Free of I/O: who owns a connection closes it.
+What one pool does not use is lent to others, but for a part of it that is kept for its return; what
+is lent is called back as it falls free. Must never let a pool that stays within its guaranteed part
+wait for one that does not, beyond the requests that are out already. Free of I/O: who owns a
+connection closes it.
 """
 
 from __future__ import annotations
@@ -13,13 +14,17 @@
 from whinpier.runtime.event_loop import MOST_LATE
 from whinpier.config.model import Limits, Spec
 
-SPARE = 24  # descriptors kept back: the standard ones, listener, discovery, the loop's own; a dozen in all
+# descriptors kept back: the standard ones, listener, discovery, the loop's own; a dozen in all
+SPARE = 24
 DOOR, MOST_DOOR = (
     8,
     64,
 )  # one in so many, and the most, for clients turned back at the door: short bursts
-PART = 0.6  # of the rest for clients: each task needs one descriptor, and one more while it is out
-CROWD = 4  # clients that asked hold one descriptor in so many before they are let go early; they get a third
+PART = (
+    0.6  # of the rest for clients: each request needs one descriptor, and one more while it is out
+)
+# clients that asked hold one descriptor in so many before they are let go early; they get a third
+CROWD = 4
 BODIES = 16  # one part in so many of the memory is for bodies; usual ones are a hundredth of that
 KEPT = 0.25  # of what a pool has unused: not lent, so that its return finds room at once
 JUDGED = SECOND // 20  # between looks at the lag; a late loop looks once a turn
@@ -29,7 +34,7 @@
     0.95,
 )  # steps of the part turned back at the door: down slower than up
 OVER = 1.1  # times its part of the CPU: a pool above that pays for a late loop first
-SPENT = 2 * SECOND  # over which the CPU of pools is compared: some hundred tasks
+SPENT = 2 * SECOND  # over which the CPU of pools is compared: some hundred requests
 
 
 def spare(spec: Spec) -> int:
@@ -109,35 +114,35 @@
 
     def __init__(self, budget: Budget, limits: Limits) -> None:
         self.budget = budget
-        self.tasks, self.links = budget.tasks.part(), budget.links.part()
+        self.requests, self.links = budget.requests.part(), budget.links.part()
         self.bodies = budget.bodies.part()  # bytes of answers
-        self.requests = budget.requests.part()  # bytes of what is asked
+        self.request_bytes = budget.request_bytes.part()  # bytes of what is asked
         self.change(limits)
         self.clients = 0  # connections of clients that asked it last
-        self.shed = 0.0  # the part of its tasks that is turned back at the door
+        self.shed = 0.0  # the part of its requests that is turned back at the door
         self.spent = Sum(SPENT, 0)  # nanoseconds of the loop
         budget.parts.append(self)
 
     def change(self, limits: Limits) -> None:
         self.limits, share = limits, limits.guaranteed if self.budget.isolate else 0.0
         for held, most in (
-            (self.tasks, limits.tasks),
+            (self.requests, limits.requests),
             (self.links, limits.connections),
             (self.bodies, limits.bodies),
-            (self.requests, limits.bodies),
+            (self.request_bytes, limits.bodies),
         ):
             held.reshare(share, most)
 
     def end(self) -> None:
-        for held in (self.tasks, self.links, self.bodies, self.requests):
+        for held in (self.requests, self.links, self.bodies, self.request_bytes):
             held.drop()
         if self in self.budget.parts:
             self.budget.parts.remove(self)
 
     def figures(self) -> Mapping[str, object]:
         return {
-            "out": self.tasks.used,
-            "out_guaranteed": self.tasks.guaranteed,
+            "out": self.requests.used,
+            "out_guaranteed": self.requests.guaranteed,
             "clients": self.clients,
             "links": self.links.used,
             "links_guaranteed": self.links.guaranteed,
@@ -154,12 +159,13 @@
         self.door = min(sockets // DOOR, MOST_DOOR)
         self.clients = 0  # connections of clients
         self.parts: list[Part] = []
-        self.tasks, self.links = Stock(0), Stock(0)
+        self.requests, self.links = Stock(0), Stock(0)
         self.resize(spare)
         self.bodies = Stock(memory // BODIES * 2)  # bytes of answers
-        self.requests = Stock(memory // BODIES)  # bytes of what is asked, whole or not
+        self.request_bytes = Stock(memory // BODIES)  # bytes of what is asked, whole or not
         self.judged = 0
-        # Set by whoever owns them: one client that is not in use is closed; an idle connection of a pool.
+        # Set by whoever owns them: one client that is not in use is closed; an idle connection of a
+        # pool.
         self.let_go: Callable[[], None] = lambda: None
         self.idle: Callable[[], Iterable[tuple[int, Part, Callable[[], None]]]] = lambda: ()
         self.roomier: Callable[[], None] = lambda: None  # called when a descriptor has fallen free
@@ -168,7 +174,7 @@
         """Keep back so many descriptors; the parts of pools follow."""
         self.connections = self.sockets - spare - self.door
         self.most_clients = int(PART * self.connections)
-        self.tasks.capacity, self.links.capacity = (
+        self.requests.capacity, self.links.capacity = (
             self.most_clients,
             self.connections - self.most_clients,
         )
@@ -201,7 +207,8 @@
         """Take one more connection to an upstream for a pool, if it may have it."""
         if self.make_room() and part.links.take(1, self.room()):
             return True
-        # Guards against one pool's idle connections standing in the way of another's guaranteed ones.
+        # Guards against one pool's idle connections standing in the way of another's guaranteed
+        # ones.
         if part.links.used < part.links.guaranteed and len(self.parts) > 1:
             self.close_idle(borrowed=True)
             return part.links.take(1, self.room())
@@ -213,13 +220,14 @@
 
     def crowded(self, asked: int, part: Part | None = None) -> bool:
         """Whether clients (of a pool) had better not keep connections: room then comes with every answer."""
-        # Guards against clients that ask once and stay: they may hold a third of the descriptors in all, and
-        # while they do others have no connection left to ask on.
+        # Guards against clients that ask once and stay: they may hold a third of the descriptors in
+        # all, and while they do others have no connection left to ask on.
         return asked > self.sockets // CROWD and not self.within(part)
 
     def within(self, part: Part | None) -> bool:
         """Whether a pool's clients hold no more than its part: they need not go for those of others."""
-        # Guards against one pool's crowd at the door: the others' clients would wait in one queue with it.
+        # Guards against one pool's crowd at the door: the others' clients would wait in one queue
+        # with it.
         if part is None or len(self.parts) < 2 or not self.isolate:
             return False
         return part.clients <= part.limits.guaranteed * min(
@@ -230,8 +238,8 @@
         """Turn back a larger or smaller part of what comes, by how late the loop is."""
         if now - self.judged < JUDGED:
             return
-        # Guards against a core that is full: were all turned back while the loop is late, those that come
-        # again at once would keep it late, and nothing would be served.
+        # Guards against a core that is full: were all turned back while the loop is late, those
+        # that come again at once would keep it late, and nothing would be served.
         self.judged = now
         late = lag > MOST_LATE
         over = self.spenders(now) if late and self.isolate and len(self.parts) > 1 else self.parts
--- a/whinpier/settings.py
+++ b/whinpier/settings.py
@@ -1,4 +1,6 @@
-"""The settings map and the workloads it describes, in our words: one code for the wire and the sockets."""
+"""The settings map and the request classes it describes, in our words: one code for the wire and
+the sockets.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +8,7 @@
 from typing import Any
 
 from whinpier.policy import model
-from whinpier.policy.model import WireError, Workload
+from whinpier.policy.model import WireError, RequestClass
 
 US = 1000  # nanoseconds in one microsecond of the settings
 
@@ -40,8 +42,8 @@
     return found[name]
 
 
-def workloads(found: dict[str, Any]) -> list[Workload]:
-    """The workloads that the settings describe, in order."""
+def request_classes(found: dict[str, Any]) -> list[RequestClass]:
+    """The request classes that the settings describe, in order."""
     made = []
     for index in range(needed(found, "workloads.count")):
         at = f"workloads.{index}."
@@ -49,7 +51,7 @@
         if kind not in KINDS:
             raise WireError(f"setting {at}semantics: {kind!r} is no known kind")
         made.append(
-            Workload(
+            RequestClass(
                 name=str(found.get(at + "name", index)),
                 kind=KINDS[kind],
                 agreed_time=needed(found, at + "agreed_time"),
--- a/whinpier/simhost/__main__.py
+++ b/whinpier/simhost/__main__.py
@@ -1,4 +1,6 @@
-"""`python -m whinpier.simhost`: batches of events on standard input, one reply each on standard output."""
+"""`python -m whinpier.simhost`: batches of events on standard input, one reply each on standard
+output.
+"""
 
 from __future__ import annotations
 
--- a/whinpier/simhost/instance.py
+++ b/whinpier/simhost/instance.py
@@ -1,12 +1,14 @@
-"""One balancer on the wire: turns events into calls on its decisions and their answers into actions."""
+"""One balancer on the wire: turns events into calls on its decisions and their answers into
+actions.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
 from whinpier.policy.policy import Choice
-from whinpier.policy.model import DRAINING, ERROR, GONE, READY, HandOff, Task, Upstream
-from whinpier.settings import US, workloads
+from whinpier.policy.model import DRAINING, ERROR, GONE, READY, Attempt, Request, Upstream
+from whinpier.settings import US, request_classes
 from whinpier.simhost import wire
 
 ALL = 0xFFFFFFFF
@@ -21,14 +23,14 @@
         self.out = bytearray()
         self.actions = 0
         found = wire.settings(text)
-        self.workloads = workloads(found)
+        self.request_classes = request_classes(found)
         self.columns: list[str] = found["report.columns"]
-        self.tasks: dict[int, Task] = {}
+        self.requests: dict[int, Request] = {}
         self.listed: dict[int, Upstream] = {}
         self.known: dict[
             int, Upstream
         ] = {}  # also those no longer listed: their outcomes still come
-        self.choice = Choice(self, found, self.workloads, seed)
+        self.choice = Choice(self, found, self.request_classes, seed)
 
     # What the decisions ask for.
 
@@ -36,22 +38,22 @@
         self.out += packed
         self.actions += 1
 
-    def hand_off(self, task: Task, upstream: Upstream, stop_at: int = 0) -> HandOff:
-        made = HandOff(task, upstream, len(task.hand_offs), self.now)
-        task.hand_offs.append(made)
-        self._put(wire.ISSUE.pack(60, 20, self.who, task.id, upstream.id, stop_at // US))
+    def start_attempt(self, request: Request, upstream: Upstream, stop_at: int = 0) -> Attempt:
+        made = Attempt(request, upstream, len(request.attempts), self.now)
+        request.attempts.append(made)
+        self._put(wire.ISSUE.pack(60, 20, self.who, request.id, upstream.id, stop_at // US))
         return made
 
-    def withdraw(self, hand_off: HandOff) -> None:
-        self._put(wire.WITHDRAW.pack(120, 10, self.who, hand_off.task.id, hand_off.number))
+    def withdraw(self, attempt: Attempt) -> None:
+        self._put(wire.WITHDRAW.pack(120, 10, self.who, attempt.request.id, attempt.number))
 
-    def turn_back(self, task: Task, wait: int = 0) -> None:
-        self._put(wire.PUSH_BACK.pack(80, 12, self.who, task.id, min(wait // US, U32)))
-        self._end(task)
+    def turn_back(self, request: Request, wait: int = 0) -> None:
+        self._put(wire.PUSH_BACK.pack(80, 12, self.who, request.id, min(wait // US, U32)))
+        self._end(request)
 
-    def scrap(self, task: Task) -> None:
-        self._put(wire.GIVE_UP.pack(110, 8, self.who, task.id))
-        self._end(task)
+    def scrap(self, request: Request) -> None:
+        self._put(wire.GIVE_UP.pack(110, 8, self.who, request.id))
+        self._end(request)
 
     def alarm(self, at: int, token: int = 0) -> None:
         self._put(wire.SET_ALARM.pack(10, 20, self.who, token, -(-at // US)))
@@ -79,13 +81,13 @@
 
     # What comes in.
 
-    def _end(self, task: Task) -> None:
-        task.ended = True
-        self._forget(task)
+    def _end(self, request: Request) -> None:
+        request.ended = True
+        self._forget(request)
 
-    def _forget(self, task: Task) -> None:
-        if task.ended and all(hand_off.outcome for hand_off in task.hand_offs):
-            self.tasks.pop(task.id, None)
+    def _forget(self, request: Request) -> None:
+        if request.ended and all(attempt.outcome for attempt in request.attempts):
+            self.requests.pop(request.id, None)
 
     def targets(self, scope: int, entries: list[tuple[Any, ...]]) -> None:
         if scope == wire.SCOPE_FAILED:
@@ -114,11 +116,11 @@
     def ingress(
         self, number: int, bits: int, key: int, tenant: int, ends: int, lane: int, hint: int
     ) -> None:
-        if lane >= len(self.workloads) or number in self.tasks:
+        if lane >= len(self.request_classes) or number in self.requests:
             return
-        task = Task(
+        request = Request(
             number,
-            self.workloads[lane],
+            self.request_classes[lane],
             self.now,
             ends * US,
             key,
@@ -127,14 +129,14 @@
             bool(bits & 2),
             bool(bits & 4),
         )
-        self.tasks[number] = task
-        self.choice.arrive(task)
+        self.requests[number] = request
+        self.choice.arrive(request)
 
-    def _hand_off(self, number: int, trial: int) -> HandOff | None:
-        task = self.tasks.get(number)
-        if task is None or trial >= len(task.hand_offs):
+    def _attempt(self, number: int, trial: int) -> Attempt | None:
+        request = self.requests.get(number)
+        if request is None or trial >= len(request.attempts):
             return None
-        return task.hand_offs[trial]
+        return request.attempts[trial]
 
     def resolved(
         self,
@@ -145,15 +147,15 @@
         over: int,
         load: dict[str, float] | None,
     ) -> None:
-        hand_off = self._hand_off(number, trial)
-        if hand_off is None or hand_off.outcome:
+        attempt = self._attempt(number, trial)
+        if attempt is None or attempt.outcome:
             return
-        hand_off.outcome, hand_off.took = wire.OUTCOMES.get(reason, ERROR), took * US
-        task = hand_off.task
-        first = bool(over) and not task.ended
-        task.ended = task.ended or bool(over)
-        self.choice.came_back(hand_off, load, first)
-        self._forget(task)
+        attempt.outcome, attempt.took = wire.OUTCOMES.get(reason, ERROR), took * US
+        request = attempt.request
+        first = bool(over) and not request.ended
+        request.ended = request.ended or bool(over)
+        self.choice.came_back(attempt, load, first)
+        self._forget(request)
 
     def sampled(self, number: int, load: dict[str, float] | None) -> None:
         upstream = self.known.get(number)
@@ -161,10 +163,10 @@
             self.choice.reported(upstream, load)
 
     def client_left(self, number: int) -> None:
-        task = self.tasks.get(number)
-        if task is not None and not task.ended:
-            self._end(task)
-            self.choice.left(task)
+        request = self.requests.get(number)
+        if request is not None and not request.ended:
+            self._end(request)
+            self.choice.left(request)
 
 
 def text_record(code: int, who: int, text: str) -> bytes:
--- a/whinpier/simulation/balancers.py
+++ b/whinpier/simulation/balancers.py
@@ -1,7 +1,9 @@
-"""Model balancers: the real pool and its real decisions, on simulated time and a model of the network.
+"""Model balancers: the real pool and its real decisions, on simulated time and a model of the
+network.
 
-A `Pool` of whinpier/runtime runs here unchanged; only its clock, its upstreams' wires and whoever waits for
-an answer are the model's. Must never tell a pool more than a real one would know.
+A `Pool` of whinpier/runtime runs here unchanged; only its clock, its upstreams' wires and
+whoever waits for an answer are the model's. Must never tell a pool more than a real one would
+know.
 """
 
 from __future__ import annotations
@@ -14,10 +16,10 @@
 from whinpier.policy.decaying_sum import Sum
 from whinpier.simulation.clock import Clock
 from whinpier.simulation.servers import CONNECTING, Server
-from whinpier.policy.model import FULL, NO_CONNECTION, RESET, Workload
+from whinpier.policy.model import FULL, NO_CONNECTION, RESET, RequestClass
 from whinpier.runtime.resource_budget import Budget
 from whinpier.runtime.event_loop import Loop
-from whinpier.runtime.pool import Peer, Pool, Sent, Taken, Watch
+from whinpier.runtime.pool import Peer, Pool, Sent, PendingRequest, Watch
 from whinpier.config.model import Address, Entry
 
 if TYPE_CHECKING:
@@ -60,16 +62,16 @@
         return 0
 
 
-class Asked(Taken):
-    """A task of a model client."""
+class SimulatedRequest(PendingRequest):
+    """A request of a model client."""
 
     __slots__ = ("answered", "due", "work", "stream", "tries", "origin", "balancer", "gone")
     balancer: Balancer
 
-    def __init__(self, number: int, workload: Workload, came: int, ends: int) -> None:
-        super().__init__(number, workload, came, ends)
+    def __init__(self, number: int, request_class: RequestClass, came: int, ends: int) -> None:
+        super().__init__(number, request_class, came, ends)
         self.id_given = b""
-        self.answered: Callable[[Asked, str, int], None]
+        self.answered: Callable[[SimulatedRequest, str, int], None]
         self.due, self.work, self.tries, self.origin = came, 0.0, 0, number
         self.stream: Any = None
         self.gone = False  # its client has left
@@ -87,14 +89,14 @@
         self.answered(self, "scrapped", 0)
 
 
-class Attempt(Sent):
-    """A hand-off on its way to a model upstream and back."""
+class SimulatedAttempt(Sent):
+    """An attempt on its way to a model upstream and back."""
 
-    def __init__(self, task: Asked, peer: Link, now: int, fresh: bool) -> None:
-        super().__init__(task, peer, now)
-        self.asked, self.link = task, peer
+    def __init__(self, request: SimulatedRequest, peer: Link, now: int, fresh: bool) -> None:
+        super().__init__(request, peer, now)
+        self.asked, self.link = request, peer
         self.work, self.fresh, self.fails, self.dropped, self.told = (
-            task.work,
+            request.work,
             fresh,
             "",
             False,
@@ -128,7 +130,7 @@
         self.pool, self.host, self.address = pool, entry.host, entry.dial
         self.balancer, self.server, self.ground = balancer, server, balancer.ground
         self.run = server.run
-        self.attempts: dict[Attempt, None] = {}
+        self.attempts: dict[SimulatedAttempt, None] = {}
         self.idle = 0  # connections
 
     def way(self) -> int:
@@ -140,11 +142,11 @@
         troubled = bool(network.apart or network.cuts)
         return troubled and network.cut(here.number, here.zone, there.name, there.zone)
 
-    def hand(self, task: Taken) -> Sent:
-        assert isinstance(task, Asked)
+    def hand(self, request: PendingRequest) -> Sent:
+        assert isinstance(request, SimulatedRequest)
         fresh, server, ground = self.idle == 0, self.server, self.ground
-        attempt = Attempt(task, self, self.pool.now, fresh)
-        task.hand_offs.append(attempt)
+        attempt = SimulatedAttempt(request, self, self.pool.now, fresh)
+        request.attempts.append(attempt)
         self.attempts[attempt] = None
         self.balancer.out += 1
         ground.referee.sent(attempt, self.balancer, server)
@@ -171,8 +173,8 @@
         clock.after(way, server.arrive, attempt)
         return attempt
 
-    def heard(self, attempt: Attempt, outcome: str) -> None:
-        """What became of a hand-off has come."""
+    def heard(self, attempt: SimulatedAttempt, outcome: str) -> None:
+        """What became of an attempt has come."""
         if outcome != NO_CONNECTION and self.cut():
             return
         if attempt in self.attempts:
@@ -186,7 +188,7 @@
             self.pool.settle(attempt, outcome)
 
     def stop(self, sent: Sent) -> None:
-        assert isinstance(sent, Attempt)
+        assert isinstance(sent, SimulatedAttempt)
         if self.attempts.pop(sent, self) is None:
             self.balancer.out -= 1
             self.server.connections = max(0, self.server.connections - 1)
@@ -226,22 +228,26 @@
         ] = {}  # upstream: what the list last said of it, and when
         self.stale_until = 0
         self.up, self.leaving, self.run = True, False, 0
-        self.out = 0  # hand-offs on the wire
+        self.out = 0  # attempts on the wire
         self.begin()
 
     def begin(self) -> None:
         """A process that knows nothing."""
         self.loop: Loop = SimLoop(self.ground.clock)
         self.budget = Budget(65_536, 1 << 34)
-        self.ids: dict[bytes | int, Taken] = {}
+        self.ids: dict[bytes | int, PendingRequest] = {}
         self.counts: Counter[str] = Counter()
         self.pool = self.made(self)
 
-    def kill(self) -> list[Asked]:
-        """Its process dies at once; the tasks whose clients now hear nothing of it."""
+    def kill(self) -> list[SimulatedRequest]:
+        """Its process dies at once; the requests whose clients now hear nothing of it."""
         assert isinstance(self.loop, SimLoop)
         self.loop.dead, self.up, self.leaving, self.out = True, False, False, 0
-        lost = [task for task in self.ids.values() if isinstance(task, Asked) and not task.ended]
+        lost = [
+            request
+            for request in self.ids.values()
+            if isinstance(request, SimulatedRequest) and not request.ended
+        ]
         for peer in self.pool.peers():
             assert isinstance(peer, Link)
             for attempt in peer.attempts:
@@ -252,8 +258,8 @@
             )
             peer.attempts.clear()
             peer.idle = 0
-        for task in lost:
-            task.hand_offs.clear()
+        for request in lost:
+            request.attempts.clear()
         return lost
 
     def start(self, entries: list[Entry]) -> None:
@@ -287,7 +293,7 @@
             self.told_at[entry.host] = (entry.state, now)
         self.pool.told(entries, whole)
 
-    def take(self, task: Asked) -> None:
-        task.balancer = self
-        self.pool.part.tasks.take()
-        self.pool.take(task)
+    def take(self, request: SimulatedRequest) -> None:
+        request.balancer = self
+        self.pool.part.requests.take()
+        self.pool.take(request)
--- a/whinpier/simulation/baselines.py
+++ b/whinpier/simulation/baselines.py
@@ -1,7 +1,8 @@
-"""Plain policies beside the project's own, and one that sees the true state: what the decisions are held to.
+"""Plain policies beside the project's own, and one that sees the true state: what the decisions are
+held to.
 
-They differ in which upstream is drawn; the rules on repeats and drains, and what is turned back when nothing
-may be sent to, are the project's own, so that what is compared is the draw.
+They differ in which upstream is drawn; the rules on repeats and drains, and what is turned back
+when nothing may be sent to, are the project's own, so that what is compared is the draw.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from whinpier.policy.policy import Choice, Split
 from whinpier.simulation.clock import SECOND
-from whinpier.policy.model import READY, Task
+from whinpier.policy.model import READY, Request
 from whinpier.policy.statistics import Seen
 
 if TYPE_CHECKING:
@@ -26,15 +27,15 @@
 class Plain(Split):
     """Draws without shares or room; `find` is all that differs."""
 
-    def allowed(self, task: Task) -> list[Seen]:
-        """Those that the rules let a task go to; none that it was at already."""
+    def allowed(self, request: Request) -> list[Seen]:
+        """Those that the rules let a request go to; none that it was at already."""
         again = self.choice.again
         return [
             seen
             for seen in self.ready
             if seen.upstream.state == READY
-            and not any(sent.upstream is seen.upstream for sent in task.hand_offs)
-            and (not task.hand_offs or again.fits(task, seen.upstream))
+            and not any(sent.upstream is seen.upstream for sent in request.attempts)
+            and (not request.attempts or again.fits(request, seen.upstream))
         ]
 
     def want(self, count: int) -> int:
@@ -44,8 +45,8 @@
 class Random(Plain):
     """Any of them."""
 
-    def find(self, task: Task) -> Seen | None:
-        allowed = self.allowed(task)
+    def find(self, request: Request) -> Seen | None:
+        allowed = self.allowed(request)
         return self.pick(allowed) if allowed else None
 
 
@@ -54,8 +55,8 @@
 
     turn = 0
 
-    def find(self, task: Task) -> Seen | None:
-        allowed = self.allowed(task)
+    def find(self, request: Request) -> Seen | None:
+        allowed = self.allowed(request)
         if not allowed:
             return None
         self.turn += 1
@@ -65,15 +66,15 @@
 class LeastOut(Plain):
     """The one with the fewest of this balancer's own out; chance among equals."""
 
-    def find(self, task: Task) -> Seen | None:
-        return min(self.allowed(task), key=lambda seen: (seen.out, self.random()), default=None)
+    def find(self, request: Request) -> Seen | None:
+        return min(self.allowed(request), key=lambda seen: (seen.out, self.random()), default=None)
 
 
 class TwoChoices(Plain):
     """The one with fewer out of two drawn."""
 
-    def find(self, task: Task) -> Seen | None:
-        allowed = self.allowed(task)
+    def find(self, request: Request) -> Seen | None:
+        allowed = self.allowed(request)
         if not allowed:
             return None
         return min(self.pick(allowed), self.pick(allowed), key=lambda seen: seen.out)
@@ -82,24 +83,26 @@
 class JoinIdle(Plain):
     """One with nothing of this balancer's out, else any."""
 
-    def find(self, task: Task) -> Seen | None:
-        allowed = self.allowed(task)
+    def find(self, request: Request) -> Seen | None:
+        allowed = self.allowed(request)
         idle = [seen for seen in allowed if not seen.out]
         return self.pick(idle or allowed) if allowed else None
 
 
 def done_after(work: float, backlog: float, capacity: float, cores: int) -> float:
-    """Seconds until a task is done: what is ahead of it and fills the cores, then itself on one of them."""
+    """Seconds until a request is done: what is ahead of it and fills the cores, then itself on one
+    of them.
+    """
     return max(0.0, backlog - work * (cores - 1)) / capacity + work * cores / capacity
 
 
 class Oracle(Plain):
     """Sees every upstream as it is: the one that would be done first, if that is in time."""
 
-    def find(self, task: Task) -> Seen | None:
-        work = getattr(task, "work", 0.0)
+    def find(self, request: Request) -> Seen | None:
+        work = getattr(request, "work", 0.0)
         best, least = None, float("inf")
-        for seen in self.allowed(task):
+        for seen in self.allowed(request):
             link: Any = seen.upstream
             server = link.server
             capacity = server.capacity() if not link.cut() else 0.0
@@ -110,19 +113,22 @@
                 wait += server.failing * 10.0
             if wait < least:
                 best, least = seen, wait
-        # What would be late it holds or turns back: in a surge a queue of late tasks serves nobody.
-        left = (task.came + task.workload.agreed_time - self.host.now) / SECOND
+        # What would be late it holds or turns back: in a surge a queue of late requests serves
+        # nobody.
+        left = (request.came + request.request_class.agreed_time - self.host.now) / SECOND
         return best if least < max(left, 0.0) else None
 
 
 class LateOracle(Plain):
-    """Sees every upstream as it was a while ago: of three drawn by what they could do, the soonest done."""
+    """Sees every upstream as it was a while ago: of three drawn by what they could do, the
+    soonest done.
+    """
 
     sight: Sight
 
-    def find(self, task: Task) -> Seen | None:
-        allowed, seen_then = self.allowed(task), self.sight.then()
-        work = getattr(task, "work", 0.0)
+    def find(self, request: Request) -> Seen | None:
+        allowed, seen_then = self.allowed(request), self.sight.then()
+        work = getattr(request, "work", 0.0)
         sums = list(
             accumulate(
                 seen_then.get(getattr(seen.upstream, "host"), NOTHING)[0] for seen in allowed
@@ -140,7 +146,7 @@
                 wait = done_after(work, backlog + own, capacity, cores)
                 if wait < least:
                     best, least = seen, wait
-        left = (task.came + task.workload.agreed_time - self.host.now) / SECOND
+        left = (request.came + request.request_class.agreed_time - self.host.now) / SECOND
         return best if least < max(left, 0.0) else None
 
 
