--- a/whinpier/simulation/clients.py
+++ b/whinpier/simulation/clients.py
@@ -1,7 +1,8 @@
-"""Model clients: streams of tasks with surges, day curves, gateways, keys, and tries after a turn-back.
+"""Model clients: streams of requests with surges, day curves, gateways, keys, and tries after a
+turn-back.
 
-An open loop: tasks come when they are due, whatever became of those before. A client's next try is another
-task with the origin of the first; it counts as a repeat, not as new demand.
+An open loop: requests come when they are due, whatever became of those before. A client's next try
+is another request with the origin of the first; it counts as a repeat, not as new demand.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from math import cos, pi
 from random import Random
 
-from whinpier.simulation.balancers import Asked, Balancer
+from whinpier.simulation.balancers import SimulatedRequest, Balancer
 from whinpier.simulation.clock import SECOND
 from whinpier.simulation.experiment import Front as FrontTable
 from whinpier.simulation.experiment import Stream
 from whinpier.simulation.environment import Ground
-from whinpier.policy.model import EXCLUSIVE, Workload
+from whinpier.policy.model import EXCLUSIVE, RequestClass
 from whinpier.testbed.work import draw
 
 BACK = SECOND // 4  # until a client tries again that was told no time
@@ -25,7 +26,7 @@
 
 
 class Front:
-    """Deals clients' tasks out among the balancers: by zone, then by each one's part of the traffic."""
+    """Deals clients' requests out among the balancers: by zone, then by each one's part of the traffic."""
 
     def __init__(
         self,
@@ -84,19 +85,26 @@
 class Clients:
     """All clients of one stream."""
 
-    def __init__(self, ground: Ground, front: Front, stream: Stream, workload: Workload) -> None:
-        self.ground, self.front, self.stream, self.workload = ground, front, stream, workload
+    def __init__(
+        self, ground: Ground, front: Front, stream: Stream, request_class: RequestClass
+    ) -> None:
+        self.ground, self.front, self.stream, self.request_class = (
+            ground,
+            front,
+            stream,
+            request_class,
+        )
         self.chance = Random(f"clients/{front.seed}/{stream.name}")
         self.surge = 1.0  # by a trouble, on top of the stream's own
         self.leaving, self.eager = (
             0.0,
             0,
-        )  # part of tasks that are not waited for to the end; further tries
+        )  # part of requests that are not waited for to the end; further tries
         self.most = max([1.0, *(times for _, _, times in stream.surges)]) * (1.0 + stream.day)
         self.patience = int(stream.patience * SECOND)
 
     def rate(self, at: float) -> float:
-        """Tasks a second at a time since the start."""
+        """Requests a second at a time since the start."""
         stream = self.stream
         rate = stream.rate * self.surge
         if stream.day:
@@ -110,7 +118,7 @@
             self.ground.clock.after(0, self.next)
 
     def next(self) -> None:
-        """A task comes, or a moment passes in which none does: thinned from the highest rate there is."""
+        """A request comes, or a moment passes in which none does: thinned from the highest rate there is."""
         clock = self.ground.clock
         most = self.stream.rate * self.most * max(1.0, self.surge)
         clock.after(max(1, int(self.chance.expovariate(most) * SECOND)), self.next)
@@ -126,78 +134,79 @@
         return int((1.0 + self.chance.random() * (last - 1.0)) ** (1.0 / power))
 
     def ask(self, due: int, tries: int, origin: int) -> None:
-        """A task comes to one of the balancers, as the front deals them out."""
+        """A request comes to one of the balancers, as the front deals them out."""
         ground, stream, chance = self.ground, self.stream, self.chance.random
         balancer = self.front.pick()
         number, way = ground.number(), ground.network.near
-        task = Asked(number, self.workload, due, due + self.patience - 2 * way)
-        task.due, task.work = due, draw(stream.spread, stream.work, self.chance)
-        task.tries, task.origin = tries, origin or number
-        task.stream, task.answered, task.repeat = self, self.answered, tries > 0
+        request = SimulatedRequest(number, self.request_class, due, due + self.patience - 2 * way)
+        request.due, request.work = due, draw(stream.spread, stream.work, self.chance)
+        request.tries, request.origin = tries, origin or number
+        request.stream, request.answered, request.repeat = self, self.answered, tries > 0
         if stream.keys:
-            task.key = self.key()
+            request.key = self.key()
         if stream.gateways > 1:
-            task.tenant = int(chance() * stream.gateways)
-        ground.referee.asked(task)
-        ground.measure.asked(task)
+            request.tenant = int(chance() * stream.gateways)
+        ground.referee.asked(request)
+        ground.measure.asked(request)
         if self.leaving and chance() < self.leaving:
-            ground.clock.after(int((0.1 + 0.8 * chance()) * self.patience), self.leave, task)
-        ground.clock.after(way, self.arrive, task, balancer)
+            ground.clock.after(int((0.1 + 0.8 * chance()) * self.patience), self.leave, request)
+        ground.clock.after(way, self.arrive, request, balancer)
 
-    def arrive(self, task: Asked, balancer: Balancer) -> None:
-        if task.gone:
+    def arrive(self, request: SimulatedRequest, balancer: Balancer) -> None:
+        if request.gone:
             return
         if not balancer.up:
             # Refused: nobody has taken it, so that it is no other try.
             self.ground.counts["refused_by_the_dead"] += 1
-            if self.ground.clock.now < task.ends:
-                self.ground.clock.after(REFUSED, self.arrive, task, self.front.pick())
+            if self.ground.clock.now < request.ends:
+                self.ground.clock.after(REFUSED, self.arrive, request, self.front.pick())
             else:
-                self.ground.referee.given_up(task)
+                self.ground.referee.given_up(request)
             return
-        task.came = balancer.loop.clock()
-        if task.came >= task.ends:
-            self.ground.referee.given_up(task)
+        request.came = balancer.loop.clock()
+        if request.came >= request.ends:
+            self.ground.referee.given_up(request)
             return
-        task.workload = balancer.pool.workloads[self.stream.name.encode()]
-        balancer.take(task)
+        request.request_class = balancer.pool.request_classes[self.stream.name.encode()]
+        balancer.take(request)
 
-    def leave(self, task: Asked) -> None:
-        """Its client waits no longer; a new try is another task, and it may come at once."""
-        if task.ended or task.gone:
+    def leave(self, request: SimulatedRequest) -> None:
+        """Its client waits no longer; a new try is another request, and it may come at once."""
+        if request.ended or request.gone:
             return
-        task.gone = True
-        self.ground.referee.given_up(task)
-        if hasattr(task, "balancer") and task.balancer.up:
-            task.balancer.pool.client_left(task)
+        request.gone = True
+        self.ground.referee.given_up(request)
+        if hasattr(request, "balancer") and request.balancer.up:
+            request.balancer.pool.client_left(request)
 
-    def cut_off(self, task: Asked) -> None:
+    def cut_off(self, request: SimulatedRequest) -> None:
         """Its balancer has died: the connection is reset, and its client does not know what became of it."""
-        if task.gone:
+        if request.gone:
             return
-        task.gone = True
-        self.ground.referee.given_up(task)
+        request.gone = True
+        self.ground.referee.given_up(request)
         self.ground.counts["lost_with_a_balancer"] += 1
-        if self.workload.kind != EXCLUSIVE:
-            self.next_try(task, 0)
+        if self.request_class.kind != EXCLUSIVE:
+            self.next_try(request, 0)
 
-    def answered(self, task: Asked, how: str, wait: int) -> None:
+    def answered(self, request: SimulatedRequest, how: str, wait: int) -> None:
         """The balancer has written its answer; the client has it a moment later."""
         ground = self.ground
-        ground.referee.answered(task, how)
-        ground.measure.answered(task, how, ground.clock.now + ground.network.near - task.due)
-        # What was scrapped may have run: of exclusive tasks a client tries again only what was turned back.
-        if how == "turned back" or how == "scrapped" and self.workload.kind != EXCLUSIVE:
-            self.next_try(task, wait)
-
-    def next_try(self, task: Asked, wait: int) -> None:
+        ground.referee.answered(request, how)
+        ground.measure.answered(request, how, ground.clock.now + ground.network.near - request.due)
+        # What was scrapped may have run: of exclusive requests a client tries again only what was
+        # turned back.
+        if how == "turned back" or how == "scrapped" and self.request_class.kind != EXCLUSIVE:
+            self.next_try(request, wait)
+
+    def next_try(self, request: SimulatedRequest, wait: int) -> None:
         if (
-            task.tries < self.stream.retries + self.eager
+            request.tries < self.stream.retries + self.eager
             and self.ground.clock.now < self.front.ends
         ):
             hasty = self.stream.hasty or self.eager
             after = 0 if hasty else int((wait or BACK) * (0.75 + 0.5 * self.chance.random()))
-            self.ground.clock.after(self.ground.network.near + after, self.again, task)
+            self.ground.clock.after(self.ground.network.near + after, self.again, request)
 
-    def again(self, task: Asked) -> None:
-        self.ask(self.ground.clock.now, task.tries + 1, task.origin)
+    def again(self, request: SimulatedRequest) -> None:
+        self.ask(self.ground.clock.now, request.tries + 1, request.origin)
--- a/whinpier/simulation/clock.py
+++ b/whinpier/simulation/clock.py
@@ -1,7 +1,7 @@
 """Simulated time: an event queue with a stated, seeded order of what falls on the same nanosecond.
 
-Owns the order of everything in a run. Must never read a real clock or draw from a generator that is not its
-own: the same seed gives the same run, on any machine.
+Owns the order of everything in a run. Must never read a real clock or draw from a generator that is
+not its own: the same seed gives the same run, on any machine.
 """
 
 from __future__ import annotations
--- a/whinpier/simulation/consensus.py
+++ b/whinpier/simulation/consensus.py
@@ -1,7 +1,8 @@
 """The bank's record on simulated time: voters agree, hundreds learn, over the model of the network.
 
-Each node is the lab's, with the real state machine of the record beside the real members, and a disk that
-takes a while. Owns what is counted of it. Must never hand the record anything that a process would not.
+Each node is the lab's, with the real state machine of the record beside the real members, and a
+disk that takes a while. Owns what is counted of it. Must never hand the record anything that a
+process would not.
 """
 
 from __future__ import annotations
--- a/whinpier/simulation/environment.py
+++ b/whinpier/simulation/environment.py
@@ -1,8 +1,8 @@
 """What everyone in a run stands on: the clock, chance, the network between places, and who watches.
 
-Balancers, upstreams, clients and the referee know each other through this, and nothing here knows them. What
-the network does to bytes is decided here and nowhere else. Must never draw from a generator of its own seed's
-other parts: a trouble on the network moves no client.
+Balancers, upstreams, clients and the referee know each other through this, and nothing here knows
+them. What the network does to bytes is decided here and nowhere else. Must never draw from a
+generator of its own seed's other parts: a trouble on the network moves no client.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from whinpier.simulation.clock import SECOND, Clock
 
 if TYPE_CHECKING:
-    from whinpier.simulation.balancers import Asked, Attempt, Balancer
+    from whinpier.simulation.balancers import SimulatedRequest, SimulatedAttempt, Balancer
     from whinpier.simulation.servers import Server
 
 RESENT = SECOND // 5  # after which a lost packet is sent again
@@ -25,15 +25,15 @@
 class Referee(Protocol):
     """Is told what happens, and what of it the rules are about."""
 
-    def asked(self, task: Asked) -> None: ...
+    def asked(self, request: SimulatedRequest) -> None: ...
 
-    def sent(self, attempt: Attempt, balancer: Balancer, server: Server) -> None: ...
+    def sent(self, attempt: SimulatedAttempt, balancer: Balancer, server: Server) -> None: ...
 
-    def ran(self, attempt: Attempt, server: Server) -> None: ...
+    def ran(self, attempt: SimulatedAttempt, server: Server) -> None: ...
 
-    def answered(self, task: Asked, how: str) -> None: ...
+    def answered(self, request: SimulatedRequest, how: str) -> None: ...
 
-    def given_up(self, task: Asked) -> None: ...
+    def given_up(self, request: SimulatedRequest) -> None: ...
 
     def fell(self, server: Server) -> None: ...
 
@@ -41,9 +41,9 @@
 class Measure(Protocol):
     """Is told what clients see."""
 
-    def asked(self, task: Asked) -> None: ...
+    def asked(self, request: SimulatedRequest) -> None: ...
 
-    def answered(self, task: Asked, how: str, took: int) -> None: ...
+    def answered(self, request: SimulatedRequest, how: str, took: int) -> None: ...
 
 
 class Network:
--- a/whinpier/simulation/experiment.py
+++ b/whinpier/simulation/experiment.py
@@ -1,6 +1,8 @@
-"""The experiment file: fleet, load, troubles, policies, what varies and what must hold. Typed, checked whole.
+"""The experiment file: fleet, load, troubles, policies, what varies and what must hold. Typed,
+checked whole.
 
-Owns its keys and what is said of a faulty one. Times are seconds, rates tasks a second, shares 0 to 1.
+Owns its keys and what is said of a faulty one. Times are seconds, rates requests a second, shares 0
+to 1.
 """
 
 from __future__ import annotations
@@ -78,7 +80,7 @@
         0.0  # times its present capacity, in a second, at which a cold one falls over; 0: never
     )
     keys: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # that it knows again
-    known_work: Share = 1.0  # part of the work that a task with a known key takes
+    known_work: Share = 1.0  # part of the work that a request with a known key takes
     overdrive: Amount = (
         0.0  # part of its speed that each further queue's length as long as its cores takes
     )
@@ -97,7 +99,7 @@
 
 
 class Front(Table, frozen=True, kw_only=True):
-    """What deals tasks out among the balancers."""
+    """What deals requests out among the balancers."""
 
     busy: Share = 0.0  # part of the balancers that see more than the others
     times: Positive = 1.0  # how much more
@@ -106,7 +108,7 @@
 
 
 class Stream(Table, frozen=True, kw_only=True):
-    """One workload and how it is asked for, by all balancers' clients together."""
+    """One request class and how it is asked for, by all balancers' clients together."""
 
     name: str
     rate: Amount
@@ -162,7 +164,7 @@
         "late_oracle",
     ] = "choice"
     sight: Amount = 1.0  # seconds by which the late-seeing oracle sees the true state late
-    hand_offs: Annotated[int, Meta(ge=1, le=16)] = 3
+    attempts: Annotated[int, Meta(ge=1, le=16)] = 3
     second_copies: bool = False
     cancelling: bool = True
     drain_grace: Amount = (
--- a/whinpier/simulation/faults.py
+++ b/whinpier/simulation/faults.py
@@ -1,4 +1,6 @@
-"""What goes wrong in a run: on a schedule or by chance, also at once, each undone when its time is over."""
+"""What goes wrong in a run: on a schedule or by chance, also at once, each undone when its time is
+over.
+"""
 
 from __future__ import annotations
 
--- a/whinpier/simulation/fleet.py
+++ b/whinpier/simulation/fleet.py
@@ -1,7 +1,8 @@
-"""The bank on simulated time: each member's real state machine, a model of the network, faults by schedule.
+"""The bank on simulated time: each member's real state machine, a model of the network, faults by
+schedule.
 
-Owns the order of everything in a run, and the facts that the referee holds the members' events against. Must
-never hand a member anything that a real network and machine would not.
+Owns the order of everything in a run, and the facts that the referee holds the members' events
+against. Must never hand a member anything that a real network and machine would not.
 """
 
 from __future__ import annotations
--- a/whinpier/simulation/fleet_mutants.py
+++ b/whinpier/simulation/fleet_mutants.py
@@ -1,6 +1,8 @@
-"""Faults put back into the bank's real code, one by one: what the referee must catch, and on which days.
+"""Faults put back into the bank's real code, one by one: what the referee must catch, and on which
+days.
 
-Each replaces methods of the state machine for as long as a run lasts. Must never leave a class changed.
+Each replaces methods of the state machine for as long as a run lasts. Must never leave a class
+changed.
 """
 
 from __future__ import annotations
@@ -48,7 +50,8 @@
     ),
 )
 BORNE = 0.1  # of all datagrams lost, by which nobody is to be taken for lost
-ACCUSED = 0.3  # suspicions that a member begins itself in a second: 0.1 with a tenth of all datagrams lost
+# suspicions that a member begins itself in a second: 0.1 with a tenth of all datagrams lost
+ACCUSED = 0.3
 
 
 def nothing(*_: Any, **__: Any) -> None:
@@ -247,7 +250,8 @@
         if count > ACCUSED * schedule.seconds + 6
     ]
     if all(fault.kind == "lossy" and fault.amount <= BORNE for fault in schedule.faults):
-        # The referee asks nothing of bad weather, as it may be any; so much of it is promised to lose nobody.
+        # The referee asks nothing of bad weather, as it may be any; so much of it is promised to
+        # lose nobody.
         broken += [
             Breach("false", said.at, said.process[0], f"loses {said.pairs.get('member')}")
             for said in bank.said
--- a/whinpier/simulation/fleet_scenarios.py
+++ b/whinpier/simulation/fleet_scenarios.py
@@ -1,7 +1,8 @@
-"""Experiments on the bank: a file of members and faults, its days played on simulated time, side by side.
+"""Experiments on the bank: a file of members and faults, its days played on simulated time, side by
+side.
 
-Owns the keys of such a file and what is kept of a day that broke a property: its schedule, and the least of
-it that still breaks one.
+Owns the keys of such a file and what is kept of a day that broke a property: its schedule, and the
+least of it that still breaks one.
 """
 
 from __future__ import annotations
--- a/whinpier/simulation/invariants.py
+++ b/whinpier/simulation/invariants.py
@@ -1,4 +1,6 @@
-"""The referee: the four rules, checked on every event by what happened, not by what a balancer says."""
+"""The referee: the four rules, checked on every event by what happened, not by what a balancer
+says.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +11,11 @@
 from whinpier.policy.model import EXCLUSIVE, RERUNNABLE, TICKETED
 
 if TYPE_CHECKING:
-    from whinpier.simulation.balancers import Asked, Attempt, Balancer
+    from whinpier.simulation.balancers import SimulatedRequest, SimulatedAttempt, Balancer
     from whinpier.simulation.environment import Ground
     from whinpier.simulation.servers import Server
 
-SLACK = 50 * MS  # past the end of a task's patience, for the way to the client
+SLACK = 50 * MS  # past the end of a request's patience, for the way to the client
 KEPT = 20  # breaches that are told one by one; all are counted
 
 ANSWER, EFFECT, DRAIN, COLD, PICTURE = "one answer", "no second effect", "drain", "cold", "picture"
@@ -21,13 +23,13 @@
 
 
 class Referee:
-    """Keeps what the rules are about, for tasks that are not over."""
+    """Keeps what the rules are about, for requests that are not over."""
 
     def __init__(self, ground: Ground, grace: int) -> None:
         self.ground, self.clock, self.grace = ground, ground.clock, grace
         self.breaches: Counter[str] = Counter()
         self.told: list[dict[str, object]] = []
-        self.runs: dict[int, list[tuple[int, Server]]] = {}  # task: when and where it ran
+        self.runs: dict[int, list[tuple[int, Server]]] = {}  # request: when and where it ran
         self.answers: Counter[int] = Counter()
         self.unheard: set[int] = set()  # those that no answer is due to
         self.past: deque[tuple[int, int]] = deque()  # when to forget which
@@ -42,70 +44,77 @@
 
     # What happens.
 
-    def asked(self, task: Asked) -> None:
-        self.clock.at(task.ends + SLACK, self.over, task)
+    def asked(self, request: SimulatedRequest) -> None:
+        self.clock.at(request.ends + SLACK, self.over, request)
 
-    def sent(self, attempt: Attempt, balancer: Balancer, server: Server) -> None:
+    def sent(self, attempt: SimulatedAttempt, balancer: Balancer, server: Server) -> None:
         """The third rule: nothing new to what drains or has gone, past the grace."""
         self.checked += 1
         state, at = balancer.told_at.get(server.name, ("gone", 0))
         if state != "ready" and self.clock.now > at + self.grace:
             self.breach(
-                DRAIN, f"sent to {server.name}, which was told as {state}", task=attempt.asked.id
+                DRAIN, f"sent to {server.name}, which was told as {state}", request=attempt.asked.id
             )
         if self.answers[attempt.asked.id]:
             self.breach(
-                ANSWER, f"task {attempt.asked.id} sent after its answer", task=attempt.asked.id
+                ANSWER, f"task {attempt.asked.id} sent after its answer", request=attempt.asked.id
             )
 
-    def ran(self, attempt: Attempt, server: Server) -> None:
+    def ran(self, attempt: SimulatedAttempt, server: Server) -> None:
         """The second rule: no effect twice."""
-        task, now = attempt.asked, self.clock.now
-        before = self.runs.setdefault(task.id, [])
-        if before and task.workload.kind == EXCLUSIVE:
+        request, now = attempt.asked, self.clock.now
+        before = self.runs.setdefault(request.id, [])
+        if before and request.request_class.kind == EXCLUSIVE:
             self.breach(
-                EFFECT, f"exclusive task {task.id} ran again at {server.name}", task=task.id
+                EFFECT,
+                f"exclusive task {request.id} ran again at {server.name}",
+                request=request.id,
             )
-        elif before and task.workload.kind == TICKETED:
+        elif before and request.request_class.kind == TICKETED:
             first, where = before[0]
-            group = task.workload.group
+            group = request.request_class.group
             known = group == "all" or where.zone == server.zone
-            # Counted from when the first one came: what was sent within the window has come soon after.
-            if not known or now > first + task.workload.window + SECOND // 4:
+            # Counted from when the first one came: what was sent within the window has come soon
+            # after.
+            if not known or now > first + request.request_class.window + SECOND // 4:
                 self.breach(
                     EFFECT,
-                    f"ticketed task {task.id} ran again where its ticket is not known",
-                    task=task.id,
+                    f"ticketed task {request.id} ran again where its ticket is not known",
+                    request=request.id,
                 )
         before.append((now, server))
 
-    def answered(self, task: Asked, how: str) -> None:
+    def answered(self, request: SimulatedRequest, how: str) -> None:
         """The first rule: one final answer, within its patience."""
-        self.answers[task.id] += 1
-        if self.answers[task.id] > 1:
-            self.breach(ANSWER, f"task {task.id} had another answer: {how}", task=task.id)
-        if self.clock.now > task.ends + SLACK:
-            self.breach(ANSWER, f"task {task.id} answered after its patience: {how}", task=task.id)
-        if how == "turned back" and task.workload.kind != RERUNNABLE:
-            ran = self.runs.get(task.id)
-            if ran and task.workload.kind == EXCLUSIVE:
+        self.answers[request.id] += 1
+        if self.answers[request.id] > 1:
+            self.breach(ANSWER, f"task {request.id} had another answer: {how}", request=request.id)
+        if self.clock.now > request.ends + SLACK:
+            self.breach(
+                ANSWER, f"task {request.id} answered after its patience: {how}", request=request.id
+            )
+        if how == "turned back" and request.request_class.kind != RERUNNABLE:
+            ran = self.runs.get(request.id)
+            if ran and request.request_class.kind == EXCLUSIVE:
                 self.breach(
                     EFFECT,
-                    f"exclusive task {task.id} turned back as harmless, and it ran",
-                    task=task.id,
+                    f"exclusive task {request.id} turned back as harmless, and it ran",
+                    request=request.id,
                 )
 
-    def given_up(self, task: Asked) -> None:
+    def given_up(self, request: SimulatedRequest) -> None:
         """Nobody waits for it any more: its client has left, or its balancer died with it."""
-        self.unheard.add(task.id)
+        self.unheard.add(request.id)
 
-    def over(self, task: Asked) -> None:
+    def over(self, request: SimulatedRequest) -> None:
         """Its patience has ended: it must have its answer, and is forgotten a while later."""
-        if not self.answers[task.id] and task.id not in self.unheard:
+        if not self.answers[request.id] and request.id not in self.unheard:
             self.breach(
-                ANSWER, f"task {task.id} without an answer at the end of its patience", task=task.id
+                ANSWER,
+                f"task {request.id} without an answer at the end of its patience",
+                request=request.id,
             )
-        self.past.append((self.clock.now + SECOND, task.id))
+        self.past.append((self.clock.now + SECOND, request.id))
         while self.past[0][0] <= self.clock.now:
             number = self.past.popleft()[1]
             self.runs.pop(number, None)
--- a/whinpier/simulation/metrics.py
+++ b/whinpier/simulation/metrics.py
@@ -1,7 +1,8 @@
 """What a run comes to: by second, by stream, by upstream; latencies in histograms of a fixed size.
 
-Nothing here grows with tasks. What came before the run was warm does not count, and neither do tries of a
-client after its first: a first try counts as on time if it was, whatever its retries came to.
+Nothing here grows with requests. What came before the run was warm does not count, and neither do
+tries of a client after its first: a first try counts as on time if it was, whatever its retries
+came to.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from whinpier.simulation.clock import SECOND
 
 if TYPE_CHECKING:
-    from whinpier.simulation.balancers import Asked
+    from whinpier.simulation.balancers import SimulatedRequest
     from whinpier.simulation.clock import Clock
 
 LONGEST = 120_000_000  # microseconds
@@ -40,41 +41,45 @@
     def second(self, at: int) -> int:
         return min(self.span - 1, (at - self.start) // SECOND)
 
-    def counts(self, task: Asked) -> bool:
-        return task.due >= self.start + self.warm
+    def counts(self, request: SimulatedRequest) -> bool:
+        return request.due >= self.start + self.warm
 
-    def asked(self, task: Asked) -> None:
-        at = self.second(task.due)
-        name = task.stream.stream.name
+    def asked(self, request: SimulatedRequest) -> None:
+        at = self.second(request.due)
+        name = request.stream.stream.name
         if name not in self.streams:
             self.streams[name] = Counter()
             self.latency[name] = HdrHistogram(1, LONGEST, DIGITS)
-        if task.tries:
+        if request.tries:
             self.by_second["tries"][at] += 1
-            self.streams[name]["tries"] += self.counts(task)
+            self.streams[name]["tries"] += self.counts(request)
             return
         self.by_second["asked"][at] += 1
-        self.asked_payoff[at] += task.workload.payoff
-        self.streams[name]["asked"] += self.counts(task)
+        self.asked_payoff[at] += request.request_class.payoff
+        self.streams[name]["asked"] += self.counts(request)
 
-    def answered(self, task: Asked, how: str, took: int) -> None:
-        self.digest.update(b"%d %s %d;" % (task.id, how.encode(), took))
-        if task.tries:
-            self.streams[task.stream.stream.name]["tries_fulfilled"] += how == "fulfilled"
+    def answered(self, request: SimulatedRequest, how: str, took: int) -> None:
+        self.digest.update(b"%d %s %d;" % (request.id, how.encode(), took))
+        if request.tries:
+            self.streams[request.stream.stream.name]["tries_fulfilled"] += how == "fulfilled"
             return
-        at, stream = self.second(task.due), self.streams[task.stream.stream.name]
+        at, stream = self.second(request.due), self.streams[request.stream.stream.name]
         name = how.replace(" ", "_")
         self.by_second[name][at] += 1
-        counts = self.counts(task)
+        counts = self.counts(request)
         stream[name] += counts
         if how != "fulfilled":
             return
-        on_time = took <= task.workload.agreed_time
+        on_time = took <= request.request_class.agreed_time
         self.by_second["on_time"][at] += on_time
-        self.payoff[at] += task.workload.payoff if on_time else task.workload.late_payoff
+        self.payoff[at] += (
+            request.request_class.payoff if on_time else request.request_class.late_payoff
+        )
         stream["on_time"] += on_time and counts
         if counts:
-            self.latency[task.stream.stream.name].record_value(max(1, min(took // 1000, LONGEST)))
+            self.latency[request.stream.stream.name].record_value(
+                max(1, min(took // 1000, LONGEST))
+            )
             self.total_time += took / SECOND
             self.ended += 1
 
--- a/whinpier/simulation/minimize.py
+++ b/whinpier/simulation/minimize.py
@@ -1,7 +1,8 @@
-"""Makes a failing run smaller while it fails the same way: fewer troubles, servers, balancers, tasks.
+"""Makes a failing run smaller while it fails the same way: fewer troubles, servers, balancers,
+requests.
 
-Greedy, with larger steps first; each step is kept only if the same rule is still broken (or what must hold
-still does not). The result is an experiment file of its own and a seed.
+Greedy, with larger steps first; each step is kept only if the same rule is still broken (or what
+must hold still does not). The result is an experiment file of its own and a seed.
 """
 
 from __future__ import annotations
@@ -98,7 +99,9 @@
 def shrink(
     given: Given, seed: int, tell: Callable[[str], None] = lambda text: None, most: int = 300
 ) -> tuple[Given, str, int]:
-    """The smallest run found, what fails in it, how many runs it took. Raises ConfigFault if none fails."""
+    """The smallest run found, what fails in it, how many runs it took. Raises ConfigFault if
+    none fails.
+    """
     whole = spelled_out(given, seed)
     broken = failing(whole, seed)
     if not broken:
--- a/whinpier/simulation/mutations.py
+++ b/whinpier/simulation/mutations.py
@@ -8,18 +8,18 @@
 from whinpier.policy.model import GONE
 
 if TYPE_CHECKING:
-    from whinpier.policy.model import Task, Upstream
+    from whinpier.policy.model import Request, Upstream
     from whinpier.runtime.pool import Pool
 
 
 def repeats_exclusive(pool: Pool) -> None:
-    """An exclusive task is sent again though it may have run."""
+    """An exclusive request is sent again though it may have run."""
     again: Any = pool.choice.again
-    again.may_have_run = lambda task: None
+    again.may_have_run = lambda request: None
 
 
 def ignores_drains(pool: Pool) -> None:
-    """What drains goes on getting tasks, as if the list had not said so."""
+    """What drains goes on getting requests, as if the list had not said so."""
     split = pool.choice.split
     listed: Callable[[list[Upstream]], None] = split.listed
 
@@ -32,17 +32,17 @@
 
 
 def forgets_answers(pool: Pool) -> None:
-    """One task in fifty gets no answer."""
+    """One request in fifty gets no answer."""
     arrive = pool.choice.arrive
     count = 0
 
-    def now_and_then(task: Task) -> None:
+    def now_and_then(request: Request) -> None:
         nonlocal count
         count += 1
         if count % 50:
-            arrive(task)
+            arrive(request)
         else:
-            task.ended = True
+            request.ended = True
 
     pool.choice.arrive = now_and_then  # type: ignore[method-assign]
 
@@ -52,13 +52,13 @@
     split: Any = pool.choice.split
     find = split.find
 
-    def newest(task: Task) -> Any:
+    def newest(request: Request) -> Any:
         ready = [
             seen
             for seen in split.ready
-            if seen.upstream.started and seen.upstream.state == "ready" and not task.hand_offs
+            if seen.upstream.started and seen.upstream.state == "ready" and not request.attempts
         ]
-        return max(ready, key=lambda seen: seen.upstream.started, default=None) or find(task)
+        return max(ready, key=lambda seen: seen.upstream.started, default=None) or find(request)
 
     split.find = newest
 
--- a/whinpier/simulation/report.py
+++ b/whinpier/simulation/report.py
@@ -1,7 +1,8 @@
-"""A report of kept results: one HTML file without outside references, a PNG for each plot, and JSON.
+"""A report of kept results: one HTML file without outside references, a PNG for each plot, and
+JSON.
 
-Owns how figures are shown. Must never smooth, leave out or scale away a bad second; what is left out (the
-time before a run is warm) is marked on the axis.
+Owns how figures are shown. Must never smooth, leave out or scale away a bad second; what is left
+out (the time before a run is warm) is marked on the axis.
 """
 
 from __future__ import annotations
@@ -99,7 +100,9 @@
 
 
 def expected(experiment: File) -> list[float]:
-    """The min-max split of the whole load over the fleet as it stands: what part of tasks each should get."""
+    """The min-max split of the whole load over the fleet as it stands: what part of requests each
+    should get.
+    """
     rate = sum(stream.rate for stream in experiment.streams)
     work = sum(stream.rate * stream.work for stream in experiment.streams) / max(rate, 1e-9)
     costs = [
--- a/whinpier/simulation/results.py
+++ b/whinpier/simulation/results.py
@@ -1,7 +1,8 @@
-"""Kept results: a folder with the experiment as it was and one line for each run; resumed, read, compared.
+"""Kept results: a folder with the experiment as it was and one line for each run; resumed, read,
+compared.
 
-A run's line is written whole and flushed before the next begins, so that an interruption costs only what was
-being played. Must never mix the runs of two experiments in one folder.
+A run's line is written whole and flushed before the next begins, so that an interruption costs only
+what was being played. Must never mix the runs of two experiments in one folder.
 """
 
 from __future__ import annotations
--- a/whinpier/simulation/servers.py
+++ b/whinpier/simulation/servers.py
@@ -1,7 +1,8 @@
-"""Model upstreams: cores, a queue, speed, connections, warm-up, known keys, and what troubles do to them.
+"""Model upstreams: cores, a queue, speed, connections, warm-up, known keys, and what troubles do to
+them.
 
-Owns the true state of the fleet, which no policy but the oracle may look at. Work is seconds of a core at
-speed 1; a task that has begun keeps the speed it began with, but a pause stops it.
+Owns the true state of the fleet, which no policy but the oracle may look at. Work is seconds of a
+core at speed 1; a request that has begun keeps the speed it began with, but a pause stops it.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from whinpier.config.model import Entry
 
 if TYPE_CHECKING:
-    from whinpier.simulation.balancers import Attempt
+    from whinpier.simulation.balancers import SimulatedAttempt
 
 CONNECTING = SECOND // 4  # that a connection which never comes up is waited for
 
@@ -43,8 +44,8 @@
         self.up, self.reachable = True, True
         self.state = "ready"
         self.slow, self.failing, self.spoilt, self.hanging, self.paused_until = 1.0, 0.0, 0.0, 0, 0
-        self.queue: deque[Attempt] = deque()
-        self.busy: dict[Attempt, None] = {}
+        self.queue: deque[SimulatedAttempt] = deque()
+        self.busy: dict[SimulatedAttempt, None] = {}
         self.connections = 0
         self.keys: OrderedDict[int, None] = OrderedDict()
         self.recent: deque[tuple[int, float]] = deque()  # work sent while cold, by steps
@@ -94,7 +95,7 @@
 
     # What comes.
 
-    def arrive(self, attempt: Attempt) -> None:
+    def arrive(self, attempt: SimulatedAttempt) -> None:
         """A whole request has come."""
         if not self.up:
             attempt.back(NO_CONNECTION)
@@ -105,7 +106,7 @@
             attempt.back(FULL)
             return
         attempt.ran(self)
-        key, work = attempt.task.key, attempt.work
+        key, work = attempt.request.key, attempt.work
         if key and self.machine.keys:
             if key in self.keys:
                 work *= self.machine.known_work
@@ -129,7 +130,7 @@
         while self.recent[0][0] < now - SECOND:
             self.recent.popleft()
         sent = sum(amount for _, amount in self.recent)
-        # Some slack for chance: three tasks' work beside what a second of its capacity does.
+        # Some slack for chance: three requests' work beside what a second of its capacity does.
         most = topple * self.machine.cores * self.machine.speed * self.warmth() + 3.0 * work
         if sent > most:
             self.fell(self)
@@ -149,7 +150,7 @@
                 attempt.fails, span = ERROR, span // 20
             self.clock.at(begins + span, self.finish, attempt, self.run)
 
-    def finish(self, attempt: Attempt, run: int) -> None:
+    def finish(self, attempt: SimulatedAttempt, run: int) -> None:
         if run != self.run or attempt not in self.busy:
             return
         if self.paused_until > self.clock.now:
@@ -170,7 +171,7 @@
             attempt.back(FULFILLED)
         self.work()
 
-    def give_up(self, attempt: Attempt) -> None:
+    def give_up(self, attempt: SimulatedAttempt) -> None:
         """Whoever sent it waits no longer: what has not begun is left out."""
         attempt.dropped = True
 
--- a/whinpier/simulation/sockets.py
+++ b/whinpier/simulation/sockets.py
@@ -1,7 +1,8 @@
-"""The same experiment on sockets: real balancer processes, stand-in upstreams and clients in their own.
+"""The same experiment on sockets: real balancer processes, stand-in upstreams and clients in their
+own.
 
-Owns how an experiment's fleet, load and troubles are put on the wire, and which of them can't be. Clients
-keep an open loop, and say so where they were themselves late: such a run is void.
+Owns how an experiment's fleet, load and troubles are put on the wire, and which of them can't be.
+Clients keep an open loop, and say so where they were themselves late: such a run is void.
 """
 
 from __future__ import annotations
@@ -30,7 +31,9 @@
 
 POSSIBLE = frozenset(("slow", "hang", "fail", "spoilt", "shrink", "surge"))
 MOST_BALANCERS, MOST_UPSTREAMS = 16, 64  # processes and loops of one machine
-LATE = 0.05  # a share of tasks sent over 20 ms after they were due above which a run says nothing
+LATE = (
+    0.05  # a share of requests sent over 20 ms after they were due above which a run says nothing
+)
 RULE_GRACE = 0.3  # seconds beside the experiment's grace, for the reload to be read
 
 
@@ -101,9 +104,9 @@
         upstreams = [
             one | {"state": states[one["name"]]} for one in files.upstreams(self.fleet.addresses)
         ]
-        workloads, routes = {}, []
+        request_classes, routes = {}, []
         for stream in experiment.streams:
-            workloads[stream.name] = {
+            request_classes[stream.name] = {
                 "kind": stream.kind,
                 "agreed_time": files.ms(stream.agreed_time),
                 "patience": files.ms(stream.patience),
@@ -122,10 +125,10 @@
             )
         pool = {
             "upstreams": upstreams,
-            "workloads": workloads,
+            "workloads": request_classes,
             "balancers": fleet.balancers,
             "number": number,
-            "hand_offs": policy.hand_offs,
+            "hand_offs": policy.attempts,
             "second_copies": policy.second_copies,
             "cancelling": policy.cancelling,
         }
@@ -254,23 +257,25 @@
         for stream in experiment.streams:
             gateways = [gateway for gateway in seen if gateway.asks.name == stream.name]
             counts, times = Counter[str](), list[float]()
-            for task in (task for gateway in gateways for task in gateway.told if not task.tries):
-                at = max(0, min(span - 1, int(task.due - start)))
-                warm = task.due >= start + experiment.warm
-                on_time = task.on_time(stream.agreed_time)
-                how = {200: "fulfilled", 503: "turned_back"}.get(task.status, "scrapped")
+            for request in (
+                request for gateway in gateways for request in gateway.told if not request.tries
+            ):
+                at = max(0, min(span - 1, int(request.due - start)))
+                warm = request.due >= start + experiment.warm
+                on_time = request.on_time(stream.agreed_time)
+                how = {200: "fulfilled", 503: "turned_back"}.get(request.status, "scrapped")
                 by_second["asked"][at] += 1
                 by_second[how][at] += 1
                 by_second["on_time"][at] += on_time
                 asked_payoff[at] += stream.payoff
                 payoff[at] += (
-                    stream.payoff if on_time else stream.late_payoff * (task.status == 200)
+                    stream.payoff if on_time else stream.late_payoff * (request.status == 200)
                 )
                 if warm:
                     counts.update(("asked", how))
                     counts["on_time"] += on_time
-                    if task.status == 200:
-                        times.append(task.latency)
+                    if request.status == 200:
+                        times.append(request.latency)
             total, ended = total + sum(times), ended + len(times)
             streams[stream.name] = dict(counts) | {
                 f"p{name}": 1000 * percentile(times, part)
--- a/whinpier/simulation/theory.py
+++ b/whinpier/simulation/theory.py
@@ -7,7 +7,8 @@
 
 
 def erlang_c(servers: int, load: float) -> float:
-    """The probability that a task waits at M/M/n; `load` is the offered load in erlangs, below `servers`.
+    """The probability that a request waits at M/M/n; `load` is the offered load in erlangs, below
+    `servers`.
 
     Raises ValueError where the queue would grow without end.
     """
@@ -21,7 +22,7 @@
 
 
 def mean_wait(servers: int, rate: float, work: float) -> float:
-    """Mean seconds that a task waits before its work begins at M/M/n, of mean work `work` seconds."""
+    """Mean seconds that a request waits before its work begins at M/M/n, of mean work `work` seconds."""
     load = rate * work
     return erlang_c(servers, load) * work / (servers - load)
 
--- a/whinpier/simulation/world.py
+++ b/whinpier/simulation/world.py
@@ -21,11 +21,11 @@
 from whinpier.simulation.invariants import RULES, Referee
 from whinpier.simulation.servers import Server
 from whinpier.simulation.faults import Troubles, by_chance
-from whinpier.policy.model import GONE, Workload
+from whinpier.policy.model import GONE, RequestClass
 from whinpier.runtime.pool import Pool
 from whinpier.config.model import Entry, Limits, PoolSpec
 
-AFTER = 2 * SECOND  # past the last task's patience: what is late comes in
+AFTER = 2 * SECOND  # past the last request's patience: what is late comes in
 
 
 class World:
@@ -62,8 +62,8 @@
             experiment.seconds,
         )
         self.clients = [
-            Clients(ground, self.front, stream, workload)
-            for stream, workload in zip(experiment.streams, self.workloads())
+            Clients(ground, self.front, stream, request_class)
+            for stream, request_class in zip(experiment.streams, self.request_classes())
         ]
         drawn = by_chance(experiment.chance, experiment.seconds, experiment.warm, fleet.zones, seed)
         self.troubles = Troubles(self, [*experiment.troubles, *drawn], seed)
@@ -77,9 +77,9 @@
         self.servers[server.name] = server
         return server
 
-    def workloads(self) -> list[Workload]:
+    def request_classes(self) -> list[RequestClass]:
         return [
-            Workload(
+            RequestClass(
                 stream.name,
                 stream.kind,
                 int(stream.agreed_time * SECOND),
@@ -100,7 +100,7 @@
             "balancers": fleet.balancers,
             "slot_no": number,
             "zone": zone,
-            "limits.max_hand_offs": policy.hand_offs,
+            "limits.max_hand_offs": policy.attempts,
             "limits.second_copies": policy.second_copies,
             "limits.cancelling": policy.cancelling,
             "rules.cold": int(warm_up * SECOND),
@@ -115,7 +115,7 @@
         spec = PoolSpec(
             "lab",
             self.settings(number, balancer.zone),
-            self.workloads(),
+            self.request_classes(),
             [f"z{place}" for place in range(experiment.fleet.zones)],
             [],
             [],
@@ -166,8 +166,8 @@
     def kill(self, balancer: Balancer) -> None:
         """Its process dies: whoever waited for it hears nothing but the end of the connection."""
         if balancer.up:
-            for task in balancer.kill():
-                task.stream.cut_off(task)
+            for request in balancer.kill():
+                request.stream.cut_off(request)
             self.front.lost(balancer)
 
     def start(self, balancer: Balancer) -> None:
--- a/whinpier/storage/append_log.py
+++ b/whinpier/storage/append_log.py
@@ -1,8 +1,10 @@
-"""A file of notes that outlives its process: appended to, checksummed, read back as far as it is good.
+"""A file of notes that outlives its process: appended to, checksummed, read back as far as it is
+good.
 
-Owns how notes lie in the file, its lock, and the steps by which a new file takes the place of an old one; who
-uses it says what a note means. Every call here may wait for the disk: none is made on the loop. Must never be
-shared by two processes, be taken for good where it is not, or say that something is on the disk before it is.
+Owns how notes lie in the file, its lock, and the steps by which a new file takes the place of an
+old one; who uses it says what a note means. Every call here may wait for the disk: none is made
+on the loop. Must never be shared by two processes, be taken for good where it is not, or say
+that something is on the disk before it is.
 """
 
 from __future__ import annotations
@@ -41,8 +43,9 @@
 ) -> Iterator[tuple[int, Any]]:
     """Each good note with where it ends. Stops at a tear at the end; raises Torn for anything else.
 
-    A write that was cut short leaves less at the end than its head says, or a last note whose bytes never
-    came (zeros, by some file systems). A bad note with more behind it was not cut, but changed.
+    A write that was cut short leaves less at the end than its head says, or a last note whose bytes
+    never came (zeros, by some file systems). A bad note with more behind it was not cut, but
+    changed.
     """
     if data[: len(magic)] != magic:
         if magic.startswith(data):
--- a/whinpier/storage/bounded_files.py
+++ b/whinpier/storage/bounded_files.py
@@ -1,6 +1,7 @@
 """Reads the files that are named by operators and the platform, and waits for none.
 
-Must never read what is no regular file, more than it is told, or a private file that others can read.
+Must never read what is no regular file, more than it is told, or a private file that others can
+read.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 def contents(path: str, largest: int = LARGEST, private: bool = False) -> bytes:
     """What a file holds. Guards against one that never ends, or keeps whoever opens it waiting.
 
-    Raises OSError, and ValueError for one that is none, is larger, or, if it is to be `private`, may be read
-    by others than its owner.
+    Raises OSError, and ValueError for one that is none, is larger, or, if it is to be `private`,
+    may be read by others than its owner.
     """
     file = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     with open(file, "rb") as opened:
--- a/whinpier/testbed/__init__.py
+++ b/whinpier/testbed/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins for what a balancer meets: upstreams, clients and a list, with scripted faults and ledgers.
+"""Stand-ins for what a balancer meets: upstreams, clients and a list, with scripted faults and
+ledgers.
 
 For tests, benchmarks and the demo; loopback addresses only. The balancer never imports any of it.
 """
--- a/whinpier/testbed/__main__.py
+++ b/whinpier/testbed/__main__.py
@@ -1,4 +1,5 @@
-"""`python -m whinpier.testbed NAME=PORT ...`: upstreams in a process of their own, told otherwise over HTTP.
+"""`python -m whinpier.testbed NAME=PORT ...`: upstreams in a process of their own, told otherwise
+over HTTP.
 
 Prints one JSON line with the addresses once they listen; ends with standard input.
 """
--- a/whinpier/testbed/child.py
+++ b/whinpier/testbed/child.py
@@ -1,4 +1,5 @@
-"""A stand-in in a process of its own, told by lines of JSON on its standard input, each answered with one.
+"""A stand-in in a process of its own, told by lines of JSON on its standard input, each answered
+with one.
 
 Owns the process, and ends it. Must never wait for one that has ended.
 """
--- a/whinpier/testbed/clients.py
+++ b/whinpier/testbed/clients.py
@@ -1,7 +1,9 @@
-"""Scripted clients: an open loop of tasks on kept connections, each answer held against what was asked.
+"""Scripted clients: an open loop of requests on kept connections, each answer held against what was
+asked.
 
-Arrivals do not wait for answers: a task's latency counts from when it was due. A client that is turned back
-with a time to come back may do so, as a task of its own. Must never count an answer twice or lose one.
+Arrivals do not wait for answers: a request's latency counts from when it was due. A client that is
+turned back with a time to come back may do so, as a request of its own. Must never count an answer
+twice or lose one.
 """
 
 from __future__ import annotations
@@ -16,12 +18,13 @@
 from whinpier.testbed.work import Spread, draw
 
 LATE = 0.02  # seconds: a tenth of the agreed times that are played
-GRACE = 0.25  # seconds past its patience that a client still looks for an answer, to see one that is late
+# seconds past its patience that a client still looks for an answer, to see one that is late
+GRACE = 0.25
 
 
 @dataclass
 class Asks:
-    """One stream of tasks: at what rate, what each looks like, how long it waits."""
+    """One stream of requests: at what rate, what each looks like, how long it waits."""
 
     name: str
     rate: float  # a second
@@ -40,7 +43,7 @@
     surges: list[tuple[float, float, float]] = field(
         default_factory=list
     )  # from, to, times the rate
-    work: float = 0.0  # mean seconds of work that a task asks for in X-Work; 0: says nothing
+    work: float = 0.0  # mean seconds of work that a request asks for in X-Work; 0: says nothing
     spread: Spread = "exponential"
 
     def rate_at(self, at: float) -> float:
@@ -64,7 +67,7 @@
         self.cut = 0  # closed by the balancer between two requests, and asked again
         self.out = 0
         self.late = (
-            0  # tasks that were begun well after they were due: this generator was late itself
+            0  # requests that were begun well after they were due: this generator was late itself
         )
 
     async def run(self, span: float) -> None:
@@ -90,14 +93,17 @@
     def ask(self, due: float, tries: int) -> None:
         asks = self.asks
         self.late += not tries and asyncio.get_running_loop().time() > due + LATE
-        # The id's beginning says the stream, so that the ledgers of upstreams can be held against it.
-        task = Told(f"{asks.name}-{self.chance.getrandbits(64):016x}", asks.name, due, tries=tries)
-        self.told.append(task)
+        # The id's beginning says the stream, so that the ledgers of upstreams can be held against
+        # it.
+        request = Told(
+            f"{asks.name}-{self.chance.getrandbits(64):016x}", asks.name, due, tries=tries
+        )
+        self.told.append(request)
         self.out += 1
         while self.idle:
             caller = self.idle.pop()
             if not caller.over:
-                caller.ask(task, tries)
+                caller.ask(request, tries)
                 return
         if len(self.callers) >= self.most:
             self.not_sent += 1
@@ -105,7 +111,7 @@
             return
         caller = Caller(self)
         self.callers.add(caller)
-        caller.first = (task, tries)
+        caller.first = (request, tries)
         asyncio.get_running_loop().create_task(self.connect(caller))
 
     async def connect(self, caller: Caller) -> None:
@@ -118,33 +124,41 @@
             self.out -= 1
             self.callers.discard(caller)
 
-    def ended(self, task: Told, tries: int) -> None:
+    def ended(self, request: Told, tries: int) -> None:
         self.out -= 1
-        back = task.retry_after
-        if task.status in (429, 503) and tries < self.asks.retries and back is not None:
+        back = request.retry_after
+        if request.status in (429, 503) and tries < self.asks.retries and back is not None:
             loop = asyncio.get_running_loop()
             loop.call_later(back, lambda: self.ask(loop.time(), tries + 1))
 
     # What became of it.
 
     def share_on_time(self, since: float = 0.0, until: float = float("inf")) -> float:
-        """The part of tasks, by when they were due, that were fulfilled within the agreed time."""
-        tasks = [task for task in self.told if since <= task.due < until]
-        return sum(task.on_time(self.asks.agreed) for task in tasks) / len(tasks) if tasks else 1.0
+        """The part of requests, by when they were due, that were fulfilled within the agreed time."""
+        requests = [request for request in self.told if since <= request.due < until]
+        return (
+            sum(request.on_time(self.asks.agreed) for request in requests) / len(requests)
+            if requests
+            else 1.0
+        )
 
     def latency(self, part: float, status: int | None = 200) -> float:
         """A percentile of latency, in seconds, of answers with a status (None: of any)."""
         return percentile(
-            [task.latency for task in self.told if task.answers and status in (None, task.status)],
+            [
+                request.latency
+                for request in self.told
+                if request.answers and status in (None, request.status)
+            ],
             part,
         )
 
     def unanswered(self) -> list[Told]:
-        """Tasks that were sent and got no final answer."""
-        return [task for task in self.told if task.answers == 0 and task.latency < 0]
+        """Requests that were sent and got no final answer."""
+        return [request for request in self.told if request.answers == 0 and request.latency < 0]
 
     def answered_twice(self) -> list[Told]:
-        return [task for task in self.told if task.answers > 1]
+        return [request for request in self.told if request.answers > 1]
 
 
 class Caller(asyncio.Protocol):
@@ -154,7 +168,7 @@
         self.gateway = gateway
         self.transport: asyncio.Transport | None = None
         self.data = b""
-        self.task: Told | None = None
+        self.request: Told | None = None
         self.tries, self.over, self.used, self.again = 0, False, False, False
         self.first: tuple[Told, int] | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -164,24 +178,24 @@
         self.transport = transport
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.first:
-            (task, tries), self.first = self.first, None
-            self.ask(task, tries)
+            (request, tries), self.first = self.first, None
+            self.ask(request, tries)
 
-    def ask(self, task: Told, tries: int) -> None:
+    def ask(self, request: Told, tries: int) -> None:
         asks, loop = self.gateway.asks, asyncio.get_running_loop()
         assert self.transport
-        self.task, self.tries = task, tries
-        left = asks.patience - (loop.time() - task.due)
+        self.request, self.tries = request, tries
+        left = asks.patience - (loop.time() - request.due)
         lines = [
             f"{asks.method} {asks.target} HTTP/1.1",
             f"Host: {asks.host}",
-            f"X-Txn: {task.id}",
+            f"X-Txn: {request.id}",
             f"X-Remaining: {left:.3f}",
         ]
         if asks.lane:
             lines.append(f"X-Lane: {asks.lane}")
         if asks.ticket:
-            lines.append(f"Idempotency-Key: {task.id}")
+            lines.append(f"Idempotency-Key: {request.id}")
         if asks.work:
             lines.append(f"X-Work: {draw(asks.spread, asks.work, self.gateway.chance):.6f}")
         if tries:
@@ -201,9 +215,9 @@
             # Guards against this process being late itself: what has come by now is read first.
             self.timer = loop.call_later(LATE, self.give_up, loop.time() + LATE)
             return
-        if task := self.task:
-            self.task, task.latency, task.how = None, -1.0, "no answer in time"
-            self.gateway.ended(task, self.tries)
+        if request := self.request:
+            self.request, request.latency, request.how = None, -1.0, "no answer in time"
+            self.gateway.ended(request, self.tries)
             if self.transport:
                 self.transport.abort()
 
@@ -223,24 +237,24 @@
             self.answered(head, length)
 
     def answered(self, head: bytes, length: int) -> None:
-        task, loop = self.task, asyncio.get_running_loop()
-        if task is None:
+        request, loop = self.request, asyncio.get_running_loop()
+        if request is None:
             self.gateway.surplus += 1
             return
-        self.task, self.used = None, True
+        self.request, self.used = None, True
         if self.timer:
             self.timer.cancel()
-        task.status, task.answers, task.body = int(head[9:12]), task.answers + 1, length
-        task.latency = loop.time() - task.due
+        request.status, request.answers, request.body = int(head[9:12]), request.answers + 1, length
+        request.latency = loop.time() - request.due
         back = header(head, b"retry-after")
-        task.retry_after = float(back) if back else None
+        request.retry_after = float(back) if back else None
         if header(head, b"connection").lower() == b"close":
             self.over = True
             if self.transport:
                 self.transport.close()
         else:
             self.gateway.idle.append(self)
-        self.gateway.ended(task, self.tries)
+        self.gateway.ended(request, self.tries)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.over = True
@@ -249,20 +263,21 @@
             self.gateway.idle.remove(self)
         if self.timer:
             self.timer.cancel()
-        if task := self.task:
-            self.task = None
-            # Closed before a byte of an answer, and crossed by this one: it is sent once more on a new
-            # connection, as the platform's clients do. Had it been sent on, the ledgers would show it twice.
+        if request := self.request:
+            self.request = None
+            # Closed before a byte of an answer, and crossed by this one: it is sent once more on a
+            # new connection, as the platform's clients do. Had it been sent on, the ledgers would
+            # show it twice.
             if not self.data and not self.again:
                 self.gateway.cut += 1
                 caller = Caller(self.gateway)
                 caller.again = True
                 self.gateway.callers.add(caller)
-                caller.first = (task, self.tries)
+                caller.first = (request, self.tries)
                 asyncio.get_running_loop().create_task(self.gateway.connect(caller))
                 return
-            task.latency, task.how = (
+            request.latency, request.how = (
                 -1.0,
                 f"closed, used {self.used}, {len(self.data)} bytes of an answer",
             )
-            self.gateway.ended(task, self.tries)
+            self.gateway.ended(request, self.tries)
--- a/whinpier/testbed/crash_points.py
+++ b/whinpier/testbed/crash_points.py
@@ -1,8 +1,9 @@
-"""`python -m whinpier.testbed.crash_points FILE`: one balancer that dies at a counted point that FILE says.
+"""`python -m whinpier.testbed.crash_points FILE`: one balancer that dies at a counted point that
+FILE says.
 
-Points are just before and after each write of the record's file, and each time talks about it are sent. FILE
-holds the number of the point; how many have come is written beside it, in FILE.count. Nothing is counted
-while FILE is not there.
+Points are just before and after each write of the record's file, and each time talks about it are
+sent. FILE holds the number of the point; how many have come is written beside it, in FILE.count.
+Nothing is counted while FILE is not there.
 """
 
 from __future__ import annotations
--- a/whinpier/testbed/discovery.py
+++ b/whinpier/testbed/discovery.py
@@ -1,4 +1,6 @@
-"""A scripted discovery of the platform: the list of upstreams, a watch of its changes, garbled lines."""
+"""A scripted discovery of the platform: the list of upstreams, a watch of its changes, garbled
+lines.
+"""
 
 from __future__ import annotations
 
--- a/whinpier/testbed/fault_scenario.py
+++ b/whinpier/testbed/fault_scenario.py
@@ -1,9 +1,10 @@
-"""Bad days of a whole bank on processes: all that it promises held at once, under all faults at once.
+"""Bad days of a whole bank on processes: all that it promises held at once, under all faults at
+once.
 
-Owns what a day is (data, drawn from a seed, played, made smaller) and what is held against what was done: the
-members' view, limits by the upstreams' own count, what rests, what is out by permit, one answer to each task,
-one record in the end. Must never hold a process to what was done to itself, or call a bound kept that was not
-looked at.
+Owns what a day is (data, drawn from a seed, played, made smaller) and what is held against what
+was done: the members' view, limits by the upstreams' own count, what rests, what is out by
+permit, one answer to each request, one record in the end. Must never hold a process to what was
+done to itself, or call a bound kept that was not looked at.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 AGREED, PATIENCE, WORK = 0.25, 1.5, 0.005
 CHARGES, READS = 4, 5  # upstreams of the exclusive pool, and of the rerunnable one
-RATE, BURST = 120, 16  # tasks a second of the rerunnable pool, over the whole bank
+RATE, BURST = 120, 16  # requests a second of the rerunnable pool, over the whole bank
 BUNCHED = (
     0.1  # seconds by which what passed a limit may come to an upstream sooner or later than another
 )
@@ -103,7 +104,9 @@
 
 
 def draw(seed: int, members: int, seconds: float) -> Day:
-    """Faults of all kinds over each other; the last two processes are left alone, for what is seen there."""
+    """Faults of all kinds over each other; the last two processes are left alone, for what is
+    seen there.
+    """
     chance, faults = Random(f"badday/{seed}"), list[Fault]()
     spare = list(range(members - 2))
     chance.shuffle(spare)
@@ -136,7 +139,8 @@
         )
         for _ in range(chance.randint(1, 4))
     ]
-    # Connections with charges on them break; one of the shared ones is slow for long enough to be let rest.
+    # Connections with charges on them break; one of the shared ones is slow for long enough to be
+    # let rest.
     troubles.append(
         Trouble(
             round(chance.uniform(WARM - 5.0, last - 6.0), 2),
@@ -497,10 +501,10 @@
 
     def judge_answers(self, seen: list[Gateway]) -> None:
         wrong = [
-            (one.asks.name, task.id, task.how)
+            (one.asks.name, request.id, request.how)
             for one in seen
             if self.whole_day(one)
-            for task in (*one.unanswered(), *one.answered_twice())
+            for request in (*one.unanswered(), *one.answered_twice())
         ]
         if wrong:
             self.broke("answers", f"{len(wrong)} tasks without one answer: {wrong[:3]}")
@@ -597,9 +601,12 @@
 
 
 def excess(times: list[float], rate: float = RATE, burst: float = BURST) -> tuple[float, float]:
-    """The most tasks by which a window held more than the rate allows, and the most of what it allows."""
+    """The most requests by which a window held more than the rate allows, and the most of what
+    it allows.
+    """
     times, worst, most = sorted(times), float("-inf"), 0.0
-    # For each end the start that leaves most: least of (i - rate * t_i) so far, as in the largest sum.
+    # For each end the start that leaves most: least of (i - rate * t_i) so far, as in the largest
+    # sum.
     least = float("inf")
     for number, at in enumerate(times):
         least = min(least, number - rate * at)
--- a/whinpier/testbed/faults.py
+++ b/whinpier/testbed/faults.py
@@ -1,7 +1,9 @@
-"""Schedules of faults for a bank, as data: drawn from a seed, kept with a failure, replayed, shortened.
+"""Schedules of faults for a bank, as data: drawn from a seed, kept with a failure, replayed,
+shortened.
 
-Owns what a fault is and how schedules are drawn and made smaller; who plays them is somebody else's business
-(`standin/bank.py` on processes, `lab/bank.py` on simulated time). Times are seconds after the start.
+Owns what a fault is and how schedules are drawn and made smaller; who plays them is somebody else's
+business (`standin/bank.py` on processes, `lab/bank.py` on simulated time). Times are seconds after
+the start.
 """
 
 from __future__ import annotations
@@ -37,22 +39,16 @@
 OF_MEMBERS = frozenset(KINDS[:9])  # what happens to those it names, not to ways between them
 Seconds = Annotated[float, Meta(ge=0.0, le=7200.0)]
 
-# What a fault means for the members it names (`who`, by number):
-#   kill      the process dies; its port is refused from then on
-#   vanish    its machine dies: silence, and no refusal
-#   stop      it stands still for `span` and goes on with its old belief
-#   restart   it dies and comes back after `span`, as another run of its name
-#   move      the same, at another address
-#   leave     it ends in order
-#   join      it starts only now
-#   twin      a second process of its name starts, at another address
-#   slow      its core is taken: all it does is late by up to `amount` seconds
-# and for ways between members, for `span`:
-#   cut       `parts` do not reach each other; who is in no part reaches nobody
-#   one_way   what `who` sends to `to` is lost
-#   lossy     `amount` of all datagrams is lost; late: delayed by up to `amount` seconds, and so reordered;
-#   doubled, torn, flipped: this part of them comes twice, cut short, with a bit turned;
-#   stale     this part comes again 2 s later
+# What a fault means for the members it names (`who`, by number): kill      the process dies; its
+# port is refused from then on vanish    its machine dies: silence, and no refusal stop      it
+# stands still for `span` and goes on with its old belief restart   it dies and comes back after
+# `span`, as another run of its name move      the same, at another address leave     it ends in
+# order join      it starts only now twin      a second process of its name starts, at another
+# address slow      its core is taken: all it does is late by up to `amount` seconds and for ways
+# between members, for `span`: cut       `parts` do not reach each other; who is in no part reaches
+# nobody one_way   what `who` sends to `to` is lost lossy     `amount` of all datagrams is lost;
+# late: delayed by up to `amount` seconds, and so reordered; doubled, torn, flipped: this part of
+# them comes twice, cut short, with a bit turned; stale     this part comes again 2 s later
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
--- a/whinpier/testbed/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -1,4 +1,5 @@
-"""`python -m whinpier.testbed.faulty NAME`: one balancer with a known fault put back into the real code.
+"""`python -m whinpier.testbed.faulty NAME`: one balancer with a known fault put back into the real
+code.
 
 Owns the list of faults that a campaign of bad days has to find. Must never be what a service runs.
 """
@@ -52,14 +53,14 @@
 
 
 def drains_nothing() -> None:
-    """What is drained goes on getting tasks."""
+    """What is drained goes on getting requests."""
     from whinpier.runtime.pool import Pool
 
     Pool.drain = lambda self, hosts: None  # type: ignore[method-assign]
 
 
 def sends_again() -> None:
-    """An exclusive task whose connection broke is sent once more (a fault of the early module)."""
+    """An exclusive request whose connection broke is sent once more (a fault of the early module)."""
     from whinpier.policy import policy
 
     policy.EXCLUSIVE = "none"  # type: ignore[attr-defined]
--- a/whinpier/testbed/files.py
+++ b/whinpier/testbed/files.py
@@ -1,4 +1,6 @@
-"""Writes the files that stand-ins are played with: TOML of plain values, operators' files of usual form."""
+"""Writes the files that stand-ins are played with: TOML of plain values, operators' files of usual
+form.
+"""
 
 from __future__ import annotations
 
@@ -57,11 +59,11 @@
 def service(
     name: str, kind: str, addresses: Mapping[str, str], agreed: float, patience: float
 ) -> Plain:
-    """A pool of one workload, both with this name. Times are seconds."""
-    workload = {"kind": kind, "agreed_time": ms(agreed), "patience": ms(patience)}
+    """A pool of one request class, both with this name. Times are seconds."""
+    request_class = {"kind": kind, "agreed_time": ms(agreed), "patience": ms(patience)}
     if kind == "ticketed":
-        workload["window"] = "8s"
-    return {"upstreams": upstreams(addresses), "workloads": {name: workload}}
+        request_class["window"] = "8s"
+    return {"upstreams": upstreams(addresses), "workloads": {name: request_class}}
 
 
 def route(name: str, kind: str, pool: str) -> Plain:
--- a/whinpier/testbed/fleet.py
+++ b/whinpier/testbed/fleet.py
@@ -1,7 +1,9 @@
-"""A bank of real processes with the stand-in network between them, and schedules of faults played on it.
+"""A bank of real processes with the stand-in network between them, and schedules of faults played
+on it.
 
-Owns the processes, their files, what they say on their control sockets, and the facts of what was done to
-them. Ends all that it has started. Must never tell the referee what a process says of itself as a fact.
+Owns the processes, their files, what they say on their control sockets, and the facts of what was
+done to them. Ends all that it has started. Must never tell the referee what a process says of
+itself as a fact.
 """
 
 from __future__ import annotations
--- a/whinpier/testbed/ledger.py
+++ b/whinpier/testbed/ledger.py
@@ -1,6 +1,6 @@
-"""Counts what the rules are about: how often each task ran, and how many final answers it got.
+"""Counts what the rules are about: how often each request ran, and how many final answers it got.
 
-Must never forget a task, and never count by what the balancer says of itself.
+Must never forget a request, and never count by what the balancer says of itself.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 @dataclass
 class Ledger:
-    """What upstreams did, by the ids of tasks."""
+    """What upstreams did, by the ids of requests."""
 
     ran: Counter[str] = field(
         default_factory=Counter
@@ -40,7 +40,9 @@
 
 @dataclass(slots=True)
 class Told:
-    """One task as its client saw it. Times are seconds; latency counts from when it was due, not sent."""
+    """One request as its client saw it. Times are seconds; latency counts from when it was due,
+    not sent.
+    """
 
     id: str
     kind: str
--- a/whinpier/testbed/links.py
+++ b/whinpier/testbed/links.py
@@ -1,12 +1,14 @@
-"""Stands in for the network between processes of a bank: every way, each direction by itself, can go wrong.
+"""Stands in for the network between processes of a bank: every way, each direction by itself, can
+go wrong.
 
-Each member advertises an address of this relay. What is sent there is known by its source, treated as the way
-from that member to this one is just now, and passed on from the sender's own advertised address. When nothing
-listens at a member's real address the relay lets go of its own for a moment, so that senders are refused as
-they would be without it. Must never lose or change what no rule says, and ends with its standard input.
+Each member advertises an address of this relay. What is sent there is known by its source, treated
+as the way from that member to this one is just now, and passed on from the sender's own advertised
+address. When nothing listens at a member's real address the relay lets go of its own for a moment,
+so that senders are refused as they would be without it. Must never lose or change what no rule
+says, and ends with its standard input.
 
-`python -m whinpier.testbed.links` reads one JSON line (`seed`, `members`: name to [advertised, real]
-address), then one line for each change, and answers each with its counts.
+`python -m whinpier.testbed.links` reads one JSON line (`seed`, `members`: name to [advertised,
+real] address), then one line for each change, and answers each with its counts.
 """
 
 from __future__ import annotations
--- a/whinpier/testbed/load.py
+++ b/whinpier/testbed/load.py
@@ -1,6 +1,8 @@
-"""`python -m whinpier.testbed.load`: streams of tasks from a process of its own, which no other slows.
+"""`python -m whinpier.testbed.load`: streams of requests from a process of its own, which no other
+slows.
 
-Reads one JSON object from standard input, writes what became of each task of each stream as one JSON list.
+Reads one JSON object from standard input, writes what became of each request of each stream as one
+JSON list.
 """
 
 from __future__ import annotations
@@ -112,18 +114,18 @@
     for gateway in asyncio.run(play(json.loads(sys.stdin.read()))):
         rows = [
             [
-                task.id,
-                task.kind,
-                task.due,
-                task.status,
-                task.latency,
-                task.answers,
-                task.retry_after,
-                task.body,
-                task.tries,
-                task.how,
+                request.id,
+                request.kind,
+                request.due,
+                request.status,
+                request.latency,
+                request.answers,
+                request.retry_after,
+                request.body,
+                request.tries,
+                request.how,
             ]
-            for task in gateway.told
+            for request in gateway.told
         ]
         found.append(
             {
--- a/whinpier/testbed/operators.py
+++ b/whinpier/testbed/operators.py
@@ -1,7 +1,8 @@
-"""Stands in for operators who change a bank all the time: drains, releases, halts, at any of its processes.
+"""Stands in for operators who change a bank all the time: drains, releases, halts, at any of its
+processes.
 
-Each notes what it was answered, and when, so that it can be held against what was so. Must never take an
-answer for more than it said, or go on after it was told to end.
+Each notes what it was answered, and when, so that it can be held against what was so. Must never
+take an answer for more than it said, or go on after it was told to end.
 """
 
 from __future__ import annotations
--- a/whinpier/testbed/process.py
+++ b/whinpier/testbed/process.py
@@ -43,8 +43,8 @@
     ) -> None:
         """Start it. `operator` is the text of an operator's file, `platform` the platform's configuration.
 
-        `wall`: by how many seconds its wall clock is wrong. `dies`: a file that says at which point it does.
-        `fault`: a known one that is put back.
+        `wall`: by how many seconds its wall clock is wrong. `dies`: a file that says at which
+        point it does. `fault`: a known one that is put back.
         """
         module = (
             ["whinpier.testbed.crash_points", str(dies)]
--- a/whinpier/testbed/radius.py
+++ b/whinpier/testbed/radius.py
@@ -1,8 +1,9 @@
-"""Scripted RADIUS clients and servers, with ledgers of what ran and was answered, on a network that errs.
+"""Scripted RADIUS clients and servers, with ledgers of what ran and was answered, on a network that
+errs.
 
-Written from RFC 2865, 2866 and 5080, without the balancer's codec: what both get wrong the same way would not
-show. Clients send a record again until it is answered; servers know a packet again by its source, identifier
-and authenticator, and by Acct-Session-Id and status, unless told otherwise.
+Written from RFC 2865, 2866 and 5080, without the balancer's codec: what both get wrong the same way
+would not show. Clients send a record again until it is answered; servers know a packet again by its
+source, identifier and authenticator, and by Acct-Session-Id and status, unless told otherwise.
 """
 
 from __future__ import annotations
@@ -57,7 +58,9 @@
     return struct.pack("!BBH", code, ident, 20 + len(body)) + proof + body
 
 
-def request(ident: int, pairs: list[tuple[int, bytes]], secret: bytes, sign: bool = True) -> bytes:
+def request_packet(
+    ident: int, pairs: list[tuple[int, bytes]], secret: bytes, sign: bool = True
+) -> bytes:
     """An Accounting-Request with its proof."""
     nothing = bytes(16)
     if sign:
@@ -187,7 +190,9 @@
 
 
 class Burst:
-    """Sends packets as they are given and keeps what was answered, by identifier and proof of the request."""
+    """Sends packets as they are given and keeps what was answered, by identifier and proof of
+    the request.
+    """
 
     def __init__(self, address: tuple[str, int], secret: bytes) -> None:
         self.address, self.secret = address, secret
@@ -272,7 +277,7 @@
         (SESSION, b"%s-%d" % (nas.encode(), number)),
         (STATUS, status.to_bytes(4, "big")),
     ]
-    return request(number % 256, pairs, secret)
+    return request_packet(number % 256, pairs, secret)
 
 
 @dataclass
@@ -359,7 +364,7 @@
         return found + [(DELAY, struct.pack("!I", delay))] * self.delay_time
 
     def send(self, ident: int, pairs: list[tuple[int, bytes]], told: Told) -> None:
-        data = request(ident, pairs, self.secret)
+        data = request_packet(ident, pairs, self.secret)
         self.out[ident] = (data, told)
         self.transmit(ident, data, told, 0)
 
--- a/whinpier/testbed/referee.py
+++ b/whinpier/testbed/referee.py
@@ -1,8 +1,9 @@
-"""The referee of a bank: from what was done to it and what its processes said, which property broke, when.
+"""The referee of a bank: from what was done to it and what its processes said, which property
+broke, when.
 
-Reads facts (what really happened to processes and ways) and events (what each process said), both with times
-of the machine's one monotonic clock, in seconds. Knows nothing of how members find out. Must never count on
-what a process says of itself where a fact is there.
+Reads facts (what really happened to processes and ways) and events (what each process said),
+both with times of the machine's one monotonic clock, in seconds. Knows nothing of how members
+find out. Must never count on what a process says of itself where a fact is there.
 
 Properties of membership, each with its bound:
 
@@ -25,8 +26,9 @@
 class Fact:
     """Something that was done: `started`, `dead`, `left`, `stopped`, `goes_on`, `ways` or `weather`.
 
-    `member` is name and run. `ways` has the parts in which members now are (by name; none: all together);
-    `weather` says whether datagrams get lost or late just now; of one that is `dead`, whether silently so.
+    `member` is name and run. `ways` has the parts in which members now are (by name; none: all
+    together); `weather` says whether datagrams get lost or late just now; of one that is `dead`,
+    whether silently so.
     """
 
     at: float
--- a/whinpier/testbed/shifted.py
+++ b/whinpier/testbed/shifted.py
@@ -1,4 +1,6 @@
-"""`python -m whinpier.testbed.shifted SECONDS`: one balancer on a machine whose wall clock is wrong."""
+"""`python -m whinpier.testbed.shifted SECONDS`: one balancer on a machine whose wall clock is
+wrong.
+"""
 
 from __future__ import annotations
 
--- a/whinpier/testbed/upstream.py
+++ b/whinpier/testbed/upstream.py
@@ -1,7 +1,8 @@
-"""Scripted upstreams that speak HTTP/1.1: workers, a queue, delays by distribution, and faults on purpose.
+"""Scripted upstreams that speak HTTP/1.1: workers, a queue, delays by distribution, and faults on
+purpose.
 
-Owns how they behave and the ledger of what they did. A request has run once its last byte has come and it
-was not turned away, whatever becomes of its answer.
+Owns how they behave and the ledger of what they did. A request has run once its last byte has come
+and it was not turned away, whatever becomes of its answer.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from whinpier.testbed.work import Spread, draw
 
 CONTROL = b"/_standin"  # path where a running upstream is told otherwise, and its ledger is read
-MOST_TIMES = 200_000  # of tasks that a meter remembers
+MOST_TIMES = 200_000  # of requests that a meter remembers
 LINGER = b"\1\0\0\0\0\0\0\0"  # SO_LINGER that resets at close
 
 
@@ -31,7 +32,7 @@
 
     workers: int = 4
     queue: int = 64  # that wait for a worker; what comes beyond is turned away unseen
-    work: float = 0.010  # mean seconds a task takes a worker
+    work: float = 0.010  # mean seconds a request takes a worker
     spread: Spread = "exponential"
     speed: float = 1.0  # of the usual
     cold: float = 0.0  # seconds until it is warm
@@ -45,17 +46,17 @@
     size: int = 2  # bytes of an answer's body
     pace: float = 0.0  # bytes a second at which bodies go out; 0: at once
     accept: bool = True  # False: it takes connections and never reads
-    by_header: bool = False  # the client says, in X-Work, how many seconds a task takes
+    by_header: bool = False  # the client says, in X-Work, how many seconds a request takes
     closes: float = 0.0  # closes the connection behind the answer
 
     @property
     def capacity(self) -> float:
-        """Tasks a second."""
+        """Requests a second."""
         return self.workers * self.speed / self.work if self.work else float("inf")
 
 
 class Meter:
-    """What all upstreams of this process have at once, and when each task came."""
+    """What all upstreams of this process have at once, and when each request came."""
 
     def __init__(self) -> None:
         self.now, self.most = 0, 0
--- a/whinpier/testbed/upstream_fleet.py
+++ b/whinpier/testbed/upstream_fleet.py
@@ -59,7 +59,7 @@
         return found
 
     def meter(self) -> dict[str, Any]:
-        """The most that all of them had at once, and when each task came, since last asked."""
+        """The most that all of them had at once, and when each request came, since last asked."""
         return self.control(next(iter(self.addresses.values())), {"meter": True})
 
     def kill(self, name: str) -> None:
--- a/whinpier/testbed/ways.py
+++ b/whinpier/testbed/ways.py
@@ -1,7 +1,8 @@
 """Stands in for bad ways from one process to upstreams: each byte that it sends there comes late.
 
-`python -m whinpier.testbed.ways` reads one JSON line (names with addresses), answers with the addresses to
-use instead, then takes one line for each change of the delay. Must never lose or reorder what it passes on.
+`python -m whinpier.testbed.ways` reads one JSON line (names with addresses), answers with the
+addresses to use instead, then takes one line for each change of the delay. Must never lose or
+reorder what it passes on.
 """
 
 from __future__ import annotations
--- a/whinpier/testbed/work.py
+++ b/whinpier/testbed/work.py
@@ -1,4 +1,6 @@
-"""How much work tasks are: one set of distributions for scripted upstreams, clients and the model."""
+"""How much work requests are: one set of distributions for scripted upstreams, clients and the
+model.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,7 @@
 
 
 def draw(spread: Spread, mean: float, chance: Random) -> float:
-    """Seconds of work of one task, of this mean; `uniform` goes from nought to twice the mean."""
+    """Seconds of work of one request, of this mean; `uniform` goes from nought to twice the mean."""
     if spread == "constant" or not mean:
         return mean
     if spread == "uniform":
