--- /dev/null
+++ b/tests/test_kept_fleet.py
@@ -0,0 +1,694 @@
+"""Kept bytes of the fleet: datagrams, log entries, snapshots, and each file on disk.
+
+Every example is read and must give the stated values, and these values must give the kept bytes
+again. Values are compared field by field, by each field's meaning and not only by its place, so
+that two fields of one type cannot change places unseen. Builds of two versions talk to each other
+and read each other's files: what fails here is a break between versions, not a detail of a test.
+"""
+
+import asyncio
+import json
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from whinpier.bank import agreed, agreement, division, forms, keeper, limits, link, members, nearly
+from whinpier.bank import recall, record, register, verdicts, watching, windows
+from whinpier.bank.conduct import Report
+from whinpier.durable import LONGEST, Journal, Torn, framed, notes
+
+DATA = Path(__file__).parent / "data" / "kept"
+KEPT = json.loads((DATA / "fleet.json").read_text())
+SEAL = forms.Seal((b"0123456789abcdef",))
+SECOND = 1_000_000_000
+
+# What each typed message says, field by field in the order of its bytes.
+READERS = {
+    forms.Card: lambda it: [it.name, it.run, it.version, it.host, it.port, it.build, it.zone,
+                            it.revision, it.pools, it.limits],
+    forms.Word: lambda it: [it.id, it.life, it.state, it.why, it.by],
+    forms.Deal: lambda it: [it.kind, it.limit, it.nonce, it.amount, it.turn, it.key],
+    forms.Plea: lambda it: [it.kind, it.pool, it.key, it.nonce, it.one, it.two, it.three],
+    forms.Line: lambda it: [it.term, it.kind, it.data],
+    forms.Talk: lambda it: [it.kind, it.record, it.disk, it.term, it.one, it.two, it.three,
+                            it.four, it.lines, it.data],
+    forms.Plainly: lambda it: [it.kind, it.sender, it.count, it.nonce, it.target, it.digest,
+                               it.words, it.cards, it.said, it.ids, it.deals, it.wall,
+                               it.register, it.entries, it.pleas],
+    forms.Datagram: lambda it: [*READERS[forms.Plainly](it), it.talks],
+    register.Entry: lambda it: [it.key, it.value, it.version, it.by, it.left],
+    Report: lambda it: [it.applied, it.content, it.build, it.ready, it.draining, it.drained,
+                        it.refused, it.fault, it.clean, it.ended, it.on_time, it.scrapped,
+                        it.turned_back, it.memory],
+    division.Kept: lambda it: [it.epoch, it.home, it.homes, it.span],
+    record.Said: lambda it: [it.id, it.who, it.why, it.wall, it.based],
+    record.Rule: lambda it: [it.name, it.of, it.out, it.pool, it.zone],
+    record.Rules: lambda it: [it.said, it.rules],
+    record.Drain: lambda it: [it.said, it.name, it.pool, it.zone],
+    record.Seen: lambda it: [it.what, it.key, it.number, it.text],
+    record.Observed: lambda it: [it.id, it.seen],
+    record.Put: lambda it: [it.content, it.at, it.size, it.data],
+    record.Gate: lambda it: [it.window_ms, it.on_time, it.errors, it.turned_back, it.memory,
+                             it.least, it.back_ms, it.hold],
+    record.Release: lambda it: [it.said, it.content, it.build, it.selector, it.waves, it.gate,
+                                it.before],
+    record.Plan: lambda it: [it.number, it.wave, it.names, it.zones, it.last],
+    record.Judged: lambda it: [it.number, it.wave, it.good, it.text],
+    record.About: lambda it: [it.said, it.name],
+    record.Out: lambda it: [it.number, it.line, it.why, it.zone, it.pool],
+    record.Drained: lambda it: [it.number, it.state, it.who, it.why, it.wall, it.changed, it.left],
+    record.Rollout: lambda it: [it.number, it.given, it.phase, it.waves, it.wave, it.todo, it.met,
+                                it.zones, it.before, it.failed, it.reason, it.undoing, it.good],
+    record.Item: lambda it: [it.number, it.wall, it.who, it.what, it.why, it.good, it.text,
+                             it.chain],
+    record.Whole: lambda it: [it.revision, it.rules, it.outs, it.lost, it.gone, it.drains,
+                              it.contents, it.sizes, it.good, it.good_build, it.told,
+                              it.told_build, it.permits, it.release, it.closed, it.history,
+                              it.results, it.applied],
+    agreement.Copy: lambda it: [it.record, it.disk, it.term, it.voted, it.start, it.start_term,
+                                it.base, it.state, it.lines],
+}
+# Which typed message a kept group holds, and which log entry kind carries which.
+TYPES = {"datagram": forms.Datagram, "report": Report, "snapshot": record.Whole}
+ENTRY_KINDS = {
+    2: (record.RULES, record.Rules), 3: (record.DRAIN, record.Drain),
+    4: (record.UNDRAIN, record.Drain), 5: (record.OBSERVED, record.Observed),
+    6: (record.PUT, record.Put), 7: (record.RELEASE, record.Release),
+    8: (record.PLAN, record.Plan), 9: (record.GATE, record.Judged),
+    10: (record.HALT, record.About), 11: (record.RESUME, record.About),
+    12: (record.UNDO, record.About), 13: (record.STRUCK, record.About),
+}
+
+
+def plain(value):
+    """A typed message as JSON has it: fields in order, bytes in hex, a mapping as pairs."""
+    if type(value) in READERS:
+        return [plain(one) for one in READERS[type(value)](value)]
+    if isinstance(value, (list, tuple)):
+        return [plain(one) for one in value]
+    if isinstance(value, dict):
+        return {"pairs": [[plain(key), plain(one)] for key, one in value.items()]}
+    return {"hex": value.hex()} if isinstance(value, bytes) else value
+
+
+def natural(value):
+    """What `plain` began with, but for the types."""
+    if isinstance(value, list):
+        return [natural(one) for one in value]
+    if isinstance(value, dict):
+        if "hex" in value:
+            return bytes.fromhex(value["hex"])
+        return {natural(key): natural(one) for key, one in value["pairs"]}
+    return value
+
+
+def typed(type_, values):
+    """The typed message with these values, by position."""
+    return msgspec.convert(natural(values), type_)
+
+
+def encoded(message):
+    return msgspec.msgpack.encode(message)
+
+
+def decoded(type_, data):
+    return msgspec.msgpack.decode(data, type=type_)
+
+
+def sealed(values):
+    """A datagram as it is sent: without consensus messages it has the shorter form."""
+    form = forms.Datagram if len(values) == 16 else forms.Plainly
+    return SEAL.seal(typed(form, values))
+
+
+def applied(entries):
+    """What log entries, from the first on, come to."""
+    machine = record.Record()
+    for index, (kind, data) in enumerate(entries, 1):
+        machine.apply(index, forms.Line(1, kind, data))
+    return machine
+
+
+def kept(group):
+    return [pytest.param(*row, id=title) for title, row in KEPT[group].items()]
+
+
+def file_of(name):
+    return (DATA / name).read_bytes()
+
+
+# Numbers.
+
+
+KINDS = {
+    "datagram": ([forms.PING, forms.ACK, forms.ASK, forms.STANDS, forms.EXCHANGE, forms.WANT,
+                  forms.DEALS], 0),
+    "lease": ([forms.ASK_FOR, forms.LEND, forms.BACK, forms.ASK_UNITS, forms.UNITS, forms.OLD], 0),
+    "ejection": ([forms.HEARING, forms.EVIDENCE, forms.VOTE_FOR, forms.VOTE, forms.REST], 0),
+    "consensus": ([forms.ASK_EARLY, forms.EARLY, forms.ASK_VOTE, forms.VOTED, forms.APPEND,
+                   forms.TAKEN, forms.BEHIND, forms.FETCH, forms.LINES, forms.PIECE,
+                   forms.FORWARD, forms.READ, forms.READ_AT, forms.HURRY, forms.STALE,
+                   forms.REPORT], 0),
+    "member_state": ([forms.HERE, forms.LEAVING, forms.SUSPECT, forms.LOST, forms.LEFT,
+                      forms.REPLACED], 0),
+    "member_evidence": ([forms.SAID, forms.SILENT, forms.REFUSED, forms.RENAMED,
+                         forms.STRUCK], 0),
+    "log_note": ([agreement.WHO, agreement.TERM, agreement.LINE, agreement.BASE], 0),
+    "log_entry_of_the_log_itself": ([agreement.NOTHING, agreement.VOTERS], 0),
+    "log_entry": ([record.RULES, record.DRAIN, record.UNDRAIN, record.OBSERVED, record.PUT,
+                   record.RELEASE, record.PLAN, record.GATE, record.HALT, record.RESUME,
+                   record.UNDO, record.STRUCK], 2),
+    "observation": ([record.LOST, record.BACK, record.CONFIRMED, record.SWITCHED, record.FAILED,
+                     record.WRITTEN_OFF, record.LEFT], 0),
+}
+
+
+@pytest.mark.parametrize("numbers, first", KINDS.values(), ids=KINDS)
+def test_kinds_keep_their_numbers(numbers, first):
+    assert numbers == list(range(first, first + len(numbers)))
+
+
+def test_words_in_snapshots_and_states_keep_their_spelling():
+    assert forms.STATES == ("here", "leaving", "suspect", "lost", "left", "replaced")
+    assert forms.WHY == ("said", "silent", "refused", "renamed", "struck")
+    assert (record.BALANCERS, record.UPSTREAMS, record.BANK) == ("balancers", "upstreams", "bank")
+    assert (record.DRAINING, record.DONE, record.UNDRAINING) == ("draining", "done", "undraining")
+    assert (record.PLANNING, record.WAVES, record.GATED, record.HALTED, record.UNDOING,
+            record.UNDONE, record.RELEASED) == (
+        "planning", "waves", "gate", "halted", "undoing", "undone", "released")
+    assert (limits.RATE, limits.IN_FLIGHT, limits.COUNT, limits.CONNECTIONS) == (
+        "rate", "in_flight", "count", "connections")
+    assert (link.BEGUN, link.WINDOW) == ("begun", "window")
+    assert record.key_of("m1") == "b/m1" and record.key_of("u1", "web") == "u/web/u1"
+
+
+def test_marks_keep_their_digests():
+    limit = limits.Limit("all", limits.RATE, 10_000, ("m1", "m2"), 5)
+    window = limits.Limit("day", limits.COUNT, 700, ("m1", "m2"), 0, 9 * SECOND, "day/UTC", 3)
+    entry = register.Entry("limit/all", b"{}", 7, 99, 1_000)
+    found = [forms.member_id("m1", 0xABC), forms.pool_mark("web"), forms.RECORD_NEWS, link.STAMP,
+             limit.mark, limit.epoch(), window.mark, window.epoch(), division.key_of("tenant-a"),
+             register.mark_of(entry), record.hash_of(b"file"),
+             record.chained(b"before", (1, 2, "who", "what", "why", True, "text")).hex(),
+             agreed.stamp_of(agreement.Copy(256, 7, 3, 8, 20, 2, 20, b"", [forms.Line(3, 0)]))]
+    assert found == KEPT["marks"]
+
+
+def test_a_datagram_keeps_its_frame():
+    assert (forms.MAGIC, forms.FORM, forms.HEAD, forms.TAG, forms.LARGEST) == (
+        b"wB", 1, 3, 16, 1_200)
+    assert (forms.DEAL_SIZE, forms.PLEA_SIZE, forms.WORD_SIZE, forms.EMPTY_SIZE) == tuple(
+        KEPT["sizes"])
+
+
+# Datagrams.
+
+
+@pytest.mark.parametrize("data, values", kept("datagrams"))
+def test_a_datagram_is_read_and_written_as_it_was(data, values):
+    data = bytes.fromhex(data)
+    found = SEAL.open(data)
+    assert plain(found) == (values if len(values) == 16 else [*values, []])
+    assert sealed(values) == data
+    again = forms.Datagram if len(values) == 16 else forms.Plainly
+    assert SEAL.seal(typed(again, plain(found)[:len(values)])) == data
+
+
+def test_datagrams_of_every_kind_are_kept():
+    rows = [values for _, values in KEPT["datagrams"].values()]
+    assert {row[0] for row in rows} == set(range(7))
+    assert {one[0] for row in rows for one in row[10]} == set(range(6))
+    assert {one[0] for row in rows for one in row[14]} == set(range(5))
+    assert {one[0] for row in rows for one in (row[15] if len(row) == 16 else [])} == set(range(16))
+    assert {one[2] for row in rows for one in row[6]} == set(range(6))
+    assert {one[3] for row in rows for one in row[6]} == set(range(5))
+
+
+@pytest.mark.parametrize("data, values", kept("short_datagrams"))
+def test_a_datagram_without_its_optional_fields_is_read(data, values):
+    data = bytes.fromhex(data)
+    found = SEAL.open(data)
+    assert plain(found) == values
+    assert len(SEAL.seal(found)) > len(data)
+
+
+@pytest.mark.parametrize("data, reason", kept("refused_datagrams"))
+def test_a_datagram_that_is_not_taken_says_why(data, reason):
+    with pytest.raises(forms.Unread) as fault:
+        SEAL.open(bytes.fromhex(data))
+    assert fault.value.reason == reason
+
+
+@pytest.mark.parametrize("data, values", kept("reports"))
+def test_a_report_inside_a_consensus_message_is_read_and_written_as_it_was(data, values):
+    data = bytes.fromhex(data)
+    assert plain(decoded(Report, data)) == values
+    assert encoded(typed(Report, values)) == data
+
+
+# Payloads announced under a mark.
+
+
+def test_an_announced_demand_of_a_limit_keeps_its_bytes():
+    calendar = windows.Calendar("minute")
+    limit = limits.Limit("near", limits.COUNT, 1_000, (), 0, window="minute/UTC")
+    here = nearly.Nearly(limit, calendar, 0, lambda now: (now, now))
+    here.told_demand, here.spent, here.window = 300, 21, 60
+    assert here.word(0).hex() == KEPT["announced"]["demand"]
+    here.hear(5, bytes.fromhex(KEPT["announced"]["demand"]), 0)
+    other = here.others[5]
+    assert (other.used, other.window) == (21, 60) and 300 in [one for _, one in other.words]
+
+
+def test_an_announced_place_in_the_log_keeps_its_bytes():
+    raft = voter("a", 1)
+    raft.record, raft.term, raft.commit, raft.leader = 256, 3, 17, "b"
+    assert raft.news(99).hex() == KEPT["announced"]["news"]
+
+
+# Log entries and their snapshot.
+
+
+@pytest.mark.parametrize("kind, data, values", kept("entries"))
+def test_a_log_entry_is_read_and_written_as_it_was(kind, data, values):
+    number, type_ = ENTRY_KINDS[kind]
+    data = bytes.fromhex(data)
+    assert number == kind and record.FORMS[kind] is type_
+    assert plain(decoded(type_, data)) == values
+    assert record.encode(typed(type_, values)) == data
+
+
+def test_log_entries_of_every_kind_are_kept():
+    assert {row[0] for row in KEPT["entries"].values()} == set(ENTRY_KINDS)
+    assert len(record.FORMS) == len(ENTRY_KINDS)
+
+
+@pytest.mark.parametrize("entries, data, values", kept("snapshots"))
+def test_log_entries_come_to_the_kept_snapshot(entries, data, values):
+    data = bytes.fromhex(data)
+    machine = applied([(kind, bytes.fromhex(one)) for kind, one in entries])
+    assert machine.unread == 0
+    assert plain(machine.whole) == values
+    assert machine.freeze() == data
+
+
+@pytest.mark.parametrize("entries, data, values", kept("snapshots"))
+def test_a_snapshot_is_read_and_written_as_it_was(entries, data, values):
+    data = bytes.fromhex(data)
+    machine = record.Record()
+    machine.thaw(data)
+    assert plain(machine.whole) == values and machine.freeze() == data
+    assert encoded(typed(record.Whole, values)) == data
+    assert record.checked(machine.whole.history)
+
+
+# The replicated log on disk.
+
+
+def log_of(data):
+    return agreement.replayed(note for _, note in notes(
+        "record", data, agreed.MAGIC, agreed.LONGEST))
+
+
+def log_written(values):
+    copy = agreement.Copy(*natural(values)[:-1], [
+        forms.Line(*natural(line)) for line in values[-1]])
+    return agreed.MAGIC + b"".join(map(framed, agreement.compacted(copy)))
+
+
+def test_a_log_file_begins_with_its_magic():
+    assert agreed.MAGIC == b"whinpier bank record 1\n" and agreed.LONGEST == 6 << 20
+    assert file_of("log").startswith(agreed.MAGIC)
+
+
+def test_a_log_file_with_a_snapshot_is_read_and_written_as_it_was():
+    values = KEPT["log"]
+    assert plain(log_of(file_of("log"))) == values
+    assert log_written(values) == file_of("log")
+
+
+def test_a_log_file_as_it_was_appended_to_is_read():
+    assert plain(log_of(file_of("log_appended"))) == KEPT["log_appended"]
+
+
+def test_the_state_of_a_log_file_is_taken_up():
+    found = log_of(file_of("log"))
+    raft = agreement.Agreement("a", found, record.Record(), 0, Chance(), agreement.Pace())
+    applied_to, term, (since, voters), inner = msgspec.msgpack.decode(found.state)
+    assert [applied_to, term, since, voters] == [14, 2, 1, {"a": 11, "b": 12, "c": 13}]
+    assert inner.hex() == KEPT["snapshots"]["files, gates and drains"][1]
+    assert (raft.commit, raft.last, raft.config) == (14, 16, {"a": 11, "b": 12})
+    assert plain(raft.copy()) == KEPT["log"]
+    assert raft.machine.whole.applied == 14
+
+
+@pytest.mark.parametrize("cut", [1, 7, 14])
+def test_a_torn_tail_of_a_log_file_is_left_out(tmp_path, cut):
+    path = tmp_path / "record"
+    path.write_bytes(file_of("log")[:-cut])
+    journal = Journal(str(path), agreed.MAGIC, agreed.LONGEST)
+    found = plain(agreement.replayed(journal.open()))
+    journal.close()
+    assert found == [*KEPT["log"][:-1], KEPT["log"][-1][:-1]]
+    assert path.read_bytes() == file_of("log")[:journal.size] and journal.cut > 0
+
+
+def test_a_kept_torn_log_file_is_read_up_to_its_tear(tmp_path):
+    path = tmp_path / "record"
+    path.write_bytes(file_of("log_torn"))
+    journal = Journal(str(path), agreed.MAGIC, agreed.LONGEST)
+    found = plain(agreement.replayed(journal.open()))
+    journal.close()
+    assert found == KEPT["log_torn"] and (journal.size, journal.cut) == tuple(KEPT["log_tear"])
+
+
+# The state store.
+
+
+def store_of(path):
+    store = keeper.Keeper(str(path))
+    store.open()
+    store.journal.close()
+    return store
+
+
+def store_values(store):
+    return plain(store.live), store.stamp
+
+
+def test_a_state_store_is_read_as_it_was(tmp_path):
+    path = tmp_path / "state"
+    path.write_bytes(file_of("store"))
+    store = store_of(path)
+    assert keeper.MAGIC == b"whinpier bank state 1\n"
+    assert list(store_values(store)) == KEPT["store"] and store.journal.cut == 0
+
+
+def test_a_state_store_is_written_as_it_was(tmp_path):
+    async def write():
+        store = keeper.Keeper(str(tmp_path / "state"))
+        store.open()
+        for batch in natural(KEPT["store_batches"]):
+            pairs = {tuple(key): tuple(value) for key, value in batch}
+            await store.write(pairs, lambda: None, lambda: None)
+        store.journal.close()
+        return store
+
+    store = asyncio.run(write())
+    assert (tmp_path / "state").read_bytes() == file_of("store")
+    assert list(store_values(store)) == KEPT["store"]
+
+
+def test_a_state_store_is_compacted_as_it_was(tmp_path):
+    async def compact():
+        store = keeper.Keeper(str(tmp_path / "state"))
+        (tmp_path / "state").write_bytes(file_of("store"))
+        store.open()
+        await store.compact()
+        store.journal.close()
+
+    asyncio.run(compact())
+    assert (tmp_path / "state").read_bytes() == file_of("store_compacted")
+    assert list(store_values(store_of(tmp_path / "state"))) == KEPT["store"]
+
+
+def test_a_torn_state_store_is_read_up_to_its_tear(tmp_path):
+    path = tmp_path / "state"
+    path.write_bytes(file_of("store_torn"))
+    store = store_of(path)
+    assert list(store_values(store)) == KEPT["store_torn"]
+    assert (store.journal.size, store.journal.cut) == tuple(KEPT["store_tear"])
+
+
+def test_a_state_store_that_was_changed_in_its_middle_is_refused(tmp_path):
+    data = bytearray(file_of("store"))
+    data[len(keeper.MAGIC) + 9] ^= 1
+    (tmp_path / "state").write_bytes(data)
+    with pytest.raises(Torn):
+        store_of(tmp_path / "state")
+
+
+def test_a_note_of_a_window_keeps_its_order():
+    limit = limits.Limit("day", limits.COUNT, 700, ("m1", "m2"), window="day/UTC", key=3)
+    calendar = windows.Calendar("day")
+    units = windows.Units(limit, calendar, "m1", 0, Chance(), lambda now: (now, now), True)
+    units.remember(windows.Slot(86_400, 172_800, 350, -40, 25, 20, 60))
+    units.write(units.known[86_400])
+    assert units.take_notes() == (1, [(limit.mark, 3, 86_400, 350, -40, 60)])
+    units.recall([(limit.mark, 3, 172_800, 340, 8, 70)], 90)
+    slot = units.known[172_800]
+    assert (slot.start, slot.end, slot.home, slot.moved) == (172_800, 259_200, 340, 8)
+    assert (slot.used, slot.kept, slot.asked, units.blind_till) == (70, 70, 70, 90)
+
+
+# The peer cache.
+
+
+def test_a_peer_cache_is_read_and_written_as_it_was(tmp_path):
+    path = tmp_path / "peers"
+    path.write_bytes(file_of("peers.json"))
+    addresses, homes = recall.read(str(path))
+    assert addresses == [("10.0.0.1", 7001), ("10.0.0.2", 7002)]
+    assert plain(homes) == {"pairs": [["all", [4_000_000_000, 17, ["m1", "m2"], 9 * SECOND]],
+                                      ["day", [12, 0, [], 0]]]}
+    recall.write(str(tmp_path / "other"), addresses, homes)
+    assert (tmp_path / "other").read_bytes() == file_of("peers.json")
+
+
+def test_a_peer_cache_of_the_first_form_is_read():
+    addresses, homes = recall.read(str(DATA / "peers_form_1.json"))
+    assert (addresses, homes) == ([("10.0.0.1", 7001)], {})
+
+
+def test_a_torn_peer_cache_is_refused(tmp_path):
+    with pytest.raises(ValueError):
+        recall.read(str(DATA / "peers_torn.json"))
+    assert recall.read(str(tmp_path / "none")) == ([], {})
+
+
+# What each part of a process sends.
+
+
+class Chance:
+    """Draws the same each time."""
+
+    def __init__(self, number=0.0):
+        self.number, self.drawn = number, 0
+
+    def random(self):
+        return self.number
+
+    def sample(self, those, count):
+        return list(those)[:count]
+
+    def shuffle(self, those):
+        pass
+
+    def getrandbits(self, bits):
+        self.drawn += 1
+        return 1_000 + 2 * self.drawn
+
+
+def rounds(busy):
+    """Rounds of hand-overs while there are any: messages that never end are a fault, not a wait."""
+    for number in range(100):
+        if not busy():
+            return
+        yield number
+    raise AssertionError("messages without end")
+
+
+def voter(name, disk):
+    copy = agreement.Copy(disk=disk)
+    return agreement.Agreement(name, copy, record.Record(), 0, Chance(disk / 100), agreement.Pace())
+
+
+class Cluster:
+    """Three voters and a learner that hand each other messages, and what was sent."""
+
+    def __init__(self):
+        self.nodes = {name: voter(name, disk)
+                      for name, disk in [("a", 11), ("b", 12), ("c", 13), ("d", 14)]}
+        self.sent, self.cut_off, self.now = [], set(), 0
+        for name in "abc":
+            self.nodes[name].begin(256, {"a": 11, "b": 12, "c": 13})
+
+    def settle(self):
+        busy = True
+        for _ in rounds(lambda: busy):
+            busy = False
+            for name, node in self.nodes.items():
+                node.written(node.noted)
+                for to, message in node.take():
+                    busy = True
+                    self.sent.append([name, to, plain(message), encoded(message).hex()])
+                    if not {name, to} & self.cut_off:
+                        self.nodes[to].hear(message, name, self.now)
+
+    def run(self, until):
+        while self.now < until:
+            self.now += SECOND // 10
+            for name, node in self.nodes.items():
+                if name not in self.cut_off:
+                    node.tick(self.now)
+            self.settle()
+
+
+def consensus_run():
+    """An election, entries, a read, a learner by entries and by snapshot, a hand-over."""
+    cluster = Cluster()
+    nodes = cluster.nodes
+    cluster.run(SECOND)
+    leader = next(node for node in nodes.values() if node.role == agreement.LEADER)
+    other = next(node for node in nodes.values() if node is not leader and node.name != "d")
+    third = next(name for name in "abc" if name not in (leader.name, other.name))
+    data = bytes.fromhex(KEPT["entries"]["drain of an upstream"][1])
+    other.say(leader.name, forms.FORWARD, lines=[forms.Line(0, record.DRAIN, data)])
+    cluster.settle()
+    other.ask_read(77)
+    cluster.settle()
+    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    cluster.run(2 * SECOND)
+    cluster.cut_off = {third, "d"}
+    for number in range(3):
+        leader.command(record.HALT, bytes.fromhex(KEPT["halts"][number]))
+    cluster.settle()
+    for node in (leader, other):
+        node.kept = 1
+        node.compact()
+    cluster.cut_off = set()
+    cluster.run(2 * SECOND + SECOND // 2)
+    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    cluster.run(3 * SECOND)
+    leader.retire()
+    cluster.run(3 * SECOND + SECOND // 2)
+    leader = next(node for node in nodes.values() if node.role == agreement.LEADER)
+    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    cluster.run(4 * SECOND)
+    return cluster
+
+
+def first_of_each(sent):
+    """Without the beats that say nothing new."""
+    found = {}
+    for sender, to, values, data in sent:
+        beat = values[0] in (forms.APPEND, forms.TAKEN) and not values[8]
+        found.setdefault((sender, to, str(values[:7]) if beat else data), [sender, to, data])
+    return list(found.values())
+
+
+def test_a_run_of_consensus_sends_the_kept_messages():
+    cluster = consensus_run()
+    assert {row[2][0] for row in cluster.sent} == set(range(14))
+    assert first_of_each(cluster.sent) == KEPT["consensus_run"]
+    assert len({node.commit for node in cluster.nodes.values()}) == 1
+    assert {encoded(node.machine.whole).hex() for node in cluster.nodes.values()} == {
+        KEPT["consensus_end"]}
+
+
+def lease_run():
+    """A share that is asked for, lent and given back; units of a window that are handed over."""
+    limit = limits.Limit("flight", limits.IN_FLIGHT, 100, ("m1", "m2"))
+    sent, now = [], 10 * SECOND
+    share = limits.Share(limit, "m1", now, Chance(), 0)
+    share.ask(now, 2, 9, 1_001, 0)
+    share.deal(forms.Deal(forms.LEND, limit.mark, 1_001, 9, 0, 0), 2, now)
+    share.deal(forms.Deal(forms.ASK_FOR, limit.mark, 55, 7, 0, 0), 3, now)
+    share.turn(now + SECOND // 10, [])
+    sent += share.out
+    window = limits.Limit("day", limits.COUNT, 700, ("m1", "m2"), window="day/UTC", key=3)
+    units = windows.Units(window, windows.Calendar("day"), "m1", now, Chance(),
+                          lambda now: (now, now), False)
+    units.settle(now)
+    units.look_for(units.slots[0], now, 12, [4])
+    units.deal(forms.Deal(forms.ASK_UNITS, window.mark, 66, 11, 0, 3), 5, now)
+    sent += units.out
+    return [[other, plain(lease), encoded(lease).hex()] for other, lease in sent]
+
+
+def test_lease_transfers_send_the_kept_messages():
+    sent = lease_run()
+    assert {row[1][0] for row in sent} == set(range(5))
+    assert sent == KEPT["lease_run"]
+
+
+def ejection_run():
+    """A hearing, its evidence, a case with votes, and the rest that follows."""
+    rules = verdicts.Rules(0.5, 1, 3.0, 6 * SECOND)
+    judge, voting = (verdicts.Court(rules, own, 0, Chance()) for own in (1, 2))
+    for court in (judge, voting):
+        court.listed(9, {41: 5, 42: 5, 43: 5, 44: 6})
+    for key, ratio in [(41, 9.5), (42, 1.0), (43, 1.0)]:
+        voting.sent(9, key, 1, 0)
+        voting.came(9, key, 1, ratio, 0)
+    sent = []
+
+    def settle():
+        for _ in rounds(lambda: judge.out or voting.out):
+            for court, own, other in [(judge, 1, voting), (voting, 2, judge)]:
+                found, court.out = court.out, []
+                for to, message in found:
+                    sent.append([own, to, plain(message), encoded(message).hex()])
+                    other.hear(message, own, SECOND / 1_000, 0)
+
+    judge.suspect(9, 41, 0)
+    judge.ask(judge.hearings[9, 41], 0)
+    settle()
+    assert judge.hearings[9, 41].words == {2: (1.0, 9.5, True)}
+    assert judge.open_case(9, 41, 0)
+    settle()
+    judge.turn(0, lambda pool: SECOND / 1_000, lambda pool: (2, 2))
+    settle()
+    assert (9, 41) in voting.rests and voting.given[9, 5, 0].judge == 1
+    return sent
+
+
+def test_an_ejection_sends_the_kept_messages():
+    sent = ejection_run()
+    assert {row[2][0] for row in sent} == set(range(5))
+    assert sent == KEPT["ejection_run"]
+
+
+def member(name, run, port):
+    card = forms.Card(name, run, 1, "10.0.0.1", port, "0.1.0", "z1", "rev", (7, 8), 9)
+    found = members.Members(card, [("10.0.0.1", 7001)], SEAL, members.Times(), Chance(), 0)
+    found.carry(7, b"ways")
+    found.wall = 1_700_000_000 * SECOND
+    found.register.say("limit/all", b"{}", 60 * SECOND, card.id, 0)
+    return found
+
+
+def membership_run():
+    """Three members meet, one falls silent; the first two of a kind on each way are kept."""
+    nodes = {("10.0.0.1", 7000 + number): member(f"m{number}", 0xA0 + number, 7000 + number)
+             for number in (1, 2, 3)}
+    sent, counts, now = [], {}, 0
+    while now < 20 * SECOND:
+        for address, one in nodes.items():
+            if now < 3 * SECOND or address[1] != 7003:
+                one.tick(now)
+        busy = True
+        for _ in rounds(lambda: busy):
+            busy = False
+            for address, one in nodes.items():
+                for to, data in one.take()[0]:
+                    busy = True
+                    way = address[1], to[1], SEAL.open(data).kind
+                    counts[way] = counts.get(way, 0) + 1
+                    if counts[way] <= 2:
+                        sent.append([address[1], to[1], data.hex()])
+                    if now < 3 * SECOND or to[1] != 7003:
+                        nodes[to].receive(data, address, now)
+        now += SECOND // 10
+    return sent, nodes
+
+
+def test_members_that_meet_send_the_kept_datagrams():
+    sent, nodes = membership_run()
+    assert sent == KEPT["membership_run"]
+    kinds = {SEAL.open(bytes.fromhex(data)).kind for _, _, data in sent}
+    assert {forms.PING, forms.ACK, forms.ASK, forms.EXCHANGE} <= kinds
+    first, second, _ = nodes.values()
+    third = forms.member_id("m3", 0xA3)
+    assert first.members[third].state == second.members[third].state == forms.LOST
