--- a/tests/test_kept_verbs.py
+++ b/tests/test_kept_verbs.py
@@ -23,10 +23,12 @@
 
 
 def parameter_form(one):
-    """What a caller can write for one option or argument; a default that is worked out is `worked out`."""
+    """What a caller can write for one option or argument."""
     default = one.default
-    if callable(default) or default is not None and not isinstance(default, (bool, int, float, str)):
-        default = "worked out" if callable(default) else None
+    if callable(default):
+        default = "worked out"
+    elif not isinstance(default, (bool, int, float, str)):
+        default = None
     return {"kind": one.param_type_name, "names": [*one.opts, *one.secondary_opts],
             "type": one.type.name, "choices": choices(one.type), "bounds": bounds(one.type),
             "required": one.required, "many": one.nargs, "multiple": one.multiple,
