--- a/tests/test_kept_control.py
+++ b/tests/test_kept_control.py
@@ -1,7 +1,7 @@
-"""The control socket's requests and answers as they stand, byte for byte: kept stories played again.
+"""The control socket's requests and answers as they stand, byte for byte: stories played again.
 
-`data/kept/control.json` holds three: of a process with all that a bank has, of one with nothing of it, and
-of one whose record has not begun. Each step waits so long, asks one line, and has its answer.
+`data/kept/control.json` holds three: of a process with all that a bank has, of one with nothing of
+it, of one whose record has not begun. Each step waits so long, asks one line, and has its answer.
 """
 
 import json
@@ -13,8 +13,8 @@
 STORIES = kept("control.json")
 STEPS = [(story, number) for story, steps in STORIES.items() for number in range(len(steps))]
 ASKS = {"members", "links", "limits", "figures", "watch", "strike", "begin", "register", "say",
-        "command", "file", "has", "history", "outcome", "permits", "put", "read", "recover", "status",
-        "voters", "verdicts"}
+        "command", "file", "has", "history", "outcome", "permits", "put", "read", "recover",
+        "status", "voters", "verdicts"}
 
 
 @pytest.fixture
