--- a/tests/test_kept_radius.py
+++ b/tests/test_kept_radius.py
@@ -7,6 +7,7 @@
 import hashlib
 import hmac
 import json
+import socket
 import struct
 import zlib
 from pathlib import Path
@@ -14,6 +15,8 @@
 import anyio
 import pytest
 
+from tests.waiting import LIMIT
+from whinpier.config import operator
 from whinpier.durable import Torn
 from whinpier.radius import keys, packet
 from whinpier.radius.back import delayed
@@ -22,6 +25,8 @@
 from whinpier.radius.spec import ClientSpec
 from whinpier.radius.state import State, StateSpec
 from whinpier.radius.stream import Datagrams
+from whinpier.radius.wire import WithRadius
+from whinpier.runtime.life import Life
 
 KEPT = Path("tests/data/kept").resolve()
 SECRET = b"kept secret"
@@ -111,6 +116,15 @@
     state.close()
 
 
+def new_life(path, datagrams):
+    spec = operator.read(str(path))
+    return Life(spec, WithRadius([datagrams], []), lambda: spec, operator.changes)
+
+
+def is_ready(life):
+    return life.ready()
+
+
 # Packets.
 
 def kept(name):
@@ -219,6 +233,77 @@
     assert cache_keys(packed(4, 3, attributes), "c") == kept("radius.keys.json")[name]
 
 
+# Packets on their way through the balancer.
+
+def bound():
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.bind(("127.0.0.1", 0))
+    sock.setblocking(False)
+    return sock
+
+
+async def received(sock):
+    with anyio.fail_after(LIMIT):
+        await anyio.wait_readable(sock)
+    return sock.recvfrom(5000)
+
+
+def sealed_by_hand(code, number, body, secret, signed, authenticator=bytes(16)):
+    """A packet made without the code, its Message-Authenticator first."""
+    length = 20 + 18 * signed + len(body)
+    head = struct.pack("!BBH", code, number, length)
+    if signed:
+        blank = b"\x50\x12" + bytes(16) + body
+        body = b"\x50\x12" + hmac.new(secret, head + authenticator + blank, "md5").digest() + body
+    return head + hashlib.md5(head + authenticator + body + secret).digest() + body
+
+
+def attribute(kind, value):
+    return bytes((kind, len(value) + 2)) + value
+
+
+def test_a_record_goes_on_and_its_response_comes_back_with_the_stated_bytes(tmp_path):
+    async def story():
+        front, server, client = bound(), bound(), bound()
+        listener = socket.create_server(("127.0.0.1", 0))
+        listener.setblocking(False)
+        text = (KEPT / "operator.radius.example.toml").read_text()
+        for mark, one in (("127.0.0.1:9000", listener), ("127.0.0.1:1813", front), ("127.0.0.1:11813", server)):
+            text = text.replace(mark, "%s:%d" % one.getsockname())
+        text = "\n".join(line for line in text.splitlines() if "acct-2" not in line)
+        (tmp_path / "operator.toml").write_text(text)
+        life = new_life(tmp_path / "operator.toml", front)
+        own, theirs = b"only-for-a-trial-too", b"only-for-a-trial"
+        given = [(40, b"\0\0\0\1"), (44, b"session"), (33, b"one"), (41, b"\0\0\0\5"), (33, b"two")]
+        body = b"".join(attribute(*pair) for pair in given)
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(life.serve, [listener])
+            with anyio.fail_after(LIMIT):
+                while not is_ready(life):
+                    await anyio.sleep(0)
+            asked = sealed_by_hand(4, 77, body, own, True)
+            client.sendto(asked, front.getsockname())
+            data, source = await received(server)
+            state = data[-8:]  # drawn anew for each packet
+            assert data == sealed_by_hand(4, 0, body + attribute(33, state), theirs, True)
+            server.sendto(sealed_by_hand(5, 0, attribute(25, b"class") + attribute(33, state), theirs, False,
+                                         data[4:20]), source)
+            back = attribute(25, b"class") + attribute(33, b"one") + attribute(33, b"two")
+            found, _ = await received(client)
+            assert found == sealed_by_hand(5, 77, back, own, True, asked[4:20])
+            client.sendto(asked, front.getsockname())  # the same packet is answered from memory
+            assert (await received(client))[0] == found
+            status = bytes((12, 78, 0, 38)) + AUTHENTICATOR + b"\x50\x12"
+            status += hmac.new(own, status + bytes(16), "md5").digest()
+            client.sendto(status, front.getsockname())
+            assert (await received(client))[0] == sealed_by_hand(5, 78, b"", own, True, AUTHENTICATOR)
+            tasks.cancel_scope.cancel()
+        for sock in (front, server, client, listener):
+            sock.close()
+
+    anyio.run(story)
+
+
 # The state file.
 
 STATE = KEPT / "radius.state"
