--- a/tests/test_kept_config.py
+++ b/tests/test_kept_config.py
@@ -1,7 +1,8 @@
-"""The keys that the platform's settings and an operator's file have, and what is said of a wrong one.
+"""The keys of the platform's settings and of an operator's file, and what is said of a wrong one.
 
-Kept copies of the files are read and compared with kept values; each table is given one key more, and each
-platform key a value that it cannot have, and what is said of it is compared to the letter.
+Kept copies of the files are read and compared with kept values; each table is given one key
+more, and each platform key a value that it cannot have, and what is said of it is compared to
+the letter.
 """
 
 import copy
@@ -29,8 +30,8 @@
 
 # What the tests know of the code.
 
-def read_operator(path):
-    return operator.read(str(path))
+def read_operator(path, released=None):
+    return operator.read(str(path), released, released is None)
 
 
 def make_operator(given):
@@ -56,7 +57,7 @@
 # Helpers.
 
 def plain(value):
-    """Values without the names of what holds them; what is neither data nor a list of it is left out."""
+    """Values without the names of what holds them; what is no data is left out."""
     if is_dataclass(value):
         return [plain(getattr(value, one.name)) for one in fields(value)]
     if isinstance(value, msgspec.Struct):
@@ -141,7 +142,24 @@
 
 @pytest.mark.parametrize("path", OPERATOR_CHOICES)
 def test_a_word_that_is_none_of_a_choice_is_refused_with_the_kept_words(folder, path):
-    assert fault_of(make_operator, put(operator_given(), path, "nonsense")) == OPERATOR_CHOICES[path]
+    said = fault_of(make_operator, put(operator_given(), path, "nonsense"))
+    assert said == OPERATOR_CHOICES[path]
+
+
+@pytest.mark.parametrize("released, said", [
+    (b'listen = ["127.0.0.1:1"]', "released: listen: belongs into each process's own file"),
+    (b'[bank]\nlisten = "x"', "released: bank: only limits and verdicts are released"),
+    (b'[pools]\n', "pools: 0 of them; 1 to 256 are allowed"),
+    (b'routes = [{ nam = "x" }]', "routes[0].nam: is no key here (meant: name); allowed: name, "
+     "pool, host, path, prefix, methods, headers, lane, workload, patience, says"),
+    (b'up = "up"', "up: 'up' is no path"),
+    (b'[bank.limits.x]\nkin = 1', "bank.limits.x.kin: is no key here (meant: kind); allowed: kind, "
+     "amount, promise, homes, burst, window, time_zone, pools, routes, each, tenants, most"),
+    (b'[bank.verdicts]\nlife = "1s"',
+     "bank.verdicts.life: is shorter than 2s; votes need some time to come"),
+])
+def test_what_is_released_over_a_file_has_the_kept_keys(folder, released, said):
+    assert fault_of(read_operator, "operator.full.toml", released) == f"operator.full.toml: {said}"
 
 
 # The platform's settings.
@@ -155,7 +173,7 @@
 
 
 @pytest.mark.parametrize("path, value, said", PLATFORM_FAULTS)
-def test_a_platform_value_that_cannot_be_is_refused_with_the_kept_words(tmp_path, path, value, said):
+def test_a_wrong_platform_value_is_refused_with_the_kept_words(tmp_path, path, value, said):
     assert fault_of(platform_read, tmp_path, put(kept("config.full.json"), path, value)) == said
 
 
@@ -168,7 +186,8 @@
 
 
 def test_an_unknown_setting_is_kept_by_its_path(tmp_path):
-    found = plain(platform_read(tmp_path, put(kept("config.full.json"), "settings/later/unknown", 1)))
+    given = put(kept("config.full.json"), "settings/later/unknown", 1)
+    found = plain(platform_read(tmp_path, given))
     assert '["later.unknown", 1]' in json.dumps(found)
 
 
--- a/tests/test_kept_http.py
+++ b/tests/test_kept_http.py
@@ -1,8 +1,8 @@
-"""HTTP to the byte: what the balancer answers of itself, and what it asks of upstreams and of discovery.
+"""HTTP to the byte: what the balancer answers of itself, what it asks of upstreams and discovery.
 
-The balancer runs in the test's own loop; clients, upstreams and discovery are bare sockets. Responses and
-request heads are kept as text; only what is left of a request's patience, which is a matter of time, is
-replaced by a mark before it is compared.
+The balancer runs in the test's own loop; clients, upstreams and discovery are bare sockets.
+Responses and request heads are kept as text; only what is left of a request's patience, which is a
+matter of time, is replaced by a mark before it is compared.
 """
 
 import json
@@ -55,7 +55,7 @@
 
 
 def reject(life, wait):
-    """The final response to the one request that is out: not done, best tried again after `wait`."""
+    """The final response to the one request that is out: try again after `wait`."""
     tasks_of(life)[0].turned_back(wait)
 
 
@@ -89,8 +89,8 @@
 HEAD = "POST /charge HTTP/1.1\r\nHost: a\r\nX-Txn: t1\r\nX-Remaining: 2.0\r\n"
 POST = HEAD + "Content-Length: 2\r\n\r\n{}"
 GET = "GET /look?obj=k&x=1 HTTP/1.1\r\nHost: a\r\nX-Txn: t1\r\nX-Remaining: 1.5\r\n\r\n"
-SETTLE = ("POST /settle HTTP/1.1\r\nHost: a\r\nX-Txn: t1\r\nX-Remaining: 2.0\r\nIdempotency-Key: 5c\r\n"
-          "Content-Length: 2\r\n\r\n{}")
+SETTLE = ("POST /settle HTTP/1.1\r\nHost: a\r\nX-Txn: t1\r\nX-Remaining: 2.0\r\n"
+          "Idempotency-Key: 5c\r\nContent-Length: 2\r\n\r\n{}")
 
 
 class Stage:
@@ -107,7 +107,8 @@
             given = kept("config.json")
             given["listen"], given["discovery"] = address[0], address[2]
             given["known"] = {"seq": seq, "whole": True, "hosts": [
-                {"host": "s-0", "dial": address[1], "site": "a", "class": "m", "health": "up"}] * listed}
+                {"host": "s-0", "dial": address[1], "site": "a", "class": "m",
+                 "health": "up"}] * listed}
             (folder / "config.json").write_text(json.dumps(given))
             spec = read_platform(folder / "config.json")
         else:
@@ -199,20 +200,24 @@
 
 # Responses to a single request that no upstream has to see.
 
-def post(path="/charge", *headers, body="{}", version="HTTP/1.1", method="POST", host="a", ids=True):
+def post(path="/charge", *headers, body="{}", version="HTTP/1.1", method="POST", host="a",
+         ids=True):
     given = [f"Host: {host}", *(["X-Txn: t1", "X-Remaining: 2.0"] if ids else []), *headers]
-    return "\r\n".join([f"{method} {path} {version}", *given, f"Content-Length: {len(body)}", "", body])
+    given.append(f"Content-Length: {len(body)}")
+    return "\r\n".join([f"{method} {path} {version}", *given, "", body])
 
 
 REQUESTS = {
     "platform": {
-        "no such lane": post("/odd"), "no such lane, body to come": HEAD.replace("charge", "odd") + "\r\n",
+        "no such lane": post("/odd"),
+        "no such lane, body to come": HEAD.replace("charge", "odd") + "\r\n",
         "another lane in a header": post("/charge", "X-Lane: settle"),
         "a method that does not fit": post(method="PUT"), "no ticket": post("/settle"),
         "a ticket too many": post("/charge", "Idempotency-Key: 5c"),
         "no id": post("/charge", "X-Remaining: 2.0", ids=False),
         "no patience": post("/charge", "X-Txn: t1", ids=False),
-        "a patience that is no number": post("/charge", "X-Txn: t1", "X-Remaining: soon", ids=False),
+        "a patience that is no number": post("/charge", "X-Txn: t1", "X-Remaining: soon",
+                                             ids=False),
         "a header twice": post("/charge", "X-Txn: t2"),
         "too late": post("/charge", "X-Txn: t1", "X-Remaining: 0", ids=False),
         "a body too large": HEAD + "Content-Length: 65537\r\n\r\n",
@@ -220,7 +225,8 @@
             "8000\r\n" + "x" * 0x8000 + "\r\n") * 3,
         "a head of too many bytes": HEAD + "X-Any: " + "x" * 16384 + "\r\n\r\n",
         "a head of too many lines": HEAD + "X-Any: x\r\n" * 128 + "\r\n",
-        "trailers too large": HEAD + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + "X-A: x\r\n" * 129 + "\r\n",
+        "trailers too large": (HEAD + "Transfer-Encoding: chunked\r\n\r\n0\r\n"
+                               + "X-A: x\r\n" * 129 + "\r\n"),
         "lines that can be read two ways": HEAD + "X-Any: x\nX-Other: x\r\n\r\n",
         "a length and chunks": HEAD + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
         "another version": post(version="HTTP/1.2"),
@@ -246,7 +252,8 @@
 }
 
 
-@pytest.mark.parametrize("kind, name", [(kind, name) for kind in REQUESTS for name in REQUESTS[kind]])
+@pytest.mark.parametrize("kind, name", [
+    (kind, name) for kind in REQUESTS for name in REQUESTS[kind]])
 async def test_a_response_that_needs_no_upstream_has_the_kept_bytes(tmp_path, kind, name):
     async with staged(tmp_path, kind) as stage:
         client, found, asked = await stage.exchange(REQUESTS[kind][name].encode())
@@ -267,7 +274,7 @@
 @pytest.mark.parametrize("wait, header", [
     (0, b""), (250_000_000, b"retry-after: 0.250\r\n"), (1_234_567_890, b"retry-after: 1.235\r\n"),
 ])
-async def test_a_rejected_request_is_told_when_to_come_back_if_a_wait_is_known(tmp_path, wait, header):
+async def test_a_rejected_request_is_told_a_wait_that_is_known(tmp_path, wait, header):
     async with staged(tmp_path) as stage:
         client = stage.client(POST.encode())
         await stage.until(lambda: tasks_of(stage.life))
@@ -275,7 +282,7 @@
         assert await stage.message(client) == REJECTED % header
 
 
-async def test_a_request_beyond_what_its_pool_takes_is_rejected_with_a_quarter_of_its_agreed_time(tmp_path):
+async def test_a_request_too_many_is_rejected_for_a_quarter_of_its_agreed_time(tmp_path):
     async with staged(tmp_path, "operator") as stage:
         stage.client(post("/any", host="a.example").encode())
         await stage.until(lambda: tasks_of(stage.life))
@@ -310,7 +317,8 @@
         await stage.until(lambda: half_read(stage.life))
         sweep(stage.life)
         assert await stage.message(client) == (
-            b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 15\r\nconnection: close\r\n\r\nhalf a request\n")
+            b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 15\r\nconnection: close\r\n\r\n"
+            b"half a request\n")
 
 
 async def test_with_no_upstream_it_says_that_it_starts(tmp_path):
@@ -331,12 +339,14 @@
     "a request": ("platform", POST, GOOD),
     "a request without a body": ("platform", GET, GOOD),
     "a request with a ticket": ("platform", SETTLE, GOOD),
-    "a request in chunks": ("platform", HEAD + "Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n", GOOD),
+    "a request in chunks": (
+        "platform", HEAD + "Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n", GOOD),
     "a request with headers of each kind": ("platform", POST.replace("Host: a", "\r\n".join([
         "Host: a", "Connection: keep-alive", "Keep-Alive: 5", "Proxy-Connection: x", "TE: trailers",
-        "Upgrade: x", "X-Org: o1", "X-Entity: e", "X-Resent: 1", "Accept: */*", "Traceparent: 00-1"])), GOOD),
-    "a request that ends its connection": ("platform", POST.replace("Host: a", "Host: a\r\nConnection: close"),
-                                           GOOD),
+        "Upgrade: x", "X-Org: o1", "X-Entity: e", "X-Resent: 1", "Accept: */*",
+        "Traceparent: 00-1"])), GOOD),
+    "a request that ends its connection": (
+        "platform", POST.replace("Host: a", "Host: a\r\nConnection: close"), GOOD),
     "a response in chunks": ("platform", POST, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
                              b"X-Any: 1\r\nServer: s\r\nTrailer: x\r\n\r\n4\r\ndone\r\n0\r\n\r\n"),
     "a response after an interim one": ("platform", POST, b"HTTP/1.1 103 x\r\n\r\n" + GOOD),
@@ -364,7 +374,8 @@
 
 # Requests to discovery.
 
-@pytest.mark.parametrize("seq, target", [(None, b"/discovery/hosts"), (7, b"/discovery/hosts?watch=1&from=7")])
+@pytest.mark.parametrize("seq, target", [
+    (None, b"/discovery/hosts"), (7, b"/discovery/hosts?watch=1&from=7")])
 async def test_discovery_is_asked_with_the_kept_bytes(tmp_path, seq, target):
     async with staged(tmp_path, seq=seq) as stage:
         found = await stage.message(await stage.accepted(stage.discovery))
--- a/tests/test_kept_radius.py
+++ b/tests/test_kept_radius.py
@@ -1,7 +1,8 @@
 """RADIUS packets and the RADIUS state file, to the byte.
 
-Packets are made with a fixed secret and fixed authenticators and compared with kept bytes; a kept state file,
-whole and with its end torn off, is read to stated values, and the same notes are written to the same bytes.
+Packets are made with a fixed secret and fixed authenticators and compared with kept bytes; a kept
+state file, whole and with its end torn off, is read to stated values, and the same notes are
+written to the same bytes.
 """
 
 import hashlib
@@ -72,7 +73,8 @@
 
 
 def response_fault(data, asked):
-    return fault_of(packet.check_answer, packet.parse(data), data, packet.parse(asked), SECRET, False)
+    found, asked = packet.parse(data), packet.parse(asked)
+    return fault_of(packet.check_answer, found, data, asked, SECRET, False)
 
 
 def record_fault(attributes):
@@ -150,7 +152,8 @@
         "a status response": response(status, True, None),
         "a response of the front": front_response(signed, False, back),
         "a response of the front with a message authenticator": front_response(signed, True, back),
-        "a response of the front that is too large": front_response(large, True, [(25, bytes(253))] * 9),
+        "a response of the front that is too large": front_response(
+            large, True, [(25, bytes(253))] * 9),
     }
 
 
@@ -176,7 +179,8 @@
 
 
 @pytest.mark.parametrize("before, waited, after", [
-    (b"\0\0\0\5", 3, b"\0\0\0\x08"), (b"\xff\xff\xff\xfe", 9, b"\xff\xff\xff\xff"), (b"\0", 3, b"\0"),
+    (b"\0\0\0\5", 3, b"\0\0\0\x08"), (b"\xff\xff\xff\xfe", 9, b"\xff\xff\xff\xff"),
+    (b"\0", 3, b"\0"),
 ])
 def test_a_delay_time_is_told_with_what_was_waited(before, waited, after):
     assert delayed(before, waited) == after
@@ -187,7 +191,8 @@
 
 @pytest.mark.parametrize("data, said", [
     (HEAD[:19], "shorter than a head"), (b"\x04\x01\x00\x13" + bytes(16), "a length of 19"),
-    (b"\x04\x01\x10\x01" + bytes(16), "a length of 4097"), (b"\x04\x01\x00\x15" + bytes(16), "cut short"),
+    (b"\x04\x01\x10\x01" + bytes(16), "a length of 4097"),
+    (b"\x04\x01\x00\x15" + bytes(16), "cut short"),
     (b"\x04\x01\x00\x15" + bytes(17), "half an attribute"),
     (b"\x04\x01\x00\x16" + bytes(16) + b"\x28\x01", "attribute 40 of length 1"),
     (b"\x04\x01\x00\x16" + bytes(16) + b"\0\2", "an attribute of no type"),
@@ -268,7 +273,8 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         text = (KEPT / "operator.radius.example.toml").read_text()
-        for mark, one in (("127.0.0.1:9000", listener), ("127.0.0.1:1813", front), ("127.0.0.1:11813", server)):
+        for mark, one in (("127.0.0.1:9000", listener), ("127.0.0.1:1813", front),
+                          ("127.0.0.1:11813", server)):
             text = text.replace(mark, "%s:%d" % one.getsockname())
         text = "\n".join(line for line in text.splitlines() if "acct-2" not in line)
         (tmp_path / "operator.toml").write_text(text)
@@ -286,8 +292,8 @@
             data, source = await received(server)
             state = data[-8:]  # drawn anew for each packet
             assert data == sealed_by_hand(4, 0, body + attribute(33, state), theirs, True)
-            server.sendto(sealed_by_hand(5, 0, attribute(25, b"class") + attribute(33, state), theirs, False,
-                                         data[4:20]), source)
+            reply = attribute(25, b"class") + attribute(33, state)
+            server.sendto(sealed_by_hand(5, 0, reply, theirs, False, data[4:20]), source)
             back = attribute(25, b"class") + attribute(33, b"one") + attribute(33, b"two")
             found, _ = await received(client)
             assert found == sealed_by_hand(5, 77, back, own, True, asked[4:20])
@@ -296,7 +302,8 @@
             status = bytes((12, 78, 0, 38)) + AUTHENTICATOR + b"\x50\x12"
             status += hmac.new(own, status + bytes(16), "md5").digest()
             client.sendto(status, front.getsockname())
-            assert (await received(client))[0] == sealed_by_hand(5, 78, b"", own, True, AUTHENTICATOR)
+            found, _ = await received(client)
+            assert found == sealed_by_hand(5, 78, b"", own, True, AUTHENTICATOR)
             tasks.cancel_scope.cancel()
         for sock in (front, server, client, listener):
             sock.close()
@@ -335,7 +342,7 @@
 
 
 def test_a_kept_state_file_with_a_torn_end_is_read_up_to_the_tear(tmp_path):
-    # It ends within the note that the first request was answered; that one given up and one ended are gone.
+    # It ends within the note that the first request was answered; what came behind it is gone.
     (tmp_path / "state").write_bytes((KEPT / "radius.torn.state").read_bytes())
     memory, state = opened(tmp_path / "state")
     state.close()
@@ -348,7 +355,7 @@
 
 
 def note(*values):
-    """A note as it lies in the file, made without the code: length, CRC-32, MessagePack of text and bytes."""
+    """A note as it lies in the file, made without the code: length, CRC-32, MessagePack."""
     body = bytes((0x90 + len(values),))
     for value in values:
         if value is None:
@@ -362,7 +369,8 @@
 
 def test_the_kept_state_file_is_a_magic_line_and_framed_notes_in_order():
     assert STATE.read_bytes() == b"whinpier radius state 1\n" + b"".join([
-        note("n", "c", b"key 0", b"record 0", b"content 0"), note("n", "c", b"key 1", None, b"content 1"),
+        note("n", "c", b"key 0", b"record 0", b"content 0"),
+        note("n", "c", b"key 1", None, b"content 1"),
         note("n", "c", b"key 2", b"record 2", b"content 2"),
         note("n", "c", b"key 3", b"record 3", b"content 3"),
         note("a", "c", b"key 0", b"response"), note("g", "c", b"key 1"), note("e", "c", b"key 2")])
@@ -377,4 +385,5 @@
     path.write_bytes(b"whinpier radius state 2\n" + STATE.read_bytes()[24:])
     with pytest.raises(Torn) as caught:
         opened(path)
-    assert str(caught.value) == f"{path}: is no state file of this version; move it away to begin without"
+    assert str(caught.value) == (
+        f"{path}: is no state file of this version; move it away to begin without")
--- a/tests/test_kept_simulator.py
+++ b/tests/test_kept_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's frames: each kind of event is read to stated values, each kind of action written to the byte.
+"""The simulator's frames: each kind of event read to stated values, of action written to the byte.
 
 Frames are kept as hexadecimal text; events and actions are also given by their layout as literals.
 """
@@ -109,7 +109,8 @@
             "tell all": of(to.tell, None, b"hello"), "follow": of(to.follow_list, True),
             "follow no longer": of(to.follow_list, False), "fetch": of(to.fetch_list),
             "log": of(to.log, "a l\u00efne"), "turn back": of(to.turn_back, self.task, 250_001_000),
-            "turn back without a wait": of(to.turn_back, self.task), "scrap": of(to.scrap, self.task),
+            "turn back without a wait": of(to.turn_back, self.task),
+            "scrap": of(to.scrap, self.task),
         }
         return found
 
@@ -142,7 +143,8 @@
     (record(40, struct.pack("<II", 3, 99)), [40, [3, 99], ""]),
     (record(20, struct.pack("<IHH", 3, 2, 2) + b"hi"), [20, [3, 2, 2], b"hi".hex()]),
     (record(60, struct.pack("<IQ", 3, 2)), [60, [3, 2], ""]),
-    (record(70, struct.pack("<IIHIHIBB", 3, 99, 1, 222, 110, 1500, 1, 2) + struct.pack("<2f", 5.0, 0.5)),
+    (record(70, struct.pack("<IIHIHIBB", 3, 99, 1, 222, 110, 1500, 1, 2)
+            + struct.pack("<2f", 5.0, 0.5)),
      [70, [3, 99, 1, 222, 110, 1500, 1, 2], struct.pack("<2f", 5.0, 0.5).hex()]),
     (record(30, struct.pack("<IHIIB", 3, 5, 1400, 222, 1) + struct.pack("<f", 5.0)),
      [30, [3, 5, 1400, 222, 1], struct.pack("<f", 5.0).hex()]),
@@ -163,8 +165,10 @@
 
 
 def test_a_roster_a_report_and_settings_are_read_to_the_stated_values():
-    assert entries(b"".join(struct.pack("<BIHQfHH", *entry) for entry in ENTRIES) + b"more", 3) == ENTRIES
-    assert report(struct.pack("<3f", 1.5, -1.0, 2.5) + b"more", 3, ["a", "b", "c"]) == {"a": 1.5, "c": 2.5}
+    packed = b"".join(struct.pack("<BIHQfHH", *entry) for entry in ENTRIES)
+    assert entries(packed + b"more", 3) == ENTRIES
+    packed = struct.pack("<3f", 1.5, -1.0, 2.5) + b"more"
+    assert report(packed, 3, ["a", "b", "c"]) == {"a": 1.5, "c": 2.5}
     assert report(b"", 0, ["a"]) is None
     found = settings("a=1\nb_us=5\nc=true\nd=x=y\nnothing\ne=0.5\n")
     assert [found[key] for key in "abcde"] == [1, 5000, True, "x=y", 0.5]
@@ -237,7 +241,7 @@
 # Whole frames.
 
 def story():
-    """Frames of one instance: a list, requests of each kind, responses, a client that leaves, an end."""
+    """Frames of one instance: a list, requests, responses, a client that leaves, an end."""
     columns = struct.pack("<6f", 4.0, 1.0, 0.5, 20.0, 30.0, 0.0)
 
     def came(number, lane, bits=0):
@@ -255,9 +259,12 @@
         frame(3, 6_000_020, came(1, 0), came(2, 1), came(3, 0, 7), came(4, 9)),
         frame(4, 6_002_000, over(1, 0, 0, 1, columns), over(2, 0, 5, 0), over(3, 0, 111, 0)),
         frame(5, 6_003_000, record(30, struct.pack("<IHIIB", 3, 0, 1400, 333, 6) + columns),
-              record(20, struct.pack("<IHH", 3, 2, 2) + b"hi"), record(40, struct.pack("<II", 3, 2))),
-        frame(6, 6_500_000, record(60, struct.pack("<IQ", 3, 1)), record(60, struct.pack("<IQ", 3, 2)),
-              record(110, struct.pack("<IIIHI", 3, 1, 2, 4, 5)), record(250, b"??")),
+              record(20, struct.pack("<IHH", 3, 2, 2) + b"hi"),
+              record(40, struct.pack("<II", 3, 2))),
+        frame(6, 6_500_000, record(60, struct.pack("<IQ", 3, 1)),
+              record(60, struct.pack("<IQ", 3, 2)),
+              record(110, struct.pack("<IIIHI", 3, 1, 2, 4, 5)),
+              record(250, b"??")),
         frame(7, 8_999_000, over(3, 1, 110, 0), record(60, struct.pack("<IQ", 3, 2)), came(5, 0)),
         frame(8, 9_000_000, record(100, struct.pack("<IBII", 3, 3, 0, 9)), came(6, 1), came(7, 0)),
         frame(9, 9_100_000, record(80, struct.pack("<I", 3)), came(8, 0)),
@@ -265,6 +272,7 @@
 
 
 def test_a_story_of_frames_has_the_kept_bytes_both_ways():
-    frames, kept = [one.hex() for one in story()], json.loads((KEPT / "simulator.frames.json").read_text())
+    frames = [one.hex() for one in story()]
+    kept = json.loads((KEPT / "simulator.frames.json").read_text())
     assert [there for there, _ in kept] == frames
     assert replies(map(bytes.fromhex, frames)) == [back for _, back in kept]
