--- /dev/null
+++ b/tests/test_seeded_day.py
@@ -0,0 +1,863 @@
+"""A seeded day of every host: the same seed gives the same journal, before and after a commit.
+
+Each day is scripted by `random.Random(seed)` alone and digested with SHA-256. What is digested are
+wire bytes, numbers and the external words of settings, so that a rename of identifiers leaves every
+digest as it is; outcomes go in as the small integers of OUTCOME_CODES, other words by the order in
+which they are met. Each day is compared whole with tests/data/kept/seeded_day.json: the counts by
+a digest say where a difference began. Where a change of behaviour is meant,
+`python -m tests.test_seeded_day` prints the days as they are now.
+"""
+
+import hashlib
+import heapq
+import io
+import json
+import struct
+import sys
+import tomllib
+from collections import Counter
+from pathlib import Path
+from random import Random
+
+import msgspec
+import pytest
+
+from whinpier.bank.agreement import Agreement
+from whinpier.bank.record import DRAIN, Drain, Said, encode
+from whinpier.bank.verdicts import Court, Rules
+from whinpier.bank.windows import LEAST_AHEAD
+from whinpier.check import countdays, recorddays, sharedays, votedays
+from whinpier.check.countfaults import FAULTS as COUNT_FAULTS
+from whinpier.check.counts import Counting, Wishful
+from whinpier.check.explore import every
+from whinpier.check.records import FAULTS as RECORD_FAULTS
+from whinpier.check.records import Recording
+from whinpier.check.sharefaults import FAULTS as SHARE_FAULTS
+from whinpier.check.shares import Sharing, Wishing
+from whinpier.check.votes import FAULTS as VOTE_FAULTS
+from whinpier.check.votes import Voting
+from whinpier.choice import Choice
+from whinpier.lab.bank import Bank
+from whinpier.lab.clock import Clock
+from whinpier.lab.experiment import checked
+from whinpier.lab.measure import Measure
+from whinpier.lab.record import RecordBank
+from whinpier.lab.rules import Referee
+from whinpier.lab.world import World
+from whinpier.model import (DRAINING, ERROR, FULFILLED, FULL, GONE, MOOT, NO_CONNECTION, READY,
+                            RESET, TIMED_OUT, WITHDRAWN, HandOff, Host, Task, Upstream)
+from whinpier.peers import Peers
+from whinpier.settings import COLUMNS, workloads
+from whinpier.simhost import wire
+from whinpier.simhost.__main__ import Process, main
+from whinpier.standin.faults import Fault, Schedule, draw
+
+KEPT = Path(__file__).parent / "data" / "kept" / "seeded_day.json"
+US, MS, SECOND = 1_000, 1_000_000, 1_000_000_000
+OUTCOME_CODES = {FULFILLED: 0, ERROR: 5, FULL: 11, RESET: 104, TIMED_OUT: 110, NO_CONNECTION: 111,
+                 MOOT: 114, WITHDRAWN: 125}
+HAND_OFF, WITHDRAW, REJECT, FAIL, ALARM, PROBE, CLOSE_IDLE, TELL, FOLLOW, FETCH, LOG = range(1, 12)
+
+
+class Journal:
+    """Digests actions as they come, and counts them."""
+
+    def __init__(self):
+        self.sha, self.counts = hashlib.sha256(), Counter()
+
+    def note(self, code, *values):
+        """Only numbers and bytes: nothing whose text a rename changes."""
+        assert all(type(value) in (int, float, bytes) for value in values), values
+        self.sha.update(repr((code, *values)).encode())
+
+    def count(self, **more):
+        self.counts.update(more)
+
+    def result(self):
+        return {"digest": self.sha.hexdigest()} | dict(sorted(self.counts.items()))
+
+
+class Agenda:
+    """What falls due, in order of time and then as it was put in."""
+
+    def __init__(self):
+        self.queue, self.number = [], 0
+
+    def put(self, at, *what):
+        self.number += 1
+        heapq.heappush(self.queue, (at, self.number, what))
+
+    def pop(self):
+        at, _, what = heapq.heappop(self.queue)
+        return at, what
+
+
+# The decisions, on a host that records.
+
+WORKLOADS = """workloads.count=5
+workloads.0.semantics=once
+workloads.0.agreed_time_us=300000
+workloads.0.patience_us=1500000
+workloads.0.payoff=5.0
+workloads.1.semantics=by_key
+workloads.1.agreed_time_us=400000
+workloads.1.patience_us=2000000
+workloads.1.payoff=3.0
+workloads.1.window_us=1200000
+workloads.1.key_scope=zone
+workloads.2.semantics=repeatable
+workloads.2.agreed_time_us=200000
+workloads.2.patience_us=1000000
+workloads.3.semantics=repeatable
+workloads.3.agreed_time_us=800000
+workloads.3.patience_us=3000000
+workloads.3.payoff=0.5
+workloads.4.semantics=by_key
+workloads.4.agreed_time_us=500000
+workloads.4.patience_us=2500000
+workloads.4.payoff=2.0
+workloads.4.window_us=2000000
+"""
+COMMON = """limits.max_hand_offs=3
+limits.cancelling=true
+rules.cold_us=8000000
+rules.cold_from=0.2
+rules.fall_us=1000000
+rules.fall_multiple=2.0
+rules.ask_within_us=4000000
+report.columns=busy_reqs,cpu_share,served_ps
+zone=0
+"""
+ALONE = COMMON + "balancers=1\nlimits.second_copies=true\ngoal.worst_class=0.3\nlimits.held=40\n"
+MANY = COMMON + """balancers=4
+slot_no=2
+limits.second_copies=true
+limits.peers=true
+limits.probes=true
+report.source=on_probe
+discovery=subscribe
+prices.cross_zone=0.02
+"""
+PLAIN = COMMON + """balancers=3
+limits.second_copies=false
+limits.retry_after=false
+report.source=on_probe
+discovery=subscribe
+"""
+
+
+def understood(text):
+    """Settings and workloads of a text in the external words."""
+    found = wire.settings(text + WORKLOADS)
+    return found, workloads(found)
+
+
+class RecordingHost(Host):
+    """Scripted upstreams, clients and peers around the decisions; every call they make is noted."""
+
+    def __init__(self, seed, texts, requests, rate, upstreams):
+        self.now, self.chance = 100 * SECOND, Random(seed)
+        self.journal, self.agenda = Journal(), Agenda()
+        self.texts, self.requests, self.rate = texts, requests, rate
+        self.number, self.next_id = 0, upstreams
+        found, self.workloads = understood(texts[0])
+        self.behaviour = {}
+        self.upstreams = []
+        self.choice = Choice(self, found, self.workloads, seed)
+        for number in range(upstreams):
+            self.join(number, 0)
+        self.choice.listed(list(self.upstreams))
+
+    def join(self, number, started):
+        upstream = Upstream(number, READY, number % 2, number % 3, started)
+        self.upstreams.append(upstream)
+        self.behaviour[upstream] = 0
+        return upstream
+
+    # What the decisions ask for.
+
+    def hand_off(self, task, upstream, stop_at=0):
+        made = HandOff(task, upstream, len(task.hand_offs), self.now)
+        hedged = any(not other.outcome for other in task.hand_offs)
+        task.hand_offs.append(made)
+        self.journal.note(HAND_OFF, self.now, task.id, upstream.id, made.number, stop_at)
+        self.journal.count(attempts=1, hedged=int(hedged),
+                           retries=int(made.number > 0 and not hedged))
+        self.agenda.put(*self.fate(made))
+        return made
+
+    def fate(self, attempt):
+        """When an attempt comes back, and how."""
+        drawn, behaviour = self.chance.random, self.behaviour[attempt.upstream]
+        at, ends = self.now + int(MS * (4 + 60 * drawn() ** 3)), attempt.task.ends
+        outcome = FULFILLED
+        if behaviour == 1:
+            at = self.now + int(MS * (200 + 900 * drawn()))
+        elif behaviour == 2:
+            at = ends
+        elif behaviour == 3 and drawn() < 0.8:
+            outcome = ERROR
+        elif behaviour == 4 and drawn() < 0.7:
+            outcome = RESET
+        elif behaviour == 5:
+            at, outcome = self.now + MS, NO_CONNECTION
+        elif behaviour == 6 and drawn() < 0.6:
+            at, outcome = self.now + 2 * MS, FULL
+        elif drawn() < 0.004:
+            outcome = MOOT
+        if at >= ends:
+            at, outcome = max(ends, self.now), TIMED_OUT
+        return at, self.come_back, attempt, outcome
+
+    def withdraw(self, hand_off):
+        task, upstream = hand_off.task, hand_off.upstream
+        self.journal.note(WITHDRAW, self.now, task.id, upstream.id, hand_off.number)
+        self.journal.count(withdrawn=1)
+        self.agenda.put(self.now + MS, self.come_back, hand_off, WITHDRAWN)
+
+    def turn_back(self, task, wait=0):
+        assert not task.ended, "two final answers"
+        task.ended = True
+        self.journal.note(REJECT, self.now, task.id, wait)
+        self.journal.count(rejections=1)
+
+    def scrap(self, task):
+        assert not task.ended, "two final answers"
+        task.ended = True
+        self.journal.note(FAIL, self.now, task.id)
+        self.journal.count(failures=1)
+
+    def alarm(self, at, token=0):
+        self.journal.note(ALARM, self.now, at, token)
+        self.journal.count(alarms=1)
+        self.agenda.put(max(at, self.now + 1), self.ring, token)
+
+    def probe(self, upstream):
+        self.journal.note(PROBE, self.now, upstream.id)
+        self.journal.count(probes=1)
+        if self.chance.random() < 0.9:
+            self.agenda.put(self.now + 2 * MS, self.report, upstream)
+
+    def close_idle(self, upstream):
+        self.journal.note(CLOSE_IDLE, self.now, upstream.id)
+        self.journal.count(closed=1)
+
+    def tell(self, balancer, contents):
+        self.journal.note(TELL, self.now, -1 if balancer is None else balancer, bytes(contents))
+        self.journal.count(told=1)
+
+    def follow_list(self, on):
+        self.journal.note(FOLLOW, self.now, int(on))
+        self.journal.count(list_calls=1)
+        if self.chance.random() < 0.6:
+            self.agenda.put(self.now + 100 * MS, self.tell_list)
+        else:
+            self.agenda.put(self.now + 50 * MS, self.lose_list)
+
+    def fetch_list(self):
+        self.journal.note(FETCH, self.now)
+
+    def log(self, text):
+        self.journal.note(LOG, self.now)
+
+    # What the script has happen.
+
+    def load(self):
+        drawn = self.chance.random
+        return {COLUMNS["busy_reqs"]: float(int(8 * drawn())), COLUMNS["cpu_share"]: 1.2 * drawn(),
+                COLUMNS["served_ps"]: 40 + 40 * drawn()}
+
+    def ring(self, token):
+        self.choice.bell(token)
+
+    def report(self, upstream):
+        self.choice.reported(upstream, self.load())
+
+    def tell_list(self):
+        self.choice.listed([one for one in self.upstreams if one.state != GONE])
+
+    def lose_list(self):
+        self.choice.list_lost()
+
+    def come_back(self, attempt, outcome):
+        if attempt.outcome:
+            return
+        task = attempt.task
+        attempt.outcome, attempt.took = outcome, self.now - attempt.sent
+        first = outcome == FULFILLED and not task.ended
+        task.ended = task.ended or first
+        self.journal.count(fulfilled=int(first), **{f"outcome_{OUTCOME_CODES[outcome]}": 1})
+        load = self.load() if outcome == FULFILLED and self.chance.random() < 0.5 else None
+        self.choice.came_back(attempt, load, first)
+
+    def arrive(self):
+        self.number += 1
+        drawn = self.chance.random
+        workload = self.workloads[int(len(self.workloads) * drawn())]
+        task = Task(self.number, workload, self.now, self.now + workload.patience)
+        self.journal.count(requests=1)
+        if drawn() < 0.02:
+            self.agenda.put(self.now + int(300 * MS * drawn()), self.leave, task)
+        self.choice.arrive(task)
+        if self.number < self.requests:
+            surge = 4.0 if self.number // 500 % 7 == 6 else 1.0
+            self.agenda.put(self.now + int(self.chance.expovariate(self.rate * surge) * SECOND) + 1,
+                            self.arrive)
+
+    def leave(self, task):
+        if not task.ended:
+            task.ended = True
+            self.journal.count(departures=1)
+            self.choice.left(task)
+
+    def disturb(self):
+        """Something happens to an upstream, the list, the peers or the settings."""
+        drawn = self.chance.random
+        here = [one for one in self.upstreams if one.state == READY]
+        one = here[int(len(here) * drawn())] if here else None
+        kind = int(16 * drawn())
+        if kind < 7 and one:
+            self.behaviour[one] = kind
+            self.agenda.put(self.now + int((1 + 4 * drawn()) * SECOND), self.heal, one)
+        elif kind == 7 and len(here) > 3:
+            one.state = DRAINING
+            self.agenda.put(self.now + 2 * SECOND, self.go, one)
+            self.tell_list()
+        elif kind == 8 and len(here) > 3:  # restarts cold: another run
+            self.go(one)
+            self.agenda.put(self.now + SECOND, self.restart, one.id)
+        elif kind == 9:
+            self.restart(self.next_id)
+            self.next_id += 1
+        elif kind == 10:
+            self.lose_list()
+        elif kind == 11 and one:
+            one.spare = 0
+            self.agenda.put(self.now + SECOND // 2, self.unlimit, one)
+        elif kind == 12:
+            text = self.texts[int(len(self.texts) * drawn())]
+            found, now_asked = understood(text)
+            if drawn() < 0.5:
+                now_asked = self.workloads  # settings alone, the workloads stay
+            self.workloads = now_asked
+            self.choice.change(found, now_asked)
+        elif kind == 13 and one:
+            self.report(one)
+        else:
+            contents = Peers.pack(50 + 200 * drawn()) if drawn() < 0.9 else b"other"
+            self.choice.told(int(5 * drawn()), contents)
+        if self.number < self.requests:
+            self.agenda.put(self.now + int(250 * MS * (0.2 + drawn())), self.disturb)
+
+    def heal(self, upstream):
+        self.behaviour[upstream] = 0
+
+    def unlimit(self, upstream):
+        upstream.spare = float("inf")
+
+    def go(self, upstream):
+        upstream.state = GONE
+        self.behaviour[upstream] = 5
+        self.upstreams = [one for one in self.upstreams if one is not upstream]
+        self.tell_list()
+
+    def restart(self, number):
+        self.join(number, self.now)
+        self.tell_list()
+
+    def play(self):
+        self.agenda.put(self.now, self.arrive)
+        self.agenda.put(self.now + SECOND, self.disturb)
+        after = 0
+        while not after or self.agenda.queue[0][0] < after:
+            self.now, (call, *args) = self.agenda.pop()
+            call(*args)
+            if self.number >= self.requests and not after:
+                after = self.now + 6 * SECOND
+        return self.journal.result()
+
+
+def day_of_decisions(texts, seed, requests=9_000, rate=250.0):
+    return RecordingHost(seed, texts, requests, rate, 14).play()
+
+
+# The simulator's wire.
+
+WIRE_SETTINGS = MANY + WORKLOADS
+
+
+def record(code, fields):
+    return struct.pack("<BI", code, len(fields)) + fields
+
+
+class WireDay:
+    """Two instances of one process, fed frames; what comes out decides what is fed next."""
+
+    def __init__(self, seed, requests):
+        self.chance, self.agenda, self.process = Random(seed), Agenda(), Process()
+        self.now, self.number, self.frames = 5_000_000, 0, 0  # in microseconds
+        self.requests = requests
+        self.given, self.replies, self.journal = bytearray(), bytearray(), Journal()
+        self.attempts, self.kinds, self.began = Counter(), [1] * 14, [0] * 14
+        self.over, self.ends = set(), {}
+
+    def settings(self, who):
+        text = WIRE_SETTINGS.replace("slot_no=2", f"slot_no={who}").encode()
+        return record(90, struct.pack("<IQI", who, 70 + who, len(text)) + text)
+
+    def roster(self, who):
+        entries = b""
+        for number, state in enumerate(self.kinds):
+            if state:
+                entries += struct.pack("<BIHQfHH", 2 if state == 2 else 1, 500 + number, number % 2,
+                                       self.began[number], 1.0, number % 3, 0)
+        count = len(entries) // 23
+        roster = record(10, struct.pack("<II", self.frames, count) + entries)
+        return roster + record(100, struct.pack("<IBII", who, 2, 1, self.frames)), 2
+
+    def feed(self, body, count):
+        self.frames += 1
+        frame = struct.pack("<IIIQ", self.frames, count, 8 + len(body), self.now) + body
+        reply = self.process.batch(self.frames, count, self.now * US, bytes(body))
+        self.given += frame
+        self.replies += reply
+        at = 12
+        while at < len(reply):
+            code, size = struct.unpack_from("<BI", reply, at)
+            self.acted(code, reply[at + 5:at + 5 + size])
+            at += 5 + size
+
+    def acted(self, code, fields):
+        drawn = self.chance.random
+        self.journal.count(**{f"action_{code}": 1})
+        if code == 10:
+            who, token, at = struct.unpack("<IQQ", fields)
+            self.agenda.put(max(at, self.now + 1), record(60, struct.pack("<IQ", who, token)), 1)
+        elif code == 60:
+            who, number, upstream, _ = struct.unpack("<IIIQ", fields)
+            trial = self.attempts[who, number]
+            self.attempts[who, number] += 1
+            self.journal.count(attempts=1, retries=int(trial > 0))
+            reason = (5, 11, 104, 111, 114)[int(5 * drawn())] if drawn() < 0.08 else 0
+            took = int(5_000 + 60_000 * drawn() ** 3)
+            if drawn() < 0.01 or self.now + took > self.ends[who, number]:
+                reason, took = 110, max(0, self.ends[who, number] - self.now)
+            at = self.now + max(1, took)
+            self.agenda.put(at, self.resolved, who, number, trial, reason, took)
+        elif code == 120:
+            who, number, trial = struct.unpack("<IIH", fields)
+            self.agenda.put(self.now + 500, self.resolved, who, number, trial, 125, 500)
+        elif code in (80, 110):
+            self.over.add(struct.unpack_from("<II", fields))
+            self.journal.count(**{"rejections" if code == 80 else "failures": 1})
+        elif code == 40:
+            who, _, size = struct.unpack_from("<IIH", fields)
+            told = struct.pack("<IHH", 3 - who, who, size) + fields[10:]
+            self.agenda.put(self.now + 700, record(20, told), 1)
+        elif code == 100:
+            who, upstream = struct.unpack("<II", fields)
+            load = struct.pack("<3f", int(6 * drawn()), drawn(), 50 * drawn())
+            found = struct.pack("<IHIIB", who, 0, 900, upstream, 3) + load
+            self.agenda.put(self.now + 900, record(30, found), 1)
+        elif code == 20 and drawn() < 0.7:
+            self.agenda.put(self.now + 90_000, self.listed, fields[0])
+        elif code == 20:
+            lost = struct.pack("<IBII", fields[0], 1, 0, 0)
+            self.agenda.put(self.now + 40_000, record(100, lost), 1)
+
+    def resolved(self, who, number, trial, reason, took):
+        over = reason == 0 and (who, number) not in self.over
+        if over:
+            self.over.add((who, number))
+            self.journal.count(fulfilled=1)
+        load = struct.pack("<3f", 2.0, self.chance.random(), 30.0)
+        n = 3 if reason == 0 else 0
+        return record(70, struct.pack("<IIHIHIBB", who, number, trial, 0, reason, took, over, n)
+                      + load[:4 * n]), 1
+
+    def listed(self, who):
+        return self.roster(who)
+
+    def arrive(self):
+        self.number += 1
+        drawn = self.chance.random
+        who, lane = 1 + int(2 * drawn()), int(6 * drawn())
+        # The last is no lane that there is.
+        patience = (1_500_000, 2_000_000, 1_000_000, 3_000_000, 2_500_000, 1)[lane]
+        self.ends[who, self.number] = self.now + patience
+        self.journal.count(requests=1)
+        if drawn() < 0.03:
+            self.agenda.put(self.now + int(200_000 * drawn()),
+                            record(40, struct.pack("<II", who, self.number)), 1)
+        if self.number < self.requests:
+            self.agenda.put(self.now + 1 + int(10_000 * drawn()), self.arrive)
+        return record(50, struct.pack("<IIBQIQBI", who, self.number, int(8 * drawn()),
+                                      self.number % 50, 1, self.now + patience, lane, 900)), 1
+
+    def disturb(self):
+        """An upstream drains, goes or comes back cold, both are told; seldom one starts anew."""
+        drawn = self.chance.random
+        which, kind = int(len(self.kinds) * drawn()), (0, 1, 1, 1, 2, 3, 3)[int(7 * drawn())]
+        self.kinds[which] = kind  # 0: not listed, 1: ready, 2: drains, 3: back, and cold
+        self.began[which] = self.now if kind == 3 else self.began[which]
+        first, second = self.roster(1), self.roster(2)
+        body, count = first[0] + second[0], 4
+        if drawn() < 0.03:
+            body, count = body + self.settings(2) + self.roster(2)[0], count + 3
+            self.over |= {key for key in self.ends if key[0] == 2}
+        if self.number < self.requests:
+            self.agenda.put(self.now + int(1_500_000 * (0.3 + drawn())), self.disturb)
+        return body, count
+
+    def play(self):
+        first, second = self.roster(1), self.roster(2)
+        self.feed(self.settings(1) + self.settings(2) + first[0] + second[0], 6)
+        self.agenda.put(self.now, self.arrive)
+        self.agenda.put(self.now + 900_000, self.disturb)
+        last = 0
+        while not last or self.now < last:
+            self.now, (what, *args) = self.agenda.pop()
+            if self.number >= self.requests and not last:
+                last = max(self.ends.values()) + 100_000
+            self.feed(*(what(*args) if callable(what) else (what, *args)))
+        self.journal.count(frames=self.frames, bytes=len(self.replies))
+        self.journal.sha.update(self.replies)
+        return self.journal.result()
+
+
+def read_loop(frames):
+    """What the program's read loop answers to a stream of frames."""
+    sink, before = io.BytesIO(), (sys.stdin, sys.stdout)
+    sys.stdin, sys.stdout = io.TextIOWrapper(io.BytesIO(frames)), io.TextIOWrapper(sink)
+    try:
+        code = main()
+        sys.stdout.flush()
+        return code, sink.getvalue()
+    finally:
+        sys.stdin, sys.stdout = before
+
+
+# The model.
+
+FLEET = """name = "seeded"
+seconds = 14.0
+warm = 2.0
+[fleet]
+balancers = 3
+zones = 2
+machines = [{ count = 8, cores = 2, queue = 16, warm_up = 4.0, cold_from = 0.3, topple = 4.0 }]
+[[streams]]
+name = "one"
+rate = 90.0
+work = 0.03
+agreed_time = 0.3
+patience = 1.5
+payoff = 5.0
+[[streams]]
+name = "two"
+kind = "ticketed"
+group = "zone"
+window = 1.2
+rate = 70.0
+work = 0.03
+agreed_time = 0.4
+patience = 2.0
+[[streams]]
+name = "three"
+kind = "rerunnable"
+rate = 110.0
+work = 0.02
+agreed_time = 0.2
+patience = 1.0
+retries = 1
+surges = [[6.0, 7.0, 3.0]]
+[policy]
+second_copies = true
+[chance]
+count = 7
+longest = 4.0
+"""
+
+
+class Numbering:
+    """Numbers for words in the order in which they are met: a rename of a word changes none."""
+
+    def __init__(self):
+        self.numbers = {}
+
+    def __call__(self, word):
+        return self.numbers.setdefault(word, len(self.numbers))
+
+    def values(self, value):
+        """A value of an event as numbers."""
+        if isinstance(value, (bool, int, float)):
+            return [float(value)]
+        if isinstance(value, (list, tuple)):
+            return [len(value), *(one for part in value for one in self.values(part))]
+        return [self(str(value))]
+
+
+class RecordingMeasure(Measure):
+    """Notes what each client sees."""
+
+    journal: Journal
+    numbering: Numbering
+    clock: Clock
+
+    def asked(self, task):
+        self.journal.note(1, self.clock.now, task.id, task.tries)
+        self.journal.count(requests=1)
+        super().asked(task)
+
+    def answered(self, task, how, took):
+        word = self.numbering(how)
+        self.journal.note(2, self.clock.now, task.id, word, took)
+        self.journal.count(**{f"answers_{word}": 1})
+        super().answered(task, how, took)
+
+
+class RecordingReferee(Referee):
+    """Notes each attempt, and where it ran."""
+
+    journal: Journal
+
+    def sent(self, attempt, balancer, server):
+        number = len(attempt.asked.hand_offs)
+        self.journal.note(3, self.clock.now, attempt.asked.id, number, balancer.number,
+                          server.number)
+        self.journal.count(attempts=1, retries=int(number > 1))
+        super().sent(attempt, balancer, server)
+
+    def ran(self, attempt, server):
+        self.journal.note(4, self.clock.now, attempt.asked.id, server.number)
+        self.journal.count(ran=1)
+        super().ran(attempt, server)
+
+
+def day_of_fleet(seed):
+    world, journal = World(checked(tomllib.loads(FLEET)), seed), Journal()
+    world.measure.__class__, world.referee.__class__ = RecordingMeasure, RecordingReferee
+    world.measure.journal = world.referee.journal = journal
+    world.measure.numbering, world.measure.clock = Numbering(), world.clock
+    world.play()
+    journal.note(5, world.clock.events, world.clock.now, sum(world.referee.breaches.values()),
+                 world.measure.total_time, world.measure.ended)
+    journal.count(events=world.clock.events, breaches=sum(world.referee.breaches.values()))
+    return journal.result()
+
+
+def journal_of_bank(bank, journal):
+    """What members have said of themselves, after a run."""
+    numbering = Numbering()
+    for said in bank.said:
+        values = [number for value in said.pairs.values() for number in numbering.values(value)]
+        journal.note(2, said.at, numbering(said.process), numbering(said.event), *values)
+    journal.note(3, bank.clock.events)
+    journal.count(events=len(bank.said), steps=bank.clock.events)
+    return journal.result()
+
+
+class RecordingBank(Bank):
+    """Notes each datagram that a member sends."""
+
+    def __init__(self, schedule, journal):
+        self.journal = journal
+        super().__init__(schedule)
+
+    def carry(self, node, address, data):
+        self.journal.note(1, self.clock.now, node.number, address[1], data)
+        self.journal.count(datagrams=1, bytes=len(data))
+        super().carry(node, address, data)
+
+
+class RecordingRecordBank(RecordBank):
+    """The same for members that agree on a record."""
+
+    def __init__(self, schedule, voters, journal):
+        self.journal = journal
+        super().__init__(schedule, voters)
+
+    def carry(self, node, address, data):
+        self.journal.note(1, self.clock.now, node.number, address[1], data)
+        self.journal.count(datagrams=1, bytes=len(data))
+        super().carry(node, address, data)
+
+
+def day_of_members(seed):
+    journal = Journal()
+    bank = RecordingBank(draw(seed, 9, 40.0, 8), journal)
+    bank.play()
+    return journal_of_bank(bank, journal)
+
+
+def day_of_record(seed):
+    """Commands while one restarts, datagrams are lost, some are cut off, one joins, one stops."""
+    journal = Journal()
+    faults = (Fault(22.0, "restart", (1,), span=2.0), Fault(26.0, "lossy", span=4.0, amount=0.1),
+              Fault(28.0, "cut", parts=((0, 3, 5), (1, 2, 4, 6, 7)), span=3.0),
+              Fault(30.0, "join", (7,)), Fault(33.0, "stop", (0,), span=2.0))
+    bank = RecordingRecordBank(Schedule(8, 45.0, faults, seed), 5, journal)
+    for number, at in enumerate((18.0, 20.0, 20.5, 27.0, 36.0, 40.0)):
+        bank.until(at)
+        leader = bank.leader()
+        data = encode(Drain(Said(100 + number, "seeded", "w" * 20), f"n{number}"))
+        leader.agreement.command(DRAIN, data)
+        leader.pass_on()
+    bank.until(45.0)
+    for node in bank.record_nodes():
+        agreement = node.agreement
+        journal.note(4, node.number, agreement.term, agreement.last, agreement.commit,
+                     agreement.applied)
+    return journal_of_bank(bank, journal)
+
+
+# The explorers, and the state machines that they hold.
+
+
+def walked(make, seed, steps, length):
+    """A walk whose every step, and every message on its way, is digested."""
+    journal, chance, taken = Journal(), Random(seed), 0
+    while taken < steps:
+        world = make()
+        for _ in range(length):
+            choices = world.steps()
+            if not choices:
+                break
+            at = int(chance.random() * len(choices))
+            world.do(choices[at][1])
+            taken += 1
+            broken = int(bool(world.broken()))
+            journal.note(1, world.now, len(choices), at, len(world.network), broken)
+            if world.network:
+                sender, to, message = world.network[-1]
+                journal.note(2, sender, to, msgspec.msgpack.encode(message))
+            journal.count(steps=1, messages=len(world.network), broken=broken)
+    return journal.result()
+
+
+def seeded(world):
+    """The same world whose members draw from real, seeded chance."""
+
+    class Seeded(world):
+        def chance(self):
+            self.numbers += 1
+            return Random(self.numbers)
+
+    return Seeded
+
+
+def day_of_limits(seed):
+    world = seeded(Sharing)
+    return walked(lambda: world(4, 8, 12, 2_000, 3, 40, Wishing), seed, 5_000, 1_000)
+
+
+def day_of_windows(seed):
+    world = seeded(Counting)
+    return walked(lambda: world(4, 90, 12, 2_000, 3, 40, Wishful, failures=5, ahead=LEAST_AHEAD),
+                  seed, 5_000, 500)
+
+
+def day_of_verdicts(seed):
+    world = seeded(Voting)
+    return walked(lambda: world(5, 3, 20, 12, 2_000, 3, 40, make=Court), seed, 5_000, 500)
+
+
+def day_of_hearings(seed):
+    """Six members see answers of ten upstreams, some slow, hear each other and vote what rests."""
+    journal, chance, pool, usual = Journal(), Random(seed), 7, 1e7
+    rules = Rules(term=6 * SECOND, life=3 * SECOND, back=2 * SECOND)
+    courts = [Court(rules, own, 0, Random(seed + own)) for own in range(1, 7)]
+    upstreams, slow = range(20, 30), set()
+    for court in courts:
+        court.listed(pool, {key: 0 for key in upstreams})
+    for step in range(600):
+        now = step * SECOND // 10
+        if step % 40 == 0:
+            slow = {chance.choice(upstreams)} if chance.random() < 0.8 else set()
+        for court in courts:
+            for number in range(3):
+                key = chance.choice(upstreams)
+                ratio = 9.0 * chance.random() if key in slow else 0.5 + chance.random()
+                court.sent(pool, key, 3 * step + number, now)
+                court.came(pool, key, 3 * step + number, ratio, now)
+                journal.count(answers=1)
+            court.turn(now, lambda pool: usual, lambda pool: (len(courts), len(courts)))
+        for _ in range(10):
+            messages = [(court.own, to, plea) for court in courts for to, plea in court.out]
+            for court in courts:
+                court.out = []
+            for sender, to, plea in messages:
+                journal.note(1, now, sender, to, msgspec.msgpack.encode(plea))
+                journal.count(messages=1)
+                for court in courts:
+                    if court.own == to or not to and court.own != sender and chance.random() < 0.95:
+                        court.hear(plea, sender, usual, now)
+        for court in courts:
+            for rest, until in court.rests.items():
+                journal.note(2, now, court.own, rest[1], until)
+                journal.count(rests=1)
+    return journal.result()
+
+
+def day_of_agreement(seed):
+    world = seeded(Recording)
+    return walked(lambda: world(5, 12, 2_000, 3, 20, 40, 10, 2, 4, 3, led=True), seed, 4_000, 400)
+
+
+def explored(days, party, faults, depth):
+    """States that every order comes to, how far walks go, after how many steps faults show."""
+    journal = Journal()
+    for world in days.WHOLE:
+        found = every(world.make(party), depth)
+        journal.note(1, found.states, found.steps, found.deepest, int(bool(found.broken)))
+        journal.count(states=found.states, steps=found.steps)
+    for world in days.WALKS:
+        found = world.gone_through(party, 600, 3)
+        journal.note(2, found.steps, found.deepest, int(bool(found.broken)))
+        journal.count(walked=found.steps)
+    for fault in faults.values():
+        found = days.WALKS[0].gone_through(fault, 1_000, 5)
+        journal.note(3, found.steps, found.deepest, len(found.path), int(bool(found.broken)))
+        journal.count(faults=1, found=int(bool(found.broken)), walked=found.steps)
+    return journal.result()
+
+
+DAYS = {
+    "decisions, alone": lambda: day_of_decisions([ALONE, PLAIN], 11),
+    "decisions, one of four": lambda: day_of_decisions([MANY, PLAIN, ALONE], 12),
+    "decisions, without copies": lambda: day_of_decisions([PLAIN, MANY], 13),
+    "decisions, little traffic": lambda: day_of_decisions([PLAIN, ALONE], 14, 3_000, 25.0),
+    "wire": lambda: WireDay(21, 4_000).play(),
+    "fleet": lambda: day_of_fleet(31),
+    "members": lambda: day_of_members(32),
+    "members, other faults": lambda: day_of_members(34),
+    "record": lambda: day_of_record(33),
+    "limits": lambda: day_of_limits(41),
+    "windows": lambda: day_of_windows(42),
+    "verdicts": lambda: day_of_verdicts(43),
+    "hearings": lambda: day_of_hearings(45),
+    "agreement": lambda: day_of_agreement(44),
+    "explored limits": lambda: explored(sharedays, Wishing, SHARE_FAULTS, 5),
+    "explored windows": lambda: explored(countdays, Wishful, COUNT_FAULTS, 4),
+    "explored verdicts": lambda: explored(votedays, Court, VOTE_FAULTS, 4),
+    "explored agreement": lambda: explored(recorddays, Agreement, RECORD_FAULTS, 3),
+}
+
+
+def test_the_kept_days_are_those_that_are_played():
+    assert set(json.loads(KEPT.read_text())) == set(DAYS)
+
+
+@pytest.mark.parametrize("name", DAYS)
+def test_the_same_seed_gives_the_same_actions_as_were_kept(name):
+    assert DAYS[name]() == json.loads(KEPT.read_text())[name]
+
+
+def test_the_read_loop_answers_the_frames_of_a_day_with_the_same_bytes():
+    day = WireDay(22, 400)
+    day.play()
+    assert read_loop(bytes(day.given)) == (0, bytes(day.replies))
+
+
+if __name__ == "__main__":
+    print(json.dumps({name: play() for name, play in DAYS.items()}, indent=1))
