--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -24,7 +24,7 @@
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.simulation.fleet import Bank as Model
 from whinpier.simulation.fleet_mutants import MUTATIONS, caught
-from whinpier.policy.model import Upstream, RequestClass
+from whinpier.policy.model import RequestClass, Upstream
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.clients import Asks, Gateway
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from whinpier.policy.policy import SECOND, Choice
-from whinpier.policy.model import FULFILLED, READY, Attempt, Request, Upstream, RequestClass
+from whinpier.policy.model import Attempt, Outcome, Request, RequestClass, Upstream, UpstreamState
 
 MS = SECOND // 1000
 SETTINGS = {
@@ -38,14 +38,14 @@
         self.choice = Choice(
             self, SETTINGS | settings, [self.request_class], settings.pop("seed", 7)
         )
-        self.upstreams = [Upstream(n, READY, n % 2, 0, 0) for n in range(count)]
+        self.upstreams = [Upstream(n, UpstreamState.READY, n % 2, 0, 0) for n in range(count)]
         if count:
             self.choice.listed(self.upstreams)
 
     # What the decisions ask for.
 
     def start_attempt(self, request, upstream, stop_at=0):
-        assert not request.ended and upstream.state == READY
+        assert not request.ended and upstream.state == UpstreamState.READY
         request.attempts.append(Attempt(request, upstream, len(request.attempts), self.now))
         self.sent.append(request.attempts[-1])
         return request.attempts[-1]
@@ -87,9 +87,9 @@
         self.choice.arrive(made)
         return made
 
-    def came_back(self, attempt, outcome=FULFILLED, load=None):
+    def came_back(self, attempt, outcome=Outcome.SUCCEEDED, load=None):
         attempt.outcome, attempt.took = outcome, self.now - attempt.sent
-        first = outcome == FULFILLED and not attempt.request.ended
+        first = outcome == Outcome.SUCCEEDED and not attempt.request.ended
         if first:
             self._answer(attempt.request, "fulfilled")
         self.choice.came_back(attempt, load, first)
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -19,7 +19,7 @@
 from tests.waiting import LIMIT
 from whinpier.config.platform import read
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import ERROR, TICKETED
+from whinpier.policy.model import Effect, Outcome
 from whinpier.http import upstream_connection
 from whinpier.http.client_connection import AHEAD, IDLE, LINGER
 from whinpier.http.upstream_connection import Link
@@ -571,9 +571,11 @@
 
 @pytest.mark.parametrize("after, attempts", [(1500, 2), (1800, 1)])
 def test_a_keyed_request_is_not_resent_when_it_could_arrive_outside_its_window(after, attempts):
-    host = FakeHost(TICKETED)  # a window of 2 s; a connection may take a quarter of one to come up
+    host = FakeHost(
+        Effect.KEYED
+    )  # a window of 2 s; a connection may take a quarter of one to come up
     host.choice.again.configure({"limits.max_hand_offs": 3})
     host.request()
     host.wait(after * MS)
-    host.came_back(host.sent[0], ERROR)
+    host.came_back(host.sent[0], Outcome.FAILED)
     assert len(host.sent) == attempts
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -9,20 +9,7 @@
 
 from tests.fake_host import MS, SETTINGS, FakeHost
 from whinpier.policy.policy import SECOND, level
-from whinpier.policy.model import (
-    DRAINING,
-    ERROR,
-    EXCLUSIVE,
-    FULFILLED,
-    FULL,
-    NO_CONNECTION,
-    READY,
-    RERUNNABLE,
-    RESET,
-    TICKETED,
-    TIMED_OUT,
-    Upstream,
-)
+from whinpier.policy.model import Effect, Outcome, Upstream, UpstreamState
 from whinpier.policy.rate_gossip import Peers
 
 
@@ -44,14 +31,14 @@
 @pytest.mark.parametrize(
     "kind, group, outcome, sent, answer",
     [
-        (EXCLUSIVE, "all", FULL, 2, None),
-        (EXCLUSIVE, "all", NO_CONNECTION, 2, None),
-        (EXCLUSIVE, "all", ERROR, 1, "scrapped"),
-        (EXCLUSIVE, "all", RESET, 1, "scrapped"),
-        (TICKETED, "all", RESET, 2, None),
-        (TICKETED, "cell", RESET, 2, None),
-        (TICKETED, "zone", RESET, 1, "scrapped"),
-        (RERUNNABLE, "all", ERROR, 2, None),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.OVERLOADED, 2, None),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.CONNECT_FAILED, 2, None),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.FAILED, 1, "scrapped"),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.RESET, 1, "scrapped"),
+        (Effect.KEYED, "all", Outcome.RESET, 2, None),
+        (Effect.KEYED, "cell", Outcome.RESET, 2, None),
+        (Effect.KEYED, "zone", Outcome.RESET, 1, "scrapped"),
+        (Effect.IDEMPOTENT, "all", Outcome.FAILED, 2, None),
     ],
 )
 def test_what_may_have_run_is_sent_again_only_as_its_request_class_allows(
@@ -65,20 +52,20 @@
 
 
 def test_a_ticketed_request_is_not_sent_again_once_its_upstreams_may_have_forgotten_it():
-    host = FakeHost(TICKETED, 1)
+    host = FakeHost(Effect.KEYED, 1)
     request = host.request()
     host.wait(2100 * MS)
-    host.choice.listed(host.upstreams + [Upstream(9, READY, 0, 0, 0)])
-    host.came_back(request.attempts[0], RESET)
+    host.choice.listed(host.upstreams + [Upstream(9, UpstreamState.READY, 0, 0, 0)])
+    host.came_back(request.attempts[0], Outcome.RESET)
     assert len(request.attempts) == 1 and host.answers[request.id] == "turned back"
 
 
-@pytest.mark.parametrize("kind", [EXCLUSIVE, TICKETED, RERUNNABLE])
+@pytest.mark.parametrize("kind", [Effect.NON_IDEMPOTENT, Effect.KEYED, Effect.IDEMPOTENT])
 def test_a_time_out_at_the_end_is_answered_at_once(kind):
     host = FakeHost(kind, 1)
     request = host.request()
     host.wait(3000 * MS)
-    host.came_back(request.attempts[0], TIMED_OUT)
+    host.came_back(request.attempts[0], Outcome.TIMED_OUT)
     assert host.answers[request.id] == "scrapped"
 
 
@@ -94,13 +81,13 @@
     host = FakeHost(count=0)
     request = host.request()
     host.wait(20 * MS)
-    host.choice.listed([Upstream(1, READY, 0, 0, 0)])
+    host.choice.listed([Upstream(1, UpstreamState.READY, 0, 0, 0)])
     assert len(request.attempts) == 1
 
 
 def test_a_draining_or_missing_upstream_gets_nothing_new():
     host = FakeHost(count=3)
-    host.upstreams[0].state = DRAINING
+    host.upstreams[0].state = UpstreamState.DRAINING
     host.choice.listed(host.upstreams[:2])  # the third is missing
     host.traffic(2 * SECOND)
     assert {sent.upstream.id for sent in host.sent} == {1}
@@ -109,7 +96,7 @@
 def test_a_cold_upstream_gets_its_part_by_age():
     host = FakeHost(count=4)
     host.traffic(4 * SECOND)
-    cold = Upstream(9, READY, 0, 0, host.now)
+    cold = Upstream(9, UpstreamState.READY, 0, 0, host.now)
     host.choice.listed(host.upstreams + [cold])
     before = len(host.sent)
     host.traffic(SECOND)
@@ -125,7 +112,7 @@
 
 
 def test_an_upstream_that_swallows_requests_loses_its_share_before_a_time_out_and_wins_it_back():
-    host = FakeHost(TICKETED, 3)
+    host = FakeHost(Effect.KEYED, 3)
     host.traffic(3 * SECOND)
     before = len(host.sent)
     host.traffic(SECOND, takes=lambda upstream: None if upstream.id == 0 else 50 * MS)
@@ -135,12 +122,12 @@
 
 
 def test_quick_failures_do_not_look_fast():
-    host = FakeHost(RERUNNABLE, 3)
+    host = FakeHost(Effect.IDEMPOTENT, 3)
     host.traffic(3 * SECOND)
     for _ in range(30):
         host.request()
         for attempt in host.out():
-            host.came_back(attempt, ERROR if attempt.upstream.id == 0 else "fulfilled")
+            host.came_back(attempt, Outcome.FAILED if attempt.upstream.id == 0 else "fulfilled")
         host.wait(100 * MS)
     assert host.upstreams[0].seen.share < 0.1
 
@@ -149,7 +136,7 @@
 def test_only_a_request_at_a_silent_upstream_gets_a_second_copy_and_the_loser_is_withdrawn(
     silent, copies
 ):
-    host = FakeHost(RERUNNABLE, 3)
+    host = FakeHost(Effect.IDEMPOTENT, 3)
     host.traffic(3 * SECOND)
     request, upstream = host.request(), host.sent[-1].upstream
     for _ in range(100):  # the request is heavy; its upstream answers others, or does not
@@ -179,9 +166,9 @@
     assert host.answers[hasty.id] == "turned back"
 
 
-@pytest.mark.parametrize("outcome", [ERROR, NO_CONNECTION, FULL])
+@pytest.mark.parametrize("outcome", [Outcome.FAILED, Outcome.CONNECT_FAILED, Outcome.OVERLOADED])
 def test_while_others_are_full_one_that_fails_quickly_does_not_draw_what_finds_no_room(outcome):
-    host = FakeHost(EXCLUSIVE, 3)
+    host = FakeHost(Effect.NON_IDEMPOTENT, 3)
     host.traffic(3 * SECOND)
     failed = 0
     for _ in range(100):  # two answer none in this second, one fails whatever it gets
@@ -196,7 +183,7 @@
 
 @pytest.mark.parametrize("balancers, most", [(1, 8 * 6), (12, 8 * 6 // 12)])
 def test_many_balancers_each_keep_to_their_part_of_an_idle_fleet(balancers, most):
-    host = FakeHost(EXCLUSIVE, 8, balancers=balancers)
+    host = FakeHost(Effect.NON_IDEMPOTENT, 8, balancers=balancers)
     for _ in range(100):
         host.request()
     assert len(host.sent) == most
@@ -208,34 +195,36 @@
 def test_a_large_bank_spreads_its_connections_evenly_over_a_large_fleet(balancers, count):
     met = Counter()
     for number in range(max(1, balancers)):
-        host = FakeHost(EXCLUSIVE, count, balancers=balancers, slot_no=number)
+        host = FakeHost(Effect.NON_IDEMPOTENT, count, balancers=balancers, slot_no=number)
         met.update(seen.upstream.id for seen in host.choice.split.pool)
     assert len(met) == count and max(met.values()) <= min(max(1, balancers), 2 * min(met.values()))
     assert balancers < 400 or count < 80 or max(met.values()) < 40
 
 
 def test_a_balancer_whose_upstreams_all_fall_silent_takes_others_besides():
-    host = FakeHost(EXCLUSIVE, 80, balancers=400, slot_no=399)
+    host = FakeHost(Effect.NON_IDEMPOTENT, 80, balancers=400, slot_no=399)
     first = list(host.choice.split.pool)
     host.traffic(6 * SECOND, 200 * MS, lambda upstream: None if upstream.seen in first else 50 * MS)
     assert {sent.upstream.seen for sent in host.sent[-4:]}.isdisjoint(first)
 
 
 def test_a_list_that_shrinks_and_grows_keeps_what_is_connected_and_meets_who_is_new():
-    host = FakeHost(EXCLUSIVE, 80, balancers=100)
+    host = FakeHost(Effect.NON_IDEMPOTENT, 80, balancers=100)
     before = set(host.choice.split.pool)
     host.choice.listed(host.upstreams[40:])
     assert before & {up.seen for up in host.upstreams[40:]} <= set(host.choice.split.pool)
-    host.choice.listed(host.upstreams[40:] + [Upstream(n, READY, 0, 0, 0) for n in range(200, 300)])
+    host.choice.listed(
+        host.upstreams[40:] + [Upstream(n, UpstreamState.READY, 0, 0, 0) for n in range(200, 300)]
+    )
     assert any(seen.upstream.id >= 200 for seen in host.choice.split.pool)
 
 
 def test_hundreds_of_balancers_together_send_a_cold_upstream_less_than_its_part():
     first = 0
     for number in range(100):
-        host = FakeHost(EXCLUSIVE, 10, balancers=100, seed=number, slot_no=number)
+        host = FakeHost(Effect.NON_IDEMPOTENT, 10, balancers=100, seed=number, slot_no=number)
         host.traffic(3 * SECOND, every=100 * MS)
-        cold = Upstream(99, READY, 0, 0, host.now)
+        cold = Upstream(99, UpstreamState.READY, 0, 0, host.now)
         host.choice.listed(host.upstreams + [cold])
         host.traffic(1500 * MS, every=100 * MS)
         first += sum(sent.upstream is cold for sent in host.sent)
@@ -271,7 +260,9 @@
                 due += int(chance.expovariate(each) * SECOND)
             for out in host.out():
                 if out.sent + (120 if out.upstream.id >= 100 else 50) * MS <= host.now:
-                    host.came_back(out, FULL if chance.random() < full else FULFILLED)
+                    host.came_back(
+                        out, Outcome.OVERLOADED if chance.random() < full else Outcome.SUCCEEDED
+                    )
             host.sent[:] = host.out()
             host.wait(10 * MS)
 
@@ -283,13 +274,14 @@
     host.start_attempt = counted
     go(5 * SECOND, each, 0.0)
     host.choice.listed(
-        host.upstreams[2:] + [Upstream(100 + n, READY, 0, 0, host.now) for n in range(2)]
+        host.upstreams[2:]
+        + [Upstream(100 + n, UpstreamState.READY, 0, 0, host.now) for n in range(2)]
     )
     go(5 * SECOND, each * burst, max(0.0, 1.0 - 1.0 / (0.75 * burst)))
     return sent
 
 
-@pytest.mark.parametrize("kind", [EXCLUSIVE, RERUNNABLE])
+@pytest.mark.parametrize("kind", [Effect.NON_IDEMPOTENT, Effect.IDEMPOTENT])
 @pytest.mark.parametrize(
     "count, rate", [(1, 300.0), (20, 300.0), (30, 300.0), (30, 60.0), (200, 300.0)]
 )
@@ -313,7 +305,7 @@
 
 
 def test_the_quick_answers_of_a_restarted_balancers_first_seconds_do_not_narrow_its_room():
-    host = FakeHost(RERUNNABLE, 3)
+    host = FakeHost(Effect.IDEMPOTENT, 3)
     before = host.choice.split.ease
     host.traffic(2 * SECOND, takes=lambda upstream: 5 * MS)
     assert host.choice.split.ease == before
@@ -338,8 +330,8 @@
         sent = host.sent[before:]
         return sum(attempt.upstream is bad for attempt in sent) / len(sent)
 
-    assert part(RESET) > 0.1
-    assert part(NO_CONNECTION) < 0.1
+    assert part(Outcome.RESET) > 0.1
+    assert part(Outcome.CONNECT_FAILED) < 0.1
 
 
 def test_an_upstream_that_resets_every_connection_is_left_alone_for_longer_each_time():
@@ -353,7 +345,7 @@
         for attempt in host.out():
             if attempt.upstream is bad:
                 met.append(host.now)
-                host.came_back(attempt, RESET)
+                host.came_back(attempt, Outcome.RESET)
     assert len(met) < 0.02 * 500  # of 50 requests a second, where a sound one gets a quarter
 
 
@@ -383,7 +375,9 @@
 def test_no_report_upsets_the_decisions(load):
     host = FakeHost(count=3, **PROBED)
     host.traffic(3 * SECOND, load=load)
-    host.choice.reported(Upstream(99, READY, 0, 0, 0), {"busy": 1.0})  # one that was never listed
+    host.choice.reported(
+        Upstream(99, UpstreamState.READY, 0, 0, 0), {"busy": 1.0}
+    )  # one that was never listed
     host.choice.listed([])
     host.wait(2 * SECOND)
     assert "fulfilled" in host.answers.values()
@@ -457,7 +451,7 @@
         first.append(host.asked[0] - start)
         gaps = [after - before for before, after in zip(host.asked, host.asked[1:])]
         assert max(gaps) <= 5 * SECOND and min(gaps[1:]) >= 2 * SECOND
-        host.choice.listed([Upstream(1, READY, 0, 0, 0)])
+        host.choice.listed([Upstream(1, UpstreamState.READY, 0, 0, 0)])
         host.wait(20 * SECOND)
         assert len(host.asked) == 6  # it has come: nothing more is asked
         host.choice.list_lost()
@@ -475,7 +469,7 @@
 
 
 def test_after_a_switch_to_settings_without_second_copies_none_is_sent():
-    host = FakeHost(RERUNNABLE, 3)
+    host = FakeHost(Effect.IDEMPOTENT, 3)
     host.traffic(3 * SECOND)
     bad = host.upstreams[0]
     host.traffic(300 * MS, takes=lambda upstream: None if upstream is bad else 50 * MS)
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -12,7 +12,7 @@
 from tests.fake_host import MS, FakeHost
 from tests.waiting import LIMIT, until
 from whinpier.policy.decaying_sum import SECOND, Turn
-from whinpier.policy.model import READY, Upstream, RequestClass
+from whinpier.policy.model import RequestClass, Upstream, UpstreamState
 from whinpier.runtime.resource_budget import Budget, Part
 from whinpier.config.model import Limits
 from whinpier.testbed import files
@@ -357,7 +357,7 @@
     alone, both = [], []
     for shared, found in ((False, alone), (True, both)):
         for number, host in enumerate(hosts):
-            fresh = Upstream(100 + shared, READY, 0, 0, host.now)
+            fresh = Upstream(100 + shared, UpstreamState.READY, 0, 0, host.now)
             fresh.turn = both[0] if shared and number else Turn(host.now)
             found.append(fresh.turn)
             host.choice.listed([*host.upstreams, fresh])
--- a/tests/test_kept_simulator.py
+++ b/tests/test_kept_simulator.py
@@ -93,7 +93,7 @@
     def __init__(self):
         self.instance = Instance(3, 7, SETTINGS, NOW)
         self.request = Request(99, self.instance.request_classes[0], NOW, NOW + 10**9)
-        self.upstream = Upstream(222, model.READY, 0, 0, 0)
+        self.upstream = Upstream(222, model.UpstreamState.READY, 0, 0, 0)
         self.instance.out.clear()
 
     def of(self, call, *given):
@@ -201,16 +201,20 @@
 
 
 def test_states_and_outcomes_have_the_stated_numbers():
-    assert wire.STATES == {0: model.GONE, 1: model.READY, 2: model.DRAINING}
+    assert wire.STATES == {
+        0: model.UpstreamState.REMOVED,
+        1: model.UpstreamState.READY,
+        2: model.UpstreamState.DRAINING,
+    }
     assert wire.OUTCOMES == {
-        0: model.FULFILLED,
-        5: model.ERROR,
-        11: model.FULL,
-        104: model.RESET,
-        110: model.TIMED_OUT,
-        111: model.NO_CONNECTION,
-        114: model.MOOT,
-        125: model.WITHDRAWN,
+        0: model.Outcome.SUCCEEDED,
+        5: model.Outcome.FAILED,
+        11: model.Outcome.OVERLOADED,
+        104: model.Outcome.RESET,
+        110: model.Outcome.TIMED_OUT,
+        111: model.Outcome.CONNECT_FAILED,
+        114: model.Outcome.NOT_SENT,
+        125: model.Outcome.CANCELLED,
     }
 
 
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -49,23 +49,7 @@
 from whinpier.simulation.consensus import RecordBank
 from whinpier.simulation.invariants import Referee
 from whinpier.simulation.world import World
-from whinpier.policy.model import (
-    DRAINING,
-    ERROR,
-    FULFILLED,
-    FULL,
-    GONE,
-    MOOT,
-    NO_CONNECTION,
-    READY,
-    RESET,
-    TIMED_OUT,
-    WITHDRAWN,
-    Attempt,
-    Host,
-    Request,
-    Upstream,
-)
+from whinpier.policy.model import Attempt, Host, Outcome, Request, Upstream, UpstreamState
 from whinpier.policy.rate_gossip import Peers
 from whinpier.settings import COLUMNS, request_classes
 from whinpier.simhost import wire
@@ -75,14 +59,14 @@
 KEPT = Path(__file__).parent / "data" / "kept" / "seeded_day.json"
 US, MS, SECOND = 1_000, 1_000_000, 1_000_000_000
 OUTCOME_CODES = {
-    FULFILLED: 0,
-    ERROR: 5,
-    FULL: 11,
-    RESET: 104,
-    TIMED_OUT: 110,
-    NO_CONNECTION: 111,
-    MOOT: 114,
-    WITHDRAWN: 125,
+    Outcome.SUCCEEDED: 0,
+    Outcome.FAILED: 5,
+    Outcome.OVERLOADED: 11,
+    Outcome.RESET: 104,
+    Outcome.TIMED_OUT: 110,
+    Outcome.CONNECT_FAILED: 111,
+    Outcome.NOT_SENT: 114,
+    Outcome.CANCELLED: 125,
 }
 HAND_OFF, WITHDRAW, REJECT, FAIL, ALARM, PROBE, CLOSE_IDLE, TELL, FOLLOW, FETCH, LOG = range(1, 12)
 
@@ -203,7 +187,7 @@
         self.choice.listed(list(self.upstreams))
 
     def join(self, number, started):
-        upstream = Upstream(number, READY, number % 2, number % 3, started)
+        upstream = Upstream(number, UpstreamState.READY, number % 2, number % 3, started)
         self.upstreams.append(upstream)
         self.behaviour[upstream] = 0
         return upstream
@@ -225,30 +209,30 @@
         """When an attempt comes back, and how."""
         drawn, behaviour = self.chance.random, self.behaviour[attempt.upstream]
         at, ends = self.now + int(MS * (4 + 60 * drawn() ** 3)), attempt.request.ends
-        outcome = FULFILLED
+        outcome = Outcome.SUCCEEDED
         if behaviour == 1:
             at = self.now + int(MS * (200 + 900 * drawn()))
         elif behaviour == 2:
             at = ends
         elif behaviour == 3 and drawn() < 0.8:
-            outcome = ERROR
+            outcome = Outcome.FAILED
         elif behaviour == 4 and drawn() < 0.7:
-            outcome = RESET
+            outcome = Outcome.RESET
         elif behaviour == 5:
-            at, outcome = self.now + MS, NO_CONNECTION
+            at, outcome = self.now + MS, Outcome.CONNECT_FAILED
         elif behaviour == 6 and drawn() < 0.6:
-            at, outcome = self.now + 2 * MS, FULL
+            at, outcome = self.now + 2 * MS, Outcome.OVERLOADED
         elif drawn() < 0.004:
-            outcome = MOOT
+            outcome = Outcome.NOT_SENT
         if at >= ends:
-            at, outcome = max(ends, self.now), TIMED_OUT
+            at, outcome = max(ends, self.now), Outcome.TIMED_OUT
         return at, self.come_back, attempt, outcome
 
     def withdraw(self, attempt):
         request, upstream = attempt.request, attempt.upstream
         self.journal.note(WITHDRAW, self.now, request.id, upstream.id, attempt.number)
         self.journal.count(withdrawn=1)
-        self.agenda.put(self.now + MS, self.come_back, attempt, WITHDRAWN)
+        self.agenda.put(self.now + MS, self.come_back, attempt, Outcome.CANCELLED)
 
     def turn_back(self, request, wait=0):
         assert not request.ended, "two final answers"
@@ -312,7 +296,7 @@
         self.choice.reported(upstream, self.load())
 
     def tell_list(self):
-        self.choice.listed([one for one in self.upstreams if one.state != GONE])
+        self.choice.listed([one for one in self.upstreams if one.state != UpstreamState.REMOVED])
 
     def lose_list(self):
         self.choice.list_lost()
@@ -322,10 +306,10 @@
             return
         request = attempt.request
         attempt.outcome, attempt.took = outcome, self.now - attempt.sent
-        first = outcome == FULFILLED and not request.ended
+        first = outcome == Outcome.SUCCEEDED and not request.ended
         request.ended = request.ended or first
         self.journal.count(fulfilled=int(first), **{f"outcome_{OUTCOME_CODES[outcome]}": 1})
-        load = self.load() if outcome == FULFILLED and self.chance.random() < 0.5 else None
+        load = self.load() if outcome == Outcome.SUCCEEDED and self.chance.random() < 0.5 else None
         self.choice.came_back(attempt, load, first)
 
     def arrive(self):
@@ -352,14 +336,14 @@
     def disturb(self):
         """Something happens to an upstream, the list, the peers or the settings."""
         drawn = self.chance.random
-        here = [one for one in self.upstreams if one.state == READY]
+        here = [one for one in self.upstreams if one.state == UpstreamState.READY]
         one = here[int(len(here) * drawn())] if here else None
         kind = int(16 * drawn())
         if kind < 7 and one:
             self.behaviour[one] = kind
             self.agenda.put(self.now + int((1 + 4 * drawn()) * SECOND), self.heal, one)
         elif kind == 7 and len(here) > 3:
-            one.state = DRAINING
+            one.state = UpstreamState.DRAINING
             self.agenda.put(self.now + 2 * SECOND, self.go, one)
             self.tell_list()
         elif kind == 8 and len(here) > 3:  # restarts cold: another run
@@ -395,7 +379,7 @@
         upstream.spare = float("inf")
 
     def go(self, upstream):
-        upstream.state = GONE
+        upstream.state = UpstreamState.REMOVED
         self.behaviour[upstream] = 5
         self.upstreams = [one for one in self.upstreams if one is not upstream]
         self.tell_list()
--- a/whinpier/config/model.py
+++ b/whinpier/config/model.py
@@ -10,13 +10,17 @@
 from math import isfinite
 from typing import TYPE_CHECKING, Any, Protocol
 
-from whinpier.policy.model import DRAINING, GONE, READY, RequestClass
+from whinpier.policy.model import RequestClass, UpstreamState
 
 if TYPE_CHECKING:
     from whinpier.routing.table import Table
 
 Address = tuple[str, int]
-STATES = {"up": READY, "draining": DRAINING, "removed": GONE}
+STATES = {
+    "up": UpstreamState.READY,
+    "draining": UpstreamState.DRAINING,
+    "removed": UpstreamState.REMOVED,
+}
 LATEST = (
     2**53
 )  # milliseconds: what JSON numbers hold exactly; later times would only upset arithmetic
@@ -46,7 +50,7 @@
 
     host: str
     dial: Address
-    state: str
+    state: UpstreamState
     zone: str
     shape: str
     cell: int
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -209,10 +209,11 @@
     if patience < agreed:
         raise ConfigFault(f"{at}.patience: is shorter than agreed_time")
     window = duration(table.window, f"{at}.window")
-    if window and table.kind != "ticketed":
+    effect = model.Effect(table.kind)
+    if window and effect is not model.Effect.KEYED:
         raise ConfigFault(f"{at}.window: only a ticketed workload has one")
     return model.RequestClass(
-        name, table.kind, agreed, patience, table.payoff, table.late_payoff, table.group, window
+        name, effect, agreed, patience, table.payoff, table.late_payoff, table.group, window
     )
 
 
@@ -231,7 +232,7 @@
         found[given.name] = Entry(
             given.name,
             dial,
-            given.state,
+            model.UpstreamState(given.state),
             given.zone,
             given.kind,
             given.cell,
@@ -361,10 +362,10 @@
     name = name or (table.lane if table.lane in kinds else "")
     if name and name not in kinds:
         raise ConfigFault(f"{at}.workload: {name!r} is none of {', '.join(kinds)}")
-    if name and kinds[name] == model.EXCLUSIVE and table.methods == ["GET"]:
+    if name and kinds[name] == model.Effect.NON_IDEMPOTENT and table.methods == ["GET"]:
         raise ConfigFault(f"{at}.methods: GET is for what may be repeated, and {name} is exclusive")
     fields = says(table.says, f"{at}.says") if table.says else usual[table.pool]
-    if name and kinds[name] == model.TICKETED and not fields.ticket:
+    if name and kinds[name] == model.Effect.KEYED and not fields.ticket:
         raise ConfigFault(f"{at}.says.ticket: {name} is ticketed and no header holds its ticket")
     for key in table.headers:
         if not header(key, f"{at}.headers"):
--- a/whinpier/config/platform.py
+++ b/whinpier/config/platform.py
@@ -14,7 +14,7 @@
 
 from whinpier import settings as common
 from whinpier.storage.bounded_files import contents
-from whinpier.policy.model import WireError, RequestClass
+from whinpier.policy.model import RequestClass, WireError
 from whinpier.config.model import PLATFORM, ConfigFault, PoolSpec, Spec, address, entries
 
 CHOICES = {
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -39,7 +39,7 @@
 from whinpier.fleet.spec import RELEASED, AgreementSpec
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.storage.append_log import Journal, Torn, framed
-from whinpier.policy.model import FULFILLED
+from whinpier.policy.model import Outcome
 from whinpier.runtime.pool import PendingRequest
 from whinpier.config.model import ConfigFault, Spec
 
@@ -251,7 +251,7 @@
     def judge(self, request: PendingRequest, how: str) -> None:
         """A request has its final answer."""
         self.ended += 1
-        if how == FULFILLED:
+        if how == Outcome.SUCCEEDED:
             self.on_time += request.pool.now - request.came <= request.request_class.agreed_time
         elif how == "scrapped":
             self.scrapped += 1
--- a/whinpier/fleet/outliers/monitor.py
+++ b/whinpier/fleet/outliers/monitor.py
@@ -15,13 +15,15 @@
 from whinpier.fleet.membership.membership import Members
 from whinpier.fleet.outliers.ejection import CAP, SLACK, Court, Rules
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import ERROR, FULFILLED, NO_CONNECTION, RESET, TIMED_OUT, WITHDRAWN
+from whinpier.policy.model import Outcome
 from whinpier.runtime.pool import Peer, Pool, Sent
 
 if TYPE_CHECKING:
     from whinpier.runtime.event_loop import Loop
 
-BAD = frozenset((ERROR, NO_CONNECTION, RESET, TIMED_OUT))  # as bad as one that is very late
+BAD = frozenset(
+    (Outcome.FAILED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMED_OUT)
+)  # as bad as one that is very late
 
 
 def key_of(peer: Peer) -> int:
@@ -73,7 +75,9 @@
             return
         if sent.outcome in BAD:
             ratio = CAP
-        elif sent.outcome != FULFILLED and not (sent.outcome == WITHDRAWN and ratio > 1.0):
+        elif sent.outcome != Outcome.SUCCEEDED and not (
+            sent.outcome == Outcome.CANCELLED and ratio > 1.0
+        ):
             ratio = -1.0  # it was never there: it says nothing
         self.court.came(self.mark, key, id(sent), ratio, self.loop.clock())
 
--- a/whinpier/http/platform_routes.py
+++ b/whinpier/http/platform_routes.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from whinpier.policy.model import EXCLUSIVE, RERUNNABLE, TICKETED, RequestClass
+from whinpier.policy.model import Effect, RequestClass
 from whinpier.runtime.pool import Pool
 from whinpier.config.model import Fields
 
@@ -71,13 +71,13 @@
 ) -> None:
     """Refuse a request that does not look as its request class's do."""
     if not target.any_method and method != (
-        b"GET" if request_class.kind == RERUNNABLE else b"POST"
+        b"GET" if request_class.kind == Effect.IDEMPOTENT else b"POST"
     ):
         raise BadRequest(405, f"{method!r} does not fit the lane")
     if (
-        request_class.kind == TICKETED
+        request_class.kind == Effect.KEYED
         and not ticket
-        or request_class.kind == EXCLUSIVE
+        or request_class.kind == Effect.NON_IDEMPOTENT
         and ticket
         or method == b"GET"
         and size
--- a/whinpier/http/upstream_connection.py
+++ b/whinpier/http/upstream_connection.py
@@ -18,7 +18,7 @@
 
 from whinpier import log
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import ERROR, FULFILLED, FULL, MOOT, NO_CONNECTION, READY, RESET
+from whinpier.policy.model import Outcome, UpstreamState
 from whinpier.http import buffers
 from whinpier.runtime.resource_budget import Part
 from whinpier.runtime.pool import Peer, Pool, Sent, PendingRequest
@@ -69,11 +69,11 @@
     def header(self, name: bytes) -> bytes | None:
         return next((value for given, value in self.headers if given == name), None)
 
-    def outcome(self, passed_on: frozenset[int]) -> str:
+    def outcome(self, passed_on: frozenset[int]) -> Outcome:
         if self.status in passed_on:
-            return FULFILLED
+            return Outcome.SUCCEEDED
         turned_away = self.status in (503, 504) and self.header(b"x-turned-away") == b"1"
-        return FULL if turned_away else ERROR
+        return Outcome.OVERLOADED if turned_away else Outcome.FAILED
 
     def load(self, columns: list[str]) -> dict[str, float] | None:
         """The load report, where one came with it, by our names; of what the settings promise."""
@@ -112,7 +112,13 @@
     """An upstream with its connections."""
 
     def __init__(
-        self, pool: Pool, host: str, number: int, state: str, started: int, address: Address
+        self,
+        pool: Pool,
+        host: str,
+        number: int,
+        state: UpstreamState,
+        started: int,
+        address: Address,
     ) -> None:
         super().__init__(number, state, 0, 0, started)
         self.pool, self.loop, self.host, self.address = pool, pool.loop, host, address
@@ -162,7 +168,7 @@
         """Begin a connection where more wait than will have one soon; the last gives up if there is none."""
         # What waits takes whichever comes first, a new connection or one that falls free.
         if len(self.waiting) > self.opening + self.resting and not self.open():
-            self.pool.settle(self.waiting.pop(), MOOT)
+            self.pool.settle(self.waiting.pop(), Outcome.NOT_SENT)
 
     def open(self) -> bool:
         """Begin a new connection, if there is a descriptor for it."""
@@ -185,7 +191,7 @@
         """A connection can take an attempt."""
         many = self.most_links is not None and len(self.links) > self.most_links
         if (
-            self.state != READY
+            self.state != UpstreamState.READY
             or link.address != self.address
             or many
             or (not self.waiting and self.pool.house.budget.called_back(self.pool.part))
@@ -201,7 +207,7 @@
     def not_opened(self) -> None:
         """A connection did not come up: whoever waited for it longest has its outcome."""
         if len(self.waiting) > self.opening + self.resting:
-            self.pool.settle(self.waiting.popleft(), NO_CONNECTION)
+            self.pool.settle(self.waiting.popleft(), Outcome.CONNECT_FAILED)
 
     def moved(self, dial: Address) -> None:
         if dial != self.address:
@@ -220,7 +226,7 @@
         """It is to get nothing new: what still waits to be sent is not sent, and idle connections go."""
         self.close_idle()
         while self.waiting:
-            self.pool.settle(self.waiting.popleft(), MOOT)
+            self.pool.settle(self.waiting.popleft(), Outcome.NOT_SENT)
 
 
 class Link(buffers.Connection):
@@ -340,7 +346,7 @@
         sending, written = self.sending, not self.left
         self.give_up()
         if sending:
-            self.pool.settle(sending, ERROR if written else NO_CONNECTION)
+            self.pool.settle(sending, Outcome.FAILED if written else Outcome.CONNECT_FAILED)
 
     def take_plain(self, data: bytes) -> bool:
         """Take in an answer that has come whole and alone, in the plainest form; False for any other."""
@@ -402,8 +408,8 @@
         sending, answer = self.part(), self.answer
         assert sending is not None
         outcome = answer.outcome(self.pool.spec.passed_on)
-        if self.left and outcome != FULL:
-            outcome = NO_CONNECTION  # an answer to what was not written whole
+        if self.left and outcome != Outcome.OVERLOADED:
+            outcome = Outcome.CONNECT_FAILED  # an answer to what was not written whole
         self.parser = None
         if clean and not self.left:
             self.rest()
@@ -438,7 +444,7 @@
             self.server.resting -= 1
             self.server.lacking()
         if sending := self.part():
-            self.pool.settle(sending, NO_CONNECTION if self.left else RESET)
+            self.pool.settle(sending, Outcome.CONNECT_FAILED if self.left else Outcome.RESET)
         self.pool.house.budget.roomier()
 
     def give_up(self) -> None:
--- a/whinpier/policy/model.py
+++ b/whinpier/policy/model.py
@@ -7,22 +7,41 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 from math import inf
 from typing import Any, Protocol
 
-RERUNNABLE, TICKETED, EXCLUSIVE = "rerunnable", "ticketed", "exclusive"
-READY, DRAINING, GONE = "ready", "draining", "gone"
 
-# How an attempt came back.
-FULFILLED, ERROR, TIMED_OUT, RESET, WITHDRAWN = (
-    "fulfilled",
-    "error",
-    "timed out",
-    "reset",
-    "withdrawn",
-)
-FULL, NO_CONNECTION, MOOT = "full", "no connection", "moot"
-NEVER_RAN = frozenset((FULL, NO_CONNECTION, MOOT))
+class Effect(StrEnum):
+    """Whether a request may run more than once; the values are those of an operator's file."""
+
+    IDEMPOTENT = "rerunnable"  # may run any number of times
+    KEYED = "ticketed"  # upstreams drop repeats that carry the same idempotency key, for a while
+    NON_IDEMPOTENT = "exclusive"  # must not run twice
+
+
+class UpstreamState(StrEnum):
+    """What the list of endpoints says of an upstream."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    REMOVED = "gone"
+
+
+class Outcome(StrEnum):
+    """How an attempt ended."""
+
+    SUCCEEDED = "fulfilled"
+    FAILED = "error"
+    TIMED_OUT = "timed out"
+    RESET = "reset"
+    CANCELLED = "withdrawn"
+    OVERLOADED = "full"  # rejected by the upstream before it ran
+    CONNECT_FAILED = "no connection"
+    NOT_SENT = "moot"
+
+
+NEVER_RAN = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 class WireError(Exception):
@@ -34,7 +53,7 @@
     """One kind of request, with what its users expect of it."""
 
     name: str
-    kind: str
+    kind: Effect
     agreed_time: int
     patience: int
     payoff: float
@@ -54,7 +73,7 @@
     """One run of an upstream: a restart makes a new object."""
 
     id: int
-    state: str
+    state: UpstreamState
     zone: int
     cell: int
     started: int  # 0: long ago
@@ -93,7 +112,7 @@
     upstream: Upstream
     number: int
     sent: int
-    outcome: str | None = None
+    outcome: Outcome | None = None
     took: int = 0
     pull: float = 0.0  # answers due of it in a nanosecond, by the decisions' count
 
--- a/whinpier/policy/policy.py
+++ b/whinpier/policy/policy.py
@@ -21,22 +21,15 @@
 
 from whinpier.policy.decaying_sum import SECOND, Sum
 from whinpier.policy.model import (
-    ERROR,
-    EXCLUSIVE,
-    FULFILLED,
-    FULL,
-    MOOT,
-    NEVER_RAN,
-    NO_CONNECTION,
-    READY,
-    RERUNNABLE,
-    TIMED_OUT,
-    WITHDRAWN,
     Attempt,
+    Effect,
     Host,
+    NEVER_RAN,
+    Outcome,
     Request,
-    Upstream,
     RequestClass,
+    Upstream,
+    UpstreamState,
 )
 from whinpier.policy.statistics import Known, Seen
 from whinpier.policy.rate_gossip import Peers
@@ -165,7 +158,7 @@
 
     def back(self, attempt: Attempt, first: bool) -> None:
         now, request = self.host.now, attempt.request
-        if attempt.outcome == FULFILLED:
+        if attempt.outcome == Outcome.SUCCEEDED:
             self.answered.add(now)
             request.request_class.known.kept.add(
                 now, float(first and now <= request.came + request.request_class.agreed_time)
@@ -220,8 +213,8 @@
         # remembered.
         once = (
             ran is None
-            or request_class.kind == RERUNNABLE
-            or request_class.kind != EXCLUSIVE
+            or request_class.kind == Effect.IDEMPOTENT
+            or request_class.kind != Effect.NON_IDEMPOTENT
             and now + self.setup < ran.sent + request_class.window
         )
         return once and len(request.attempts) < request_class.most and now < request.ends
@@ -229,7 +222,7 @@
     def fits(self, request: Request, upstream: Upstream) -> bool:
         """Whether the upstream drops repeats of what may have run before."""
         ran, group = self.may_have_run(request), request.request_class.group
-        if ran is None or request.request_class.kind == RERUNNABLE or group == "all":
+        if ran is None or request.request_class.kind == Effect.IDEMPOTENT or group == "all":
             return True
         return (
             upstream.zone == ran.upstream.zone
@@ -241,9 +234,9 @@
         """Whether the client may be told that trying again does no harm."""
         kind, everywhere = request.request_class.kind, request.request_class.group == "all"
         return (
-            kind == RERUNNABLE
+            kind == Effect.IDEMPOTENT
             or self.may_have_run(request) is None
-            or kind != EXCLUSIVE
+            or kind != Effect.NON_IDEMPOTENT
             and everywhere
         )
 
@@ -258,7 +251,7 @@
         request_class = attempt.request.request_class
         due = self.host.now + int(self.LATE * request_class.known.usual)
         if (
-            request_class.kind != EXCLUSIVE
+            request_class.kind != Effect.NON_IDEMPOTENT
             and request_class.copies
             and self.second_copies
             and due < attempt.request.ends
@@ -362,7 +355,8 @@
                 wait = int(self.fall * self.random()) if self.ready else 0
                 upstream.seen = Seen(upstream, self.host.now, self.span, wait)
         ready = sorted(
-            (up.seen for up in upstreams if up.state == READY), key=lambda seen: seen.upstream.id
+            (up.seen for up in upstreams if up.state == UpstreamState.READY),
+            key=lambda seen: seen.upstream.id,
         )
         # Who joins a list is taken up by chance, so that it meets as many balancers as the others.
         part = self.want(len(ready)) / max(1, len(ready)) if self.ready else 0.0
@@ -552,7 +546,7 @@
         if (
             seen.out >= seen.room
             or now < seen.shut_until
-            or upstream.state != READY
+            or upstream.state != UpstreamState.READY
             or upstream.spare < 1
             or any(sent.upstream is upstream for sent in request.attempts)
             or request.attempts
@@ -583,7 +577,7 @@
             return None
         # Trials rather go with requests that may be repeated: they may meet what answers nothing.
         if (
-            self.owed >= (1.0 if request.request_class.kind != EXCLUSIVE else 4.0)
+            self.owed >= (1.0 if request.request_class.kind != Effect.NON_IDEMPOTENT else 4.0)
             and not request.attempts
         ):
             self.owed = 0.0
@@ -641,16 +635,16 @@
             request_class.known.out - 1,
         )
         seen.pull = seen.pull - attempt.pull if seen.out else 0.0
-        if outcome in (FULFILLED, ERROR, FULL):
+        if outcome in (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.OVERLOADED):
             seen.silence, seen.heard = 0.0, now
-        elif outcome == NO_CONNECTION:
+        elif outcome == Outcome.CONNECT_FAILED:
             # Guards against one that is down before the list says so. A reset alone is no reason:
             # of one that died the next connection tells, which harms no request, and one that lives
             # would get trials only.
             seen.silence = max(seen.silence, 5.0)
-        if outcome in (MOOT, WITHDRAWN):
+        if outcome in (Outcome.NOT_SENT, Outcome.CANCELLED):
             return  # its time is counted, an answer never came
-        if outcome == FULFILLED:
+        if outcome == Outcome.SUCCEEDED:
             request_class.known.took.add(now, attempt.took)
             request_class.known.answers.add(now)
             seen.shut_until = 0
@@ -658,7 +652,7 @@
             # Guards against quick failures that look fast: they count as time-outs, with the whole
             # patience.
             seen.missing += max(0, request_class.patience - attempt.took) * attempt.pull
-            if outcome != TIMED_OUT:
+            if outcome != Outcome.TIMED_OUT:
                 # Guards against request after request for an upstream that is full, down or fails
                 # quickly, and so seems to have room: it gets none for as long as its latency now
                 # says.
--- a/whinpier/policy/statistics.py
+++ b/whinpier/policy/statistics.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from whinpier.policy.decaying_sum import SECOND, Sum, Turn
-from whinpier.policy.model import Upstream, RequestClass
+from whinpier.policy.model import RequestClass, Upstream
 
 
 class Known:
--- a/whinpier/radius/client.py
+++ b/whinpier/radius/client.py
@@ -15,7 +15,7 @@
 
 from whinpier import log
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import FULFILLED, MOOT, READY
+from whinpier.policy.model import Outcome, UpstreamState
 from whinpier.radius import packet as wire
 from whinpier.radius.identifiers import Idents
 from whinpier.radius.packet import BadPacket, Packet
@@ -68,7 +68,7 @@
             log.counts["radius_no_identifier"] += 1
             if slot:
                 self.idents.give(*slot, True, now)
-            self.pool.settle(sending, MOOT)
+            self.pool.settle(sending, Outcome.NOT_SENT)
             return sending
         self.waiting[slot] = sending
         asked = Packet(
@@ -90,7 +90,7 @@
         except ValueError:
             log.counts["radius_too_large"] += 1
             self.release(sending, True)
-            self.pool.settle(sending, MOOT)
+            self.pool.settle(sending, Outcome.NOT_SENT)
             return sending
         sending.asked, sending.sock = asked, self.sockets[slot[0]]
         self.transmit(sending)
@@ -174,13 +174,13 @@
         if states and sending.state not in states:
             raise BadPacket("an answer without our Proxy-State")
         self.release(sending, True)
-        self.pool.settle(sending, FULFILLED, packet)
+        self.pool.settle(sending, Outcome.SUCCEEDED, packet)
 
     def release(self, sending: Sending, answered: bool) -> None:
         if self.waiting.get(sending.slot) is sending:
             del self.waiting[sending.slot]
             self.idents.give(*sending.slot, answered, self.loop.clock())
-            if self.state != READY:
+            if self.state != UpstreamState.READY:
                 self.retire()  # it finished what it had
 
     def stop(self, sent: Sent) -> None:
--- a/whinpier/radius/server.py
+++ b/whinpier/radius/server.py
@@ -16,7 +16,7 @@
 
 from whinpier import log
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import NEVER_RAN, RERUNNABLE, RequestClass
+from whinpier.policy.model import Effect, NEVER_RAN, RequestClass
 from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
 from whinpier.radius.client import AT_ONCE, BUFFER, Record
@@ -74,7 +74,7 @@
     def scrapped(self) -> None:
         self.over = True
         ran = any(sent.outcome not in NEVER_RAN for sent in self.attempts)
-        self.front.silent(self, not ran or self.request_class.kind == RERUNNABLE)
+        self.front.silent(self, not ran or self.request_class.kind == Effect.IDEMPOTENT)
 
 
 class Front:
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -19,18 +19,13 @@
 from whinpier.policy.policy import Choice
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import (
-    DRAINING,
-    FULFILLED,
-    GONE,
-    MOOT,
-    NEVER_RAN,
-    READY,
-    TIMED_OUT,
-    WITHDRAWN,
     Attempt,
+    NEVER_RAN,
+    Outcome,
     Request,
-    Upstream,
     RequestClass,
+    Upstream,
+    UpstreamState,
 )
 from whinpier.runtime.resource_budget import Budget, Part
 from whinpier.runtime.event_loop import Loop
@@ -110,7 +105,7 @@
     pool: Pool
     host: str
     address: Address
-    listed_as = READY  # by its list
+    listed_as: UpstreamState = UpstreamState.READY  # by its list
     passes: tuple[Gate, ...] = ()  # limits that whatever is sent there passes
     most_links: int | None = None  # connections to it at once, by a limit beside the process's own
 
@@ -279,7 +274,9 @@
     def start_attempt(self, request: Request, upstream: Upstream, stop_at: int = 0) -> Attempt:
         assert isinstance(request, PendingRequest) and isinstance(upstream, Peer)
         log.must(not request.ended, "nothing is sent for a task that has its answer")
-        log.must(upstream.state == READY, "nothing new is sent to what drains or is gone")
+        log.must(
+            upstream.state == UpstreamState.READY, "nothing new is sent to what drains or is gone"
+        )
         # Guards against attempts for nobody: a late loop decides before it reads that the client
         # has left.
         gates = () if request.abandoned() else upstream.passes
@@ -288,7 +285,7 @@
             # What was free has ended meanwhile: it is not sent, and the decisions hear so at once.
             sent = Sent(request, upstream, self.now)
             request.attempts.append(sent)
-            self.settle(sent, MOOT)
+            self.settle(sent, Outcome.NOT_SENT)
             return sent
         self.counts["handed_off"] += 1
         sent = upstream.hand(request)
@@ -300,11 +297,11 @@
         if self.witness:
             self.witness.sent(sent)
         if stop_at and stop_at < request.ends:
-            self.loop.at(stop_at, self, self.stop_waiting, sent, TIMED_OUT)
+            self.loop.at(stop_at, self, self.stop_waiting, sent, Outcome.TIMED_OUT)
         return sent
 
     def withdraw(self, attempt: Attempt) -> None:
-        self.stop_waiting(attempt, WITHDRAWN)
+        self.stop_waiting(attempt, Outcome.CANCELLED)
 
     def turn_back(self, request: Request, wait: int = 0) -> None:
         assert isinstance(request, PendingRequest)
@@ -433,14 +430,14 @@
             # call off what is out is the decisions' matter, and not allowed everywhere; this has
             # not begun.
             if isinstance(sent, Sent) and not sent.settled and sent.peer.unsent(sent):
-                self.stop_waiting(sent, MOOT)
+                self.stop_waiting(sent, Outcome.NOT_SENT)
         if self.leaving:
             self.check_end()
 
     def time_up(self, request: PendingRequest) -> None:
         """Its client gives up now: what is still out has timed out, and an answer goes in any case."""
         for attempt in list(request.attempts):
-            self.stop_waiting(attempt, TIMED_OUT)
+            self.stop_waiting(attempt, Outcome.TIMED_OUT)
         self.loop.todo.append((self, self.last_word, (request,)))
 
     def last_word(self, request: PendingRequest) -> None:
@@ -459,14 +456,14 @@
             request.ends = ends
             self.loop.at(ends, self, self.time_up, request)
 
-    def stop_waiting(self, attempt: Attempt, outcome: str) -> None:
+    def stop_waiting(self, attempt: Attempt, outcome: Outcome) -> None:
         assert isinstance(attempt, Sent)
         if not attempt.settled:
             attempt.peer.stop(attempt)
             self.settle(attempt, outcome)
 
     def settle(
-        self, sent: Sent, outcome: str, answer: Any = None, load: dict[str, float] | None = None
+        self, sent: Sent, outcome: Outcome, answer: Any = None, load: dict[str, float] | None = None
     ) -> None:
         """An attempt has its outcome, once; `answer` is what a fulfilled request is given."""
         log.must(not sent.settled, "a hand-off has one outcome")
@@ -477,7 +474,7 @@
             self.loop.enter(self, self.came_back, sent, outcome, answer, load)
 
     def came_back(
-        self, sent: Sent, outcome: str, answer: Any, load: dict[str, float] | None
+        self, sent: Sent, outcome: Outcome, answer: Any, load: dict[str, float] | None
     ) -> None:
         sent.outcome, sent.took = outcome, self.now - sent.sent
         if self.witness:
@@ -485,14 +482,14 @@
         request = sent.request
         assert isinstance(request, PendingRequest)
         self.counts["came_back_" + outcome.replace(" ", "_")] += 1
-        if outcome not in (FULFILLED, WITHDRAWN):
+        if outcome not in (Outcome.SUCCEEDED, Outcome.CANCELLED):
             log.note(
                 "not_fulfilled",
                 upstream=sent.peer.host,
                 outcome=outcome,
                 lane=request.request_class.name,
             )
-        first = outcome == FULFILLED and not request.ended
+        first = outcome == Outcome.SUCCEEDED and not request.ended
         if first and self.finish(request, "fulfilled"):
             request.fulfilled(answer)
         self.choice.came_back(sent, load, first)
@@ -515,7 +512,7 @@
         held = {} if whole else dict(self.held)
         for entry in entries:
             peer = self.held.get(entry.host)
-            if entry.state == GONE:
+            if entry.state == UpstreamState.REMOVED:
                 held.pop(entry.host, None)
                 continue
             if peer is None or (entry.started and entry.started != peer.started):
@@ -538,25 +535,34 @@
         self.listings += 1
         for host, peer in before.items():
             if held.get(host) is not peer:
-                peer.state = GONE
+                peer.state = UpstreamState.REMOVED
                 self.leavers[peer] = None
         for peer in dict.fromkeys(
             (*before.values(), *held.values())
         ):  # in an order that does not change
-            if peer.state != READY:
+            if peer.state != UpstreamState.READY:
                 peer.retire()
         states = Counter(peer.state for peer in held.values())
-        log.say("list", **self.tag(), whole=whole, cached=cached, **states)
+        by_state = {str(state): count for state, count in states.items()}
+        log.say("list", **self.tag(), whole=whole, cached=cached, **by_state)
         self.tell_list()
 
     def tell_list(self) -> None:
-        usable = [peer for peer in self.held.values() if peer.state in (READY, DRAINING)]
+        usable = [
+            peer
+            for peer in self.held.values()
+            if peer.state in (UpstreamState.READY, UpstreamState.DRAINING)
+        ]
         self.loop.enter(self, self.choice.listed, usable)
 
-    def state_of(self, peer: Peer) -> str:
+    def state_of(self, peer: Peer) -> UpstreamState:
         """As its list has it, but that one that rests drains."""
         aside = peer.host in self.rested or peer.host in self.drained
-        return DRAINING if peer.listed_as == READY and aside else peer.listed_as
+        return (
+            UpstreamState.DRAINING
+            if peer.listed_as == UpstreamState.READY and aside
+            else peer.listed_as
+        )
 
     def rest(self, host: str, on: bool) -> bool:
         """An upstream is to get nothing new for a while, or what its list allows; whether it is there."""
@@ -578,7 +584,7 @@
         """What these may get has changed, by other than the list."""
         for peer in peers:
             peer.state = self.state_of(peer)
-            if peer.state != READY:
+            if peer.state != UpstreamState.READY:
                 peer.retire()
         self.tell_list()
 
@@ -601,7 +607,7 @@
     def ready(self) -> bool:
         """Whether it can serve: it was told its list, or the known one must do, and something is ready."""
         told = self.told_once or self.loop.clock() > self.began + START
-        return told and any(peer.state == READY for peer in self.held.values())
+        return told and any(peer.state == UpstreamState.READY for peer in self.held.values())
 
     def peers(self) -> Iterator[Peer]:
         yield from self.held.values()
@@ -633,7 +639,7 @@
         if self.source:
             self.source.end()
         for peer in self.peers():
-            peer.state = GONE
+            peer.state = UpstreamState.REMOVED
             peer.retire()
         self.part.end()
         log.say("pool_ended", pool=self.name)
--- a/whinpier/settings.py
+++ b/whinpier/settings.py
@@ -8,11 +8,15 @@
 from typing import Any
 
 from whinpier.policy import model
-from whinpier.policy.model import WireError, RequestClass
+from whinpier.policy.model import RequestClass, WireError
 
 US = 1000  # nanoseconds in one microsecond of the settings
 
-KINDS = {"repeatable": model.RERUNNABLE, "by_key": model.TICKETED, "once": model.EXCLUSIVE}
+KINDS = {
+    "repeatable": model.Effect.IDEMPOTENT,
+    "by_key": model.Effect.KEYED,
+    "once": model.Effect.NON_IDEMPOTENT,
+}
 COLUMNS = {
     "busy_reqs": "held",
     "pending": "waiting",
--- a/whinpier/simhost/instance.py
+++ b/whinpier/simhost/instance.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from whinpier.policy.policy import Choice
-from whinpier.policy.model import DRAINING, ERROR, GONE, READY, Attempt, Request, Upstream
+from whinpier.policy.model import Attempt, Outcome, Request, Upstream, UpstreamState
 from whinpier.settings import US, request_classes
 from whinpier.simhost import wire
 
@@ -95,23 +95,31 @@
             return
         held = {} if scope in (wire.SCOPE_FULL, wire.SCOPE_CACHED) else dict(self.listed)
         for state, number, zone, started, size, cell, shape in entries:
-            state, started = wire.STATES.get(state, GONE), started * US
+            state, started = wire.STATES.get(state, UpstreamState.REMOVED), started * US
             upstream = self.known.get(number)
-            if upstream is None or (started and started != upstream.started and state != GONE):
+            if upstream is None or (
+                started and started != upstream.started and state != UpstreamState.REMOVED
+            ):
                 if upstream is not None:
-                    upstream.state = GONE  # the run before this one
+                    upstream.state = UpstreamState.REMOVED  # the run before this one
                 upstream = self.known[number] = Upstream(number, state, zone, cell, started)
             upstream.state, upstream.zone, upstream.cell = state, zone, cell
             upstream.size, upstream.shape = size, shape
-            if state == GONE:
+            if state == UpstreamState.REMOVED:
                 held.pop(number, None)
             else:
                 held[number] = upstream
         for number, upstream in self.listed.items():
             if number not in held:
-                upstream.state = GONE
+                upstream.state = UpstreamState.REMOVED
         self.listed = held
-        self.choice.listed([up for up in held.values() if up.state in (READY, DRAINING)])
+        self.choice.listed(
+            [
+                up
+                for up in held.values()
+                if up.state in (UpstreamState.READY, UpstreamState.DRAINING)
+            ]
+        )
 
     def ingress(
         self, number: int, bits: int, key: int, tenant: int, ends: int, lane: int, hint: int
@@ -150,7 +158,7 @@
         attempt = self._attempt(number, trial)
         if attempt is None or attempt.outcome:
             return
-        attempt.outcome, attempt.took = wire.OUTCOMES.get(reason, ERROR), took * US
+        attempt.outcome, attempt.took = wire.OUTCOMES.get(reason, Outcome.FAILED), took * US
         request = attempt.request
         first = bool(over) and not request.ended
         request.ended = request.ended or bool(over)
--- a/whinpier/simhost/wire.py
+++ b/whinpier/simhost/wire.py
@@ -44,16 +44,20 @@
 EMIT_CODE, FATAL_CODE = 90, 50
 
 SCOPE_DELTA, SCOPE_FAILED, SCOPE_FULL, SCOPE_CACHED = 0, 1, 2, 3
-STATES = {0: model.GONE, 1: model.READY, 2: model.DRAINING}
+STATES = {
+    0: model.UpstreamState.REMOVED,
+    1: model.UpstreamState.READY,
+    2: model.UpstreamState.DRAINING,
+}
 OUTCOMES = {
-    0: model.FULFILLED,
-    5: model.ERROR,
-    11: model.FULL,
-    104: model.RESET,
-    110: model.TIMED_OUT,
-    111: model.NO_CONNECTION,
-    114: model.MOOT,
-    125: model.WITHDRAWN,
+    0: model.Outcome.SUCCEEDED,
+    5: model.Outcome.FAILED,
+    11: model.Outcome.OVERLOADED,
+    104: model.Outcome.RESET,
+    110: model.Outcome.TIMED_OUT,
+    111: model.Outcome.CONNECT_FAILED,
+    114: model.Outcome.NOT_SENT,
+    125: model.Outcome.CANCELLED,
 }
 
 
--- a/whinpier/simulation/balancers.py
+++ b/whinpier/simulation/balancers.py
@@ -16,7 +16,7 @@
 from whinpier.policy.decaying_sum import Sum
 from whinpier.simulation.clock import Clock
 from whinpier.simulation.servers import CONNECTING, Server
-from whinpier.policy.model import FULL, NO_CONNECTION, RESET, RequestClass
+from whinpier.policy.model import Outcome, RequestClass
 from whinpier.runtime.resource_budget import Budget
 from whinpier.runtime.event_loop import Loop
 from whinpier.runtime.pool import Peer, Pool, Sent, PendingRequest, Watch
@@ -95,13 +95,11 @@
     def __init__(self, request: SimulatedRequest, peer: Link, now: int, fresh: bool) -> None:
         super().__init__(request, peer, now)
         self.asked, self.link = request, peer
-        self.work, self.fresh, self.fails, self.dropped, self.told = (
-            request.work,
-            fresh,
-            "",
-            False,
-            False,
-        )
+        self.work = request.work
+        self.fresh = fresh
+        self.fails: Outcome | None = None  # what it will end as, where that is drawn at its start
+        self.dropped = False
+        self.told = False
 
     def __hash__(self) -> int:
         return id(self)
@@ -110,7 +108,7 @@
         """It has come whole and was not turned away: from now on it counts as run."""
         self.link.ground.referee.ran(self, server)
 
-    def back(self, outcome: str) -> None:
+    def back(self, outcome: Outcome) -> None:
         """The upstream's side is over; its sender hears of it after the way back."""
         if not self.told:
             self.told = True
@@ -155,12 +153,12 @@
         if not server.reachable or self.cut():
             # Nothing comes up; on a connection that is open nothing comes back.
             if fresh:
-                clock.after(CONNECTING, self.heard, attempt, NO_CONNECTION)
+                clock.after(CONNECTING, self.heard, attempt, Outcome.CONNECT_FAILED)
             return attempt
         if fresh:
             if server.connections >= server.machine.connections:
                 ground.counts["no_room_for_connections"] += 1
-                clock.after(2 * way, self.heard, attempt, NO_CONNECTION)
+                clock.after(2 * way, self.heard, attempt, Outcome.CONNECT_FAILED)
                 return attempt
             ground.counts["handshakes"] += 1
             server.connections += 1
@@ -168,19 +166,19 @@
         if ground.network.resets and ground.network.drops(ground.network.resets):
             # Written whole, and then reset: it runs, and its sender cannot know.
             clock.after(way, server.arrive, attempt)
-            clock.after(2 * way, self.heard, attempt, RESET)
+            clock.after(2 * way, self.heard, attempt, Outcome.RESET)
             return attempt
         clock.after(way, server.arrive, attempt)
         return attempt
 
-    def heard(self, attempt: SimulatedAttempt, outcome: str) -> None:
+    def heard(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
         """What became of an attempt has come."""
-        if outcome != NO_CONNECTION and self.cut():
+        if outcome != Outcome.CONNECT_FAILED and self.cut():
             return
         if attempt in self.attempts:
             del self.attempts[attempt]
             self.balancer.out -= 1
-            if outcome in ("fulfilled", "error", FULL) and not attempt.dropped:
+            if outcome in ("fulfilled", "error", Outcome.OVERLOADED) and not attempt.dropped:
                 self.idle += 1
             else:
                 self.server.connections = max(0, self.server.connections - 1)
--- a/whinpier/simulation/baselines.py
+++ b/whinpier/simulation/baselines.py
@@ -15,7 +15,7 @@
 
 from whinpier.policy.policy import Choice, Split
 from whinpier.simulation.clock import SECOND
-from whinpier.policy.model import READY, Request
+from whinpier.policy.model import Request, UpstreamState
 from whinpier.policy.statistics import Seen
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
         return [
             seen
             for seen in self.ready
-            if seen.upstream.state == READY
+            if seen.upstream.state == UpstreamState.READY
             and not any(sent.upstream is seen.upstream for sent in request.attempts)
             and (not request.attempts or again.fits(request, seen.upstream))
         ]
--- a/whinpier/simulation/clients.py
+++ b/whinpier/simulation/clients.py
@@ -17,7 +17,7 @@
 from whinpier.simulation.experiment import Front as FrontTable
 from whinpier.simulation.experiment import Stream
 from whinpier.simulation.environment import Ground
-from whinpier.policy.model import EXCLUSIVE, RequestClass
+from whinpier.policy.model import Effect, RequestClass
 from whinpier.testbed.work import draw
 
 BACK = SECOND // 4  # until a client tries again that was told no time
@@ -186,7 +186,7 @@
         request.gone = True
         self.ground.referee.given_up(request)
         self.ground.counts["lost_with_a_balancer"] += 1
-        if self.request_class.kind != EXCLUSIVE:
+        if self.request_class.kind != Effect.NON_IDEMPOTENT:
             self.next_try(request, 0)
 
     def answered(self, request: SimulatedRequest, how: str, wait: int) -> None:
@@ -196,7 +196,11 @@
         ground.measure.answered(request, how, ground.clock.now + ground.network.near - request.due)
         # What was scrapped may have run: of exclusive requests a client tries again only what was
         # turned back.
-        if how == "turned back" or how == "scrapped" and self.request_class.kind != EXCLUSIVE:
+        if (
+            how == "turned back"
+            or how == "scrapped"
+            and self.request_class.kind != Effect.NON_IDEMPOTENT
+        ):
             self.next_try(request, wait)
 
     def next_try(self, request: SimulatedRequest, wait: int) -> None:
--- a/whinpier/simulation/faults.py
+++ b/whinpier/simulation/faults.py
@@ -10,6 +10,7 @@
 
 from whinpier.simulation.clock import SECOND
 from whinpier.simulation.experiment import KINDS, Chance, Trouble
+from whinpier.policy.model import UpstreamState
 
 if TYPE_CHECKING:
     from whinpier.simulation.balancers import Balancer
@@ -68,7 +69,9 @@
             world.clock.at(world.clock.start + int(trouble.at * SECOND), self.begin, trouble)
 
     def victims(self, trouble: Trouble) -> list[Server]:
-        servers = [server for server in self.world.servers.values() if server.state == "ready"]
+        servers = [
+            server for server in self.world.servers.values() if server.state == UpstreamState.READY
+        ]
         return self.some(servers, trouble.share)
 
     def some(self, of: Sequence[One], share: float) -> list[One]:
@@ -135,18 +138,18 @@
         hit = self.victims(trouble)
         world, half = self.world, int(trouble.span * SECOND / 2)
         for server in hit:
-            world.state(server, "draining")
+            world.state(server, UpstreamState.DRAINING)
 
         def gone() -> None:
             for server in hit:
-                if server.state == "draining":
-                    world.state(server, "gone")
+                if server.state == UpstreamState.DRAINING:
+                    world.state(server, UpstreamState.REMOVED)
                     server.stop()
 
         def back() -> None:
             for server in hit:
                 server.start()
-                world.state(server, "ready")
+                world.state(server, UpstreamState.READY)
 
         world.clock.after(half, gone)
         return back
@@ -204,16 +207,16 @@
         world = self.world
 
         def one(old: Server) -> None:
-            if old.state != "ready":
+            if old.state != UpstreamState.READY:
                 return
             new = world.server(old.machine, old.zone)
             new.start()
-            world.state(new, "ready")
-            world.state(old, "draining")
+            world.state(new, UpstreamState.READY)
+            world.state(old, UpstreamState.DRAINING)
             world.clock.after(int(LEFT * SECOND), gone, old)
 
         def gone(old: Server) -> None:
-            world.state(old, "gone")
+            world.state(old, UpstreamState.REMOVED)
             old.stop()
             world.clock.after(int(60 * SECOND), world.forget, old)
 
--- a/whinpier/simulation/invariants.py
+++ b/whinpier/simulation/invariants.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from whinpier.simulation.clock import MS, SECOND
-from whinpier.policy.model import EXCLUSIVE, RERUNNABLE, TICKETED
+from whinpier.policy.model import Effect, UpstreamState
 
 if TYPE_CHECKING:
     from whinpier.simulation.balancers import SimulatedRequest, SimulatedAttempt, Balancer
@@ -50,8 +50,8 @@
     def sent(self, attempt: SimulatedAttempt, balancer: Balancer, server: Server) -> None:
         """The third rule: nothing new to what drains or has gone, past the grace."""
         self.checked += 1
-        state, at = balancer.told_at.get(server.name, ("gone", 0))
-        if state != "ready" and self.clock.now > at + self.grace:
+        state, at = balancer.told_at.get(server.name, (UpstreamState.REMOVED, 0))
+        if state != UpstreamState.READY and self.clock.now > at + self.grace:
             self.breach(
                 DRAIN, f"sent to {server.name}, which was told as {state}", request=attempt.asked.id
             )
@@ -64,13 +64,13 @@
         """The second rule: no effect twice."""
         request, now = attempt.asked, self.clock.now
         before = self.runs.setdefault(request.id, [])
-        if before and request.request_class.kind == EXCLUSIVE:
+        if before and request.request_class.kind == Effect.NON_IDEMPOTENT:
             self.breach(
                 EFFECT,
                 f"exclusive task {request.id} ran again at {server.name}",
                 request=request.id,
             )
-        elif before and request.request_class.kind == TICKETED:
+        elif before and request.request_class.kind == Effect.KEYED:
             first, where = before[0]
             group = request.request_class.group
             known = group == "all" or where.zone == server.zone
@@ -93,9 +93,9 @@
             self.breach(
                 ANSWER, f"task {request.id} answered after its patience: {how}", request=request.id
             )
-        if how == "turned back" and request.request_class.kind != RERUNNABLE:
+        if how == "turned back" and request.request_class.kind != Effect.IDEMPOTENT:
             ran = self.runs.get(request.id)
-            if ran and request.request_class.kind == EXCLUSIVE:
+            if ran and request.request_class.kind == Effect.NON_IDEMPOTENT:
                 self.breach(
                     EFFECT,
                     f"exclusive task {request.id} turned back as harmless, and it ran",
--- a/whinpier/simulation/mutations.py
+++ b/whinpier/simulation/mutations.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from whinpier.policy.model import GONE
+from whinpier.policy.model import UpstreamState
 
 if TYPE_CHECKING:
     from whinpier.policy.model import Request, Upstream
@@ -25,7 +25,11 @@
 
     def all_ready(upstreams: list[Upstream]) -> None:
         for upstream in upstreams:
-            upstream.state = "ready" if upstream.state != GONE else GONE
+            upstream.state = (
+                UpstreamState.READY
+                if upstream.state != UpstreamState.REMOVED
+                else UpstreamState.REMOVED
+            )
         listed(upstreams)
 
     split.listed = all_ready  # type: ignore[method-assign]
@@ -56,7 +60,9 @@
         ready = [
             seen
             for seen in split.ready
-            if seen.upstream.started and seen.upstream.state == "ready" and not request.attempts
+            if seen.upstream.started
+            and seen.upstream.state == UpstreamState.READY
+            and not request.attempts
         ]
         return max(ready, key=lambda seen: seen.upstream.started, default=None) or find(request)
 
--- a/whinpier/simulation/servers.py
+++ b/whinpier/simulation/servers.py
@@ -14,7 +14,7 @@
 
 from whinpier.simulation.clock import SECOND, Clock
 from whinpier.simulation.experiment import Machine
-from whinpier.policy.model import ERROR, FULFILLED, FULL, NO_CONNECTION, RESET
+from whinpier.policy.model import Outcome, UpstreamState
 from whinpier.config.model import Entry
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         self.born = 0  # when it did, whatever its clock says
         self.run = 0  # restarts
         self.up, self.reachable = True, True
-        self.state = "ready"
+        self.state = UpstreamState.READY
         self.slow, self.failing, self.spoilt, self.hanging, self.paused_until = 1.0, 0.0, 0.0, 0, 0
         self.queue: deque[SimulatedAttempt] = deque()
         self.busy: dict[SimulatedAttempt, None] = {}
@@ -98,12 +98,12 @@
     def arrive(self, attempt: SimulatedAttempt) -> None:
         """A whole request has come."""
         if not self.up:
-            attempt.back(NO_CONNECTION)
+            attempt.back(Outcome.CONNECT_FAILED)
             return
         if not self.reachable:
             return  # it vanishes: nothing comes back
         if len(self.queue) >= self.machine.queue and len(self.busy) >= self.machine.cores:
-            attempt.back(FULL)
+            attempt.back(Outcome.OVERLOADED)
             return
         attempt.ran(self)
         key, work = attempt.request.key, attempt.work
@@ -147,7 +147,7 @@
             begins = max(self.clock.now, self.paused_until)
             span = int(attempt.work / max(self.speed(), 1e-4) * SECOND)
             if self.failing and self.chance.random() < self.failing:
-                attempt.fails, span = ERROR, span // 20
+                attempt.fails, span = Outcome.FAILED, span // 20
             self.clock.at(begins + span, self.finish, attempt, self.run)
 
     def finish(self, attempt: SimulatedAttempt, run: int) -> None:
@@ -166,9 +166,9 @@
         if attempt.fails:
             attempt.back(attempt.fails)
         elif self.spoilt and self.chance.random() < self.spoilt:
-            attempt.back(ERROR)
+            attempt.back(Outcome.FAILED)
         else:
-            attempt.back(FULFILLED)
+            attempt.back(Outcome.SUCCEEDED)
         self.work()
 
     def give_up(self, attempt: SimulatedAttempt) -> None:
@@ -187,7 +187,7 @@
         self.keys.clear()
         self.recent.clear()
         for attempt in lost:
-            attempt.back(RESET)
+            attempt.back(Outcome.RESET)
 
     def start(self) -> None:
         """A new run of it, cold."""
--- a/whinpier/simulation/world.py
+++ b/whinpier/simulation/world.py
@@ -21,7 +21,7 @@
 from whinpier.simulation.invariants import RULES, Referee
 from whinpier.simulation.servers import Server
 from whinpier.simulation.faults import Troubles, by_chance
-from whinpier.policy.model import GONE, RequestClass
+from whinpier.policy.model import Effect, RequestClass, UpstreamState
 from whinpier.runtime.pool import Pool
 from whinpier.config.model import Entry, Limits, PoolSpec
 
@@ -81,7 +81,7 @@
         return [
             RequestClass(
                 stream.name,
-                stream.kind,
+                Effect(stream.kind),
                 int(stream.agreed_time * SECOND),
                 int(stream.patience * SECOND),
                 stream.payoff,
@@ -136,11 +136,15 @@
 
     def entries(self) -> list[Entry]:
         """The list as it truly is."""
-        return [server.entry() for server in self.servers.values() if server.state != GONE]
+        return [
+            server.entry()
+            for server in self.servers.values()
+            if server.state != UpstreamState.REMOVED
+        ]
 
     # What troubles do.
 
-    def state(self, server: Server, state: str) -> None:
+    def state(self, server: Server, state: UpstreamState) -> None:
         """The list says something new of an upstream; balancers are told when they are."""
         server.state = state
         entry = server.entry()
