--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -40,7 +40,7 @@
 from whinpier.testbed.upstream import Script
 from whinpier.testbed.ways import Ways
 
-AGREED, PATIENCE, WORK = 0.25, 1.5, 0.005
+AGREED, TIMEOUT, WORK = 0.25, 1.5, 0.005
 SETTLED = 10.0  # seconds after the last fault within which all hold one state
 
 
@@ -83,7 +83,7 @@
     def service(
         self, process: Process | None = None, agreed: float = AGREED, **more: Any
     ) -> files.Plain:
-        pool = files.service("t", "exclusive", self.fleet.addresses, agreed, PATIENCE) | more
+        pool = files.service("t", "exclusive", self.fleet.addresses, agreed, TIMEOUT) | more
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def text(self, **more: Any) -> bytes:
@@ -144,7 +144,7 @@
         streams = [
             (
                 self.bank.processes[n].balancer.address,  # type: ignore[union-attr]
-                Asks(f"t{n}", rate, "/t/x", "POST", "t.example", PATIENCE, AGREED),
+                Asks(f"t{n}", rate, "/t/x", "POST", "t.example", TIMEOUT, AGREED),
             )
             for n in numbers
         ]
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -24,7 +24,7 @@
 from whinpier.testbed.upstream import Script
 
 EARLIER = "9985b3b"  # before there was a record; a landing
-AGREED, PATIENCE, WORK = 0.25, 1.5, 0.004
+AGREED, TIMEOUT, WORK = 0.25, 1.5, 0.004
 
 
 class Trial:
@@ -47,7 +47,7 @@
             one.root = earlier
 
     def service(self, process: Process) -> files.Plain:
-        pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, PATIENCE)
+        pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, TIMEOUT)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def roll(self, numbers: list[int], root: Path | None) -> float:
@@ -97,7 +97,7 @@
         streams = [
             (
                 bank.processes[n].balancer.address,  # type: ignore[union-attr]
-                Asks(f"t{n}", 0.7 * RATE, "/t/x", "POST", "t.example", PATIENCE, AGREED),
+                Asks(f"t{n}", 0.7 * RATE, "/t/x", "POST", "t.example", TIMEOUT, AGREED),
             )
             for n in (count - 2, count - 1)
         ]
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -42,7 +42,7 @@
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
-AGREED, PATIENCE = 0.25, 0.6
+AGREED, TIMEOUT = 0.25, 0.6
 RATE, BURST, OUT = 240, 16, 8
 BRIEF, LONG = (
     0.004,
@@ -88,7 +88,7 @@
                 process.limits = {f"all-{process.number}": limits[f"all-{process.number}"]}
 
     def service(self, process: Process) -> files.Plain:
-        pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, PATIENCE)
+        pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, TIMEOUT)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def start(self) -> None:
@@ -116,7 +116,7 @@
                         "/t/x",
                         "POST",
                         "t.example",
-                        PATIENCE,
+                        TIMEOUT,
                         AGREED,
                         surges=surges,
                     ),
@@ -349,7 +349,7 @@
     """One pool of exclusive requests at a fleet."""
 
     def made(process: Process) -> files.Plain:
-        pool = files.service("t", "exclusive", fleet.addresses, AGREED, PATIENCE)
+        pool = files.service("t", "exclusive", fleet.addresses, AGREED, TIMEOUT)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     return made
@@ -358,7 +358,7 @@
 def asked(bank: Bank, number: int, rate: float, surges: list[tuple[float, float, float]]) -> Any:
     return (
         bank.processes[number].balancer.address,  # type: ignore[union-attr]
-        Asks(f"t{number}", rate, "/t/x", "POST", "t.example", PATIENCE, AGREED, surges=surges),
+        Asks(f"t{number}", rate, "/t/x", "POST", "t.example", TIMEOUT, AGREED, surges=surges),
     )
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -34,7 +34,7 @@
 from whinpier.testbed.referee import Bounds, Referee
 from whinpier.testbed.upstream import Script
 
-AGREED, PATIENCE = 0.25, 1.5
+AGREED, TIMEOUT = 0.25, 1.5
 WORK = 0.01  # seconds of an upstream's one worker: 100 requests a second each
 
 
@@ -62,7 +62,7 @@
         self.loads: list[Loads] = []
 
     def service(self, process: Process) -> files.Plain:
-        pool = files.service("t", self.kind, self.fleet.addresses, AGREED, PATIENCE)
+        pool = files.service("t", self.kind, self.fleet.addresses, AGREED, TIMEOUT)
         if not self.known:
             pool |= {"balancers": self.told, "number": min(process.number, self.told - 1)}
         return {
@@ -88,7 +88,7 @@
     def asks(self, number: int, rate: float, **more: Any) -> tuple[int, Asks]:
         method = files.METHODS[self.kind]
         return number, Asks(
-            f"t{number}", rate, "/t/x", method, "t.example", PATIENCE, AGREED, **more
+            f"t{number}", rate, "/t/x", method, "t.example", TIMEOUT, AGREED, **more
         )
 
     def end(self) -> None:
@@ -362,7 +362,7 @@
     def __init__(self) -> None:
         self.now = SECOND
 
-    def alarm(self, at: int, token: int = 0) -> None:
+    def set_timer(self, at: int, token: int = 0) -> None:
         """Solves are called by hand."""
 
     def close_idle(self, upstream: Upstream) -> None:
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -27,7 +27,7 @@
 WORK = 0.012  # seconds of a worker for a request: four workers at three upstreams do 1,000 a second
 USUAL = {"tariff": 150.0, "posting": 150.0, "settlement": 100.0}  # requests a second
 CAPACITY = {"tariff": 300.0, "posting": 300.0, "settlement": 200.0}
-AGREED, PATIENCE = 0.25, 1.5
+AGREED, TIMEOUT = 0.25, 1.5
 DESCRIPTORS, MEMORY = 256, 96
 HUGE = 300_000  # bytes of an answer that goes out slowly
 
@@ -69,7 +69,7 @@
 def operator(listen: str, fleets: dict[str, Fleet], isolate: bool) -> files.Plain:
     """The operator's file as a table."""
     pools = {
-        name: files.service(name, kind, fleets[name].addresses, AGREED, PATIENCE)
+        name: files.service(name, kind, fleets[name].addresses, AGREED, TIMEOUT)
         for name, kind in KINDS.items()
     }
     return {
@@ -104,7 +104,7 @@
         f"/{name}/x",
         files.METHODS[kind],
         f"{name}.example",
-        PATIENCE,
+        TIMEOUT,
         AGREED,
         ticket=kind == "ticketed",
         **more,
@@ -163,7 +163,7 @@
             loads[name] = Load(balancer.address, asks, seed, start, span * len(plan), most=2000)
         loads["lost"] = Load(
             balancer.address,
-            Asks("lost", 20.0, "/nowhere", host="nowhere.example", patience=PATIENCE),
+            Asks("lost", 20.0, "/nowhere", host="nowhere.example", timeout=TIMEOUT),
             seed,
             start,
             span * len(plan),
--- a/benchmarks/radius.py
+++ b/benchmarks/radius.py
@@ -77,7 +77,7 @@
         host, _, port = radius.rpartition(":")
         load = Load(
             balancer.address,
-            Asks("charge", HTTP_RATE, "/x", patience=1.5, agreed=0.25),
+            Asks("charge", HTTP_RATE, "/x", timeout=1.5, agreed=0.25),
             seed,
             time.monotonic() + 0.7,
             span,
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -33,7 +33,7 @@
 from whinpier.testbed.upstream import Script
 from whinpier.testbed.ways import Ways
 
-AGREED, PATIENCE, WORK = 0.05, 1.0, 0.01
+AGREED, TIMEOUT, WORK = 0.05, 1.0, 0.01
 RATE = 10.0  # requests a second of each process: one a second at each of ten upstreams
 WARM = 6.0  # seconds of traffic before anything is done
 
@@ -69,7 +69,7 @@
         self.seed, self.loads = seed, list[Loads]()
 
     def service(self, process: Process) -> files.Plain:
-        pool = files.service("t", "rerunnable", self.fleet.addresses, AGREED, PATIENCE)
+        pool = files.service("t", "rerunnable", self.fleet.addresses, AGREED, TIMEOUT)
         return {"pools": {"t": pool}, "routes": [files.route("t", "rerunnable", "t")]}
 
     def start(self, span: float) -> float:
@@ -80,7 +80,7 @@
         streams = [
             (
                 process.balancer.address,
-                Asks(f"t{process.number}", RATE, "/t/x", "GET", "t.example", PATIENCE, AGREED),
+                Asks(f"t{process.number}", RATE, "/t/x", "GET", "t.example", TIMEOUT, AGREED),
             )
             for process in self.bank.processes
             if process.balancer
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -25,7 +25,7 @@
         self.sent: list[Attempt] = []
         self.answers: dict[int, str] = {}
         self.withdrawn: list[Attempt] = []
-        self.alarms: list[tuple[int, int]] = []
+        self.timers: list[tuple[int, int]] = []
         self.waits: list[int] = []  # that clients were told
         self.told: list[bytes] = []
         self.probed: list[Upstream] = []
@@ -54,18 +54,18 @@
         assert request.id not in self.answers, "two final answers"
         self.answers[request.id], request.ended = how, True
 
-    def turn_back(self, request, wait=0):
+    def reject(self, request, wait=0):
         self.waits.append(wait)
         self._answer(request, "turned back")
 
-    def scrap(self, request):
+    def fail(self, request):
         self._answer(request, "scrapped")
 
-    def withdraw(self, attempt):
+    def cancel(self, attempt):
         self.withdrawn.append(attempt)
 
-    def alarm(self, at, token=0):
-        self.alarms.append((max(at, self.now + 1), token))
+    def set_timer(self, at, token=0):
+        self.timers.append((max(at, self.now + 1), token))
 
     def follow_list(self, on):
         self.asked.append(self.now)
@@ -81,9 +81,9 @@
 
     # What the story tells.
 
-    def request(self, patience: int = 3000 * MS) -> Request:
+    def request(self, timeout: int = 3000 * MS) -> Request:
         self.requests += 1
-        made = Request(self.requests, self.request_class, self.now, self.now + patience)
+        made = Request(self.requests, self.request_class, self.now, self.now + timeout)
         self.choice.arrive(made)
         return made
 
@@ -100,11 +100,11 @@
     def wait(self, span: int) -> None:
         """Let time pass, ringing what falls due."""
         until = self.now + span
-        while self.alarms and min(self.alarms)[0] <= until:
-            due = min(self.alarms)
-            self.alarms.remove(due)
+        while self.timers and min(self.timers)[0] <= until:
+            due = min(self.timers)
+            self.timers.remove(due)
             self.now = due[0]
-            self.choice.bell(due[1])
+            self.choice.on_timer(due[1])
         self.now = until
 
     def traffic(
--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -99,7 +99,7 @@
     return Units(limit, MINUTES, name, now, Random(name), between, lasting)
 
 
-def test_all_demand_at_one_brings_it_nearly_all_of_a_window_and_a_turn_back_says_when_the_next_begins():
+def test_all_demand_at_one_brings_it_nearly_all_of_a_window_and_a_rejection_says_when_the_next_begins():
     those, passed = {name: units(name) for name in "abc"}, 0
     for step in range(1_190):  # 59.5 s, ten requests a second at one
         now = step * SECOND // 20
@@ -411,7 +411,7 @@
             [
                 (
                     bank.processes[number].balancer.address,
-                    Asks(f"t{number}", rate, "/t/x", host="t.example", patience=1.0, agreed=0.5),
+                    Asks(f"t{number}", rate, "/t/x", host="t.example", timeout=1.0, agreed=0.5),
                 )
                 for number, rate in ((0, 40.0), (1, 5.0))
             ],
@@ -454,7 +454,7 @@
             [
                 (
                     bank.processes[0].balancer.address,
-                    Asks("t", 100.0, "/t/x", host="t.example", patience=1.0, agreed=0.5),
+                    Asks("t", 100.0, "/t/x", host="t.example", timeout=1.0, agreed=0.5),
                 )
             ],
             1,
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -124,7 +124,7 @@
         three = bank(3, service=charges, relayed=False)
         three.start()
         until(three.gathered)
-        asks = Asks("t", 100.0, "/t/x", host="t.example", patience=1.5)
+        asks = Asks("t", 100.0, "/t/x", host="t.example", timeout=1.5)
         load = Load(three.processes[0].balancer.address, asks, 1, three.begun, three.clock() + 4.0)
         three.kill(2)
         until(lambda: "m2" in three.view(0, "lost"))
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -136,7 +136,7 @@
             assert end - start + 1 <= burst + amount * (times[end] - times[start]) / SECOND + 1e-6
 
 
-def test_what_never_ran_is_given_back_and_a_turn_back_says_a_true_time():
+def test_what_never_ran_is_given_back_and_a_rejection_says_a_true_time():
     one = Share(rate(10, 1, ("a",)), "a", 0, Random(1), 0)
     assert not one.take(0) and one.take(SECOND // 10)
     one.give(SECOND // 10, ran=False)
@@ -347,7 +347,7 @@
             [
                 (
                     bank.processes[number].balancer.address,
-                    Asks(f"t{number}", 150.0, "/t/x", host="t.example", patience=1.0, agreed=0.5),
+                    Asks(f"t{number}", 150.0, "/t/x", host="t.example", timeout=1.0, agreed=0.5),
                 )
                 for number in (0, 1)
             ],
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -428,10 +428,10 @@
         stage.life.closing = True
         upstream.sendall(GOOD)
         await stage.until(lambda: not stage.pool.out)
-        assert stage.door.owes()
+        assert stage.door.has_pending_responses()
         assert (await stage.read(client, b"never")).endswith(b"done")
         client.close()
-        await stage.until(lambda: not stage.door.owes())
+        await stage.until(lambda: not stage.door.has_pending_responses())
 
 
 # Answers that break off.
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -304,7 +304,7 @@
         assert bank.charge(X_Remaining=remaining).status == status and not bank.met()
 
 
-def test_with_no_upstream_ready_a_request_is_turned_back_soon_with_a_time_to_come_back(tmp_path):
+def test_with_no_upstream_ready_a_request_is_rejected_soon_with_a_time_to_come_back(tmp_path):
     with started(tmp_path, Upstream(good)) as bank:
         bank.discovery.change(bank.upstreams[0].entry("s-0", "draining"))
         until(lambda: bank.said("draining=1"))
@@ -612,7 +612,7 @@
         with suppress(OSError, HTTPException):  # closed between two requests, in the end
             while bank.charge(client=stays, X_Remaining="3").status == 200:
                 served += 1
-        # The longest patience is 4 s, which counts for 3: it may be killed 3.7 s after the signal.
+        # The longest timeout is 4 s, which counts for 3: it may be killed 3.7 s after the signal.
         assert served > 50 and time.monotonic() - began > 2.5
         assert bank.process.wait(LIMIT) == 0 and time.monotonic() - began < 3.7
 
@@ -717,7 +717,7 @@
         anyio.run(story, config, listener)
 
 
-def test_a_late_loop_ends_requests_sooner_and_turns_back_a_part_of_what_comes_while_it_is_far_behind():
+def test_a_late_loop_ends_requests_sooner_and_rejects_a_part_of_what_comes_while_it_is_far_behind():
     whole = life(read({"BALANCER_CONFIG": "example/config.json"}))
     balancer, pool = whole.loop, held(whole)
 
--- a/tests/kept_control_stage.py
+++ b/tests/kept_control_stage.py
@@ -152,8 +152,8 @@
     def advance(self, span):
         """Let so many milliseconds go by, with all that falls due in them."""
         loop, end = self.link.loop, self.clock.passed + span * MS
-        while loop.alarms and loop.alarms[0][0] <= START + end:
-            at, _, host, call, given = heapq.heappop(loop.alarms)
+        while loop.timers and loop.timers[0][0] <= START + end:
+            at, _, host, call, given = heapq.heappop(loop.timers)
             self.clock.passed = max(self.clock.passed, at - START)
             loop.enter(host, call, *given)
             self.write()
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -69,11 +69,11 @@
     assert host.answers[request.id] == "scrapped"
 
 
-@pytest.mark.parametrize("patience", [5 * MS, 60 * MS, 3000 * MS])
-def test_with_nothing_to_send_to_a_request_is_held_briefly_then_turned_back(patience):
+@pytest.mark.parametrize("timeout", [5 * MS, 60 * MS, 3000 * MS])
+def test_with_nothing_to_send_to_a_request_is_held_briefly_then_rejected(timeout):
     host = FakeHost(count=0)
-    request = host.request(patience)
-    host.wait(min(patience, 200 * MS))
+    request = host.request(timeout)
+    host.wait(min(timeout, 200 * MS))
     assert host.answers[request.id] == "turned back" and not host.sent
 
 
@@ -151,14 +151,14 @@
         assert host.answers[request.id] == "fulfilled" and request.attempts[0] in host.withdrawn
 
 
-def test_a_full_fleet_turns_back_at_the_door():
+def test_a_full_fleet_rejects_at_the_door():
     host = FakeHost(count=3)
     host.traffic(3 * SECOND)
     host.traffic(3 * SECOND, every=5 * MS, takes=lambda upstream: 1200 * MS)
     assert "turned back" in host.answers.values() and len(host.out()) < 60
 
 
-def test_a_held_request_with_little_patience_is_not_lost_behind_one_with_more():
+def test_a_held_request_with_little_timeout_is_not_lost_behind_one_with_more():
     host = FakeHost(count=0)
     host.request()
     hasty = host.request(60 * MS)
@@ -461,7 +461,7 @@
 
 
 @pytest.mark.parametrize("told, wait", [(True, 200 * MS), (False, 0)])
-def test_a_turn_back_says_when_to_come_back_where_clients_are_told(told, wait):
+def test_a_rejection_says_when_to_come_back_where_clients_are_told(told, wait):
     host = FakeHost(count=0, **{"limits.retry_after": told})
     host.request()
     host.wait(SECOND)
--- a/tests/radius/test_radius.py
+++ b/tests/radius/test_radius.py
@@ -651,10 +651,10 @@
 # Over sockets.
 
 
-def text(listen, radius, servers, kind="exclusive", patience=2.0, **more):
+def text(listen, radius, servers, kind="exclusive", timeout=2.0, **more):
     addresses = {one.name: f"127.0.0.1:{one.port}" for one in servers}
     whole = files.records(
-        radius, addresses, ["old", "partner"], kind, patience=patience, retransmit=0.1, **more
+        radius, addresses, ["old", "partner"], kind, timeout=timeout, retransmit=0.1, **more
     )
     return files.document({"version": 1, "listen": [listen], **whole})
 
@@ -804,7 +804,7 @@
         assert all(count == 1 for count in ran(servers[1:]).values())
         assert balancer.said('outcome="timed out"')
 
-    play(tmp_path, [Behaviour(deaf=True), Behaviour(), Behaviour()], story, patience=1.0)
+    play(tmp_path, [Behaviour(deaf=True), Behaviour(), Behaviour()], story, timeout=1.0)
 
 
 def test_silence_is_the_answer_where_nothing_can_be_done_and_what_may_have_run_stays_so(tmp_path):
@@ -815,7 +815,7 @@
         assert all(one.sent == 5 for one in nas.told)
         assert max(ran(servers).values()) == 1
 
-    play(tmp_path, [Behaviour(silent=1.0), Behaviour(silent=1.0)], story, patience=1.0)
+    play(tmp_path, [Behaviour(silent=1.0), Behaviour(silent=1.0)], story, timeout=1.0)
 
 
 def test_forged_strange_and_flooding_packets_get_no_answer_and_cost_no_record(tmp_path):
@@ -940,7 +940,7 @@
         assert max(ran(servers).values()) == 1 and nas.told[-1].answers
         assert await asyncio.to_thread(until, lambda: datagram_sockets(balancer.process) == 3)
 
-    play(tmp_path, [Behaviour(delay=0.1), Behaviour(delay=0.1)], story, patience=1.0)
+    play(tmp_path, [Behaviour(delay=0.1), Behaviour(delay=0.1)], story, timeout=1.0)
 
 
 def test_a_servers_secret_may_change_while_it_has_records(tmp_path):
--- a/tests/radius/test_streams.py
+++ b/tests/radius/test_streams.py
@@ -130,7 +130,7 @@
         await asyncio.wait_for(half.ended.wait(), 8)
         await asyncio.to_thread(until, lambda: balancer.said("event=radius_slow_peer"))
 
-    streams(tmp_path, story, patience=3.0)
+    streams(tmp_path, story, timeout=3.0)
 
 
 def test_more_connections_than_may_be_wait_and_are_served_when_one_ends(tmp_path):
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -35,8 +35,8 @@
 class Setting:
     """An operator's file that a story changes, the process it runs, and what the story asks of it."""
 
-    def __init__(self, folder, fleet, agreed_time="500ms", **process):
-        self.fleet, self.listen, self.agreed_time = fleet, free_address(), agreed_time
+    def __init__(self, folder, fleet, latency_objective="500ms", **process):
+        self.fleet, self.listen, self.latency_objective = fleet, free_address(), latency_objective
         for name in fleet.addresses:
             fleet.tell(name, hang=0.0, error=0.0, size=2, work=0.002, workers=4)
         self.process = {"descriptors": 256} | process
@@ -54,7 +54,7 @@
             }
             for name in names
         ]
-        request_class = {"kind": kind, "agreed_time": self.agreed_time, "patience": "2s"}
+        request_class = {"kind": kind, "agreed_time": self.latency_objective, "patience": "2s"}
         return {"upstreams": upstreams, "workloads": {"w": request_class}} | more
 
     def text(self):
@@ -173,7 +173,7 @@
     with setting(tmp_path, fleet, descriptors=96) as bank:
         fleet.tell("a-1", hang=1.0)
         fleet.tell("a-2", hang=1.0)
-        hangs = Asks(f"hung{next(ids)}", 150, "/x", host="a", patience=1.5)
+        hangs = Asks(f"hung{next(ids)}", 150, "/x", host="a", timeout=1.5)
         works = Asks(f"well{next(ids)}", 60, "/x", host="b")
         gateways = [Gateway(bank.balancer.address, asks, 1) for asks in (hangs, works)]
 
@@ -221,7 +221,7 @@
 def test_reloads_under_load_lose_no_answer_and_run_nothing_twice(tmp_path, fleet):
     # Held for up to half a second: a machine that stands still for a tenth must not turn requests
     # back.
-    with setting(tmp_path, fleet, agreed_time="2s") as bank:
+    with setting(tmp_path, fleet, latency_objective="2s") as bank:
         names = [f"moved{next(ids)}", f"stays{next(ids)}"]
         address = bank.balancer.address
         gateways = [
@@ -334,7 +334,7 @@
     assert budget.requests.kept == budget.requests.used == 0 and not budget.requests.held
 
 
-def test_when_the_core_is_full_who_uses_more_than_its_part_is_turned_back_first():
+def test_when_the_core_is_full_who_uses_more_than_its_part_is_rejected_first():
     budget = Budget(1024, 64 << 20)
     small, large = parts(budget, Limits(0.5), Limits(0.5))
     now = SECOND
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -90,17 +90,15 @@
 ):
     with balancer(tmp_path, fleet) as running:
         gateways = [
-            Gateway(
-                running.address, Asks("charge", 100, "/charge", lane="charge", patience=2.0), 1
-            ),
+            Gateway(running.address, Asks("charge", 100, "/charge", lane="charge", timeout=2.0), 1),
             Gateway(
                 running.address,
-                Asks("settle", 60, "/settle", lane="settle", ticket=True, patience=2.0),
+                Asks("settle", 60, "/settle", lane="settle", ticket=True, timeout=2.0),
                 2,
             ),
             Gateway(
                 running.address,
-                Asks("look", 60, "/look", "GET", lane="look", patience=2.0, body=b""),
+                Asks("look", 60, "/look", "GET", lane="look", timeout=2.0, body=b""),
                 3,
             ),
         ]
@@ -120,7 +118,7 @@
         for gateway in gateways:
             assert len(gateway.told) > 50 and gateway.surplus == 0
             assert {request.answers for request in gateway.told} == {1}
-            # Not all: a machine that stands still for a tenth of a second has some turned back.
+            # Not all: a machine that stands still for a tenth of a second has some rejected.
             assert sum(request.status == 200 for request in gateway.told) > 0.5 * len(gateway.told)
         assert fleet.ledger().twice("charge") == []
         assert running.said("event=settings_changed") == 8
--- a/tests/test_kept_http.py
+++ b/tests/test_kept_http.py
@@ -1,7 +1,7 @@
 """HTTP to the byte: what the balancer answers of itself, what it asks of upstreams and discovery.
 
 The balancer runs in the test's own loop; clients, upstreams and discovery are bare sockets.
-Responses and request heads are kept as text; only what is left of a request's patience, which is a
+Responses and request heads are kept as text; only what is left of a request's timeout, which is a
 matter of time, is replaced by a mark before it is compared.
 """
 
@@ -57,11 +57,11 @@
 
 def reject(life, wait):
     """The final response to the one request that is out: try again after `wait`."""
-    requests_of(life)[0].turned_back(wait)
+    requests_of(life)[0].respond_rejected(wait)
 
 
 def fail(life):
-    requests_of(life)[0].scrapped()
+    requests_of(life)[0].respond_failed()
 
 
 def sweep(life):
--- a/tests/test_kept_simulator.py
+++ b/tests/test_kept_simulator.py
@@ -107,8 +107,8 @@
         found = {
             "hand off": of(to.start_attempt, self.request, self.upstream, 7_000_001_000),
             "hand off without an end": of(to.start_attempt, self.request, self.upstream),
-            "withdraw": of(to.withdraw, self.request.attempts[1]),
-            "alarm": of(to.alarm, 6_000_000_001, 2),
+            "withdraw": of(to.cancel, self.request.attempts[1]),
+            "alarm": of(to.set_timer, 6_000_000_001, 2),
             "probe": of(to.probe, self.upstream),
             "close idle": of(to.close_idle, self.upstream),
             "tell one": of(to.tell, 5, b"hello"),
@@ -117,9 +117,9 @@
             "follow no longer": of(to.follow_list, False),
             "fetch": of(to.fetch_list),
             "log": of(to.log, "a l\u00efne"),
-            "turn back": of(to.turn_back, self.request, 250_001_000),
-            "turn back without a wait": of(to.turn_back, self.request),
-            "scrap": of(to.scrap, self.request),
+            "turn back": of(to.reject, self.request, 250_001_000),
+            "turn back without a wait": of(to.reject, self.request),
+            "scrap": of(to.fail, self.request),
         }
         return found
 
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -228,25 +228,25 @@
             at, outcome = max(ends, self.now), Outcome.TIMED_OUT
         return at, self.come_back, attempt, outcome
 
-    def withdraw(self, attempt):
+    def cancel(self, attempt):
         request, upstream = attempt.request, attempt.upstream
         self.journal.note(WITHDRAW, self.now, request.id, upstream.id, attempt.number)
         self.journal.count(withdrawn=1)
         self.agenda.put(self.now + MS, self.come_back, attempt, Outcome.CANCELLED)
 
-    def turn_back(self, request, wait=0):
+    def reject(self, request, wait=0):
         assert not request.ended, "two final answers"
         request.ended = True
         self.journal.note(REJECT, self.now, request.id, wait)
         self.journal.count(rejections=1)
 
-    def scrap(self, request):
+    def fail(self, request):
         assert not request.ended, "two final answers"
         request.ended = True
         self.journal.note(FAIL, self.now, request.id)
         self.journal.count(failures=1)
 
-    def alarm(self, at, token=0):
+    def set_timer(self, at, token=0):
         self.journal.note(ALARM, self.now, at, token)
         self.journal.count(alarms=1)
         self.agenda.put(max(at, self.now + 1), self.ring, token)
@@ -290,7 +290,7 @@
         }
 
     def ring(self, token):
-        self.choice.bell(token)
+        self.choice.on_timer(token)
 
     def report(self, upstream):
         self.choice.reported(upstream, self.load())
@@ -316,7 +316,7 @@
         self.number += 1
         drawn = self.chance.random
         request_class = self.request_classes[int(len(self.request_classes) * drawn())]
-        request = Request(self.number, request_class, self.now, self.now + request_class.patience)
+        request = Request(self.number, request_class, self.now, self.now + request_class.timeout)
         self.journal.count(requests=1)
         if drawn() < 0.02:
             self.agenda.put(self.now + int(300 * MS * drawn()), self.leave, request)
@@ -516,8 +516,8 @@
         drawn = self.chance.random
         who, lane = 1 + int(2 * drawn()), int(6 * drawn())
         # The last is no lane that there is.
-        patience = (1_500_000, 2_000_000, 1_000_000, 3_000_000, 2_500_000, 1)[lane]
-        self.ends[who, self.number] = self.now + patience
+        timeout = (1_500_000, 2_000_000, 1_000_000, 3_000_000, 2_500_000, 1)[lane]
+        self.ends[who, self.number] = self.now + timeout
         self.journal.count(requests=1)
         if drawn() < 0.03:
             self.agenda.put(
@@ -536,7 +536,7 @@
                 int(8 * drawn()),
                 self.number % 50,
                 1,
-                self.now + patience,
+                self.now + timeout,
                 lane,
                 900,
             ),
--- a/whinpier/cli/demo.py
+++ b/whinpier/cli/demo.py
@@ -20,7 +20,7 @@
 POOLS = {"tariff": "rerunnable", "posting": "exclusive", "settlement": "ticketed"}
 WORK = {"tariff": 0.008, "posting": 0.012, "settlement": 0.015}  # seconds of a worker
 STOPPED = "posting-2"
-AGREED, PATIENCE = 0.25, 1.5
+AGREED, TIMEOUT = 0.25, 1.5
 
 
 def operator(listen: str, addresses: dict[str, str]) -> str:
@@ -28,7 +28,7 @@
     pools = {}
     for name, kind in POOLS.items():
         own = {upstream: at for upstream, at in addresses.items() if upstream.startswith(name)}
-        pools[name] = files.service(name, kind, own, AGREED, PATIENCE)
+        pools[name] = files.service(name, kind, own, AGREED, TIMEOUT)
     routes = [files.route(name, kind, name) for name, kind in POOLS.items()]
     return files.document(
         {"version": 1, "name": "demo", "listen": [listen], "pools": pools, "routes": routes}
@@ -56,7 +56,7 @@
                     f"/{name}/1",
                     files.METHODS[kind],
                     f"{name}.example",
-                    PATIENCE,
+                    TIMEOUT,
                     AGREED,
                     ticket=kind == "ticketed",
                     retries=1,
--- a/whinpier/cli/fleet.py
+++ b/whinpier/cli/fleet.py
@@ -384,7 +384,7 @@
     operator: Path | None,
     as_json: bool,
 ) -> None:
-    """Let an upstream (POOL/UPSTREAM) rest, or turn back a tenant or route, at the whole bank
+    """Let an upstream (POOL/UPSTREAM) rest, or reject a tenant or route, at the whole bank
     for a while.
     """
     call, key = Call(socket_of(path, operator)), key_of(kind, name)
--- a/whinpier/cli/fleet_demo.py
+++ b/whinpier/cli/fleet_demo.py
@@ -21,7 +21,7 @@
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
-AGREED, PATIENCE, WORK, RATE = 0.25, 1.5, 0.008, 40.0
+AGREED, TIMEOUT, WORK, RATE = 0.25, 1.5, 0.008, 40.0
 Tell = Callable[[str], None]
 
 
@@ -46,7 +46,7 @@
         )
 
     def service(self, process: Process | None = None, **more: Any) -> files.Plain:
-        pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, PATIENCE) | more
+        pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, TIMEOUT) | more
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def status(self, number: int) -> dict[str, Any]:
@@ -95,7 +95,7 @@
             [
                 (
                     self.bank.processes[n].balancer.address,  # type: ignore[union-attr]
-                    Asks(f"t{n}", RATE, "/t/x", "POST", "t.example", PATIENCE, AGREED),
+                    Asks(f"t{n}", RATE, "/t/x", "POST", "t.example", TIMEOUT, AGREED),
                 )
                 for n in (last - 1, last)
             ],
--- a/whinpier/cli/main.py
+++ b/whinpier/cli/main.py
@@ -267,7 +267,7 @@
             "guaranteed": round(pool.limits.guaranteed, 3),
             "list": "%s:%d" % pool.discovery if pool.discovery else f"{len(pool.known)} upstreams",
             "workloads": ", ".join(
-                f"{one.name} ({one.kind}, {one.agreed_time // MS} of {one.patience // MS} ms)"
+                f"{one.name} ({one.kind}, {one.latency_objective // MS} of {one.timeout // MS} ms)"
                 for one in pool.request_classes
             ),
             "tasks": pool.limits.requests,
@@ -291,7 +291,7 @@
             ),
             "pool": one.to.pool,
             "workload": one.to.request_class or "as X-Lane names it",
-            "patience_ms": one.to.patience // MS or None,
+            "patience_ms": one.to.timeout // MS or None,
         }
         for one in sorted(spec.table.routes, key=lambda one: one.rank())
     ]
--- a/whinpier/config/model.py
+++ b/whinpier/config/model.py
@@ -27,10 +27,10 @@
 CONFIGURED = (
     "name",
     "kind",
-    "agreed_time",
-    "patience",
-    "payoff",
-    "late_payoff",
+    "latency_objective",
+    "timeout",
+    "priority_weight",
+    "late_priority_weight",
     "group",
     "window",
     "streamed",
@@ -79,7 +79,7 @@
     tenant: bytes = b"x-org"
     repeat: bytes = b"x-resent"
     query_key: bytes = b"obj"  # a part of the query that gives the key, before the header
-    optional: bool = False  # whether a request may leave out its id and its patience
+    optional: bool = False  # whether a request may leave out its id and its timeout
 
     @property
     def once(self) -> frozenset[bytes]:
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -68,14 +68,23 @@
     optional: bool = False
 
 
-class WorkloadTable(Strict, frozen=True):
+class WorkloadTable(
+    Strict,
+    frozen=True,
+    rename={
+        "latency_objective": "agreed_time",
+        "timeout": "patience",
+        "priority_weight": "payoff",
+        "late_priority_weight": "late_payoff",
+    },
+):
     """One kind of request."""
 
     kind: Literal["rerunnable", "ticketed", "exclusive"]
-    agreed_time: Duration
-    patience: Duration
-    payoff: Amount = 1.0
-    late_payoff: Amount = 0.0
+    latency_objective: Duration
+    timeout: Duration
+    priority_weight: Amount = 1.0
+    late_priority_weight: Amount = 0.0
     group: Literal["all", "zone", "cell"] = "all"
     window: Duration = "0s"
 
@@ -135,7 +144,7 @@
     crossing: Amount = 0.0
 
 
-class RouteTable(Strict, frozen=True, rename={"request_class": "workload"}):
+class RouteTable(Strict, frozen=True, rename={"request_class": "workload", "timeout": "patience"}):
     """One route."""
 
     name: str
@@ -147,7 +156,7 @@
     headers: dict[str, str] = {}
     lane: str = ""
     request_class: str = ""
-    patience: Duration | None = None
+    timeout: Duration | None = None
     says: Says | None = None
 
 
@@ -204,16 +213,23 @@
 
 def request_class(name: str, value: Any, at: str) -> model.RequestClass:
     table = part(value, WorkloadTable, at)
-    agreed = duration(table.agreed_time, f"{at}.agreed_time", UNITS["ms"])
-    patience = duration(table.patience, f"{at}.patience", UNITS["ms"])
-    if patience < agreed:
+    agreed = duration(table.latency_objective, f"{at}.agreed_time", UNITS["ms"])
+    timeout = duration(table.timeout, f"{at}.patience", UNITS["ms"])
+    if timeout < agreed:
         raise ConfigFault(f"{at}.patience: is shorter than agreed_time")
     window = duration(table.window, f"{at}.window")
     effect = model.Effect(table.kind)
     if window and effect is not model.Effect.KEYED:
         raise ConfigFault(f"{at}.window: only a ticketed workload has one")
     return model.RequestClass(
-        name, effect, agreed, patience, table.payoff, table.late_payoff, table.group, window
+        name,
+        effect,
+        agreed,
+        timeout,
+        table.priority_weight,
+        table.late_priority_weight,
+        table.group,
+        window,
     )
 
 
@@ -331,11 +347,11 @@
         return None
     from whinpier.fleet.config import bank
 
-    patience = {
-        name: max(one.patience for one in spec.request_classes) for name, spec in pools.items()
+    timeout = {
+        name: max(one.timeout for one in spec.request_classes) for name, spec in pools.items()
     }
     shared = tuple(name for name, one in config.items() if one.balancers is None)
-    return bank(table.bank, table.name, shared, patience, {one.name: one.to.pool for one in routes})
+    return bank(table.bank, table.name, shared, timeout, {one.name: one.to.pool for one in routes})
 
 
 class To(Struct, frozen=True):
@@ -343,7 +359,7 @@
 
     pool: str
     request_class: str
-    patience: int
+    timeout: int
     fields: Fields
 
 
@@ -370,8 +386,8 @@
     for key in table.headers:
         if not header(key, f"{at}.headers"):
             raise ConfigFault(f"{at}.headers: a header without a name")
-    patience = (
-        duration(table.patience, f"{at}.patience", UNITS["ms"]) if table.patience is not None else 0
+    timeout = (
+        duration(table.timeout, f"{at}.patience", UNITS["ms"]) if table.timeout is not None else 0
     )
     return Route(
         table.name,
@@ -381,7 +397,7 @@
         frozenset(table.methods),
         dict(table.headers),
         table.lane,
-        To(table.pool, name, patience, fields),
+        To(table.pool, name, timeout, fields),
     )
 
 
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -140,7 +140,7 @@
 
 
 def limit(name: str, value: Any, pools: dict[str, int], routes: dict[str, str]) -> Said:
-    """One limit; `pools` are all there are, with the longest patience of each, `routes` with
+    """One limit; `pools` are all there are, with the longest timeout of each, `routes` with
     their pool.
     """
     at = f"bank.limits.{named(name, 'bank.limits')}"
@@ -278,7 +278,7 @@
 ) -> BankSpec:
     """What the bank's part of the process runs by, or a ConfigFault that names the key.
 
-    `pools` are shared by as many as the bank says; `every` pool has its longest patience, in
+    `pools` are shared by as many as the bank says; `every` pool has its longest timeout, in
     nanoseconds; `routes` have their pool.
     """
     table = part(value, BankTable, "bank")
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -72,9 +72,7 @@
     """How quick it is. A leader that is killed is followed by the next within two seconds."""
 
     beat: int = 200 * MS  # between a leader's talks
-    patience: int = (
-        900 * MS
-    )  # without a leader till one asks for votes; up to twice that, by chance
+    timeout: int = 900 * MS  # without a leader till one asks for votes; up to twice that, by chance
     again: int = 300 * MS  # until what was asked for is asked for again
 
 
@@ -211,7 +209,7 @@
         self.fetched_at, self.parts = now - pace.again, dict[int, bytes]()
         self.parts_of = (0, 0, 0)  # line, its term, bytes
         self.served, self.served_at = 0, now
-        self.leader_heard = now - 2 * pace.patience
+        self.leader_heard = now - 2 * pace.timeout
         self.awake_at = now + fence
         self.beat_at = now
         self.doubt()
@@ -344,7 +342,7 @@
 
     def doubt(self) -> None:
         """From now a leader has to be heard of within a while of its own."""
-        self.doubt_at = self.now + int(self.pace.patience * (1.0 + self.random()))
+        self.doubt_at = self.now + int(self.pace.timeout * (1.0 + self.random()))
 
     def due(self) -> int:
         """When `tick` wants to be called."""
@@ -367,7 +365,7 @@
 
     def check_most(self) -> None:
         """A leader that most voters do not answer is none: it steps down, as another may be there."""
-        heard = [name for name, at in self.heard.items() if self.now - at <= 2 * self.pace.patience]
+        heard = [name for name, at in self.heard.items() if self.now - at <= 2 * self.pace.timeout]
         if not self.most([self.name, *heard]):
             self.step_down("unheard")
 
@@ -397,7 +395,7 @@
 
     def led(self) -> bool:
         """Whether a leader was heard of late, so that nobody need ask for votes."""
-        return self.role == LEADER or self.now - self.leader_heard < self.pace.patience
+        return self.role == LEADER or self.now - self.leader_heard < self.pace.timeout
 
     def on_ask_early(self, talk: Talk, sender: str) -> None:
         good = (
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -113,7 +113,7 @@
             self.now,
             Random(self.chance.random()),
             pace,
-            pace.patience if copy.record else 0,
+            pace.timeout if copy.record else 0,
         )
         if not copy.disk:
             self.draw_disk()
@@ -252,7 +252,9 @@
         """A request has its final answer."""
         self.ended += 1
         if how == Outcome.SUCCEEDED:
-            self.on_time += request.pool.now - request.came <= request.request_class.agreed_time
+            self.on_time += (
+                request.pool.now - request.came <= request.request_class.latency_objective
+            )
         elif how == "scrapped":
             self.scrapped += 1
         else:
@@ -600,7 +602,7 @@
 
     def own_report(self) -> Report:
         life, orders = self.life, self.orders
-        idle = not life.out() and not any(front.owes() for front in life.fronts)
+        idle = not life.out() and not any(front.has_pending_responses() for front in life.fronts)
         clean: list[int] = []
         for pool in life.pools.values():
             clean += [
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -29,7 +29,7 @@
 
 LINE = 4_096  # bytes of what is asked
 WAITING = 1_000  # events that wait for a watcher; then it is told how many it missed
-PATIENCE = 5.0  # seconds for a caller to take what it asked for, or to ask
+TIMEOUT = 5.0  # seconds for a caller to take what it asked for, or to ask
 IDLE = 60.0
 LINGER, AFTER = (
     0.5,
@@ -316,5 +316,5 @@
 
 
 async def say(stream: anyio.abc.SocketStream, whole: dict[str, Any]) -> None:
-    with anyio.fail_after(PATIENCE):
+    with anyio.fail_after(TIMEOUT):
         await stream.send(msgspec.json.encode(whole, enc_hook=str) + b"\n")
--- a/whinpier/fleet/membership/membership.py
+++ b/whinpier/fleet/membership/membership.py
@@ -234,7 +234,7 @@
         self.tombs: dict[int, tuple[int, int, Word]] = {}  # until when; the life that outdoes it
         self.probes: dict[int, Probe] = {}
         self.knocking: dict[int, int] = {}  # who is not known and was asked: the nonce
-        self.alarms: list[Alarm] = []
+        self.timers: list[Alarm] = []
         self.number = 0
         self.out: list[tuple[Address, bytes]] = []
         self.events: list[Event] = []
@@ -281,18 +281,18 @@
         """When `tick` wants to be called."""
         # Most pings are answered at once; what was to be done had they not been is no reason to
         # wake.
-        while self.alarms[0][4] and self.alarms[0][4] not in self.probes:
-            heapq.heappop(self.alarms)
-        return self.alarms[0][0]
+        while self.timers[0][4] and self.timers[0][4] not in self.probes:
+            heapq.heappop(self.timers)
+        return self.timers[0][0]
 
     def at(self, at: int, call: Callable[..., None], *args: Any) -> None:
         self.number += 1
-        heapq.heappush(self.alarms, (at, self.number, call, args, 0))
+        heapq.heappush(self.timers, (at, self.number, call, args, 0))
 
     def unless_answered(self, at: int, call: Callable[[int], None], nonce: int) -> None:
         self.number += 1
-        alarm: Alarm = (at, self.number, call, (nonce,), nonce)
-        heapq.heappush(self.alarms, alarm)
+        set_timer: Alarm = (at, self.number, call, (nonce,), nonce)
+        heapq.heappush(self.timers, set_timer)
 
     def enter(self, now: int) -> None:
         """Note the time; a call that is long overdue tells that this process stood still."""
@@ -300,7 +300,7 @@
         self.now = max(self.now, now)
         if late > STOPPED:
             # Guards against taking the others for silent when it was this one that did not listen.
-            self.alarms = [(alarm[0] + late, *alarm[1:]) for alarm in self.alarms]
+            self.timers = [(set_timer[0] + late, *set_timer[1:]) for set_timer in self.timers]
             self.event("bank_stood_still", for_ms=late // MS)
         if late > SLOW // 4:
             self.slow, self.slow_at = (
@@ -320,7 +320,7 @@
         """Do what falls due."""
         self.enter(now)
         while self.due() <= now:
-            _, _, call, args, _ = heapq.heappop(self.alarms)
+            _, _, call, args, _ = heapq.heappop(self.timers)
             call(*args)
 
     def take(self) -> tuple[list[tuple[Address, bytes]], list[Event], list[tuple[int, int, bytes]]]:
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -276,7 +276,7 @@
         return self.slots[0] if len(self.slots) == 1 else Both(self.slots)
 
     def wait(self, now: int) -> int:
-        """When one that was turned back may come again, as far as that is known here."""
+        """When one that was rejected may come again, as far as that is known here."""
         if self.asks or any(slot.left for slot in self.slots):
             return SECOND // 4  # on its way from another member, or to the disk
         if not self.slots:
@@ -301,7 +301,7 @@
         self.settle(now)
         after = self.slots[-1].end
         if self.between(now)[1] + SOON > after * SECOND and self.rate(now):
-            # Guards against the first requests of a window being turned back until its first note
+            # Guards against the first requests of a window being rejected until its first note
             # is written.
             self.opened(*self.calendar.bounds(after), now)
         for nonce, ask in list(self.asks.items()):
--- a/whinpier/fleet/quotas/enforcement.py
+++ b/whinpier/fleet/quotas/enforcement.py
@@ -197,10 +197,10 @@
         self.peer, self.part = peer, part
 
     def spare(self, now: int) -> int:
-        patience = max(
-            request_class.patience for request_class in self.peer.pool.spec.request_classes
+        timeout = max(
+            request_class.timeout for request_class in self.peer.pool.spec.request_classes
         )
-        return self.part.lasting(now, now + patience) - self.part.used
+        return self.part.lasting(now, now + timeout) - self.part.used
 
     def enter(self, now: int, ends: int) -> Passed | None:
         if not self.part.take(now, ends):
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -45,7 +45,7 @@
     amount: int  # thousandths of a request a second, or requests
     homes: tuple[str, ...]  # members that hold it
     burst: int = 0  # of a rate: requests at once, beyond which nothing is saved up
-    span: int = SPAN  # of its loans: of those in flight over twice the longest patience
+    span: int = SPAN  # of its loans: of those in flight over twice the longest timeout
     window: str = ""  # of a count: which windows, in which time zone
     key: int = 0  # of which of many, where each has the limit for itself
 
@@ -112,7 +112,7 @@
             0,
             now,
         )  # in flight: what lasts over `horizon`, till when that holds
-        self.horizon = limit.span // 3  # of patience: requests of usual length
+        self.horizon = limit.span // 3  # of timeout: requests of usual length
         self.nothing: dict[int, int] = {}  # who had nothing to lend: when
         self.passed, self.turned_back = 0, 0
         self.out: list[tuple[int, Deal]] = []  # to whom, what
@@ -229,11 +229,11 @@
         return self if self.take(now, ends) else None
 
     def wait(self, now: int) -> int:
-        """When one that was turned back may come again, as far as that is known here."""
+        """When one that was rejected may come again, as far as that is known here."""
         if self.limit.kind == IN_FLIGHT:
             return SECOND // 4
         mine = self.known(now)
-        # Its turn in the queue of those who ask: not sooner than all that was turned back of late
+        # Its turn in the queue of those who ask: not sooner than all that was rejected of late
         # would pass.
         due = (TASK - self.level) // mine if mine and self.level < TASK else 0
         self.fold(now)
--- a/whinpier/fleet/rollouts/state_machine.py
+++ b/whinpier/fleet/rollouts/state_machine.py
@@ -127,8 +127,8 @@
 
     window_ms: Annotated[int, Meta(ge=200, le=3_600_000)] = 3_000
     on_time: float = 0.05  # by how much less may be on time
-    errors: float = 0.02  # and more scrapped
-    turned_back: float = 0.05  # and more turned back
+    errors: float = 0.02  # and more failed
+    turned_back: float = 0.05  # and more rejected
     memory: float = 1.5  # times what the rest holds
     least: int = 20  # requests, without which there is nothing to judge by
     back_ms: int = 20_000  # for a member to come back
--- a/whinpier/http/client_connection.py
+++ b/whinpier/http/client_connection.py
@@ -58,20 +58,20 @@
             head.append(b"content-length: %d\r\n" % len(self.body))
         self.head = b"".join(head)
 
-    def waited_for(self) -> bool:
+    def is_awaited(self) -> bool:
         return self.client.request is self
 
-    def abandoned(self) -> bool:
+    def client_disconnected(self) -> bool:
         return self.client.has_left()
 
-    def fulfilled(self, answer: Answer) -> None:
+    def respond(self, answer: Answer) -> None:
         headers = [pair for pair in answer.headers if pair[0] not in HOP]
         self.client.answer(answer.status, b"".join(answer.parts), headers)
 
-    def turned_back(self, wait: int) -> None:
+    def respond_rejected(self, wait: int) -> None:
         self.client.answer(503, b"turned back\n", retry_after(wait))
 
-    def scrapped(self) -> None:
+    def respond_failed(self) -> None:
         self.client.answer(502, b"not fulfilled\n")
 
 
@@ -253,7 +253,7 @@
             self.answer(
                 503,
                 b"turned back\n",
-                retry_after(pool.wait or request.request_class.agreed_time // 4),
+                retry_after(pool.wait or request.request_class.latency_objective // 4),
             )
             pool.wait = 0
             return
@@ -278,13 +278,13 @@
             # request.
             raise BadRequest(409, "an X-Txn that another request has")
         given = headers.get(fields.remaining)
-        patience = min(request_class.patience, target.patience or request_class.patience)
+        timeout = min(request_class.timeout, target.timeout or request_class.timeout)
         if given is not None or not fields.optional:
             if given is None or not NUMBER.fullmatch(given):
                 raise BadRequest(400, f"no {fields.remaining.decode().title()} that can be read")
-            patience = min(int(float(given) * SECOND), patience)
+            timeout = min(int(float(given) * SECOND), timeout)
         came = self.loop.clock()
-        request = HttpRequest(self, request_class, came, door.life.ends(came, patience), txn)
+        request = HttpRequest(self, request_class, came, door.life.ends(came, timeout), txn)
         query = self.target.partition(b"?")[2]
         key = parse_qs(query).get(fields.query_key, [b""])[0] if query else b""
         key = key or headers.get(fields.key, b"")
--- a/whinpier/http/listener.py
+++ b/whinpier/http/listener.py
@@ -59,7 +59,7 @@
         ticket: bytes = b"",
         again: bool = False,
     ) -> bool:
-        """Whether a request is turned back at the door; if not it counts among its pool's from now on."""
+        """Whether a request is rejected at the door; if not it counts among its pool's from now on."""
         budget = self.budget
         usual = budget.connections - budget.most_clients
         if len(self.clients) > budget.most_clients and budget.requests.used >= usual:
@@ -103,7 +103,7 @@
         )
 
     def welcome(self, listener: socket.socket) -> bool:
-        """Take one client in. One too many is only turned back: what waits unseen is lost in time."""
+        """Take one client in. One too many is only rejected: what waits unseen is lost in time."""
         budget = self.budget
         if len(self.clients) >= budget.most_clients:
             self.let_go()
@@ -132,7 +132,7 @@
                     if not self.welcome(listener):
                         break
                 else:
-                    # Guards against clients that come faster than they are taken in: alarms would
+                    # Guards against clients that come faster than they are taken in: timers would
                     # never ring.
                     await anyio.sleep(0)
                     continue
@@ -176,7 +176,7 @@
             if client.idle():
                 client.end()
 
-    def owes(self) -> bool:
+    def has_pending_responses(self) -> bool:
         """Whether an answer is not written whole or may be on its way, or a request has begun to come."""
         return any(client.left or client.reading or client.last for client in self.clients)
 
--- a/whinpier/http/operator_routes.py
+++ b/whinpier/http/operator_routes.py
@@ -32,7 +32,7 @@
                 pool,
                 pool.request_classes.get(to.request_class.encode()),
                 to.fields,
-                to.patience,
+                to.timeout,
                 bool(route.methods),
                 route.name,
             )
--- a/whinpier/http/platform_routes.py
+++ b/whinpier/http/platform_routes.py
@@ -33,7 +33,7 @@
     pool: Pool
     request_class: RequestClass | None  # None: the one that the request names
     fields: Fields
-    patience: int = 0  # nanoseconds at most; 0: the request class's
+    timeout: int = 0  # nanoseconds at most; 0: the request class's
     any_method: bool = (
         False  # whether the route names its methods, so that none needs to fit the kind
     )
--- a/whinpier/http/upstream_connection.py
+++ b/whinpier/http/upstream_connection.py
@@ -95,7 +95,7 @@
     """A request as it goes on to an upstream that speaks HTTP/1.1."""
 
     __slots__ = ("head", "body")
-    head: bytes  # but for what is left of its patience
+    head: bytes  # but for what is left of its timeout
     body: bytes
 
 
--- a/whinpier/model_checking/consensus.py
+++ b/whinpier/model_checking/consensus.py
@@ -367,7 +367,7 @@
                     tuple(sorted(party.flying)),
                     tuple(sorted(party.hinted.items())),
                     max(0, party.doubt_at - self.now),
-                    max(-PACE.patience, party.leader_heard - self.now),
+                    max(-PACE.timeout, party.leader_heard - self.now),
                     waiting,
                     tuple(sorted(party.ahead.items())),
                 )
--- a/whinpier/model_checking/quotas.py
+++ b/whinpier/model_checking/quotas.py
@@ -15,7 +15,7 @@
 from whinpier.model_checking.network import Named, Network
 
 STEP = SPAN // 8
-LENGTHS = (2, 6)  # steps that a request takes: the longest is its patience
+LENGTHS = (2, 6)  # steps that a request takes: the longest is its timeout
 FENCE = SPAN + SLACK
 
 
--- a/whinpier/policy/model.py
+++ b/whinpier/policy/model.py
@@ -54,10 +54,10 @@
 
     name: str
     kind: Effect
-    agreed_time: int
-    patience: int
-    payoff: float
-    late_payoff: float = 0.0
+    latency_objective: int
+    timeout: int
+    priority_weight: float
+    late_priority_weight: float = 0.0
     group: str = "all"
     window: int = 0
     streamed: bool = False
@@ -125,16 +125,16 @@
     def start_attempt(self, request: Request, upstream: Upstream, stop_at: int = 0) -> Attempt:
         """Send the request; 0 as `stop_at` means until the client gives up."""
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt; its outcome still comes back."""
 
-    def turn_back(self, request: Request, wait: int = 0) -> None:
+    def reject(self, request: Request, wait: int = 0) -> None:
         """Final answer: not done, trying again is harmless, best after `wait`."""
 
-    def scrap(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         """Final answer: not fulfilled, nothing promised."""
 
-    def alarm(self, at: int, token: int = 0) -> None:
+    def set_timer(self, at: int, token: int = 0) -> None:
         """Call `Choice.bell(token)` at or soon after `at`."""
 
     def probe(self, upstream: Upstream) -> None:
--- a/whinpier/policy/policy.py
+++ b/whinpier/policy/policy.py
@@ -3,7 +3,7 @@
 
 A host makes one `Choice` per balancer and calls it as things happen: `listed` with the upstreams it
 holds, `arrive` for a request, `came_back` for an attempt, `left` when a client goes, `bell` when an
-alarm falls due, `reported` for a probe, `told` for a message of another balancer, `list_lost` when
+timer falls due, `reported` for a probe, `told` for a message of another balancer, `list_lost` when
 the list can't be had. `Choice` calls its `Host`, defined in whinpier/policy/model.py; why it
 decides so stands in docs/design.md. A request passes Entry, Again and Split: each passes it on,
 keeps or ends it; what comes back runs the other way.
@@ -36,7 +36,7 @@
 
 PASS, KEEP, END = "pass on", "keep", "end"
 PERIOD = SECOND  # between solves; the design page's
-SOLVE, TICK, ASK = 1, 2, 3  # alarm tokens
+SOLVE, TICK, ASK = 1, 2, 3  # timer tokens
 
 
 def level(costs: list[float], rate: float) -> list[float]:
@@ -55,10 +55,10 @@
 
 class Entry:
     """First stage: takes a request in; what no upstream has room for is held a moment, then
-    turned back.
+    rejected.
     """
 
-    # of the agreed time at most: rides out a short stop and leaves the rest for the upstream
+    # of the latency objective at most: rides out a short stop and leaves the rest for the upstream
     HOLD = 0.25
 
     def __init__(self, choice: Choice, settings: dict[str, Any]) -> None:
@@ -98,12 +98,15 @@
             key=lambda request_class: request_class.known.kept.read(self.host.now)
             / asked[request_class],
         )
-        payoff = sum(request_class.payoff * count for request_class, count in asked.items())
+        priority_weight = sum(
+            request_class.priority_weight * count for request_class, count in asked.items()
+        )
 
         def worth(request_class: RequestClass) -> float:
             lift = self.worst / asked[request_class] if request_class is least else 0.0
             return float(
-                (self.whole * request_class.payoff / payoff + lift) / request_class.known.usual
+                (self.whole * request_class.priority_weight / priority_weight + lift)
+                / request_class.known.usual
             )
 
         self.held = {
@@ -125,7 +128,8 @@
         now, request_class = self.host.now, request.request_class
         # 20 ms before its client gives up at the latest, so that its answer is timely.
         request.held_until = min(
-            request.came + int(self.HOLD * request_class.agreed_time), request.ends - SECOND // 50
+            request.came + int(self.HOLD * request_class.latency_objective),
+            request.ends - SECOND // 50,
         )
         wait = request.held_until - now
         if (
@@ -145,7 +149,7 @@
                 requests.popleft()
 
     def expire(self) -> None:
-        """Turn back what has been held long enough."""
+        """Reject what has been held long enough."""
         for requests in self.held.values():
             for request in [
                 request
@@ -161,7 +165,7 @@
         if attempt.outcome == Outcome.SUCCEEDED:
             self.answered.add(now)
             request.request_class.known.kept.add(
-                now, float(first and now <= request.came + request.request_class.agreed_time)
+                now, float(first and now <= request.came + request.request_class.latency_objective)
             )
         if attempt.upstream.seen.out < attempt.upstream.seen.room:
             self.release()
@@ -284,7 +288,7 @@
     def call_off(self, attempts: list[Attempt]) -> None:
         for attempt in attempts:
             if not attempt.outcome and attempt.request.request_class.cancelling:
-                self.host.withdraw(attempt)
+                self.host.cancel(attempt)
 
 
 class Split:
@@ -341,7 +345,8 @@
             settings.get("rules.fall", SECOND),
         )
         agreed = [
-            request_class.agreed_time / SECOND for request_class in self.choice.request_classes
+            request_class.latency_objective / SECOND
+            for request_class in self.choice.request_classes
         ]
         self.ease = self.ease or min(agreed) / 5  # a start until it is known
         self.crossing = float(settings.get("prices.cross_zone", 0.0)) * max(
@@ -650,8 +655,8 @@
             seen.shut_until = 0
         else:
             # Guards against quick failures that look fast: they count as time-outs, with the whole
-            # patience.
-            seen.missing += max(0, request_class.patience - attempt.took) * attempt.pull
+            # timeout.
+            seen.missing += max(0, request_class.timeout - attempt.took) * attempt.pull
             if outcome != Outcome.TIMED_OUT:
                 # Guards against request after request for an upstream that is full, down or fails
                 # quickly, and so seems to have room: it gets none for as long as its latency now
@@ -675,7 +680,7 @@
         self.split = Split(self, settings, seed)
         self.following, self.tries, self.ask_at = False, 0, 0
         self.configure(settings)
-        host.alarm(host.now, SOLVE)
+        host.set_timer(host.now, SOLVE)
 
     def configure(self, settings: dict[str, Any]) -> None:
         self.retry_after = bool(
@@ -699,7 +704,7 @@
             self.ask_at = (
                 self.host.now + int(within * (0.5 + chance / 2 if self.tries else chance)) + 1
             )
-            self.host.alarm(self.ask_at, ASK)
+            self.host.set_timer(self.ask_at, ASK)
 
     def list_lost(self) -> None:
         """A call for the list was in vain, or it is followed no longer; what was listed stays till told."""
@@ -748,15 +753,15 @@
             self.split.reported(upstream.seen, load)
 
     def finish(self, request: Request) -> str:
-        """The final answer to a request that was not fulfilled: turned back if that is true to say."""
+        """The final answer to a request that was not fulfilled: rejected if that is true to say."""
         if self.again.harmless(request) and self.host.now < request.ends:
-            # A quarter of the agreed time: a jam has moved on, and the next try can still be in
-            # time.
-            self.host.turn_back(
-                request, request.request_class.agreed_time // 4 if self.retry_after else 0
+            # A quarter of the latency objective: a jam has moved on, and the next try can still be
+            # in time.
+            self.host.reject(
+                request, request.request_class.latency_objective // 4 if self.retry_after else 0
             )
         else:
-            self.host.scrap(request)
+            self.host.fail(request)
         return END
 
     def left(self, request: Request) -> None:
@@ -769,12 +774,12 @@
         """See that `bell` rings by then."""
         if not self.next_wake or at < self.next_wake:
             self.next_wake = at
-            self.host.alarm(at, TICK)
+            self.host.set_timer(at, TICK)
 
-    def bell(self, token: int) -> None:
+    def on_timer(self, token: int) -> None:
         now = self.host.now
         if token == SOLVE:
-            self.host.alarm(now + PERIOD, SOLVE)
+            self.host.set_timer(now + PERIOD, SOLVE)
             self.split.solve()
             self.split.tell()
             self.entry.rank()
--- a/whinpier/policy/statistics.py
+++ b/whinpier/policy/statistics.py
@@ -14,7 +14,7 @@
         self.took, self.answers, self.asked, self.kept = (Sum(10 * SECOND, now) for _ in range(4))
         self.out, self.usual = (
             0,
-            request_class.agreed_time / 4,
+            request_class.latency_objective / 4,
         )  # mean latency over the fleet; a start until known
 
 
--- a/whinpier/radius/server.py
+++ b/whinpier/radius/server.py
@@ -59,19 +59,19 @@
         # Who else has sent it since, in other words; each is answered in its own.
         self.others: list[tuple[Way, Packet, bytes, bytes]] = []
 
-    def waited_for(self) -> bool:
+    def is_awaited(self) -> bool:
         return not self.over
 
-    def fulfilled(self, answer: Packet) -> None:
+    def respond(self, answer: Packet) -> None:
         self.over = True
         self.front.reply(self, answer)
 
-    def turned_back(self, wait: int) -> None:
+    def respond_rejected(self, wait: int) -> None:
         """Silence; it never ran, or may run again, so that its next try is a new request."""
         self.over = True
         self.front.silent(self, True)
 
-    def scrapped(self) -> None:
+    def respond_failed(self) -> None:
         self.over = True
         ran = any(sent.outcome not in NEVER_RAN for sent in self.attempts)
         self.front.silent(self, not ran or self.request_class.kind == Effect.IDEMPOTENT)
@@ -226,7 +226,7 @@
             self.memory.given_up(entry)
             return
         now = self.loop.clock()
-        ends = self.life.ends(now, request_class.patience)
+        ends = self.life.ends(now, request_class.timeout)
         request = RadiusRequest(
             self.loop.next_id(), request_class, now, ends, self, packet, entry, client, secret, way
         )
@@ -287,7 +287,7 @@
             asyncio.get_running_loop().remove_reader(sock)
         self.streams.stop()
 
-    def owes(self) -> bool:
+    def has_pending_responses(self) -> bool:
         return False
 
     def figures(self) -> dict[str, int]:
--- a/whinpier/runtime/event_loop.py
+++ b/whinpier/runtime/event_loop.py
@@ -1,4 +1,4 @@
-"""Owns the clock, the alarm heap, the one way into the decisions, and how late all of it is.
+"""Owns the clock, the timer heap, the one way into the decisions, and how late all of it is.
 
 Must never call the decisions from inside one of their calls, nor let a fault in one call end the
 process.
@@ -21,7 +21,7 @@
 
 MS = SECOND // 1000
 MARGIN = SECOND // 200  # a way to the client, five times over, where the loop is in time
-MOST_LATE = SECOND // 10  # a fifth of the agreed times that deployments have had
+MOST_LATE = SECOND // 10  # a fifth of the latency objectives that deployments have had
 FORGET = 5 * SECOND  # a burst of work comes back within seconds, or is over
 
 
@@ -32,16 +32,16 @@
 
 
 class Loop:
-    """One clock, one heap of alarms, one queue of calls."""
+    """One clock, one heap of timers, one queue of calls."""
 
     def __init__(self, judge: Callable[[int, int], None] = lambda now, lag: None) -> None:
         # One clock on the scale of born_ms: set by the wall clock once, so that no step of that
         # disturbs it.
         self.offset = time.time_ns() - time.monotonic_ns()
         self.now = self.clock()
-        self.judge = judge  # told how late an alarm rang, once a turn
-        self.next_id, self.next_alarm = numbers(1).__next__, numbers().__next__
-        self.alarms: list[tuple[int, int, Timed, Callable[..., None], tuple[Any, ...]]] = []
+        self.judge = judge  # told how late an timer rang, once a turn
+        self.next_id, self.next_timer = numbers(1).__next__, numbers().__next__
+        self.timers: list[tuple[int, int, Timed, Callable[..., None], tuple[Any, ...]]] = []
         self.sooner, self.ring_at = anyio.Event(), 0
         self.todo: deque[tuple[Timed, Callable[..., None], tuple[Any, ...]]] = deque()
         self.inside = False
@@ -74,7 +74,7 @@
 
     def at(self, at: int, host: Timed, call: Callable[..., None], *args: Any) -> None:
         """Have something of a host called at a time."""
-        heapq.heappush(self.alarms, (at, self.next_alarm(), host, call, args))
+        heapq.heappush(self.timers, (at, self.next_timer(), host, call, args))
         if at < self.ring_at:
             self.ring_at = at
             self.sooner.set()
@@ -84,12 +84,12 @@
         begun = self.clock()  # what was due before is late by the start, not by the loop
         while True:
             now = self.clock()
-            self.behind(max(0, now - max(begun, self.alarms[0][0])) if self.alarms else 0)
-            while self.alarms and self.alarms[0][0] <= now:
-                _, _, host, call, args = heapq.heappop(self.alarms)
+            self.behind(max(0, now - max(begun, self.timers[0][0])) if self.timers else 0)
+            while self.timers and self.timers[0][0] <= now:
+                _, _, host, call, args = heapq.heappop(self.timers)
                 self.enter(host, call, *args)
             self.sooner = anyio.Event()
-            self.ring_at = self.alarms[0][0] if self.alarms else now + SECOND
+            self.ring_at = self.timers[0][0] if self.timers else now + SECOND
             with anyio.move_on_after((self.ring_at - self.clock()) / SECOND):
                 await self.sooner.wait()
 
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -69,23 +69,23 @@
     pool: Pool
     gates: tuple[Passed, ...]  # what limits gave it
 
-    def waited_for(self) -> bool:
+    def is_awaited(self) -> bool:
         """Whether its client still waits for this request's answer."""
         raise NotImplementedError
 
-    def abandoned(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether its client has left, noticed or not; if so the pool has been told by now."""
         return False
 
-    def fulfilled(self, answer: Any) -> None:
+    def respond(self, answer: Any) -> None:
         """Final answer: what the upstream made."""
         raise NotImplementedError
 
-    def turned_back(self, wait: int) -> None:
+    def respond_rejected(self, wait: int) -> None:
         """Final answer: not done, trying again is harmless, best after `wait` nanoseconds."""
         raise NotImplementedError
 
-    def scrapped(self) -> None:
+    def respond_failed(self) -> None:
         """Final answer: not fulfilled, nothing promised."""
         raise NotImplementedError
 
@@ -195,7 +195,7 @@
         self.now = self.loop.clock()
         self.began = self.now
         self.held: dict[str, Peer] = {}  # the list as last told
-        self.leavers: dict[Peer, None] = {}  # no longer listed, with attempts still out
+        self.draining: dict[Peer, None] = {}  # no longer listed, with attempts still out
         self.out = 0  # requests without an answer
         self.told_once, self.leaving, self.ended = False, False, False
         self.on_end: Callable[[], None] = lambda: None
@@ -279,7 +279,7 @@
         )
         # Guards against attempts for nobody: a late loop decides before it reads that the client
         # has left.
-        gates = () if request.abandoned() else upstream.passes
+        gates = () if request.client_disconnected() else upstream.passes
         given = self.given(gates, self.now, request.ends) if gates else ()
         if given is None or request.ended:
             # What was free has ended meanwhile: it is not sent, and the decisions hear so at once.
@@ -300,26 +300,26 @@
             self.loop.at(stop_at, self, self.stop_waiting, sent, Outcome.TIMED_OUT)
         return sent
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         self.stop_waiting(attempt, Outcome.CANCELLED)
 
-    def turn_back(self, request: Request, wait: int = 0) -> None:
+    def reject(self, request: Request, wait: int = 0) -> None:
         assert isinstance(request, PendingRequest)
         if self.finish(request, "turned_back"):
-            request.turned_back(wait)
+            request.respond_rejected(wait)
 
-    def scrap(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         assert isinstance(request, PendingRequest)
         if self.finish(request, "scrapped"):
-            request.scrapped()
+            request.respond_failed()
 
-    def alarm(self, at: int, token: int = 0) -> None:
+    def set_timer(self, at: int, token: int = 0) -> None:
         if not self.ended:
-            self.loop.at(max(at, self.now + 1), self, self.bell, token)
+            self.loop.at(max(at, self.now + 1), self, self.on_timer, token)
 
-    def bell(self, token: int) -> None:
+    def on_timer(self, token: int) -> None:
         if not self.ended:
-            self.choice.bell(token)
+            self.choice.on_timer(token)
 
     def probe(self, upstream: Upstream) -> None:
         """Nothing carries a probe on this protocol: what asks for one does without."""
@@ -372,7 +372,7 @@
     def passes(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> bool:
         """Whether one more request passes all gates; what closes them says when to come back."""
         now, self.wait = self.loop.clock(), 0
-        ends = now + max(request_class.patience for request_class in self.spec.request_classes)
+        ends = now + max(request_class.timeout for request_class in self.spec.request_classes)
         gates = self.gates
         if self.further is not None:
             gates = (*gates, *self.further(route, tenant, ticket, again))
@@ -408,8 +408,8 @@
 
     def finish(self, request: PendingRequest, how: str) -> bool:
         """Whether a request, which has no answer yet, is to have its final one now."""
-        log.must(not request.ended and request.waited_for(), "a task has one final answer")
-        if request.ended or not request.waited_for():
+        log.must(not request.ended and request.is_awaited(), "a task has one final answer")
+        if request.ended or not request.is_awaited():
             return False
         self.end_request(request)
         self.counts[how] += 1
@@ -444,7 +444,7 @@
         # Guards against a fault in a decision: even then a request has its answer in time.
         if not request.ended:
             log.must(False, "the decisions end a task by its patience")
-            self.scrap(request)
+            self.fail(request)
         # Guards against long stops of the loop: requests and attempts point to each other, so that
         # without this they would pile up, of an age that only a full collection looks at.
         request.attempts.clear()
@@ -491,7 +491,7 @@
             )
         first = outcome == Outcome.SUCCEEDED and not request.ended
         if first and self.finish(request, "fulfilled"):
-            request.fulfilled(answer)
+            request.respond(answer)
         self.choice.came_back(sent, load, first)
 
     def client_left(self, request: PendingRequest) -> None:
@@ -536,7 +536,7 @@
         for host, peer in before.items():
             if held.get(host) is not peer:
                 peer.state = UpstreamState.REMOVED
-                self.leavers[peer] = None
+                self.draining[peer] = None
         for peer in dict.fromkeys(
             (*before.values(), *held.values())
         ):  # in an order that does not change
@@ -611,14 +611,14 @@
 
     def peers(self) -> Iterator[Peer]:
         yield from self.held.values()
-        yield from self.leavers
+        yield from self.draining
 
     def sweep(self) -> None:
         """Let go of what has been idle for long, and of upstreams that have gone."""
         for peer in self.held.values():
             peer.sweep()
-        for peer in [peer for peer in self.leavers if not peer.out()]:
-            self.leavers.pop(peer, None)
+        for peer in [peer for peer in self.draining if not peer.out()]:
+            self.draining.pop(peer, None)
 
     # The end.
 
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -34,10 +34,10 @@
 )
 
 STILL_COMING = 6 * SECOND // 10  # after SIGTERM new connections go on coming for up to 0.4 s
-# After SIGTERM nothing ends the process sooner than the longest patience and 0.7 s more. The last
+# After SIGTERM nothing ends the process sooner than the longest timeout and 0.7 s more. The last
 # tenth of that is for a late loop, and what comes before it for answering what is out, with no more
 # taken.
-LONGEST = 3 * SECOND  # of a patience, as it counts for that
+LONGEST = 3 * SECOND  # of a timeout, as it counts for that
 AFTERWARDS, CLOSING = 6 * SECOND // 10, 4 * SECOND // 10
 SWEEP = (
     SECOND // 4
@@ -56,7 +56,7 @@
 
     def close_idle(self) -> None: ...
 
-    def owes(self) -> bool: ...
+    def has_pending_responses(self) -> bool: ...
 
     def figures(self) -> dict[str, int]: ...
 
@@ -101,7 +101,7 @@
         self.loop = Loop(self.budget.judge)
         self.ids: dict[
             bytes | int, PendingRequest
-        ] = {}  # of requests till the end of their patience, answered or not
+        ] = {}  # of requests till the end of their timeout, answered or not
         self.cold: dict[
             tuple[Address, int], Turn
         ] = {}  # when a run of an upstream is due one, of all pools
@@ -188,12 +188,12 @@
             return True
         return False
 
-    def ends(self, came: int, patience: int) -> int:
+    def ends(self, came: int, timeout: int) -> int:
         """When a request is over here: its client must have the answer, and the process must
         still be there.
         """
         margin = self.loop.margin()
-        return min(came + patience, self.stop_by or came + patience) - margin
+        return min(came + timeout, self.stop_by or came + timeout) - margin
 
     # A new configuration.
 
@@ -306,7 +306,7 @@
             out=sum(pool.out for pool in pools),
             **self.told(),
             links=self.budget.links.used,
-            alarms=len(self.loop.alarms),
+            timers=len(self.loop.timers),
             lag_ms=self.loop.lag // MS,
             collect_ms=self.stopped // MS,
             cpu_s=round(time.process_time(), 2),
@@ -344,7 +344,7 @@
         loop = self.loop
         log.say("stopping", out=self.out(), **self.told())
         longest = max(
-            request_class.patience
+            request_class.timeout
             for spec in self.spec.pools.values()
             for request_class in spec.request_classes
         )
@@ -361,7 +361,7 @@
         self.closing = True
         for front in self.fronts:
             front.close_idle()
-        while self.out() or any(front.owes() for front in self.fronts):
+        while self.out() or any(front.has_pending_responses() for front in self.fronts):
             if loop.clock() > self.stop_by:
                 break
             await anyio.sleep(0.01)
--- a/whinpier/runtime/resource_budget.py
+++ b/whinpier/runtime/resource_budget.py
@@ -19,7 +19,7 @@
 DOOR, MOST_DOOR = (
     8,
     64,
-)  # one in so many, and the most, for clients turned back at the door: short bursts
+)  # one in so many, and the most, for clients rejected at the door: short bursts
 PART = (
     0.6  # of the rest for clients: each request needs one descriptor, and one more while it is out
 )
@@ -32,7 +32,7 @@
     0.1,
     0.02,
     0.95,
-)  # steps of the part turned back at the door: down slower than up
+)  # steps of the part rejected at the door: down slower than up
 OVER = 1.1  # times its part of the CPU: a pool above that pays for a late loop first
 SPENT = 2 * SECOND  # over which the CPU of pools is compared: some hundred requests
 
@@ -119,7 +119,7 @@
         self.request_bytes = budget.request_bytes.part()  # bytes of what is asked
         self.change(limits)
         self.clients = 0  # connections of clients that asked it last
-        self.shed = 0.0  # the part of its requests that is turned back at the door
+        self.shed = 0.0  # the part of its requests that is rejected at the door
         self.spent = Sum(SPENT, 0)  # nanoseconds of the loop
         budget.parts.append(self)
 
@@ -235,10 +235,10 @@
         )
 
     def judge(self, now: int, lag: int) -> None:
-        """Turn back a larger or smaller part of what comes, by how late the loop is."""
+        """Reject a larger or smaller part of what comes, by how late the loop is."""
         if now - self.judged < JUDGED:
             return
-        # Guards against a core that is full: were all turned back while the loop is late, those
+        # Guards against a core that is full: were all rejected while the loop is late, those
         # that come again at once would keep it late, and nothing would be served.
         self.judged = now
         late = lag > MOST_LATE
--- a/whinpier/simhost/__main__.py
+++ b/whinpier/simhost/__main__.py
@@ -64,7 +64,7 @@
             _, number, bits, key, tenant, ends, lane, hint = fields
             instance.ingress(number, bits, key, tenant, ends, lane, hint)
         elif code == wire.BELL:
-            instance.choice.bell(fields[1])
+            instance.choice.on_timer(fields[1])
         elif code == wire.TARGETS:
             _, scope, _, roster = fields
             instance.targets(scope, self.rosters.get(roster, []))
--- a/whinpier/simhost/instance.py
+++ b/whinpier/simhost/instance.py
@@ -44,18 +44,18 @@
         self._put(wire.ISSUE.pack(60, 20, self.who, request.id, upstream.id, stop_at // US))
         return made
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         self._put(wire.WITHDRAW.pack(120, 10, self.who, attempt.request.id, attempt.number))
 
-    def turn_back(self, request: Request, wait: int = 0) -> None:
+    def reject(self, request: Request, wait: int = 0) -> None:
         self._put(wire.PUSH_BACK.pack(80, 12, self.who, request.id, min(wait // US, U32)))
         self._end(request)
 
-    def scrap(self, request: Request) -> None:
+    def fail(self, request: Request) -> None:
         self._put(wire.GIVE_UP.pack(110, 8, self.who, request.id))
         self._end(request)
 
-    def alarm(self, at: int, token: int = 0) -> None:
+    def set_timer(self, at: int, token: int = 0) -> None:
         self._put(wire.SET_ALARM.pack(10, 20, self.who, token, -(-at // US)))
 
     def probe(self, upstream: Upstream) -> None:
--- a/whinpier/simulation/balancers.py
+++ b/whinpier/simulation/balancers.py
@@ -76,16 +76,16 @@
         self.stream: Any = None
         self.gone = False  # its client has left
 
-    def waited_for(self) -> bool:
+    def is_awaited(self) -> bool:
         return not self.gone
 
-    def fulfilled(self, answer: Any) -> None:
+    def respond(self, answer: Any) -> None:
         self.answered(self, "fulfilled", 0)
 
-    def turned_back(self, wait: int) -> None:
+    def respond_rejected(self, wait: int) -> None:
         self.answered(self, "turned back", wait)
 
-    def scrapped(self) -> None:
+    def respond_failed(self) -> None:
         self.answered(self, "scrapped", 0)
 
 
--- a/whinpier/simulation/baselines.py
+++ b/whinpier/simulation/baselines.py
@@ -1,7 +1,7 @@
 """Plain policies beside the project's own, and one that sees the true state: what the decisions are
 held to.
 
-They differ in which upstream is drawn; the rules on repeats and drains, and what is turned back
+They differ in which upstream is drawn; the rules on repeats and drains, and what is rejected
 when nothing may be sent to, are the project's own, so that what is compared is the draw.
 """
 
@@ -113,9 +113,9 @@
                 wait += server.failing * 10.0
             if wait < least:
                 best, least = seen, wait
-        # What would be late it holds or turns back: in a surge a queue of late requests serves
+        # What would be late it holds or rejects: in a surge a queue of late requests serves
         # nobody.
-        left = (request.came + request.request_class.agreed_time - self.host.now) / SECOND
+        left = (request.came + request.request_class.latency_objective - self.host.now) / SECOND
         return best if least < max(left, 0.0) else None
 
 
@@ -146,7 +146,7 @@
                 wait = done_after(work, backlog + own, capacity, cores)
                 if wait < least:
                     best, least = seen, wait
-        left = (request.came + request.request_class.agreed_time - self.host.now) / SECOND
+        left = (request.came + request.request_class.latency_objective - self.host.now) / SECOND
         return best if least < max(left, 0.0) else None
 
 
--- a/whinpier/simulation/clients.py
+++ b/whinpier/simulation/clients.py
@@ -101,7 +101,7 @@
             0,
         )  # part of requests that are not waited for to the end; further tries
         self.most = max([1.0, *(times for _, _, times in stream.surges)]) * (1.0 + stream.day)
-        self.patience = int(stream.patience * SECOND)
+        self.timeout = int(stream.timeout * SECOND)
 
     def rate(self, at: float) -> float:
         """Requests a second at a time since the start."""
@@ -138,7 +138,7 @@
         ground, stream, chance = self.ground, self.stream, self.chance.random
         balancer = self.front.pick()
         number, way = ground.number(), ground.network.near
-        request = SimulatedRequest(number, self.request_class, due, due + self.patience - 2 * way)
+        request = SimulatedRequest(number, self.request_class, due, due + self.timeout - 2 * way)
         request.due, request.work = due, draw(stream.spread, stream.work, self.chance)
         request.tries, request.origin = tries, origin or number
         request.stream, request.answered, request.repeat = self, self.answered, tries > 0
@@ -149,7 +149,7 @@
         ground.referee.asked(request)
         ground.measure.asked(request)
         if self.leaving and chance() < self.leaving:
-            ground.clock.after(int((0.1 + 0.8 * chance()) * self.patience), self.leave, request)
+            ground.clock.after(int((0.1 + 0.8 * chance()) * self.timeout), self.leave, request)
         ground.clock.after(way, self.arrive, request, balancer)
 
     def arrive(self, request: SimulatedRequest, balancer: Balancer) -> None:
@@ -194,8 +194,8 @@
         ground = self.ground
         ground.referee.answered(request, how)
         ground.measure.answered(request, how, ground.clock.now + ground.network.near - request.due)
-        # What was scrapped may have run: of exclusive requests a client tries again only what was
-        # turned back.
+        # What was failed may have run: of exclusive requests a client tries again only what was
+        # rejected.
         if (
             how == "turned back"
             or how == "scrapped"
--- a/whinpier/simulation/experiment.py
+++ b/whinpier/simulation/experiment.py
@@ -107,7 +107,17 @@
     notice: Amount = 1.0  # seconds until it sees that a balancer has died
 
 
-class Stream(Table, frozen=True, kw_only=True):
+class Stream(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "latency_objective": "agreed_time",
+        "timeout": "patience",
+        "priority_weight": "payoff",
+        "late_priority_weight": "late_payoff",
+    },
+):
     """One request class and how it is asked for, by all balancers' clients together."""
 
     name: str
@@ -115,10 +125,10 @@
     kind: Literal["rerunnable", "ticketed", "exclusive"] = "exclusive"
     work: Positive = 0.01  # mean seconds of a core
     spread: Spread = "exponential"
-    agreed_time: Positive = 0.25
-    patience: Positive = 1.5
-    payoff: Amount = 1.0
-    late_payoff: Amount = 0.0
+    latency_objective: Positive = 0.25
+    timeout: Positive = 1.5
+    priority_weight: Amount = 1.0
+    late_priority_weight: Amount = 0.0
     window: Amount = 10.0
     group: Literal["all", "zone", "cell"] = "all"
     retries: Annotated[int, Meta(ge=0, le=20)] = 0  # by the client, of what was not fulfilled
@@ -243,7 +253,7 @@
     if not found.fleet.machines:
         raise ConfigFault("fleet.machines: none is described")
     for index, stream in enumerate(found.streams):
-        if stream.patience < stream.agreed_time:
+        if stream.timeout < stream.latency_objective:
             raise ConfigFault(f"streams[{index}].patience: is shorter than agreed_time")
         for begins, ends, times in stream.surges:
             if not (0.0 <= begins < ends and times >= 0.0):
--- a/whinpier/simulation/faults.py
+++ b/whinpier/simulation/faults.py
@@ -243,7 +243,7 @@
             if balancer.up and not balancer.leaving:
                 balancer.leaving = True
                 world.front.noticed(balancer, balancer.run)
-                longest = max(stream.patience for stream in world.experiment.streams)
+                longest = max(stream.timeout for stream in world.experiment.streams)
                 ends = world.clock.now + int(longest * SECOND)
                 world.clock.after(SECOND // 10, end, balancer, balancer.run, ends)
 
--- a/whinpier/simulation/invariants.py
+++ b/whinpier/simulation/invariants.py
@@ -15,7 +15,7 @@
     from whinpier.simulation.environment import Ground
     from whinpier.simulation.servers import Server
 
-SLACK = 50 * MS  # past the end of a request's patience, for the way to the client
+SLACK = 50 * MS  # past the end of a request's timeout, for the way to the client
 KEPT = 20  # breaches that are told one by one; all are counted
 
 ANSWER, EFFECT, DRAIN, COLD, PICTURE = "one answer", "no second effect", "drain", "cold", "picture"
@@ -85,7 +85,7 @@
         before.append((now, server))
 
     def answered(self, request: SimulatedRequest, how: str) -> None:
-        """The first rule: one final answer, within its patience."""
+        """The first rule: one final answer, within its timeout."""
         self.answers[request.id] += 1
         if self.answers[request.id] > 1:
             self.breach(ANSWER, f"task {request.id} had another answer: {how}", request=request.id)
@@ -107,7 +107,7 @@
         self.unheard.add(request.id)
 
     def over(self, request: SimulatedRequest) -> None:
-        """Its patience has ended: it must have its answer, and is forgotten a while later."""
+        """Its timeout has ended: it must have its answer, and is forgotten a while later."""
         if not self.answers[request.id] and request.id not in self.unheard:
             self.breach(
                 ANSWER,
--- a/whinpier/simulation/metrics.py
+++ b/whinpier/simulation/metrics.py
@@ -31,7 +31,7 @@
         self.span = int(seconds) + 1
         names = ("asked", "on_time", "fulfilled", "turned_back", "scrapped", "tries")
         self.by_second: dict[str, list[int]] = {name: [0] * self.span for name in names}
-        self.payoff, self.asked_payoff = [0.0] * self.span, [0.0] * self.span
+        self.priority_weight, self.requested_priority_weight = [0.0] * self.span, [0.0] * self.span
         self.streams: dict[str, Counter[str]] = {}
         self.latency: dict[str, Any] = {}
         self.digest = hashlib.blake2b(digest_size=16)
@@ -55,7 +55,7 @@
             self.streams[name]["tries"] += self.counts(request)
             return
         self.by_second["asked"][at] += 1
-        self.asked_payoff[at] += request.request_class.payoff
+        self.requested_priority_weight[at] += request.request_class.priority_weight
         self.streams[name]["asked"] += self.counts(request)
 
     def answered(self, request: SimulatedRequest, how: str, took: int) -> None:
@@ -70,10 +70,12 @@
         stream[name] += counts
         if how != "fulfilled":
             return
-        on_time = took <= request.request_class.agreed_time
+        on_time = took <= request.request_class.latency_objective
         self.by_second["on_time"][at] += on_time
-        self.payoff[at] += (
-            request.request_class.payoff if on_time else request.request_class.late_payoff
+        self.priority_weight[at] += (
+            request.request_class.priority_weight
+            if on_time
+            else request.request_class.late_priority_weight
         )
         stream["on_time"] += on_time and counts
         if counts:
@@ -90,19 +92,19 @@
             sum(self.by_second["asked"][first:]),
             sum(self.by_second["on_time"][first:]),
         )
-        worth = sum(self.asked_payoff[first:])
+        worth = sum(self.requested_priority_weight[first:])
         streams = {
             name: dict(counts) | self.percentiles(name) for name, counts in self.streams.items()
         }
         return {
             "on_time": on_time / asked if asked else 1.0,
-            "payoff": sum(self.payoff[first:]) / worth if worth else 1.0,
+            "payoff": sum(self.priority_weight[first:]) / worth if worth else 1.0,
             "asked": asked,
             "mean_s": self.total_time / self.ended if self.ended else 0.0,
             "streams": streams,
             "by_second": self.by_second,
-            "payoff_by_second": [round(value, 3) for value in self.payoff],
-            "asked_payoff_by_second": [round(value, 3) for value in self.asked_payoff],
+            "payoff_by_second": [round(value, 3) for value in self.priority_weight],
+            "asked_payoff_by_second": [round(value, 3) for value in self.requested_priority_weight],
             "digest": self.digest.hexdigest(),
         }
 
--- a/whinpier/simulation/report.py
+++ b/whinpier/simulation/report.py
@@ -49,8 +49,8 @@
         self.rows = 0
         self.figures: dict[str, list[float]] = {name: [] for name in FIGURES}
         self.by_second: dict[str, list[float]] = {}
-        self.payoff: list[float] = []
-        self.asked_payoff: list[float] = []
+        self.priority_weight: list[float] = []
+        self.requested_priority_weight: list[float] = []
         self.breaches, self.servers = Counter[str](), Counter[str]()
         self.failed: list[str] = []
         self.void = 0
@@ -63,11 +63,11 @@
             self.figures[name].append(figure(row))
         for name, values in row["by_second"].items():
             summed(self.by_second.setdefault(name, [0.0] * len(values)), values)
-        self.payoff = summed(
-            self.payoff or [0.0] * len(row["payoff_by_second"]), row["payoff_by_second"]
+        self.priority_weight = summed(
+            self.priority_weight or [0.0] * len(row["payoff_by_second"]), row["payoff_by_second"]
         )
-        self.asked_payoff = summed(
-            self.asked_payoff or [0.0] * len(row["asked_payoff_by_second"]),
+        self.requested_priority_weight = summed(
+            self.requested_priority_weight or [0.0] * len(row["asked_payoff_by_second"]),
             row["asked_payoff_by_second"],
         )
         self.breaches.update({rule: count for rule, count in row["breaches"].items() if count})
@@ -180,7 +180,10 @@
         figure, axis = self.axis("Payoff", "part of what was asked for")
         for group in self.groups[:MOST_LINES]:
             axis.plot(
-                [a / b if b else float("nan") for a, b in zip(group.payoff, group.asked_payoff)],
+                [
+                    a / b if b else float("nan")
+                    for a, b in zip(group.priority_weight, group.requested_priority_weight)
+                ],
                 label=group.label,
                 linewidth=1.2,
             )
--- a/whinpier/simulation/sockets.py
+++ b/whinpier/simulation/sockets.py
@@ -108,10 +108,10 @@
         for stream in experiment.streams:
             request_classes[stream.name] = {
                 "kind": stream.kind,
-                "agreed_time": files.ms(stream.agreed_time),
-                "patience": files.ms(stream.patience),
-                "payoff": stream.payoff,
-                "late_payoff": stream.late_payoff,
+                "agreed_time": files.ms(stream.latency_objective),
+                "patience": files.ms(stream.timeout),
+                "payoff": stream.priority_weight,
+                "late_payoff": stream.late_priority_weight,
                 **({"window": files.ms(stream.window)} if stream.kind == "ticketed" else {}),
             }
             routes.append(
@@ -214,8 +214,8 @@
                         f"/{stream.name}",
                         files.METHODS[stream.kind],
                         "lab",
-                        stream.patience,
-                        stream.agreed_time,
+                        stream.timeout,
+                        stream.latency_objective,
                         ticket=stream.kind == "ticketed",
                         retries=stream.retries,
                         surges=[*stream.surges, *self.surges()],
@@ -250,7 +250,7 @@
         span, first = int(experiment.seconds) + 1, int(experiment.warm)
         names = ("asked", "on_time", "fulfilled", "turned_back", "scrapped", "tries")
         by_second = {name: [0] * span for name in names}
-        payoff, asked_payoff = [0.0] * span, [0.0] * span
+        priority_weight, requested_priority_weight = [0.0] * span, [0.0] * span
         streams: dict[str, Any] = {}
         kinds = {stream.name: stream for stream in experiment.streams}
         total, ended = 0.0, 0
@@ -262,14 +262,16 @@
             ):
                 at = max(0, min(span - 1, int(request.due - start)))
                 warm = request.due >= start + experiment.warm
-                on_time = request.on_time(stream.agreed_time)
+                on_time = request.on_time(stream.latency_objective)
                 how = {200: "fulfilled", 503: "turned_back"}.get(request.status, "scrapped")
                 by_second["asked"][at] += 1
                 by_second[how][at] += 1
                 by_second["on_time"][at] += on_time
-                asked_payoff[at] += stream.payoff
-                payoff[at] += (
-                    stream.payoff if on_time else stream.late_payoff * (request.status == 200)
+                requested_priority_weight[at] += stream.priority_weight
+                priority_weight[at] += (
+                    stream.priority_weight
+                    if on_time
+                    else stream.late_priority_weight * (request.status == 200)
                 )
                 if warm:
                     counts.update(("asked", how))
@@ -299,16 +301,16 @@
         late = sum(gateway.late for gateway in seen) / max(
             1, sum(len(gateway.told) for gateway in seen)
         )
-        worth = sum(asked_payoff[first:])
+        worth = sum(requested_priority_weight[first:])
         found: dict[str, Any] = {
             "on_time": on_time_all / asked if asked else 1.0,
-            "payoff": sum(payoff[first:]) / worth if worth else 1.0,
+            "payoff": sum(priority_weight[first:]) / worth if worth else 1.0,
             "asked": asked,
             "mean_s": total / ended if ended else 0.0,
             "streams": streams,
             "by_second": by_second,
-            "payoff_by_second": payoff,
-            "asked_payoff_by_second": asked_payoff,
+            "payoff_by_second": priority_weight,
+            "asked_payoff_by_second": requested_priority_weight,
             "digest": "",
             "seed": self.seed,
             "breaches": breaches,
--- a/whinpier/simulation/world.py
+++ b/whinpier/simulation/world.py
@@ -25,7 +25,7 @@
 from whinpier.runtime.pool import Pool
 from whinpier.config.model import Entry, Limits, PoolSpec
 
-AFTER = 2 * SECOND  # past the last request's patience: what is late comes in
+AFTER = 2 * SECOND  # past the last request's timeout: what is late comes in
 
 
 class World:
@@ -82,10 +82,10 @@
             RequestClass(
                 stream.name,
                 Effect(stream.kind),
-                int(stream.agreed_time * SECOND),
-                int(stream.patience * SECOND),
-                stream.payoff,
-                stream.late_payoff,
+                int(stream.latency_objective * SECOND),
+                int(stream.timeout * SECOND),
+                stream.priority_weight,
+                stream.late_priority_weight,
                 stream.group,
                 int(stream.window * SECOND),
             )
@@ -185,7 +185,7 @@
         """Each second: whether the balancers' picture is what is on the wire; who has gone is let go."""
         self.referee.pictures(self.balancers)
         for balancer in self.balancers:
-            if balancer.up and balancer.pool.leavers:
+            if balancer.up and balancer.pool.draining:
                 balancer.pool.sweep()
         if self.clock.now < self.ends:
             self.clock.after(SECOND, self.look)
@@ -204,7 +204,7 @@
         was = gc.isenabled()
         gc.disable()
         try:
-            longest = max(stream.patience for stream in self.experiment.streams)
+            longest = max(stream.timeout for stream in self.experiment.streams)
             step = self.clock.start
             while step < self.ends + int(longest * SECOND) + AFTER:
                 step += SECOND
--- a/whinpier/testbed/clients.py
+++ b/whinpier/testbed/clients.py
@@ -2,7 +2,7 @@
 asked.
 
 Arrivals do not wait for answers: a request's latency counts from when it was due. A client that is
-turned back with a time to come back may do so, as a request of its own. Must never count an answer
+rejected with a time to come back may do so, as a request of its own. Must never count an answer
 twice or lose one.
 """
 
@@ -17,8 +17,8 @@
 from whinpier.testbed.upstream import header
 from whinpier.testbed.work import Spread, draw
 
-LATE = 0.02  # seconds: a tenth of the agreed times that are played
-# seconds past its patience that a client still looks for an answer, to see one that is late
+LATE = 0.02  # seconds: a tenth of the latency objectives that are played
+# seconds past its timeout that a client still looks for an answer, to see one that is late
 GRACE = 0.25
 
 
@@ -31,13 +31,13 @@
     target: str
     method: str = "POST"
     host: str = "a"
-    patience: float = 1.0
+    timeout: float = 1.0
     agreed: float = 0.5
     lane: str = ""
     ticket: bool = False
     body: bytes = b"{}"
     headers: dict[str, str] = field(default_factory=dict)
-    retries: int = 0  # further tries of what was turned back, after the time it was told
+    retries: int = 0  # further tries of what was rejected, after the time it was told
     begins: float = 0.0  # seconds after the start
     ends: float = float("inf")
     surges: list[tuple[float, float, float]] = field(
@@ -84,7 +84,7 @@
                 break
             loop.call_at(start + at, self.ask, start + at, 0)
         await asyncio.sleep(max(0.0, start + span - loop.time()))
-        ends = loop.time() + self.asks.patience + GRACE + 0.5
+        ends = loop.time() + self.asks.timeout + GRACE + 0.5
         while self.out and loop.time() < ends:
             await asyncio.sleep(0.02)
         for caller in list(self.callers):
@@ -117,7 +117,7 @@
     async def connect(self, caller: Caller) -> None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(self.asks.patience):
+            async with asyncio.timeout(self.asks.timeout):
                 await loop.create_connection(lambda: caller, *self.address)
         except (OSError, TimeoutError):
             self.not_sent += 1
@@ -134,7 +134,7 @@
     # What became of it.
 
     def share_on_time(self, since: float = 0.0, until: float = float("inf")) -> float:
-        """The part of requests, by when they were due, that were fulfilled within the agreed time."""
+        """The part of requests, by when they were due, that were fulfilled within the latency objective."""
         requests = [request for request in self.told if since <= request.due < until]
         return (
             sum(request.on_time(self.asks.agreed) for request in requests) / len(requests)
@@ -185,7 +185,7 @@
         asks, loop = self.gateway.asks, asyncio.get_running_loop()
         assert self.transport
         self.request, self.tries = request, tries
-        left = asks.patience - (loop.time() - request.due)
+        left = asks.timeout - (loop.time() - request.due)
         lines = [
             f"{asks.method} {asks.target} HTTP/1.1",
             f"Host: {asks.host}",
@@ -209,7 +209,7 @@
         self.timer = loop.call_later(wait, self.give_up, loop.time() + wait)
 
     def give_up(self, due: float) -> None:
-        """No answer within its patience, and a little more: lost."""
+        """No answer within its timeout, and a little more: lost."""
         loop = asyncio.get_running_loop()
         if loop.time() > due + LATE:
             # Guards against this process being late itself: what has come by now is read first.
--- a/whinpier/testbed/fault_scenario.py
+++ b/whinpier/testbed/fault_scenario.py
@@ -34,7 +34,7 @@
 from whinpier.testbed.referee import Bounds, Referee, Said
 from whinpier.testbed.upstream import Script
 
-AGREED, PATIENCE, WORK = 0.25, 1.5, 0.005
+AGREED, TIMEOUT, WORK = 0.25, 1.5, 0.005
 CHARGES, READS = 4, 5  # upstreams of the exclusive pool, and of the rerunnable one
 RATE, BURST = 120, 16  # requests a second of the rerunnable pool, over the whole bank
 BUNCHED = (
@@ -266,8 +266,8 @@
     def service(self, process: Process | None = None, agreed: float = AGREED) -> files.Plain:
         return {
             "pools": {
-                "c": files.service("c", "exclusive", self.charges.addresses, agreed, PATIENCE),
-                "r": files.service("r", "rerunnable", self.reads.addresses, agreed, PATIENCE),
+                "c": files.service("c", "exclusive", self.charges.addresses, agreed, TIMEOUT),
+                "r": files.service("r", "rerunnable", self.reads.addresses, agreed, TIMEOUT),
             },
             "routes": [files.route("c", "exclusive", "c"), files.route("r", "rerunnable", "r")],
         }
@@ -334,7 +334,7 @@
                             f"/{name}/x",
                             method,
                             f"{name}.example",
-                            PATIENCE,
+                            TIMEOUT,
                             AGREED,
                             surges=surges,
                             ends=ends if name == "c" else float("inf"),
@@ -352,7 +352,7 @@
         ]
         if self.day.whole:
             hits.append(self.day.whole)
-        return max(0.0, min(hits, default=1e9) - PATIENCE - 0.5)
+        return max(0.0, min(hits, default=1e9) - TIMEOUT - 0.5)
 
     def faults(self, begun: float) -> None:
         """What happens, when it does."""
--- a/whinpier/testbed/files.py
+++ b/whinpier/testbed/files.py
@@ -57,10 +57,10 @@
 
 
 def service(
-    name: str, kind: str, addresses: Mapping[str, str], agreed: float, patience: float
+    name: str, kind: str, addresses: Mapping[str, str], agreed: float, timeout: float
 ) -> Plain:
     """A pool of one request class, both with this name. Times are seconds."""
-    request_class = {"kind": kind, "agreed_time": ms(agreed), "patience": ms(patience)}
+    request_class = {"kind": kind, "agreed_time": ms(agreed), "patience": ms(timeout)}
     if kind == "ticketed":
         request_class["window"] = "8s"
     return {"upstreams": upstreams(addresses), "workloads": {name: request_class}}
@@ -83,12 +83,12 @@
     secrets: list[str],
     kind: str = "exclusive",
     agreed: float = 0.5,
-    patience: float = 3.0,
+    timeout: float = 3.0,
     retransmit: float = 0.15,
     **more: Any,
 ) -> Plain:
     """The RADIUS side of an operator's file, and the pool `acct` that all records go to."""
-    pool = service("record", kind, servers, agreed, patience) | {
+    pool = service("record", kind, servers, agreed, timeout) | {
         "protocol": "radius",
         "radius": {"secret": "server", "retransmit": ms(retransmit)},
     }
