--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -34,7 +34,7 @@
 from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.clients import Asks, Gateway
 from whinpier.testbed.faults import Fault, Schedule, split
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.operators import Operator, halt
 from whinpier.testbed.upstream import Script
@@ -59,7 +59,9 @@
         dies: bool = False,
     ) -> None:
         self.folder, self.count, self.seed = folder, count, seed
-        self.fleet = Fleet({f"s-{n}": Script(workers=16, work=WORK) for n in range(4)}, seed)
+        self.upstream_fleet = UpstreamFleet(
+            {f"s-{n}": Script(workers=16, work=WORK) for n in range(4)}, seed
+        )
         agreement = {
             "voters": [f"m{n}" for n in range(voters)],
             "permits": {
@@ -83,7 +85,9 @@
     def service(
         self, process: Process | None = None, agreed: float = AGREED, **more: Any
     ) -> files.Plain:
-        pool = files.service("t", "exclusive", self.fleet.addresses, agreed, TIMEOUT) | more
+        pool = (
+            files.service("t", "exclusive", self.upstream_fleet.addresses, agreed, TIMEOUT) | more
+        )
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def text(self, **more: Any) -> bytes:
@@ -172,13 +176,15 @@
 
     def end(self) -> None:
         self.bank.end()
-        self.fleet.stop()
+        self.upstream_fleet.stop()
 
 
-def answered(report: Report, seen: list[Gateway], fleet: Fleet, what: str) -> None:
+def answered(report: Report, seen: list[Gateway], upstream_fleet: UpstreamFleet, what: str) -> None:
     wrong = sum(len(one.unanswered()) + len(one.answered_twice()) for one in seen)
     report.bound(f"{what}: tasks without one answer", wrong, most=0)
-    report.bound(f"{what}: exclusive tasks that ran twice", len(fleet.ledger().twice()), most=0)
+    report.bound(
+        f"{what}: exclusive tasks that ran twice", len(upstream_fleet.ledger().twice()), most=0
+    )
 
 
 # Drawn days.
@@ -234,7 +240,9 @@
         contents = [deflated(trial.text(agreed=AGREED + step / 1000)) for step in range(3)]
         ends = time.monotonic() + seconds
         those = [
-            Operator(bank, number, seed, ends, list(range(count - 2)), trial.fleet, contents)
+            Operator(
+                bank, number, seed, ends, list(range(count - 2)), trial.upstream_fleet, contents
+            )
             for number in range(operators)
         ]
         for one in those:
@@ -263,7 +271,7 @@
             "one_state": one_state,
             "settled": settled,
             "unanswered": sum(len(one.unanswered()) + len(one.answered_twice()) for one in seen),
-            "twice": len(trial.fleet.ledger().twice()),
+            "twice": len(trial.upstream_fleet.ledger().twice()),
             "faults": [one.fault for one in those if one.fault],
             "untrue": [answer.untrue for answer in answers if answer.untrue],
             "said": Counter(
@@ -335,7 +343,7 @@
     """One wave to all, then bad ones: each is met by its canary alone, halted, and undone."""
     trial = Trial(folder, count, seed, out=max(2, count // 4), voters=5 if count >= 9 else 3)
     bank, window = trial.bank, 1.0
-    ways = Ways(trial.fleet.addresses)
+    ways = Ways(trial.upstream_fleet.addresses)
     try:
         ways.late(list(ways.addresses), 1.6 * AGREED)
         trial.start()
@@ -393,7 +401,7 @@
                 sum(trial.status(n)["runs"] == content for n in range(count)),
                 least=count,
             )
-        answered(report, load.results(), trial.fleet, "releases under traffic")
+        answered(report, load.results(), trial.upstream_fleet, "releases under traffic")
     finally:
         trial.end()
         ways.stop()
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -19,7 +19,7 @@
 from whinpier.testbed.fault_scenario import BURST, RATE, excess
 from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
@@ -32,7 +32,9 @@
 
     def __init__(self, folder: Path, count: int, seed: int, earlier: Path) -> None:
         self.count, self.earlier = count, earlier
-        self.fleet = Fleet({f"s-{n}": Script(workers=32, work=WORK) for n in range(4)}, seed)
+        self.upstream_fleet = UpstreamFleet(
+            {f"s-{n}": Script(workers=32, work=WORK) for n in range(4)}, seed
+        )
         homes = [f"m{n}" for n in range(count)]
         self.bank = Bank(
             count,
@@ -47,7 +49,7 @@
             one.root = earlier
 
     def service(self, process: Process) -> files.Plain:
-        pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, TIMEOUT)
+        pool = files.service("t", "exclusive", self.upstream_fleet.addresses, AGREED, TIMEOUT)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def roll(self, numbers: list[int], root: Path | None) -> float:
@@ -72,7 +74,7 @@
 
     def end(self) -> None:
         self.bank.end()
-        self.fleet.stop()
+        self.upstream_fleet.stop()
 
 
 def rolled(report: Report, folder: Path, count: int, seed: int, earlier: Path) -> None:
@@ -89,7 +91,7 @@
             ),
             30.0,
         )
-        trial.fleet.meter()
+        trial.upstream_fleet.meter()
         begun = time.monotonic() + 0.2
         # The last two stay as they are to the end of the traffic: one of the earlier build, one of
         # this.
@@ -121,8 +123,10 @@
         report.bound("slowest to be among the others again, s", max(forward, back), most=6.0)
         wrong = sum(len(one.unanswered()) + len(one.answered_twice()) for one in seen)
         report.bound("tasks without one answer", wrong, most=0)
-        report.bound("exclusive tasks that ran twice", len(trial.fleet.ledger().twice()), most=0)
-        over, used = excess(trial.fleet.meter()["times"])
+        report.bound(
+            "exclusive tasks that ran twice", len(trial.upstream_fleet.ledger().twice()), most=0
+        )
+        over, used = excess(trial.upstream_fleet.meter()["times"])
         report.bound("tasks over the limit of the whole bank in any window", over, most=0.0)
         report.bound("and so many times what it allows were used in some", used, least=0.3)
         unread = [bank.ask(n, "figures") for n in range(count)]
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -38,7 +38,7 @@
 from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.faults import Fault, Schedule, split
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
@@ -65,7 +65,9 @@
         relayed: bool = True,
         work: float = BRIEF,
     ) -> None:
-        self.fleet = Fleet({f"s-{n}": Script(workers=64, work=work) for n in range(4)}, seed)
+        self.upstream_fleet = UpstreamFleet(
+            {f"s-{n}": Script(workers=64, work=work) for n in range(4)}, seed
+        )
         homes = [f"m{n}" for n in range(count)]
         limits: files.Plain = {
             "all": {"kind": "rate", "amount": RATE, "burst": BURST, "homes": homes},
@@ -88,7 +90,7 @@
                 process.limits = {f"all-{process.number}": limits[f"all-{process.number}"]}
 
     def service(self, process: Process) -> files.Plain:
-        pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, TIMEOUT)
+        pool = files.service("t", "exclusive", self.upstream_fleet.addresses, AGREED, TIMEOUT)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def start(self) -> None:
@@ -102,7 +104,7 @@
             ),
             30.0,
         )
-        self.fleet.meter()
+        self.upstream_fleet.meter()
 
     def load(self, streams: list[Stream], start: float, span: float, seed: int) -> Loads:
         """Streams by process: number, usual rate, surges."""
@@ -131,7 +133,7 @@
 
     def end(self) -> None:
         self.bank.end()
-        self.fleet.stop()
+        self.upstream_fleet.stop()
 
 
 def over(times: list[float]) -> float:
@@ -157,7 +159,7 @@
                 seed,
             )
             load.results()
-            met = trial.fleet.meter()
+            met = trial.upstream_fleet.meter()
             windows = [(start + 3.0, start + half), (start + half + 2.0, start + 2 * half)]
             used[fixed] = [
                 sum(begin <= at < end for at in met["times"]) / (RATE * (end - begin))
@@ -237,12 +239,12 @@
         time.sleep(max(0.0, start - time.monotonic()))
         trial.bank.play(schedule)
         gateways = load.results()
-        met = trial.fleet.meter()
+        met = trial.upstream_fleet.meter()
         touched = {number for fault in schedule.faults for number in fault.who}
         lost = sum(
             len(one.unanswered()) for number, one in enumerate(gateways) if number not in touched
         )
-        twice = len(trial.fleet.ledger().twice()) + sum(
+        twice = len(trial.upstream_fleet.ledger().twice()) + sum(
             len(one.answered_twice()) for one in gateways
         )
         passed = sum(start + 1.0 <= at < start + span for at in met["times"])
@@ -345,11 +347,11 @@
     return len(result[2]) if result else 0
 
 
-def service(fleet: Fleet) -> Any:
+def service(upstream_fleet: UpstreamFleet) -> Any:
     """One pool of exclusive requests at a fleet."""
 
     def made(process: Process) -> files.Plain:
-        pool = files.service("t", "exclusive", fleet.addresses, AGREED, TIMEOUT)
+        pool = files.service("t", "exclusive", upstream_fleet.addresses, AGREED, TIMEOUT)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     return made
@@ -368,12 +370,14 @@
 def windows(report: Report, folder: Path, count: int, seed: int, minutes: int) -> None:
     """A count of each minute by eight processes, of which two have wrong clocks; faults all the time."""
     chance = Random(f"windows/{seed}")
-    fleet = Fleet({f"s-{n}": Script(workers=64, work=BRIEF) for n in range(4)}, seed)
+    upstream_fleet = UpstreamFleet(
+        {f"s-{n}": Script(workers=64, work=BRIEF) for n in range(4)}, seed
+    )
     homes = [f"m{n}" for n in range(count)]
     limits: files.Plain = {
         "minute": {"kind": "count", "amount": A_MINUTE, "window": "minute", "homes": homes}
     }
-    bank = Bank(count, folder, service(fleet), seed, limits=limits)
+    bank = Bank(count, folder, service(upstream_fleet), seed, limits=limits)
     loads: Loads | None = None
     try:
         for number, wrong in ((1, 3_600.0), (2, -1_234.5)):
@@ -391,7 +395,7 @@
         time.sleep(
             60.0 - time.time() % 60.0
         )  # from a window's start: of the one before nothing is known
-        fleet.meter()
+        upstream_fleet.meter()
         start, wall, span = time.monotonic(), time.time(), 60.0 * minutes
         hot = [chance.randrange(count) for _ in range(minutes * 6)]
         streams = [
@@ -429,7 +433,7 @@
                 bank.weather("lossy")
             at += chance.uniform(4.0, 9.0)
         gateways = loads.results()
-        met = fleet.meter()["times"]
+        met = upstream_fleet.meter()["times"]
         # Where an upstream's own moment and the bank's may be a little apart, a request counts for
         # neither.
         inside = [at for at in met if 0.25 < (wall + at - start) % 60.0 < 59.75]
@@ -443,7 +447,8 @@
         report.bound("of a minute's count used, the middle one", usual / A_MINUTE, least=0.8)
         report.bound(
             "ran twice, or answered twice",
-            len(fleet.ledger().twice()) + sum(len(one.answered_twice()) for one in gateways),
+            len(upstream_fleet.ledger().twice())
+            + sum(len(one.answered_twice()) for one in gateways),
             most=0,
         )
         report.figure("minutes", sorted(each.values()))
@@ -451,7 +456,7 @@
         if loads:
             loads.stop()
         bank.end()
-        fleet.stop()
+        upstream_fleet.stop()
 
 
 def most_in(times: list[float], width: float) -> int:
@@ -468,11 +473,13 @@
     """A rate that is nearly kept: demand that moves, then a bank cut in two, whose parts both
     ask for all.
     """
-    fleet = Fleet({f"s-{n}": Script(workers=64, work=BRIEF) for n in range(4)}, seed)
+    upstream_fleet = UpstreamFleet(
+        {f"s-{n}": Script(workers=64, work=BRIEF) for n in range(4)}, seed
+    )
     limits: files.Plain = {
         "near": {"kind": "rate", "amount": RATE, "burst": BURST, "promise": "nearly"}
     }
-    bank = Bank(count, folder, service(fleet), seed, limits=limits)
+    bank = Bank(count, folder, service(upstream_fleet), seed, limits=limits)
     loads: Loads | None = None
     try:
         bank.start()
@@ -483,7 +490,7 @@
             ),
             30.0,
         )
-        fleet.meter()
+        upstream_fleet.meter()
         start, cut = time.monotonic() + 0.5, 3 * span
         half = count // 2
         # All at one; all at another; one in each half, of which the second begins when the cut
@@ -502,7 +509,7 @@
         time.sleep(max(0.0, start + cut - time.monotonic()))
         bank.cut("halves", list(range(half)), list(range(half, count)))
         loads.results()
-        met = fleet.meter()["times"]
+        met = upstream_fleet.meter()["times"]
         calm = [at for at in met if at < start + cut]
         over = most_in(calm, 1.0) - RATE - BURST
         age = aged(count) / 1e9
@@ -539,7 +546,7 @@
         if loads:
             loads.stop()
         bank.end()
-        fleet.stop()
+        upstream_fleet.stop()
 
 
 def cost(report: Report) -> None:
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -29,7 +29,7 @@
 from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.clients import Asks, Gateway
 from whinpier.testbed.faults import Fault, Schedule, draw
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.referee import Bounds, Referee
 from whinpier.testbed.upstream import Script
@@ -53,7 +53,7 @@
         relayed: bool = True,
     ) -> None:
         self.kind, self.known, self.told = kind, known, count
-        self.fleet = Fleet(
+        self.upstream_fleet = UpstreamFleet(
             {f"s-{n}": Script(workers=workers, work=WORK) for n in range(upstreams)}, seed
         )
         self.capacity = upstreams * workers / WORK
@@ -62,7 +62,7 @@
         self.loads: list[Loads] = []
 
     def service(self, process: Process) -> files.Plain:
-        pool = files.service("t", self.kind, self.fleet.addresses, AGREED, TIMEOUT)
+        pool = files.service("t", self.kind, self.upstream_fleet.addresses, AGREED, TIMEOUT)
         if not self.known:
             pool |= {"balancers": self.told, "number": min(process.number, self.told - 1)}
         return {
@@ -95,7 +95,7 @@
         for load in self.loads:
             load.stop()
         self.bank.end()
-        self.fleet.stop()
+        self.upstream_fleet.stop()
 
 
 def faults(report: Report, folder: Path, count: int, seed: int, lossy: float) -> None:
@@ -192,7 +192,9 @@
     twice = sum(len(gateway.answered_twice()) + gateway.surplus for gateway in gateways)
     report.bound(f"of {len(requests)} tasks without an answer", unanswered, most=0)
     report.bound("answered twice", twice, most=0)
-    report.bound("exclusive tasks that ran twice", len(trial.fleet.ledger().twice()), most=0)
+    report.bound(
+        "exclusive tasks that ran twice", len(trial.upstream_fleet.ledger().twice()), most=0
+    )
 
 
 ROWS = ("8 balancers, 1.2 times capacity", "2 of them left, the same", "1 left, 0.7 of it")
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -18,7 +18,7 @@
 
 from benchmarks.common import MINE, Report, apart, main
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
@@ -29,9 +29,11 @@
 
 def once(root: Path, folder: Path, seed: int, span: float) -> tuple[float, float, int]:
     """CPU a request in ms, memory at the start and at the end in MB, of one run of a version."""
-    fleet = Fleet({f"s-{number}": Script(work=0.01) for number in range(4)}, seed, discovery=True)
+    upstream_fleet = UpstreamFleet(
+        {f"s-{number}": Script(work=0.01) for number in range(4)}, seed, discovery=True
+    )
     listen = free_address()
-    given = SETTINGS | {"listen": listen, "discovery": fleet.discovery}
+    given = SETTINGS | {"listen": listen, "discovery": upstream_fleet.discovery}
     balancer = Balancer(folder, platform=given, listen=listen, root=root, cores={apart()[0]})
     try:
         balancer.wait_ready()
@@ -52,7 +54,7 @@
         return 1000 * (balancer.cpu() - before) / requests, memory, requests
     finally:
         balancer.stop()
-        fleet.stop()
+        upstream_fleet.stop()
         os.sched_setaffinity(0, MINE)
 
 
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -16,7 +16,7 @@
 from benchmarks.common import Report, apart, main
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.ledger import Ledger, percentile
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
@@ -66,7 +66,7 @@
     return [*found, CALM]
 
 
-def operator(listen: str, fleets: dict[str, Fleet], isolate: bool) -> files.Plain:
+def operator(listen: str, fleets: dict[str, UpstreamFleet], isolate: bool) -> files.Plain:
     """The operator's file as a table."""
     pools = {
         name: files.service(name, kind, fleets[name].addresses, AGREED, TIMEOUT)
@@ -81,10 +81,10 @@
     }
 
 
-def fleets_of(seed: int, **script: int) -> dict[str, Fleet]:
+def fleets_of(seed: int, **script: int) -> dict[str, UpstreamFleet]:
     """Three upstreams for each pool, which together do what its capacity says."""
     return {
-        name: Fleet(
+        name: UpstreamFleet(
             {
                 f"{name}-{n}": Script(work=PER_POOL * 4 / CAPACITY[name], **script)
                 for n in range(PER_POOL)
@@ -126,16 +126,16 @@
 
 
 def drive(
-    plan: list[Phase], start: float, span: float, fleet: Fleet, balancer: Balancer
+    plan: list[Phase], start: float, span: float, upstream_fleet: UpstreamFleet, balancer: Balancer
 ) -> tuple[int, int]:
     """Lead the upstreams through the phases; the most memory and descriptors met."""
     most, held = 0, 0
     for index, phase in enumerate(plan):
         time.sleep(max(0.0, start + span * index - time.monotonic()))
-        for name in fleet.addresses:
+        for name in upstream_fleet.addresses:
             script = phase.third if name.endswith("2") else phase.script
             usual: dict[str, object] = {"hang": 0.0, "reset": 0.0, "size": 2, "pace": 0.0}
-            fleet.tell(name, **(usual | script))
+            upstream_fleet.tell(name, **(usual | script))
         while time.monotonic() < start + span * (index + 1):
             time.sleep(0.2)
             most, held = max(most, balancer.memory()), max(held, balancer.descriptors())
@@ -173,7 +173,7 @@
         return Seen(
             gateways,
             gateways.pop("lost"),
-            {name: fleet.ledger() for name, fleet in fleets.items()},
+            {name: upstream_fleet.ledger() for name, upstream_fleet in fleets.items()},
             most,
             held,
             balancer.log(),
@@ -184,8 +184,8 @@
         for load in loads.values():
             load.stop()
         balancer.stop()
-        for fleet in fleets.values():
-            fleet.stop()
+        for upstream_fleet in fleets.values():
+            upstream_fleet.stop()
 
 
 def late(gateway: Gateway, begins: float, ends: float, part: float) -> float:
@@ -326,7 +326,7 @@
             turns += 1
             time.sleep(0.2)
         seen = [load.result() for load in loads.values()]
-        ledgers = {name: fleet.ledger() for name, fleet in fleets.items()}
+        ledgers = {name: upstream_fleet.ledger() for name, upstream_fleet in fleets.items()}
         report.bound(
             "reloads: tasks without a final answer", sum(len(g.unanswered()) for g in seen), most=0
         )
@@ -348,8 +348,8 @@
         for load in loads.values():
             load.stop()
         balancer.stop()
-        for fleet in fleets.values():
-            fleet.stop()
+        for upstream_fleet in fleets.values():
+            upstream_fleet.stop()
 
 
 def bench() -> int:
--- a/benchmarks/radius.py
+++ b/benchmarks/radius.py
@@ -28,7 +28,7 @@
 from whinpier.testbed import files
 from whinpier.testbed.files import Plain
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.radius import Behaviour, Burst, Caller, Client, Server, Weather, record
@@ -38,10 +38,12 @@
 HTTP_RATE = 150.0
 
 
-def operator(listen: str, radius: str, servers: list[Server], fleet: Fleet) -> str:
+def operator(listen: str, radius: str, servers: list[Server], upstream_fleet: UpstreamFleet) -> str:
     addresses = {server.name: f"127.0.0.1:{server.port}" for server in servers}
     whole = files.records(radius, addresses, ["partner"], agreed=1.0)
-    whole["pools"]["charges"] = files.service("charge", "exclusive", fleet.addresses, 0.25, 1.5)
+    whole["pools"]["charges"] = files.service(
+        "charge", "exclusive", upstream_fleet.addresses, 0.25, 1.5
+    )
     return files.document(
         {
             "version": 1,
@@ -67,10 +69,13 @@
     ]
     for server in servers:
         await server.start()
-    fleet = Fleet({f"s-{number}": Script(work=0.02) for number in range(3)}, seed)
+    upstream_fleet = UpstreamFleet({f"s-{number}": Script(work=0.02) for number in range(3)}, seed)
     listen, radius = free_address(), free_address()
     balancer = Balancer(
-        folder, operator=operator(listen, radius, servers, fleet), listen=listen, cores={apart()[0]}
+        folder,
+        operator=operator(listen, radius, servers, upstream_fleet),
+        listen=listen,
+        cores={apart()[0]},
     )
     try:
         await asyncio.to_thread(balancer.wait_ready)
@@ -122,11 +127,11 @@
             "packets": sum(server.met for server in servers) + sum(record.sent for record in told),
             "strange": sum(client.strange for client in clients),
             "log": balancer.log(),
-            "twice_http": fleet.ledger().twice(),
+            "twice_http": upstream_fleet.ledger().twice(),
         }
     finally:
         await asyncio.to_thread(balancer.stop)
-        await asyncio.to_thread(fleet.stop)
+        await asyncio.to_thread(upstream_fleet.stop)
         for server in servers:
             server.stop()
 
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -28,7 +28,7 @@
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 from whinpier.testbed.ways import Ways
@@ -51,7 +51,7 @@
         upstreams: int = 10,
         **rules: Any,
     ) -> None:
-        self.fleet = Fleet(
+        self.upstream_fleet = UpstreamFleet(
             {
                 f"s-{n}": Script(workers=8, work=WORK, spread="exponential")
                 for n in range(upstreams)
@@ -69,7 +69,7 @@
         self.seed, self.loads = seed, list[Loads]()
 
     def service(self, process: Process) -> files.Plain:
-        pool = files.service("t", "rerunnable", self.fleet.addresses, AGREED, TIMEOUT)
+        pool = files.service("t", "rerunnable", self.upstream_fleet.addresses, AGREED, TIMEOUT)
         return {"pools": {"t": pool}, "routes": [files.route("t", "rerunnable", "t")]}
 
     def start(self, span: float) -> float:
@@ -90,12 +90,12 @@
 
     def slow(self, names: Iterable[str], speed: float) -> float:
         for name in names:
-            self.fleet.tell(name, speed=speed)
+            self.upstream_fleet.tell(name, speed=speed)
         return time.monotonic()
 
     def last(self, name: str) -> float:
         """When it was last sent something new."""
-        return float(self.fleet.tell(name)["last"].get(name, 0.0))
+        return float(self.upstream_fleet.tell(name)["last"].get(name, 0.0))
 
     def resting(self) -> dict[int, set[str]]:
         """What rests at each process."""
@@ -128,7 +128,7 @@
         for load in self.loads:
             load.stop()
         self.bank.end()
-        self.fleet.stop()
+        self.upstream_fleet.stop()
 
 
 def until(at: float) -> None:
@@ -180,7 +180,7 @@
     try:
         begun = trial.start(WARM + 6.0)
         until(begun + WARM)
-        trial.slow(trial.fleet.addresses, 0.1)
+        trial.slow(trial.upstream_fleet.addresses, 0.1)
         until(begun + WARM + 6.0)
         report.bound(
             "that rested while all were slow", sum(map(len, trial.resting().values())), most=0
@@ -198,7 +198,7 @@
 def ways(report: Report, folder: Path, count: int, seed: int) -> None:
     """One process has bad ways to six of ten upstreams: that is its own trouble."""
     trial = Trial(folder, count, seed, True)
-    bad = Ways(dict(list(trial.fleet.addresses.items())[:6]))
+    bad = Ways(dict(list(trial.upstream_fleet.addresses.items())[:6]))
     usual = trial.service
 
     def service(process: Process) -> files.Plain:
@@ -239,11 +239,11 @@
         begun = trial.start(WARM + 6.0 * rounds)
         until(begun + WARM)
         for turn in range(rounds):
-            names = chance.sample(sorted(trial.fleet.addresses), 3)
+            names = chance.sample(sorted(trial.upstream_fleet.addresses), 3)
             at = chance.choice((count // 2, count // 3))
             order = list(range(count))
             chance.shuffle(order)
-            trial.slow(trial.fleet.addresses, 1.0)
+            trial.slow(trial.upstream_fleet.addresses, 1.0)
             trial.bank.cut("parts", order[:at], order[at:])
             trial.slow(names, 0.1)
             ends = begun + WARM + 6.0 * turn + 5.8
--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -28,7 +28,7 @@
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Bank
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
@@ -370,9 +370,9 @@
 # Processes.
 
 
-def service(fleet, **limits):
+def service(upstream_fleet, **limits):
     def made(process):
-        pool = files.service("t", "exclusive", fleet.addresses, 0.5, 1.0)
+        pool = files.service("t", "exclusive", upstream_fleet.addresses, 0.5, 1.0)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     return made
@@ -386,11 +386,11 @@
 def test_a_window_of_three_processes_is_kept_over_kill_9_its_close_and_a_clock_that_is_wrong(
     tmp_path,
 ):
-    fleet = Fleet({f"s-{n}": Script(workers=32, work=0.005) for n in range(2)}, 1)
+    upstream_fleet = UpstreamFleet({f"s-{n}": Script(workers=32, work=0.005) for n in range(2)}, 1)
     limits = {
         "day": {"kind": "count", "amount": 90, "window": "minute", "homes": ["m0", "m1", "m2"]}
     }
-    bank = Bank(3, tmp_path, service(fleet), limits=limits, relayed=False)
+    bank = Bank(3, tmp_path, service(upstream_fleet), limits=limits, relayed=False)
     loads = None
     try:
         # By their clocks a minute ends 13 s from now; that of one is an hour behind.
@@ -405,7 +405,7 @@
         assert all(row["home"] == 0 for number in range(3) for row in bank.ask(number, "limits"))
         for number in range(3):
             bank.ask(number, "begin", name="day")
-        fleet.meter()
+        upstream_fleet.meter()
         start = time.monotonic() + 0.2
         loads = Loads(
             [
@@ -423,25 +423,25 @@
         bank.kill(1)
         bank.processes[1].start()
         seen = loads.results()
-        times = fleet.meter()["times"]
+        times = upstream_fleet.meter()["times"]
         before = sum(one < closes - 0.3 for one in times)
         after = sum(one > closes + 0.3 for one in times)
         assert 45 <= before <= 90 and len(times) <= 180
         assert 15 <= after <= 90
         told = [request for request in seen[0].told if request.status == 503]
         assert told and all(request.retry_after for request in told)
-        assert not fleet.ledger().twice()
+        assert not upstream_fleet.ledger().twice()
     finally:
         if loads:
             loads.stop()
         bank.end()
-        fleet.stop()
+        upstream_fleet.stop()
 
 
 def test_an_old_copy_of_the_state_file_is_found_out_and_counts_for_nothing(tmp_path):
-    fleet = Fleet({"s": Script(workers=32, work=0.005)}, 1)
+    upstream_fleet = UpstreamFleet({"s": Script(workers=32, work=0.005)}, 1)
     limits = {"day": {"kind": "count", "amount": 1_000, "window": "day", "homes": ["m0", "m1"]}}
-    bank = Bank(2, tmp_path, service(fleet), limits=limits, relayed=False)
+    bank = Bank(2, tmp_path, service(upstream_fleet), limits=limits, relayed=False)
     loads = None
     try:
         bank.start()
@@ -474,11 +474,11 @@
         if loads:
             loads.stop()
         bank.end()
-        fleet.stop()
+        upstream_fleet.stop()
 
 
 def test_limits_by_route_by_tenant_at_upstreams_and_nearly_hold_over_two_processes(tmp_path):
-    fleet = Fleet({"s": Script(workers=64, work=0.05)}, 1)
+    upstream_fleet = UpstreamFleet({"s": Script(workers=64, work=0.05)}, 1)
     homes = ["m0", "m1"]
     limits = {
         "route": {"kind": "rate", "amount": 20, "burst": 5, "homes": homes, "routes": ["u"]},
@@ -497,7 +497,7 @@
     }
 
     def service(process):
-        pool = files.service("t", "rerunnable", fleet.addresses, 0.5, 1.0)
+        pool = files.service("t", "rerunnable", upstream_fleet.addresses, 0.5, 1.0)
         routes = [files.route("t", "rerunnable", "t"), files.route("u", "rerunnable", "t")]
         return {"pools": {"t": pool}, "routes": routes}
 
@@ -506,7 +506,7 @@
     try:
         bank.start()
         until(lambda: ready(bank, 0, 1))
-        fleet.meter()
+        upstream_fleet.meter()
         start = time.monotonic() + 0.3
 
         def asks(name, rate, tenant, path="t", **more):
@@ -535,14 +535,14 @@
             5.0,
         )
         seen = loads.results()
-        met = fleet.meter()
+        met = upstream_fleet.meter()
         served = {one.asks.name: sum(request.status == 200 for request in one.told) for one in seen}
         # Of tenant a both processes together, of the third only its route's; the whole is nearly
         # kept.
         assert served["a"] + served["d"] <= 8 * 5 + 4 + 8 and served["d"] >= 8
         assert served["b"] >= 60 and served["c"] <= 8 * 5 + 4 + 8
         assert met["most"] <= 6 and len(met["times"]) <= 60 * 5 + 10 + 30
-        told = fleet.tell("s")
+        told = upstream_fleet.tell("s")
         assert told["most_open"] <= 8
         rows = {(row["limit"], row["of"]): row for row in bank.ask(0, "limits")}
         assert rows["wide", "s"]["kind"] == "in_flight" and rows["all", ""]["sharing"] == 2
@@ -551,17 +551,17 @@
         if loads:
             loads.stop()
         bank.end()
-        fleet.stop()
+        upstream_fleet.stop()
 
 
 def test_a_limit_changes_while_it_serves_and_a_repeat_of_a_request_counts_once_for_its_tenant(
     tmp_path,
 ):
-    fleet = Fleet({"s": Script(workers=64, work=0.005)}, 1)
+    upstream_fleet = UpstreamFleet({"s": Script(workers=64, work=0.005)}, 1)
     limits = {"all": {"kind": "rate", "amount": 20, "burst": 5, "homes": ["m0", "m1"]}}
 
     def service(process):
-        pool = files.service("t", "ticketed", fleet.addresses, 0.5, 1.0)
+        pool = files.service("t", "ticketed", upstream_fleet.addresses, 0.5, 1.0)
         return {"pools": {"t": pool}, "routes": [files.route("t", "ticketed", "t")]}
 
     bank = Bank(2, tmp_path, service, limits=limits, relayed=False)
@@ -607,4 +607,4 @@
         assert [ask(f"t{number}", False) for number in range(4)].count(200) <= 3
     finally:
         bank.end()
-        fleet.stop()
+        upstream_fleet.stop()
--- a/tests/fleet/test_consensus_service.py
+++ b/tests/fleet/test_consensus_service.py
@@ -15,7 +15,7 @@
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Bank
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
@@ -33,12 +33,12 @@
 
     def __init__(self, count, folder, relayed=False, **more):
         self.folder = folder
-        self.fleet = Fleet({f"s-{n}": Script(work=0.004) for n in range(3)}, 1)
+        self.upstream_fleet = UpstreamFleet({f"s-{n}": Script(work=0.004) for n in range(3)}, 1)
         self.bank = Bank(count, folder, self.service, relayed=relayed, agreement=AGREEMENT | more)
         self.loads = None
 
     def service(self, process=None, **more):
-        pool = files.service("t", "exclusive", self.fleet.addresses, 0.25, 1.5) | more
+        pool = files.service("t", "exclusive", self.upstream_fleet.addresses, 0.25, 1.5) | more
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def start(self):
@@ -88,7 +88,7 @@
         if self.loads:
             self.loads.stop()
         self.bank.end()
-        self.fleet.stop()
+        self.upstream_fleet.stop()
 
 
 @pytest.fixture
@@ -112,8 +112,8 @@
     assert five.status(0)["drains"][0]["state"] == "done"
     assert {one["balancers"] for one in [five.bank.ask(0, "members")["shares"]["t"]]} <= {4, 5}
     five.say(3, "drain", "upstream", "t/s-0")
-    until(lambda: five.fleet.tell("s-0")["met"] == five.fleet.tell("s-0")["met"])
-    met = five.fleet.tell("s-0")["met"]
+    until(lambda: five.upstream_fleet.tell("s-0")["met"] == five.upstream_fleet.tell("s-0")["met"])
+    met = five.upstream_fleet.tell("s-0")["met"]
     leader = five.leader()
     five.bank.kill(leader)
     other = next(n for n in five.alive() if n != 4)
@@ -123,12 +123,14 @@
     assert f"out are m{leader}" in five.say(other, "drain", "balancer", "m4", code=1)
     five.bank.processes[leader].start()
     until(lambda: not five.status(other)["lost"])
-    assert five.fleet.tell("s-0")["met"] == met  # drained all the time, whoever led
+    assert five.upstream_fleet.tell("s-0")["met"] == met  # drained all the time, whoever led
     five.say(other, "undrain", "upstream", "t/s-0")
     until(five.one_state)
     seen = five.loads.results()
     assert not any(one.unanswered() or one.answered_twice() for one in seen)
-    assert not five.fleet.ledger().twice() and min(one.share_on_time() for one in seen) > 0.95
+    assert (
+        not five.upstream_fleet.ledger().twice() and min(one.share_on_time() for one in seen) > 0.95
+    )
 
 
 def test_a_release_goes_to_all_and_a_bad_one_is_met_by_its_canary_alone(trial, tmp_path):
@@ -140,7 +142,7 @@
                 upstreams=files.upstreams(
                     {
                         name: address
-                        for name, address in four.fleet.addresses.items()
+                        for name, address in four.upstream_fleet.addresses.items()
                         if name != "s-2"
                     }
                 )
@@ -153,7 +155,7 @@
     four.say(3, "release", str(good), "--waves", "1", "--window", "1s")
     until(four.one_state)
     assert {four.status(n)["runs"] for n in range(4)} == {four.status(0)["good"]} != {""}
-    met = four.fleet.tell("s-2")["met"]
+    met = four.upstream_fleet.tell("s-2")["met"]
     said = four.say(1, "release", str(faulty), "--waves", "1", "--window", "1s", code=3)
     assert "m0: refuses the file" in said and "is none of rerunnable" in said
     begun = time.monotonic()
@@ -161,7 +163,7 @@
     assert "undone" in said and "gate of wave 1" in said and time.monotonic() - begun < 8.0
     logs = [one.balancer.log() for one in four.bank.processes]
     assert [log.count("event=release_runs") for log in logs] == [3, 1, 1, 1]
-    assert four.fleet.tell("s-2")["met"] == met
+    assert four.upstream_fleet.tell("s-2")["met"] == met
     until(four.one_state)
     # A process that starts again takes up what was released, before it serves.
     four.bank.kill(1)
@@ -173,7 +175,7 @@
     assert "released" in four.say(0, "history") and four.say(0, "history", "--json")
     seen = four.loads.results()
     assert not any(one.unanswered() or one.answered_twice() for one in seen)
-    assert not four.fleet.ledger().twice()
+    assert not four.upstream_fleet.ledger().twice()
 
 
 def test_voters_with_a_lost_disk_an_old_one_a_cut_and_a_whole_restart(trial):
@@ -262,7 +264,7 @@
     assert "no member" in three.say(0, "drain", "balancer", "m9", code=1)
     three.say(0, "drain", "upstream", "t/s-1")
     three.load(3.0, 0, 1, 2)
-    met = three.fleet.tell("s-1")["met"]
+    met = three.upstream_fleet.tell("s-1")["met"]
     for one in three.bank.processes:  # listed anew under its name, as another run
         again = [
             {
@@ -270,11 +272,11 @@
                 "address": address,
                 **({"started_ms": int(time.time() * 1000)} if name == "s-1" else {}),
             }
-            for name, address in three.fleet.addresses.items()
+            for name, address in three.upstream_fleet.addresses.items()
         ]
         one.balancer.reload(files.document(one.file() | three.service(upstreams=again)))
     assert not any(one.unanswered() for one in three.loads.results())
-    assert three.fleet.tell("s-1")["met"] == met
+    assert three.upstream_fleet.tell("s-1")["met"] == met
 
 
 def test_faulty_keys_of_the_record_are_named_and_without_its_table_nothing_of_it_is_there(
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -21,7 +21,7 @@
 from whinpier.testbed.fleet import Bank
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.faults import Fault, Schedule
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.referee import Bounds, Referee
@@ -114,11 +114,11 @@
 
 
 def test_every_answer_is_given_once_while_members_come_and_go(bank):
-    fleet = Fleet({f"s-{number}": Script(work=0.005) for number in range(3)}, 1)
+    upstream_fleet = UpstreamFleet({f"s-{number}": Script(work=0.005) for number in range(3)}, 1)
     try:
 
         def charges(process):
-            pool = files.service("t", "exclusive", fleet.addresses, 0.25, 1.5)
+            pool = files.service("t", "exclusive", upstream_fleet.addresses, 0.25, 1.5)
             return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
         three = bank(3, service=charges, relayed=False)
@@ -131,10 +131,14 @@
         three.processes[2].start()
         until(three.gathered)
         seen = load.result()
-        assert not seen.unanswered() and not seen.answered_twice() and not fleet.ledger().twice()
+        assert (
+            not seen.unanswered()
+            and not seen.answered_twice()
+            and not upstream_fleet.ledger().twice()
+        )
         assert seen.share_on_time() > 0.9
     finally:
-        fleet.stop()
+        upstream_fleet.stop()
 
 
 def test_one_that_is_told_to_end_while_it_joins_ends_in_order(bank):
--- a/tests/fleet/test_outlier_ejection.py
+++ b/tests/fleet/test_outlier_ejection.py
@@ -19,7 +19,7 @@
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Bank
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
@@ -285,10 +285,10 @@
 
 
 def test_six_processes_let_a_slow_upstream_rest_and_take_up_its_next_run_at_once(tmp_path):
-    fleet = Fleet({f"s-{n}": Script(workers=8, work=0.01) for n in range(6)}, 1)
+    upstream_fleet = UpstreamFleet({f"s-{n}": Script(workers=8, work=0.01) for n in range(6)}, 1)
 
     def service(process):
-        pool = files.service("t", "rerunnable", fleet.addresses, 0.1, 1.0)
+        pool = files.service("t", "rerunnable", upstream_fleet.addresses, 0.1, 1.0)
         return {"pools": {"t": pool}, "routes": [files.route("t", "rerunnable", "t")]}
 
     bank = Bank(6, tmp_path, service, relayed=False, verdicts={"life": "3s", "term": "60s"})
@@ -319,32 +319,32 @@
         time.sleep(
             max(0.0, start + 4.5 - time.monotonic())
         )  # votes count from a life after the start
-        fleet.tell("s-2", speed=0.08)
+        upstream_fleet.tell("s-2", speed=0.08)
         until(lambda: all(one.get("s-2") == "rests" for one in states()))
         assert all(
             {name for name, state in one.items() if state == "rests"} == {"s-2"} for one in states()
         )
         rested = time.monotonic()
-        fleet.tell("s-2", speed=1.0)
+        upstream_fleet.tell("s-2", speed=1.0)
         # Its next run is another upstream, of which nothing is known.
         for entry in (process for process in bank.processes):
             given_ = files.document(
                 entry.file()
                 | {
                     "pools": {
-                        "t": files.service("t", "rerunnable", fleet.addresses, 0.1, 1.0)
+                        "t": files.service("t", "rerunnable", upstream_fleet.addresses, 0.1, 1.0)
                         | {
                             "upstreams": [
                                 {"name": name, "address": address}
                                 | ({"started_ms": int(time.time() * 1000)} if name == "s-2" else {})
-                                for name, address in fleet.addresses.items()
+                                for name, address in upstream_fleet.addresses.items()
                             ]
                         }
                     }
                 }
             )
             entry.balancer.reload(given_)
-        until(lambda: fleet.tell("s-2")["last"]["s-2"] > rested + 0.5)
+        until(lambda: upstream_fleet.tell("s-2")["last"]["s-2"] > rested + 0.5)
         seen = loads.results()
         assert not any(one.unanswered() or one.answered_twice() for one in seen)
         assert "event=verdict_rests" in bank.processes[0].balancer.log()
@@ -352,4 +352,4 @@
         if loads:
             loads.stop()
         bank.end()
-        fleet.stop()
+        upstream_fleet.stop()
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -24,7 +24,7 @@
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Bank
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
@@ -318,10 +318,10 @@
 
 
 def test_three_processes_keep_both_kinds_while_one_is_killed_and_comes_back(tmp_path):
-    fleet = Fleet({f"s-{n}": Script(workers=32, work=0.02) for n in range(2)}, 1)
+    upstream_fleet = UpstreamFleet({f"s-{n}": Script(workers=32, work=0.02) for n in range(2)}, 1)
 
     def service(process):
-        pool = files.service("t", "exclusive", fleet.addresses, 0.5, 1.0)
+        pool = files.service("t", "exclusive", upstream_fleet.addresses, 0.5, 1.0)
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     limits = {
@@ -341,7 +341,7 @@
         )
         kept = [one.folder / "recall" for one in bank.processes]
         until(lambda: all(one.exists() and json.loads(one.read_text())["limits"] for one in kept))
-        fleet.meter()
+        upstream_fleet.meter()
         start = time.monotonic() + 0.3
         loads = Loads(
             [
@@ -361,7 +361,7 @@
             2
         ].start()  # its disk says that it may go by its home, after what may be lent is over
         seen = loads.results()
-        met = fleet.meter()
+        met = upstream_fleet.meter()
         assert met["most"] <= 4
         times = sorted(met["times"])
         for begin in range(len(times)):
@@ -374,11 +374,11 @@
         turned_back = [request for one in seen for request in one.told if request.status == 503]
         assert turned_back and all(request.retry_after for request in turned_back)
         assert not any(one.unanswered() or one.answered_twice() for one in seen)
-        assert not fleet.ledger().twice()
+        assert not upstream_fleet.ledger().twice()
         row = bank.ask(2, "limits")[0]
         assert row["agreed"] or row["home"] == 20_000
     finally:
         if loads:
             loads.stop()
         bank.end()
-        fleet.stop()
+        upstream_fleet.stop()
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -17,7 +17,7 @@
 from whinpier.config.model import Limits
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
 
@@ -26,19 +26,23 @@
 
 
 @pytest.fixture(scope="module")
-def fleet():
-    fleet = Fleet({name: USUAL for name in ("a-1", "a-2", "b-1", "b-2")})
-    yield fleet
-    fleet.stop()
+def upstream_fleet():
+    upstream_fleet = UpstreamFleet({name: USUAL for name in ("a-1", "a-2", "b-1", "b-2")})
+    yield upstream_fleet
+    upstream_fleet.stop()
 
 
 class Setting:
     """An operator's file that a story changes, the process it runs, and what the story asks of it."""
 
-    def __init__(self, folder, fleet, latency_objective="500ms", **process):
-        self.fleet, self.listen, self.latency_objective = fleet, free_address(), latency_objective
-        for name in fleet.addresses:
-            fleet.tell(name, hang=0.0, error=0.0, size=2, work=0.002, workers=4)
+    def __init__(self, folder, upstream_fleet, latency_objective="500ms", **process):
+        self.upstream_fleet, self.listen, self.latency_objective = (
+            upstream_fleet,
+            free_address(),
+            latency_objective,
+        )
+        for name in upstream_fleet.addresses:
+            upstream_fleet.tell(name, hang=0.0, error=0.0, size=2, work=0.002, workers=4)
         self.process = {"descriptors": 256} | process
         self.pools = {name: self.pool([f"{name}-1", f"{name}-2"]) for name in ("a", "b")}
         self.routes = [{"name": name, "host": name, "pool": name} for name in self.pools]
@@ -49,7 +53,7 @@
         upstreams = [
             {
                 "name": name,
-                "address": self.fleet.addresses[name],
+                "address": self.upstream_fleet.addresses[name],
                 "state": dict(states).get(name, "ready"),
             }
             for name in names
@@ -89,15 +93,15 @@
 
     def ran(self, name):
         """Ids that an upstream did."""
-        return self.fleet.tell(name)["ran"]
+        return self.upstream_fleet.tell(name)["ran"]
 
     def by(self, host, **more):
         return self.ask(host, **more).headers["X-By"][0]
 
 
 @contextmanager
-def setting(folder, fleet, **process):
-    made = Setting(folder, fleet, **process)
+def setting(folder, upstream_fleet, **process):
+    made = Setting(folder, upstream_fleet, **process)
     try:
         yield made
     finally:
@@ -106,8 +110,10 @@
     assert "event=broken" not in log and "level=error" not in log, log
 
 
-def test_each_pool_gets_what_its_route_says_and_what_has_none_is_answered_at_once(tmp_path, fleet):
-    with setting(tmp_path, fleet) as bank:
+def test_each_pool_gets_what_its_route_says_and_what_has_none_is_answered_at_once(
+    tmp_path, upstream_fleet
+):
+    with setting(tmp_path, upstream_fleet) as bank:
         assert [bank.by("a"), bank.by("B:80"), bank.by("a.")] == ["a", "b", "a"]
         client = bank.client()  # one connection, two hosts
         assert [bank.by(host, client=client) for host in "abab"] == list("abab")
@@ -121,14 +127,16 @@
         assert bank.ask("a, b").status == 400 and bank.ask("a", method="HEAD").status == 405
 
 
-def test_requests_of_two_pools_sent_at_once_on_one_connection_are_answered_in_turn(tmp_path, fleet):
+def test_requests_of_two_pools_sent_at_once_on_one_connection_are_answered_in_turn(
+    tmp_path, upstream_fleet
+):
     request = "POST /x HTTP/1.1\r\nHost: %s\r\nX-Txn: p%d\r\nX-Remaining: 1\r\nContent-Length: 0\r\n%s\r\n"
     with (
-        setting(tmp_path, fleet) as bank,
+        setting(tmp_path, upstream_fleet) as bank,
         socket.create_connection(bank.balancer.address, LIMIT) as sock,
     ):
-        fleet.tell("a-1", work=0.1, workers=1)
-        fleet.tell("a-2", work=0.1, workers=1)
+        upstream_fleet.tell("a-1", work=0.1, workers=1)
+        upstream_fleet.tell("a-2", work=0.1, workers=1)
         sock.sendall(
             (
                 request % ("a", 1, "")
@@ -148,9 +156,9 @@
 
 
 def test_a_route_says_which_headers_say_what_how_long_is_waited_and_which_statuses_pass(
-    tmp_path, fleet
+    tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, fleet) as bank:
+    with setting(tmp_path, upstream_fleet) as bank:
         bank.pools["a"] |= {"statuses": [200, 500][:1]}
         says = {"id": "x-request-id", "patience": "x-timeout", "ticket": "", "optional": True}
         bank.routes[0] |= {"says": says, "patience": "300ms", "headers": {"x-partner": "*"}}
@@ -161,18 +169,18 @@
         assert bank.ask("a", **partner, **{"x-request-id": "r1", "x-timeout": "1"}).status == 200
         assert bank.ask("a", **partner, **{"x-request-id": "r1"}).status == 409
         assert bank.ask("a", **partner, **{"x-timeout": "soon"}).status == 400
-        fleet.tell("a-1", hang=1.0)
-        fleet.tell("a-2", hang=1.0)
+        upstream_fleet.tell("a-1", hang=1.0)
+        upstream_fleet.tell("a-2", hang=1.0)
         began = time.monotonic()
         assert bank.ask("a", **partner).status == 502 and time.monotonic() - began < 0.8
 
 
 def test_a_pool_whose_upstreams_hang_with_all_it_may_have_in_use_keeps_no_other_waiting(
-    tmp_path, fleet
+    tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, fleet, descriptors=96) as bank:
-        fleet.tell("a-1", hang=1.0)
-        fleet.tell("a-2", hang=1.0)
+    with setting(tmp_path, upstream_fleet, descriptors=96) as bank:
+        upstream_fleet.tell("a-1", hang=1.0)
+        upstream_fleet.tell("a-2", hang=1.0)
         hangs = Asks(f"hung{next(ids)}", 150, "/x", host="a", timeout=1.5)
         works = Asks(f"well{next(ids)}", 60, "/x", host="b")
         gateways = [Gateway(bank.balancer.address, asks, 1) for asks in (hangs, works)]
@@ -192,16 +200,19 @@
 
 
 def test_a_pool_that_is_taken_out_finishes_its_requests_while_its_route_leads_elsewhere(
-    tmp_path, fleet
+    tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, fleet) as bank:
-        fleet.tell("a-1", work=0.6, workers=1, spread="constant")
-        fleet.tell("a-2", work=0.6, workers=1, spread="constant")
-        client, before = bank.client(), sum(fleet.tell(name)["met"] for name in ("a-1", "a-2"))
+    with setting(tmp_path, upstream_fleet) as bank:
+        upstream_fleet.tell("a-1", work=0.6, workers=1, spread="constant")
+        upstream_fleet.tell("a-2", work=0.6, workers=1, spread="constant")
+        client, before = (
+            bank.client(),
+            sum(upstream_fleet.tell(name)["met"] for name in ("a-1", "a-2")),
+        )
         client.request(
             "POST", "/x", b"{}", {"Host": "a", "X-Txn": f"out{before}", "X-Remaining": "2"}
         )
-        until(lambda: sum(fleet.tell(name)["met"] for name in ("a-1", "a-2")) > before)
+        until(lambda: sum(upstream_fleet.tell(name)["met"] for name in ("a-1", "a-2")) > before)
         del bank.pools["a"]
         bank.routes[0]["pool"] = "b"
         bank.reload()
@@ -209,19 +220,19 @@
         answer = client.getresponse()
         assert (answer.status, answer.read(), answer.headers["X-By"][0]) == (200, b"ok", "a")
         until(lambda: bank.balancer.said("event=pool_ended pool=a"))
-        assert fleet.ledger().twice("out") == []
+        assert upstream_fleet.ledger().twice("out") == []
         bank.pools["a"] = bank.pool(["a-1"])
         bank.routes[0]["pool"] = "a"
         bank.reload()
         assert bank.by("a") == "a"
-        fleet.tell("a-1", spread="exponential")
-        fleet.tell("a-2", spread="exponential")
+        upstream_fleet.tell("a-1", spread="exponential")
+        upstream_fleet.tell("a-2", spread="exponential")
 
 
-def test_reloads_under_load_lose_no_answer_and_run_nothing_twice(tmp_path, fleet):
+def test_reloads_under_load_lose_no_answer_and_run_nothing_twice(tmp_path, upstream_fleet):
     # Held for up to half a second: a machine that stands still for a tenth must not turn requests
     # back.
-    with setting(tmp_path, fleet, latency_objective="2s") as bank:
+    with setting(tmp_path, upstream_fleet, latency_objective="2s") as bank:
         names = [f"moved{next(ids)}", f"stays{next(ids)}"]
         address = bank.balancer.address
         gateways = [
@@ -242,7 +253,7 @@
             await asyncio.gather(*(gateway.run(2.5) for gateway in gateways), reload())
 
         asyncio.run(story())
-        ledger = fleet.ledger()
+        ledger = upstream_fleet.ledger()
         for gateway in gateways:
             # A machine that stands still for longer turns a few back, which loses nothing.
             assert {request.status for request in gateway.told} <= {
@@ -257,8 +268,8 @@
         assert bank.balancer.said("event=configured") == 8
 
 
-def test_a_faulty_file_changes_nothing_and_is_said_with_its_key(tmp_path, fleet):
-    with setting(tmp_path, fleet) as bank:
+def test_a_faulty_file_changes_nothing_and_is_said_with_its_key(tmp_path, upstream_fleet):
+    with setting(tmp_path, upstream_fleet) as bank:
         bank.routes[0]["pool"] = "nowhere"
         bank.pools["b"]["upstreams"] = bank.pools["a"]["upstreams"]
         bank.reload()
@@ -266,8 +277,8 @@
         assert [bank.by("a"), bank.by("b")] == ["a", "b"]
 
 
-def test_an_upstream_of_two_pools_may_drain_in_one_and_not_in_the_other(tmp_path, fleet):
-    with setting(tmp_path, fleet) as bank:
+def test_an_upstream_of_two_pools_may_drain_in_one_and_not_in_the_other(tmp_path, upstream_fleet):
+    with setting(tmp_path, upstream_fleet) as bank:
         bank.pools["b"] = bank.pool(["a-1", "b-1"])
         bank.pools["a"] = bank.pool(["a-1", "a-2"], states={"a-1": "draining"})
         bank.reload()
@@ -277,8 +288,8 @@
         assert "a-1" in {bank.ask("b").headers["X-By"] for _ in range(40)}
 
 
-def test_fifty_pools_and_a_thousand_routes_fit_in_64_mb(tmp_path, fleet):
-    with setting(tmp_path, fleet, descriptors=1024, memory_mb=64) as bank:
+def test_fifty_pools_and_a_thousand_routes_fit_in_64_mb(tmp_path, upstream_fleet):
+    with setting(tmp_path, upstream_fleet, descriptors=1024, memory_mb=64) as bank:
         bank.pools = {f"p{number}": bank.pool(["a-1", "b-1"]) for number in range(50)}
         bank.routes = [
             {
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -13,7 +13,7 @@
 from tests.waiting import until
 from whinpier.cli.main import cli
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
 
@@ -42,11 +42,11 @@
 
 
 @pytest.fixture
-def fleet():
-    fleet = Fleet(
+def upstream_fleet():
+    upstream_fleet = UpstreamFleet(
         {f"s-{number}": Script(workers=4, work=0.002) for number in range(4)}, discovery=True
     )
-    fleet.tell_list(
+    upstream_fleet.tell_list(
         change=[
             {
                 "host": name,
@@ -58,11 +58,11 @@
                 "share": 1.0,
                 "born_ms": 0,
             }
-            for number, (name, address) in enumerate(fleet.addresses.items())
+            for number, (name, address) in enumerate(upstream_fleet.addresses.items())
         ]
     )
-    yield fleet
-    fleet.stop()
+    yield upstream_fleet
+    upstream_fleet.stop()
 
 
 def file(balancer_at, told_by, **settings):
@@ -73,9 +73,9 @@
 
 
 @contextmanager
-def balancer(folder, fleet):
+def balancer(folder, upstream_fleet):
     listen = free_address()
-    given = json.loads(file(listen, fleet.discovery))
+    given = json.loads(file(listen, upstream_fleet.discovery))
     made = Balancer(folder, platform=given, listen=listen, optimised=False)
     made.wait_ready()
     try:
@@ -86,9 +86,9 @@
 
 
 def test_settings_switched_there_and_back_under_traffic_lose_no_answer_and_run_nothing_twice(
-    tmp_path, fleet
+    tmp_path, upstream_fleet
 ):
-    with balancer(tmp_path, fleet) as running:
+    with balancer(tmp_path, upstream_fleet) as running:
         gateways = [
             Gateway(running.address, Asks("charge", 100, "/charge", lane="charge", timeout=2.0), 1),
             Gateway(
@@ -108,7 +108,7 @@
                 await asyncio.sleep(0.25)
                 settings = MOVED if turn % 2 == 0 else {}
                 await asyncio.to_thread(
-                    running.reload, file(running.listen, fleet.discovery, **settings)
+                    running.reload, file(running.listen, upstream_fleet.discovery, **settings)
                 )
 
         async def story():
@@ -120,12 +120,12 @@
             assert {request.answers for request in gateway.told} == {1}
             # Not all: a machine that stands still for a tenth of a second has some rejected.
             assert sum(request.status == 200 for request in gateway.told) > 0.5 * len(gateway.told)
-        assert fleet.ledger().twice("charge") == []
+        assert upstream_fleet.ledger().twice("charge") == []
         assert running.said("event=settings_changed") == 8
         assert running.said("event=settings_not_honoured keys=limits.peers,limits.probes") == 4
         # With the new settings the list is asked for by the module: a change of it still arrives.
         probed = MOVED | {"report": {"source": "on_probe", "columns": "busy_reqs,cpu_share"}}
-        running.reload(file(running.listen, fleet.discovery, **probed))
+        running.reload(file(running.listen, upstream_fleet.discovery, **probed))
         assert (
             running.said(
                 "event=settings_not_honoured keys=limits.peers,limits.probes,report.source"
@@ -133,8 +133,8 @@
             == 1
         )
         lists = running.said("event=list ")
-        fleet.tell_list(
-            change=[{"host": "s-3", "dial": fleet.addresses["s-3"], "health": "draining"}]
+        upstream_fleet.tell_list(
+            change=[{"host": "s-3", "dial": upstream_fleet.addresses["s-3"], "health": "draining"}]
         )
         until(lambda: running.said("event=list ") > lists and "draining=1" in running.log())
 
@@ -153,10 +153,10 @@
     ],
 )
 def test_faulty_settings_are_refused_as_a_whole_and_the_running_ones_stay(
-    tmp_path, fleet, settings, key
+    tmp_path, upstream_fleet, settings, key
 ):
-    with balancer(tmp_path, fleet) as running:
-        running.reload(file(running.listen, fleet.discovery, **(MOVED | settings)))
+    with balancer(tmp_path, upstream_fleet) as running:
+        running.reload(file(running.listen, upstream_fleet.discovery, **(MOVED | settings)))
         assert running.said(f'event=configuration_fault fault="{key}:') == 1
         assert running.said("event=settings_changed") == 0
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -117,7 +117,7 @@
     table = given(
         policy={"mutation": mutation},
         troubles=[*troubles, {"kind": "slow", "at": 2.0}],
-        fleet={"balancers": 2, "machines": machines},
+        upstream_fleet={"balancers": 2, "machines": machines},
     )
     table["streams"][0]["rate"] = 200.0
     small, broken, tried = shrink(table, 3, most=12)
@@ -182,8 +182,8 @@
 def bank(*troubles, **more):
     """Ten balancers before twelve upstreams in two zones that start cold."""
     machines = [{"count": 12, "cores": 2, "queue": 16, "warm_up": 3.0}]
-    fleet = {"balancers": 10, "zones": 2, "machines": machines}
-    return play(given(fleet=fleet, troubles=list(troubles), **more))
+    upstream_fleet = {"balancers": 10, "zones": 2, "machines": machines}
+    return play(given(upstream_fleet=upstream_fleet, troubles=list(troubles), **more))
 
 
 def test_balancers_that_are_killed_lose_what_they_had_and_the_front_finds_the_others():
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -16,7 +16,7 @@
 from whinpier.cli import demo
 from whinpier.cli.main import cli
 from whinpier.testbed import files
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer
 
@@ -238,7 +238,7 @@
 
 def demo_form():
     with pytest.MonkeyPatch.context() as patch:
-        for one in (Fleet, Balancer, Load):
+        for one in (UpstreamFleet, Balancer, Load):
             patch.setattr(demo, one.__name__, Nothing)
         return printed(["demo", "--seconds", "2", "--json"])
 
--- a/whinpier/cli/demo.py
+++ b/whinpier/cli/demo.py
@@ -11,7 +11,7 @@
 from whinpier.cli.tables import show
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.ledger import percentile
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
@@ -42,10 +42,12 @@
     scripts = {
         f"{name}-{number}": Script(work=WORK[name]) for name in POOLS for number in (1, 2, 3)
     }
-    fleet = Fleet(scripts, seed)
+    upstream_fleet = UpstreamFleet(scripts, seed)
     listen, loads = free_address("127.0.0.1"), dict[str, Load]()
     with tempfile.TemporaryDirectory() as folder:
-        balancer = Balancer(Path(folder), operator=operator(listen, fleet.addresses), listen=listen)
+        balancer = Balancer(
+            Path(folder), operator=operator(listen, upstream_fleet.addresses), listen=listen
+        )
         try:
             balancer.wait_ready()
             start = time.monotonic() + 0.7
@@ -63,16 +65,18 @@
                 )
                 loads[name] = Load(balancer.address, asks, seed, start, seconds)
             half = start + seconds / 2
-            stop = threading.Timer(max(0.0, half - time.monotonic()), fleet.kill, (STOPPED,))
+            stop = threading.Timer(
+                max(0.0, half - time.monotonic()), upstream_fleet.kill, (STOPPED,)
+            )
             stop.start()
             seen = {name: load.result() for name, load in loads.items()}
             stop.join()
-            ledger = fleet.ledger()
+            ledger = upstream_fleet.ledger()
         finally:
             for load in loads.values():
                 load.stop()
             balancer.stop()
-            fleet.stop()
+            upstream_fleet.stop()
         log = balancer.log()
     pools = [
         row(name, part, gateway, begins, ends)
--- a/whinpier/cli/fleet_demo.py
+++ b/whinpier/cli/fleet_demo.py
@@ -17,7 +17,7 @@
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
@@ -30,7 +30,9 @@
 
     def __init__(self, folder: Path, count: int, tell: Tell) -> None:
         self.folder, self.count, self.tell = folder, count, tell
-        self.fleet = Fleet({f"s-{n}": Script(workers=8, work=WORK) for n in range(4)}, 1)
+        self.upstream_fleet = UpstreamFleet(
+            {f"s-{n}": Script(workers=8, work=WORK) for n in range(4)}, 1
+        )
         self.bank = Bank(
             count,
             folder,
@@ -46,7 +48,9 @@
         )
 
     def service(self, process: Process | None = None, **more: Any) -> files.Plain:
-        pool = files.service("t", "exclusive", self.fleet.addresses, AGREED, TIMEOUT) | more
+        pool = (
+            files.service("t", "exclusive", self.upstream_fleet.addresses, AGREED, TIMEOUT) | more
+        )
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def status(self, number: int) -> dict[str, Any]:
@@ -132,7 +136,7 @@
         self.command(other, "history")
         seen = loads.results()
         wrong = sum(len(one.unanswered()) + len(one.answered_twice()) for one in seen)
-        twice = len(self.fleet.ledger().twice())
+        twice = len(self.upstream_fleet.ledger().twice())
         wanted = {
             "drain": 0,
             "second drain": 1,
@@ -160,7 +164,7 @@
 
     def end(self) -> None:
         self.bank.end()
-        self.fleet.stop()
+        self.upstream_fleet.stop()
 
 
 def play(count: int, seconds: float, stay: float, tell: Tell) -> dict[str, Any]:
--- a/whinpier/cli/simulation.py
+++ b/whinpier/cli/simulation.py
@@ -56,8 +56,8 @@
         rows.append(
             {
                 "experiment": name,
-                "balancers": experiment.fleet.balancers,
-                "upstreams": sum(machine.count for machine in experiment.fleet.machines),
+                "balancers": experiment.upstream_fleet.balancers,
+                "upstreams": sum(machine.count for machine in experiment.upstream_fleet.machines),
                 "seconds": experiment.seconds,
                 "about": experiment.about,
             }
--- a/whinpier/simulation/experiment.py
+++ b/whinpier/simulation/experiment.py
@@ -86,7 +86,7 @@
     )
 
 
-class Fleet(Table, frozen=True, kw_only=True):
+class UpstreamFleet(Table, frozen=True, kw_only=True):
     """Balancers and upstreams."""
 
     machines: list[Machine]
@@ -191,11 +191,11 @@
     on_time_after: Share = 0.0
 
 
-class File(Table, frozen=True, kw_only=True):
+class File(Table, frozen=True, kw_only=True, rename={"upstream_fleet": "fleet"}):
     """One experiment."""
 
     name: str
-    fleet: Fleet
+    upstream_fleet: UpstreamFleet
     streams: list[Stream]
     seconds: Annotated[float, Meta(gt=0.0, le=86_400.0)] = 30.0
     warm: Amount = 3.0  # seconds at the start that do not count
@@ -250,7 +250,7 @@
     names = [stream.name for stream in found.streams]
     if len(set(names)) < len(names):
         raise ConfigFault("streams: a name twice")
-    if not found.fleet.machines:
+    if not found.upstream_fleet.machines:
         raise ConfigFault("fleet.machines: none is described")
     for index, stream in enumerate(found.streams):
         if stream.timeout < stream.latency_objective:
@@ -260,16 +260,19 @@
                 raise ConfigFault(
                     f"streams[{index}].surges: {begins}, {ends}, {times}: not from, to, times"
                 )
-    if found.front.zones and len(found.front.zones) != found.fleet.zones:
+    if found.front.zones and len(found.front.zones) != found.upstream_fleet.zones:
         raise ConfigFault(
-            f"front.zones: names {len(found.front.zones)} of {found.fleet.zones} zones"
+            f"front.zones: names {len(found.front.zones)} of {found.upstream_fleet.zones} zones"
         )
     if found.front.zones and not any(found.front.zones):
         raise ConfigFault("front.zones: nobody asks for anything")
     for index, trouble in enumerate(found.troubles):
-        if trouble.kind in ("lost_zone", "cut_zone", "shift") and trouble.zone >= found.fleet.zones:
+        if (
+            trouble.kind in ("lost_zone", "cut_zone", "shift")
+            and trouble.zone >= found.upstream_fleet.zones
+        ):
             raise ConfigFault(
-                f"troubles[{index}].zone: {trouble.zone} is none of {found.fleet.zones} zones"
+                f"troubles[{index}].zone: {trouble.zone} is none of {found.upstream_fleet.zones} zones"
             )
     if found.policy.mutation not in ("", *MUTATIONS):
         raise ConfigFault(
@@ -284,18 +287,18 @@
 
 def sized(found: File) -> File:
     """The same experiment with so many balancers, and upstreams and rates in proportion."""
-    times = found.size / found.fleet.balancers
+    times = found.size / found.upstream_fleet.balancers
     machines = [
         msgspec.structs.replace(machine, count=max(1, round(machine.count * times)))
-        for machine in found.fleet.machines
+        for machine in found.upstream_fleet.machines
     ]
-    fleet = msgspec.structs.replace(
-        found.fleet, balancers=max(1, round(found.size)), machines=machines
+    upstream_fleet = msgspec.structs.replace(
+        found.upstream_fleet, balancers=max(1, round(found.size)), machines=machines
     )
     streams = [
         msgspec.structs.replace(stream, rate=stream.rate * times) for stream in found.streams
     ]
-    return msgspec.structs.replace(found, fleet=fleet, streams=streams, size=0.0)
+    return msgspec.structs.replace(found, upstream_fleet=upstream_fleet, streams=streams, size=0.0)
 
 
 def variants(given: dict[str, Any]) -> Iterator[tuple[dict[str, Any], File]]:
--- a/whinpier/simulation/minimize.py
+++ b/whinpier/simulation/minimize.py
@@ -32,7 +32,11 @@
     """The same run with its troubles by chance written down, so that they can be left out one by one."""
     experiment = checked(given)
     drawn = by_chance(
-        experiment.chance, experiment.seconds, experiment.warm, experiment.fleet.zones, seed
+        experiment.chance,
+        experiment.seconds,
+        experiment.warm,
+        experiment.upstream_fleet.zones,
+        seed,
     )
     found: Given = encoded(experiment)
     found["troubles"] = [*found["troubles"], *(encoded(trouble) for trouble in drawn)]
@@ -68,14 +72,14 @@
                 lambda one, index=index: one["streams"].pop(index),  # type: ignore[misc]
                 f"without {stream['name']}",
             )
-    fleet = given["fleet"]
-    if fleet["balancers"] > 1:
-        for count in {1, fleet["balancers"] // 2, fleet["balancers"] - 1}:
+    upstream_fleet = given["fleet"]
+    if upstream_fleet["balancers"] > 1:
+        for count in {1, upstream_fleet["balancers"] // 2, upstream_fleet["balancers"] - 1}:
             yield without(
                 lambda one, count=count: one["fleet"].update(balancers=count),  # type: ignore[misc]
                 f"{count} balancers",
             )
-    for index, machine in enumerate(fleet["machines"]):
+    for index, machine in enumerate(upstream_fleet["machines"]):
         if machine["count"] > 1:
             for count in sorted({1, machine["count"] // 2, machine["count"] - 1}):
                 yield without(
--- a/whinpier/simulation/report.py
+++ b/whinpier/simulation/report.py
@@ -107,7 +107,7 @@
     work = sum(stream.rate * stream.work for stream in experiment.streams) / max(rate, 1e-9)
     costs = [
         work / (machine.cores * machine.speed)
-        for machine in experiment.fleet.machines
+        for machine in experiment.upstream_fleet.machines
         for _ in range(machine.count)
     ]
     shares = level(costs, rate)
--- a/whinpier/simulation/sockets.py
+++ b/whinpier/simulation/sockets.py
@@ -23,7 +23,7 @@
 from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.ledger import Ledger, percentile
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
@@ -39,9 +39,9 @@
 
 def check(experiment: File) -> None:
     """Raises ConfigFault for what can't be played on sockets."""
-    fleet = experiment.fleet
-    upstreams = sum(machine.count for machine in fleet.machines)
-    if fleet.balancers > MOST_BALANCERS or upstreams > MOST_UPSTREAMS:
+    upstream_fleet = experiment.upstream_fleet
+    upstreams = sum(machine.count for machine in upstream_fleet.machines)
+    if upstream_fleet.balancers > MOST_BALANCERS or upstreams > MOST_UPSTREAMS:
         raise ConfigFault(
             f"fleet: on sockets {MOST_BALANCERS} balancers, {MOST_UPSTREAMS} upstreams at most"
         )
@@ -72,7 +72,7 @@
             *by_chance(experiment.chance, experiment.seconds, experiment.warm, 1, seed),
         ]
         scripts: dict[str, Script] = {}
-        for machine in experiment.fleet.machines:
+        for machine in experiment.upstream_fleet.machines:
             for _ in range(machine.count):
                 scripts[f"s-{len(scripts)}"] = Script(
                     workers=machine.cores,
@@ -82,12 +82,12 @@
                     by_header=True,
                 )
         self.speeds = {name: script.speed for name, script in scripts.items()}
-        self.fleet = Fleet(scripts, seed)
+        self.upstream_fleet = UpstreamFleet(scripts, seed)
         self.out: set[str] = set()  # draining
         self.drained_at: dict[str, float] = {}
         self.balancers: list[Balancer] = []
         self.lock = threading.Lock()
-        for number in range(experiment.fleet.balancers):
+        for number in range(experiment.upstream_fleet.balancers):
             listen = free_address()
             self.balancers.append(
                 Balancer(
@@ -97,12 +97,18 @@
 
     def operator(self, number: int, listen: str) -> str:
         """The operator's file of one balancer, with the list as it now is."""
-        experiment, fleet, policy = self.experiment, self.experiment.fleet, self.experiment.policy
+        experiment, upstream_fleet, policy = (
+            self.experiment,
+            self.experiment.upstream_fleet,
+            self.experiment.policy,
+        )
         states = {
-            name: "draining" if name in self.out else "ready" for name in self.fleet.addresses
+            name: "draining" if name in self.out else "ready"
+            for name in self.upstream_fleet.addresses
         }
         upstreams = [
-            one | {"state": states[one["name"]]} for one in files.upstreams(self.fleet.addresses)
+            one | {"state": states[one["name"]]}
+            for one in files.upstreams(self.upstream_fleet.addresses)
         ]
         request_classes, routes = {}, []
         for stream in experiment.streams:
@@ -126,7 +132,7 @@
         pool = {
             "upstreams": upstreams,
             "workloads": request_classes,
-            "balancers": fleet.balancers,
+            "balancers": upstream_fleet.balancers,
             "number": number,
             "hand_offs": policy.attempts,
             "second_copies": policy.second_copies,
@@ -167,15 +173,15 @@
                 "fail": ("error", amount, 0.0),
                 "spoilt": ("spoilt", amount, 0.0),
             }[trouble.kind]
-            for name in hit if trouble.kind != "spoilt" else list(self.fleet.addresses):
+            for name in hit if trouble.kind != "spoilt" else list(self.upstream_fleet.addresses):
                 back = self.speeds[name] if usual is None else usual
                 with_speed = self.speeds[name] * value if key == "speed" else value
-                self.fleet.tell(name, **{key: with_speed if on else back})
+                self.upstream_fleet.tell(name, **{key: with_speed if on else back})
 
     def plan(self, start: float) -> list[threading.Timer]:
         """Timers that bring the troubles about and undo them."""
         timers = list[threading.Timer]()
-        chance, names = Random(f"victims/{self.seed}"), list(self.fleet.addresses)
+        chance, names = Random(f"victims/{self.seed}"), list(self.upstream_fleet.addresses)
         for trouble in self.troubles:
             hit = chance.sample(names, max(1, round(trouble.share * len(names))))
             if trouble.kind == "surge":
@@ -236,13 +242,13 @@
             seen = [load.result() for load in loads]
             for timer in timers:
                 timer.cancel()
-            return self.result(seen, self.fleet.ledger(), start)
+            return self.result(seen, self.upstream_fleet.ledger(), start)
         finally:
             for load in loads:
                 load.stop()
             for balancer in self.balancers:
                 balancer.stop(wait=False)
-            self.fleet.stop()
+            self.upstream_fleet.stop()
 
     def result(self, seen: list[Gateway], ledger: Ledger, start: float) -> dict[str, Any]:
         """The same figures as the model's, from what clients and upstreams saw."""
--- a/whinpier/simulation/world.py
+++ b/whinpier/simulation/world.py
@@ -33,30 +33,32 @@
 
     def __init__(self, experiment: File, seed: int) -> None:
         self.experiment, self.seed = experiment, seed
-        fleet = experiment.fleet
+        upstream_fleet = experiment.upstream_fleet
         self.clock = Clock(seed)
         self.ends = self.clock.start + int(experiment.seconds * SECOND)
         self.chance = Random(f"list/{seed}")
         self.late = 1.0  # how many times later than usual the list is told
-        ground = self.ground = Ground(self.clock, Network(seed, fleet.network, fleet.far))
+        ground = self.ground = Ground(
+            self.clock, Network(seed, upstream_fleet.network, upstream_fleet.far)
+        )
         self.referee = ground.referee = Referee(ground, int(experiment.policy.drain_grace * SECOND))
         self.measure = ground.measure = Measure(self.clock, experiment.warm, experiment.seconds)
         self.servers: dict[str, Server] = {}
         self.number = 0  # of the next upstream
-        for machine in fleet.machines:
+        for machine in upstream_fleet.machines:
             for _ in range(machine.count):
-                self.server(machine, self.number % fleet.zones)
+                self.server(machine, self.number % upstream_fleet.zones)
         oracle = experiment.policy.name == "late_oracle"
         self.sight = Sight(self.clock, self.servers, experiment.policy.sight) if oracle else None
         self.balancers = [
-            Balancer(ground, number, number % fleet.zones, self.servers, self.pool)
-            for number in range(fleet.balancers)
+            Balancer(ground, number, number % upstream_fleet.zones, self.servers, self.pool)
+            for number in range(upstream_fleet.balancers)
         ]
         self.front = Front(
             ground,
             experiment.front,
             self.balancers,
-            fleet.zones,
+            upstream_fleet.zones,
             seed,
             self.ends,
             experiment.seconds,
@@ -65,7 +67,9 @@
             Clients(ground, self.front, stream, request_class)
             for stream, request_class in zip(experiment.streams, self.request_classes())
         ]
-        drawn = by_chance(experiment.chance, experiment.seconds, experiment.warm, fleet.zones, seed)
+        drawn = by_chance(
+            experiment.chance, experiment.seconds, experiment.warm, upstream_fleet.zones, seed
+        )
         self.troubles = Troubles(self, [*experiment.troubles, *drawn], seed)
 
     # What it is made of.
@@ -93,11 +97,11 @@
         ]
 
     def settings(self, number: int, zone: int) -> dict[str, Any]:
-        fleet, policy = self.experiment.fleet, self.experiment.policy
-        warm_up = max(machine.warm_up for machine in fleet.machines)
-        cold = min(machine.cold_from for machine in fleet.machines)
+        upstream_fleet, policy = self.experiment.upstream_fleet, self.experiment.policy
+        warm_up = max(machine.warm_up for machine in upstream_fleet.machines)
+        cold = min(machine.cold_from for machine in upstream_fleet.machines)
         return {
-            "balancers": fleet.balancers,
+            "balancers": upstream_fleet.balancers,
             "slot_no": number,
             "zone": zone,
             "limits.max_hand_offs": policy.attempts,
@@ -116,11 +120,11 @@
             "lab",
             self.settings(number, balancer.zone),
             self.request_classes(),
-            [f"z{place}" for place in range(experiment.fleet.zones)],
+            [f"z{place}" for place in range(experiment.upstream_fleet.zones)],
             [],
             [],
             SECOND // 4,
-            int(experiment.fleet.idle * SECOND),
+            int(experiment.upstream_fleet.idle * SECOND),
             limits=Limits(),
         )
         seed = Random(f"balancer/{self.seed}/{number}/{balancer.run}").getrandbits(64)
@@ -148,7 +152,7 @@
         """The list says something new of an upstream; balancers are told when they are."""
         server.state = state
         entry = server.entry()
-        delay = self.experiment.fleet.list_delay * self.late * SECOND
+        delay = self.experiment.upstream_fleet.list_delay * self.late * SECOND
         for balancer in self.balancers:
             at = max(self.clock.now, balancer.stale_until) + int(
                 delay * (0.5 + self.chance.random())
--- a/whinpier/testbed/fault_scenario.py
+++ b/whinpier/testbed/fault_scenario.py
@@ -15,6 +15,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import suppress
 from dataclasses import dataclass, field
+from functools import partial
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -25,14 +26,14 @@
 from whinpier.fleet.consensus.service import deflated
 from whinpier.testbed import faults as faults_
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.clients import Asks, Gateway
 from whinpier.testbed.faults import Fault, Kind, Schedule, split
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.fleet import Bank, Process
 from whinpier.testbed.load import Loads
 from whinpier.testbed.operators import Operator, halt
 from whinpier.testbed.referee import Bounds, Referee, Said
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 AGREED, TIMEOUT, WORK = 0.25, 1.5, 0.005
 CHARGES, READS = 4, 5  # upstreams of the exclusive pool, and of the rerunnable one
@@ -227,10 +228,10 @@
     def __init__(self, day: Day, folder: Path, fault: str = "") -> None:
         self.day, self.count = day, day.schedule.members
         self.calm = [self.count - 2, self.count - 1]
-        self.charges = Fleet(
+        self.charges = UpstreamFleet(
             {f"c-{n}": Script(workers=16, work=WORK) for n in range(CHARGES)}, day.seed
         )
-        self.reads = Fleet(
+        self.reads = UpstreamFleet(
             {f"r-{n}": Script(workers=16, work=WORK) for n in range(READS)}, day.seed
         )
         homes = [f"m{n}" for n in range(self.count)]
@@ -360,15 +361,12 @@
         for index, fault in enumerate(self.day.schedule.faults):
             steps += bank.steps(fault, f"fault-{index}")
         for trouble in self.day.troubles:
-            fleet = self.charges if trouble.upstream in self.charges.addresses else self.reads
+            upstreams = self.charges if trouble.upstream in self.charges.addresses else self.reads
             usual = {key: getattr(Script(), key) for key in trouble.script}
-            steps.append((trouble.at, lambda f=fleet, t=trouble: f.tell(t.upstream, **t.script)))  # type: ignore[misc]
-            steps.append(
-                (
-                    trouble.at + trouble.span,
-                    lambda f=fleet, t=trouble, u=usual: f.tell(t.upstream, **u),  # type: ignore[misc]
-                )
-            )
+            begin = partial(upstreams.tell, trouble.upstream, **trouble.script)
+            end = partial(upstreams.tell, trouble.upstream, **usual)
+            steps.append((trouble.at, begin))
+            steps.append((trouble.at + trouble.span, end))
         if self.day.whole:
             steps.append((self.day.whole, self.restart_all))
         for at, step in sorted(steps, key=lambda one: one[0]):
--- a/whinpier/testbed/operators.py
+++ b/whinpier/testbed/operators.py
@@ -15,7 +15,7 @@
 
 from whinpier.fleet.consensus.service import pieces
 from whinpier.testbed.fleet import Bank
-from whinpier.testbed.upstream_fleet import Fleet
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 APART = 0.03  # seconds between looks
 LIMIT = 6.0  # seconds that one waits for what it said
@@ -45,14 +45,14 @@
         seed: int,
         ends: float,
         balancers: list[int],
-        fleet: Fleet,
+        upstream_fleet: UpstreamFleet,
         contents: list[tuple[str, bytes]],
         pause: float = 0.4,
         pool: str = "t",
     ) -> None:
         super().__init__(daemon=True)
         self.bank, self.number, self.ends, self.balancers = bank, number, ends, balancers
-        self.fleet, self.contents, self.pause = fleet, contents, pause
+        self.upstream_fleet, self.contents, self.pause = upstream_fleet, contents, pause
         self.pool = pool  # whose upstreams it drains
         self.chance = Random(f"operator/{seed}/{number}")
         self.answers: list[Answer] = []
@@ -74,7 +74,7 @@
             name = f"m{chance.choice(self.balancers)}"
             self.change("drain" if chance.random() < 0.5 else "undrain", {"name": name}, name)
         elif draw < 0.8:
-            host = chance.choice(sorted(self.fleet.addresses))
+            host = chance.choice(sorted(self.upstream_fleet.addresses))
             self.change(
                 "drain" if chance.random() < 0.5 else "undrain",
                 {"name": host, "pool": self.pool},
@@ -150,10 +150,10 @@
             if row is None:
                 return
             if row["state"] == "done":
-                met = self.fleet.tell(host)["met"]
+                met = self.upstream_fleet.tell(host)["met"]
                 answer.done = True
                 time.sleep(0.3)
-                later = self.fleet.tell(host)["met"]
+                later = self.upstream_fleet.tell(host)["met"]
                 if later != met and self.row(answer) is not None:
                     answer.untrue = (
                         f"{later - met} tasks came to {host} after it was said to be drained"
--- a/whinpier/testbed/upstream_fleet.py
+++ b/whinpier/testbed/upstream_fleet.py
@@ -16,7 +16,7 @@
 from whinpier.testbed.upstream import CONTROL, Script
 
 
-class Fleet:
+class UpstreamFleet:
     """One process with some upstreams."""
 
     def __init__(self, scripts: dict[str, Script], seed: int = 0, discovery: bool = False) -> None:
