--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -1,10 +1,10 @@
-"""What the bank agrees on, on real processes: drains and releases beside faults, and a way back.
+"""What the fleet agrees on, on real processes: drains and releases beside faults, and a way back.
 
 `orders` explores the record's state machine and finds each fault that is put in. `days` plays drawn
-kills, pauses, cuts and losses while two operators change the bank all the time. `release` brings a
+kills, pauses, cuts and losses while two operators change the fleet all the time. `release` brings a
 file to all processes in one wave, and three bad ones to their canary. `leader` kills the one that
 leads at counted points of its work. `learn` plays 200 members and 5 voters on simulated time.
-`cost` holds what it costs an idle bank, and a request, against a bank without. See
+`cost` holds what it costs an idle fleet, and a request, against a fleet without. See
 docs/design/agreement.md.
 """
 
@@ -31,7 +31,7 @@
 from whinpier.model_checking.consensus import FAULTS
 from whinpier.simulation import consensus as model
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks, Gateway
 from whinpier.testbed.faults import Fault, Schedule, split
 from whinpier.testbed.upstream_fleet import UpstreamFleet
@@ -45,7 +45,7 @@
 
 
 class Trial:
-    """A bank that agrees, with upstreams of its own."""
+    """A fleet that agrees, with upstreams of its own."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
                 "t": {"of": "upstreams", "pool": "t", "out": 1},
             },
         }
-        self.bank = Bank(
+        self.fleet = Fleet(
             count,
             folder,
             self.service,
@@ -78,7 +78,7 @@
             agreement=agreement if agreed else None,
         )
         if dies:
-            for one in self.bank.processes:
+            for one in self.fleet.processes:
                 one.dies = folder / f"{one.name}.dies"
         self.agreed = agreed
 
@@ -95,19 +95,19 @@
         return files.document(self.service(**more)).encode()
 
     def start(self) -> None:
-        self.bank.start()
-        self.bank.until(self.bank.gathered, 60.0)
+        self.fleet.start()
+        self.fleet.until(self.fleet.gathered, 60.0)
         if self.agreed:
-            self.bank.until(
+            self.fleet.until(
                 lambda: all(self.status(n)["line"] >= 3 for n in range(self.count)), 30.0
             )
 
     def status(self, number: int) -> dict[str, Any]:
-        found: dict[str, Any] = self.bank.ask(number, "status")
+        found: dict[str, Any] = self.fleet.ask(number, "status")
         return found
 
     def alive(self) -> list[int]:
-        return [one.number for one in self.bank.processes if one.alive() and not one.stopped]
+        return [one.number for one in self.fleet.processes if one.alive() and not one.stopped]
 
     def leader(self) -> int:
         found: list[int] = []
@@ -116,7 +116,7 @@
             found[:] = [n for n in self.alive() if self.asked(n)["role"] == "leader"]
             return bool(found)
 
-        self.bank.until(leads, 20.0)
+        self.fleet.until(leads, 20.0)
         return found[0]
 
     def asked(self, number: int) -> dict[str, Any]:
@@ -147,7 +147,7 @@
     def load(self, numbers: list[int], rate: float, span: float) -> Loads:
         streams = [
             (
-                self.bank.processes[n].balancer.address,  # type: ignore[union-attr]
+                self.fleet.processes[n].balancer.address,  # type: ignore[union-attr]
                 Asks(f"t{n}", rate, "/t/x", "POST", "t.example", TIMEOUT, AGREED),
             )
             for n in numbers
@@ -157,25 +157,25 @@
     def command(self, number: int, what: str, **value: Any) -> dict[str, Any]:
         """One command at one process, until it is known what it came to."""
         identity = Random().getrandbits(60) | 1
-        self.bank.ask(number, "command", name=what, value=value | {"id": identity, "who": "bench"})
+        self.fleet.ask(number, "command", name=what, value=value | {"id": identity, "who": "bench"})
         found: dict[str, Any] = {}
 
         def known() -> bool:
-            found.update(self.bank.ask(number, "outcome", name=str(identity)))
+            found.update(self.fleet.ask(number, "outcome", name=str(identity)))
             return bool(found["known"])
 
-        self.bank.until(known, 20.0)
+        self.fleet.until(known, 20.0)
         return found
 
     def put(self, number: int, text: bytes) -> str:
         content, data = deflated(text)
         for piece in pieces(data):
-            self.bank.ask(number, "put", name=content, value=piece)
-        self.bank.until(lambda: bool(self.bank.ask(number, "has", name=content)["whole"]), 20.0)
+            self.fleet.ask(number, "put", name=content, value=piece)
+        self.fleet.until(lambda: bool(self.fleet.ask(number, "has", name=content)["whole"]), 20.0)
         return content
 
     def end(self) -> None:
-        self.bank.end()
+        self.fleet.end()
         self.upstream_fleet.stop()
 
 
@@ -232,7 +232,7 @@
     """One day; with operators the properties are held, without it is what the same faults come to."""
     calm = [count - 2, count - 1]
     trial = Trial(folder, count, seed, 2, 5 if count >= 9 else 3, relayed=True)
-    bank = trial.bank
+    fleet = trial.fleet
     try:
         trial.start()
         schedule = drawn(seed, count, list(range(count - 2)), seconds)
@@ -241,18 +241,18 @@
         ends = time.monotonic() + seconds
         those = [
             Operator(
-                bank, number, seed, ends, list(range(count - 2)), trial.upstream_fleet, contents
+                fleet, number, seed, ends, list(range(count - 2)), trial.upstream_fleet, contents
             )
             for number in range(operators)
         ]
         for one in those:
             one.start()
-        bank.play(schedule)
+        fleet.play(schedule)
         halt(those)
         begun = time.monotonic()
         one_state = True
         try:
-            bank.until(lambda: len(trial.states()) == 1 and len(trial.alive()) == count, SETTLED)
+            fleet.until(lambda: len(trial.states()) == 1 and len(trial.alive()) == count, SETTLED)
         except TimeoutError:
             one_state = False
             for n in trial.alive():
@@ -262,7 +262,7 @@
                 )
         settled = time.monotonic() - begun
         seen = load.results()
-        most, times = too_many(bank.said)
+        most, times = too_many(fleet.said)
         answers = [answer for one in those for answer in one.answers]
         return {
             "seed": seed,
@@ -342,7 +342,7 @@
 def release(report: Report, folder: Path, count: int, seed: int) -> None:
     """One wave to all, then bad ones: each is met by its canary alone, halted, and undone."""
     trial = Trial(folder, count, seed, out=max(2, count // 4), voters=5 if count >= 9 else 3)
-    bank, window = trial.bank, 1.0
+    fleet, window = trial.fleet, 1.0
     ways = Ways(trial.upstream_fleet.addresses)
     try:
         ways.late(list(ways.addresses), 1.6 * AGREED)
@@ -355,12 +355,12 @@
             1, "release", content=content, waves="100%", window_ms=int(window * 1000)
         )
         assert found["good"], found["text"]
-        bank.until(lambda: all(trial.status(n)["runs"] == content for n in range(count)), 30.0)
+        fleet.until(lambda: all(trial.status(n)["runs"] == content for n in range(count)), 30.0)
         took = time.monotonic() - begun
         report.bound(
             f"{count} processes, one wave: s from command to the last that runs it", took, most=10.0
         )
-        bank.until(lambda: trial.status(1)["release"] is None, 20.0)
+        fleet.until(lambda: trial.status(1)["release"] is None, 20.0)
         report.bound("and it is good", float(trial.status(1)["good"] == content), least=1)
         kinds = {
             "refused": trial.text().replace(b"exclusive", b"inclusive"),
@@ -369,7 +369,7 @@
         }
         for kind, text in kinds.items():
             bad = trial.put(2, text)
-            before = ran(bank)
+            before = ran(fleet)
             begun = time.monotonic()
             found = trial.command(
                 2, "release", content=bad, waves="1", window_ms=int(window * 1000)
@@ -384,10 +384,10 @@
                     halted.append(time.monotonic() - begun)
                 return told["release"] is None
 
-            bank.until(over, 30.0)
+            fleet.until(over, 30.0)
             undone = time.monotonic() - begun
             row = next(one for one in trial.status(2)["closed"] if one["number"] == number)
-            met = sum(now > then for now, then in zip(ran(bank), before))
+            met = sum(now > then for now, then in zip(ran(fleet), before))
             report.say(f"     {kind}: {row['phase']}: {row['reason'][:150]}")
             report.bound(
                 f"{kind}: s from command to its halt, with the gate's window of {window:g} s",
@@ -407,10 +407,10 @@
         ways.stop()
 
 
-def ran(bank: Bank) -> list[int]:
+def ran(fleet: Fleet) -> list[int]:
     """How often each process has gone on by another released file."""
     return [
-        one.balancer.said("event=release_runs") if one.balancer else 0 for one in bank.processes
+        one.balancer.said("event=release_runs") if one.balancer else 0 for one in fleet.processes
     ]
 
 
@@ -450,9 +450,9 @@
 
 def at_point(report: Report, trial: Trial, content: str, point: int) -> dict[str, Any]:
     """One release with the leader killed at one point of it."""
-    bank, leads = trial.bank, trial.leader()
-    bank.until(lambda: not trial.asked(leads)["lost"], 20.0)
-    process = bank.processes[leads]
+    fleet, leads = trial.fleet, trial.leader()
+    fleet.until(lambda: not trial.asked(leads)["lost"], 20.0)
+    process = fleet.processes[leads]
     assert process.dies
     process.dies.write_text(str(point))
     other = next(n for n in range(5) if n != leads)
@@ -467,7 +467,7 @@
         "id": identity,
         "who": "bench",
     }
-    bank.ask(other, "command", name="release", value=value)
+    fleet.ask(other, "command", name="release", value=value)
     died = False
     ends = time.monotonic() + 40.0
     number = 0
@@ -477,7 +477,7 @@
             process.dies.unlink()
             process.start()
         found = trial.asked(other)
-        said = bank.ask(other, "outcome", name=str(identity))
+        said = fleet.ask(other, "outcome", name=str(identity))
         if said["known"]:
             number = int(said["text"].split()[1]) if said["good"] else -1
         over = number > 0 and any(one["number"] == number for one in found["closed"])
@@ -507,7 +507,7 @@
 
 
 def cost(report: Report, folder: Path, seed: int, span: float, count: int = 6) -> None:
-    """CPU of an idle bank, and of a request, with the record and without, in the same seconds."""
+    """CPU of an idle fleet, and of a request, with the record and without, in the same seconds."""
     idle, busy = {}, {}
     trials = {on: Trial(folder / str(on), count, seed, agreed=on) for on in (True, False)}
     try:
@@ -516,7 +516,7 @@
         time.sleep(2.0)
 
         def cpu(on: bool) -> float:
-            return sum(one.balancer.cpu() for one in trials[on].bank.processes)  # type: ignore[union-attr]
+            return sum(one.balancer.cpu() for one in trials[on].fleet.processes)  # type: ignore[union-attr]
 
         before, begun = {on: cpu(on) for on in trials}, time.monotonic()
         time.sleep(span)
@@ -536,7 +536,7 @@
             "CPU of a task with it, times that without", busy[True] / busy[False], most=1.1
         )
         held = {
-            on: sum(one.balancer.memory() for one in trial.bank.processes if one.balancer)
+            on: sum(one.balancer.memory() for one in trial.fleet.processes if one.balancer)
             / count
             / 1e6
             for on, trial in trials.items()
--- a/benchmarks/badday.py
+++ b/benchmarks/badday.py
@@ -1,4 +1,4 @@
-"""The bank's bad days: drawn faults on everything at once, each promise held, known faults put
+"""The fleet's bad days: drawn faults on everything at once, each promise held, known faults put
 back.
 
 `fixed` plays some days on processes and some of the members and the record in the model; each
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -1,9 +1,9 @@
-"""Two builds side by side: a bank rolled from an earlier build to this one, and back, under
+"""Two builds side by side: a fleet rolled from an earlier build to this one, and back, under
 traffic.
 
 The earlier build comes from the project's own history, checked out aside by `git worktree` and
 taken away again. Held: every request one answer, nothing exclusive twice, a limit of the whole
-bank never over by the upstreams' own count, one view of who is there at each step. See
+fleet never over by the upstreams' own count, one view of who is there at each step. See
 docs/design/badday.md.
 """
 
@@ -17,7 +17,7 @@
 from benchmarks.common import Report, main
 from whinpier.testbed import files
 from whinpier.testbed.fault_scenario import BURST, RATE, excess
-from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
@@ -28,7 +28,7 @@
 
 
 class Trial:
-    """A bank of which each process may be of either build."""
+    """A fleet of which each process may be of either build."""
 
     def __init__(self, folder: Path, count: int, seed: int, earlier: Path) -> None:
         self.count, self.earlier = count, earlier
@@ -36,7 +36,7 @@
             {f"s-{n}": Script(workers=32, work=WORK) for n in range(4)}, seed
         )
         homes = [f"m{n}" for n in range(count)]
-        self.bank = Bank(
+        self.fleet = Fleet(
             count,
             folder,
             self.service,
@@ -45,7 +45,7 @@
             verdicts={},
             limits={"all": {"kind": "rate", "amount": RATE, "burst": BURST, "homes": homes}},
         )
-        for one in self.bank.processes:
+        for one in self.fleet.processes:
             one.root = earlier
 
     def service(self, process: Process) -> files.Plain:
@@ -56,38 +56,38 @@
         """Each in turn ends in order and starts as the other build; the slowest to be among the others."""
         slowest = 0.0
         for number in numbers:
-            self.bank.leave(number)
-            self.bank.processes[number].root = root
+            self.fleet.leave(number)
+            self.fleet.processes[number].root = root
             began = time.monotonic()
-            self.bank.start(number)
-            self.bank.until(self.bank.gathered, 20.0)
+            self.fleet.start(number)
+            self.fleet.until(self.fleet.gathered, 20.0)
             slowest = max(slowest, time.monotonic() - began)
         return slowest
 
     def is_earlier(self, number: int) -> bool:
         """Whether it does not know what only this build does."""
         try:
-            self.bank.ask(number, "status")
+            self.fleet.ask(number, "status")
         except RuntimeError as fault:
             return "is none of" in str(fault)
         return False
 
     def end(self) -> None:
-        self.bank.end()
+        self.fleet.end()
         self.upstream_fleet.stop()
 
 
 def rolled(report: Report, folder: Path, count: int, seed: int, earlier: Path) -> None:
     trial = Trial(folder, count, seed, earlier)
-    bank, rolling = trial.bank, list(range(count - 2))
+    fleet, rolling = trial.fleet, list(range(count - 2))
     try:
-        bank.start()
-        bank.until(bank.gathered, 60.0)
-        bank.until(
+        fleet.start()
+        fleet.until(fleet.gathered, 60.0)
+        fleet.until(
             lambda: all(
                 not row["fenced_ms"] and row["agreed"]
                 for n in range(count)
-                for row in bank.ask(n, "limits")
+                for row in fleet.ask(n, "limits")
             ),
             30.0,
         )
@@ -98,7 +98,7 @@
         trial.roll([count - 1], None)
         streams = [
             (
-                bank.processes[n].balancer.address,  # type: ignore[union-attr]
+                fleet.processes[n].balancer.address,  # type: ignore[union-attr]
                 Asks(f"t{n}", 0.7 * RATE, "/t/x", "POST", "t.example", TIMEOUT, AGREED),
             )
             for n in (count - 2, count - 1)
@@ -112,7 +112,7 @@
             most=count - 1,
         )
         forward = trial.roll(rolling, None)
-        builds = {row["build"] for row in bank.ask(0, "members")["members"]}
+        builds = {row["build"] for row in fleet.ask(0, "members")["members"]}
         back = trial.roll(rolling, earlier)
         took = time.monotonic() - begun
         seen = loads.results()
@@ -129,7 +129,7 @@
         over, used = excess(trial.upstream_fleet.meter()["times"])
         report.bound("tasks over the limit of the whole bank in any window", over, most=0.0)
         report.bound("and so many times what it allows were used in some", used, least=0.3)
-        unread = [bank.ask(n, "figures") for n in range(count)]
+        unread = [fleet.ask(n, "figures") for n in range(count)]
         report.bound(
             "datagrams of the other build that were not read",
             sum(
--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -2,9 +2,9 @@
 errs.
 
 All-to-all heartbeats, gossip of counters (each sends its whole table of beats to one other, van
-Renesse 1998) and the bank's own machine. A tenth of all datagrams is lost; one member dies in
+Renesse 1998) and the fleet's own machine. A tenth of all datagrams is lost; one member dies in
 silence. The first two are models of their rules alone, with the bytes that their tables need, each
-with the least time-out that keeps what the bank promises: nobody lost for a pause of a second, nor
+with the least time-out that keeps what the fleet promises: nobody lost for a pause of a second, nor
 by a tenth of the datagrams lost.
 """
 
@@ -14,14 +14,14 @@
 
 from benchmarks.common import Report, main
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.simulation.fleet import Bank
+from whinpier.simulation.fleet import Fleet
 from whinpier.testbed.faults import Fault, Schedule
 
 BEAT, PAUSE = 0.25, 1.25  # seconds between beats; that a time-out must last in any case
 ENTRY, HEAD = (
     14,
     75,
-)  # bytes of one member's beat in a table, and of a datagram besides: as the bank's own
+)  # bytes of one member's beat in a table, and of a datagram besides: as the fleet's own
 LOSS = 0.1
 HOUR = 3600.0
 
@@ -66,19 +66,19 @@
 
 
 def own(count: int, seed: int, loss: bool) -> tuple[float, float, int]:
-    """The bank's machine: bytes at rest, seconds to know, false losses in 18 s of a tenth lost."""
-    # A large bank that starts at once needs some seconds until all know all.
+    """The fleet's machine: bytes at rest, seconds to know, false losses in 18 s of a tenth lost."""
+    # A large fleet that starts at once needs some seconds until all know all.
     at = 8.0 + count / 50
-    quiet = Bank(Schedule(count, at + 7.0, (Fault(at, "vanish", (count - 1,)),), seed))
+    quiet = Fleet(Schedule(count, at + 7.0, (Fault(at, "vanish", (count - 1,)),), seed))
     quiet.clock.run(quiet.clock.start + int((at - 3.0) * SECOND))
     before = quiet.counts["bytes"]
     quiet.clock.run(quiet.clock.start + int((at - 0.01) * SECOND))
     rest = (quiet.counts["bytes"] - before) / count / 3.0
     lost = 0
     if loss:
-        bank = Bank(Schedule(count, 25.0, (Fault(5.0, "lossy", amount=LOSS, span=18.0),), seed))
-        bank.play()
-        lost = bank.counts["member_lost"]
+        fleet = Fleet(Schedule(count, 25.0, (Fault(5.0, "lossy", amount=LOSS, span=18.0),), seed))
+        fleet.play()
+        lost = fleet.counts["member_lost"]
     return rest, quiet.play()["slowest"].get("dead", float("inf")), lost
 
 
--- a/benchmarks/fullsize.py
+++ b/benchmarks/fullsize.py
@@ -1,4 +1,4 @@
-"""Days of a large bank on the model: restarts, kills, lost zones, silence, replaced fleets; speed;
+"""Days of a large fleet on the model: restarts, kills, lost zones, silence, replaced fleets; speed;
 memory.
 
 Every kind beside an oracle and one that sees late, rules kept on all. --short plays them at a tenth
@@ -85,7 +85,7 @@
             broken += sum(row["breaches"].values())
             if row["breaches"]:
                 report.say(f"     {kind}, seed {row['seed']}: {row['breaches']} {row['told']}")
-        # Half of what one reaches that sees late is what the bank's operators ask at least.
+        # Half of what one reaches that sees late is what the fleet's operators ask at least.
         report.bound(
             f"{kind}: on time beside the late-seeing oracle", own / max(late, 1e-9), least=0.9
         )
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -59,7 +59,7 @@
                 seconds=seconds * 4 / cores if cores < 4 else seconds,
                 warm=5.0,
                 policy={"name": "random", "hand_offs": 1},
-                upstream_fleet={
+                fleet={
                     "balancers": 1,
                     "network": 0.0,
                     "machines": [
@@ -165,7 +165,7 @@
         table = given(
             seconds=seconds,
             warm=0.5,
-            upstream_fleet={"balancers": balancers, "machines": [{"count": upstreams, "cores": 4}]},
+            fleet={"balancers": balancers, "machines": [{"count": upstreams, "cores": 4}]},
             streams=[{"name": "charge", "rate": rate, "work": 0.02}],
         )
         profile = cProfile.Profile()
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,11 +1,11 @@
-"""Limits of the whole bank on real processes: never over by the upstreams' own count, and how much
+"""Limits of the whole fleet on real processes: never over by the upstreams' own count, and how much
 is used.
 
 `orders` explores the state machines: every order of small worlds, walks, and each fault put into
 the code. `moves` sends all traffic to one of eight processes, then to another, and compares with
 fixed parts in the same run. `days` plays drawn faults (kills, pauses, cuts, loss, restarts) on
 eight processes under skewed traffic. `windows` does the same over some minutes with a count of each
-minute, clocks that are wrong and state files. `nearly` moves demand, cuts the bank, and holds the
+minute, clocks that are wrong and state files. `nearly` moves demand, cuts the fleet, and holds the
 excess against its formula. `cost` counts what ten limits, and many tenants, cost a request. See
 docs/design/limits.md.
 """
@@ -35,7 +35,7 @@
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.testbed import files
 from whinpier.testbed.fault_scenario import excess
-from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.faults import Fault, Schedule, split
 from whinpier.testbed.upstream_fleet import UpstreamFleet
@@ -54,7 +54,7 @@
 
 
 class Trial:
-    """A bank with both kinds of limit over one pool."""
+    """A fleet with both kinds of limit over one pool."""
 
     def __init__(
         self,
@@ -84,9 +84,9 @@
                 for n in range(count)
             }
         self.fixed = fixed
-        self.bank = Bank(count, folder, self.service, seed, relayed=relayed, limits=limits)
+        self.fleet = Fleet(count, folder, self.service, seed, relayed=relayed, limits=limits)
         if fixed:
-            for process in self.bank.processes:
+            for process in self.fleet.processes:
                 process.limits = {f"all-{process.number}": limits[f"all-{process.number}"]}
 
     def service(self, process: Process) -> files.Plain:
@@ -94,13 +94,13 @@
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def start(self) -> None:
-        self.bank.start()
-        self.bank.until(self.bank.gathered, 30.0)
-        self.bank.until(
+        self.fleet.start()
+        self.fleet.until(self.fleet.gathered, 30.0)
+        self.fleet.until(
             lambda: all(
                 not row["fenced_ms"] and (self.fixed or row["agreed"])
-                for process in self.bank.processes
-                for row in self.bank.ask(process.number, "limits")
+                for process in self.fleet.processes
+                for row in self.fleet.ask(process.number, "limits")
             ),
             30.0,
         )
@@ -111,7 +111,7 @@
         return Loads(
             [
                 (
-                    self.bank.processes[number].balancer.address,  # type: ignore[union-attr]
+                    self.fleet.processes[number].balancer.address,  # type: ignore[union-attr]
                     Asks(
                         f"t{number}",
                         rate,
@@ -132,7 +132,7 @@
         )
 
     def end(self) -> None:
-        self.bank.end()
+        self.fleet.end()
         self.upstream_fleet.stop()
 
 
@@ -237,7 +237,7 @@
             streams.append((number, 2.0 * RATE / count, surges))
         load = trial.load(streams, start, span, seed)
         time.sleep(max(0.0, start - time.monotonic()))
-        trial.bank.play(schedule)
+        trial.fleet.play(schedule)
         gateways = load.results()
         met = trial.upstream_fleet.meter()
         touched = {number for fault in schedule.faults for number in fault.who}
@@ -357,9 +357,9 @@
     return made
 
 
-def asked(bank: Bank, number: int, rate: float, surges: list[tuple[float, float, float]]) -> Any:
+def asked(fleet: Fleet, number: int, rate: float, surges: list[tuple[float, float, float]]) -> Any:
     return (
-        bank.processes[number].balancer.address,  # type: ignore[union-attr]
+        fleet.processes[number].balancer.address,  # type: ignore[union-attr]
         Asks(f"t{number}", rate, "/t/x", "POST", "t.example", TIMEOUT, AGREED, surges=surges),
     )
 
@@ -377,18 +377,18 @@
     limits: files.Plain = {
         "minute": {"kind": "count", "amount": A_MINUTE, "window": "minute", "homes": homes}
     }
-    bank = Bank(count, folder, service(upstream_fleet), seed, limits=limits)
+    fleet = Fleet(count, folder, service(upstream_fleet), seed, limits=limits)
     loads: Loads | None = None
     try:
         for number, wrong in ((1, 3_600.0), (2, -1_234.5)):
-            bank.processes[number].wall = wrong
-        bank.start()
-        bank.until(bank.gathered, 30.0)
-        bank.until(
+            fleet.processes[number].wall = wrong
+        fleet.start()
+        fleet.until(fleet.gathered, 30.0)
+        fleet.until(
             lambda: all(
                 row["agreed"] and not row["fenced_ms"]
-                for process in bank.processes
-                for row in bank.ask(process.number, "limits")
+                for process in fleet.processes
+                for row in fleet.ask(process.number, "limits")
             ),
             30.0,
         )
@@ -400,7 +400,7 @@
         hot = [chance.randrange(count) for _ in range(minutes * 6)]
         streams = [
             asked(
-                bank,
+                fleet,
                 number,
                 3.0 * A_MINUTE / 60 / count,
                 [
@@ -416,25 +416,25 @@
             time.sleep(max(0.0, start + at - time.monotonic()))
             number, kind = chance.randrange(count), chance.choice(("kill", "stop", "cut", "lossy"))
             if kind == "kill":
-                bank.kill(number)
-                bank.processes[number].start()
+                fleet.kill(number)
+                fleet.processes[number].start()
                 killed += 1
             elif kind == "stop":
-                bank.stop(number)
+                fleet.stop(number)
                 time.sleep(2.5)
-                bank.go_on(number)
+                fleet.go_on(number)
             elif kind == "cut":
-                bank.cut("half", list(range(count // 2)), list(range(count // 2, count)))
+                fleet.cut("half", list(range(count // 2)), list(range(count // 2, count)))
                 time.sleep(2.0)
-                bank.heal("half")
+                fleet.heal("half")
             else:
-                bank.weather("lossy", lost=0.3)
+                fleet.weather("lossy", lost=0.3)
                 time.sleep(2.0)
-                bank.weather("lossy")
+                fleet.weather("lossy")
             at += chance.uniform(4.0, 9.0)
         gateways = loads.results()
         met = upstream_fleet.meter()["times"]
-        # Where an upstream's own moment and the bank's may be a little apart, a request counts for
+        # Where an upstream's own moment and the fleet's may be a little apart, a request counts for
         # neither.
         inside = [at for at in met if 0.25 < (wall + at - start) % 60.0 < 59.75]
         each = Counter(int((at - start + wall) // 60.0) for at in inside)
@@ -455,7 +455,7 @@
     finally:
         if loads:
             loads.stop()
-        bank.end()
+        fleet.end()
         upstream_fleet.stop()
 
 
@@ -470,7 +470,7 @@
 
 
 def nearly(report: Report, folder: Path, count: int, seed: int, span: float) -> None:
-    """A rate that is nearly kept: demand that moves, then a bank cut in two, whose parts both
+    """A rate that is nearly kept: demand that moves, then a fleet cut in two, whose parts both
     ask for all.
     """
     upstream_fleet = UpstreamFleet(
@@ -479,14 +479,14 @@
     limits: files.Plain = {
         "near": {"kind": "rate", "amount": RATE, "burst": BURST, "promise": "nearly"}
     }
-    bank = Bank(count, folder, service(upstream_fleet), seed, limits=limits)
+    fleet = Fleet(count, folder, service(upstream_fleet), seed, limits=limits)
     loads: Loads | None = None
     try:
-        bank.start()
-        bank.until(bank.gathered, 30.0)
-        bank.until(
+        fleet.start()
+        fleet.until(fleet.gathered, 30.0)
+        fleet.until(
             lambda: all(
-                bank.ask(one.number, "limits")[0]["sharing"] == count for one in bank.processes
+                fleet.ask(one.number, "limits")[0]["sharing"] == count for one in fleet.processes
             ),
             30.0,
         )
@@ -504,10 +504,12 @@
         streams = []
         for number, (first,) in phases.items():
             rate = 1.5 * RATE
-            streams.append(asked(bank, number, rate, [(0.0, first[0], 0.0), (first[1], 99.0, 0.0)]))
+            streams.append(
+                asked(fleet, number, rate, [(0.0, first[0], 0.0), (first[1], 99.0, 0.0)])
+            )
         loads = Loads(streams, seed, start, cut + 12.0, most=1_000)
         time.sleep(max(0.0, start + cut - time.monotonic()))
-        bank.cut("halves", list(range(half)), list(range(half, count)))
+        fleet.cut("halves", list(range(half)), list(range(half, count)))
         loads.results()
         met = upstream_fleet.meter()["times"]
         calm = [at for at in met if at < start + cut]
@@ -545,7 +547,7 @@
     finally:
         if loads:
             loads.stop()
-        bank.end()
+        fleet.end()
         upstream_fleet.stop()
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,11 +1,11 @@
-"""A bank of real processes under traffic and faults: who is lost when, who names which position,
+"""A fleet of real processes under traffic and faults: who is lost when, who names which position,
 its worth.
 
-`faults` plays a schedule on the bank with the stand-in network between its processes and holds what
-each said against what was done (whinpier/testbed/referee.py). `table` compares on-time shares of
-banks that know each other with banks that are told the truth in their files, over the same seconds.
-`cost` compares CPU with the bank on and off. `model` plays drawn faults on simulated time, and
-every fault that is put back into the code. See docs/design/members.md.
+`faults` plays a schedule on the fleet with the stand-in network between its processes and holds
+what each said against what was done (whinpier/testbed/referee.py). `table` compares on-time
+shares of fleets that know each other with fleets that are told the truth in their files, over
+the same seconds. `cost` compares CPU with the fleet on and off. `model` plays drawn faults on
+simulated time, and every fault that is put back into the code. See docs/design/members.md.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from whinpier.fleet.messages import member_id
 from whinpier.policy.policy import Choice
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.simulation.fleet import Bank as Model
+from whinpier.simulation.fleet import Fleet as Model
 from whinpier.simulation.fleet_mutants import MUTATIONS, caught
 from whinpier.policy.model import RequestClass, Upstream
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks, Gateway
 from whinpier.testbed.faults import Fault, Schedule, draw
 from whinpier.testbed.upstream_fleet import UpstreamFleet
@@ -39,7 +39,7 @@
 
 
 class Trial:
-    """One bank with upstreams of its own, and streams to each of its processes."""
+    """One fleet with upstreams of its own, and streams to each of its processes."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
             {f"s-{n}": Script(workers=workers, work=WORK) for n in range(upstreams)}, seed
         )
         self.capacity = upstreams * workers / WORK
-        self.bank = Bank(count, folder, self.service, seed, relayed=relayed)
+        self.fleet = Fleet(count, folder, self.service, seed, relayed=relayed)
         self.seed = seed
         self.loads: list[Loads] = []
 
@@ -74,13 +74,13 @@
     def retell(self, balancers: int) -> None:
         """The files say another number, and those who are left read them again."""
         self.told = balancers
-        for process in self.bank.processes:
+        for process in self.fleet.processes:
             if process.alive() and process.balancer:
                 process.balancer.reload(files.document(process.file()))
 
     def load(self, streams: list[tuple[int, Asks]], start: float, span: float) -> None:
         addresses = [
-            (self.bank.processes[number].balancer.address, asks)  # type: ignore[union-attr]
+            (self.fleet.processes[number].balancer.address, asks)  # type: ignore[union-attr]
             for number, asks in streams
         ]
         self.loads.append(Loads(addresses, self.seed, start, span, most=2_000))
@@ -94,7 +94,7 @@
     def end(self) -> None:
         for load in self.loads:
             load.stop()
-        self.bank.end()
+        self.fleet.end()
         self.upstream_fleet.stop()
 
 
@@ -114,14 +114,14 @@
         seed,
     )
     trial = Trial(folder, count, 4, seed, workers=8)
-    bank = trial.bank
+    fleet = trial.fleet
     try:
-        bank.start()
-        bank.until(bank.gathered, 30.0)
-        begun, before = time.monotonic(), [bank.ask(n, "figures")["bytes_out"] for n in range(3)]
+        fleet.start()
+        fleet.until(fleet.gathered, 30.0)
+        begun, before = time.monotonic(), [fleet.ask(n, "figures")["bytes_out"] for n in range(3)]
         time.sleep(1.5)
         quiet = [
-            (bank.ask(n, "figures")["bytes_out"] - one) / (time.monotonic() - begun)
+            (fleet.ask(n, "figures")["bytes_out"] - one) / (time.monotonic() - begun)
             for n, one in enumerate(before)
         ]
         start = time.monotonic() + 0.5
@@ -132,11 +132,11 @@
             schedule.seconds + 0.4,
         )
         time.sleep(max(0.0, start + 0.4 - time.monotonic()))
-        played = bank.clock()
-        bank.play(schedule)
-        ends = bank.clock()
+        played = fleet.clock()
+        fleet.play(schedule)
+        ends = fleet.clock()
         gateways = trial.loads[0].results()
-        referee = Referee(bank.facts, bank.said, ends, Bounds())
+        referee = Referee(fleet.facts, fleet.said, ends, Bounds())
         breaches = referee.judge()
         for breach in breaches[:10]:
             report.say(f"     {breach}")
@@ -147,10 +147,10 @@
         report.bound("slowest to lose a dead member, s", referee.slowest["dead"], most=3.0)
         cut_at = played + 6.5
         asked = time.monotonic()
-        bank.ask(0, "members")
+        fleet.ask(0, "members")
         report.bound("answer of the control socket, s", time.monotonic() - asked, most=0.1)
         positions: dict[str, tuple[float, str]] = {}
-        for said in bank.said:
+        for said in fleet.said:
             if said.event == "bank_position" and cut_at <= said.at <= cut_at + 3.8:
                 positions[said.process[0]] = (said.at - cut_at, said.pairs["position"])
         # With one vanished of those known, neither half has over half of all that are reckoned
@@ -167,16 +167,16 @@
         )
         healed = [
             said.at - cut_at - 3.8
-            for said in bank.said
+            for said in fleet.said
             if said.event == "member_here" and cut_at + 3.8 <= said.at <= cut_at + 7.5
         ]
         report.bound("slowest to be one again, s", max(healed), most=3.0)
         lost = [
-            said for said in bank.said if said.event == "member_lost" and said.at > played + 14.4
+            said for said in fleet.said if said.event == "member_lost" and said.at > played + 14.4
         ]
         report.bound(f"lost by {lossy:g} s of a tenth lost on all ways", len(lost), most=0)
         suspected = sum(
-            said.event == "member_suspect" and said.at > played + 14.4 for said in bank.said
+            said.event == "member_suspect" and said.at > played + 14.4 for said in fleet.said
         )
         answers(report, trial, gateways, dying)
         report.figure("suspected_by_loss", suspected)
@@ -236,9 +236,9 @@
     second, third = first + 5.0 + span, first + 10.0 + 2 * span
     trial = Trial(folder, 8, upstreams, seed, "rerunnable", known, relayed=False)
     try:
-        trial.bank.start()
+        trial.fleet.start()
         if known:
-            trial.bank.until(trial.bank.gathered, 30.0)
+            trial.fleet.until(trial.fleet.gathered, 30.0)
         start, heavy = time.monotonic() + 1.0, 1.2 * trial.capacity
         trial.load(
             row_streams(
@@ -255,7 +255,7 @@
         for at, gone, left in ((first, range(2, 8), 2), (second, range(1, 2), 1)):
             time.sleep(max(0.0, start + at - time.monotonic()))
             for number in gone:
-                trial.bank.kill(number)
+                trial.fleet.kill(number)
             if not known:
                 trial.retell(left)
         return shares(
@@ -289,12 +289,12 @@
 
 
 def wrong(report: Report, folder: Path, upstreams: int, seed: int, span: float) -> None:
-    """What it is worth: eight whose files say one, and a bank cut into halves, at 1.2 times capacity."""
+    """What it is worth: eight whose files say one, and a fleet cut into halves, at 1.2 times capacity."""
     trial = Trial(folder / "cut", 8, upstreams, seed, "rerunnable")
     found: dict[str, float] = {}
     try:
-        trial.bank.start()
-        trial.bank.until(trial.bank.gathered, 30.0)
+        trial.fleet.start()
+        trial.fleet.until(trial.fleet.gathered, 30.0)
         start = time.monotonic() + 1.0
         trial.load(
             [trial.asks(number, 1.2 * trial.capacity / 8) for number in range(8)],
@@ -302,7 +302,7 @@
             5.0 + 2 * span,
         )
         time.sleep(max(0.0, start + 2.0 + span - time.monotonic()))
-        trial.bank.cut("halves", [0, 1, 2, 3], [4, 5, 6, 7])
+        trial.fleet.cut("halves", [0, 1, 2, 3], [4, 5, 6, 7])
         found["uncut"], found["cut"] = shares(
             trial.loads[0].results(), start, [(2.0, 2.0 + span), (5.0 + span, 5.0 + 2 * span)]
         )
@@ -311,7 +311,7 @@
     trial = Trial(folder / "one", 8, upstreams, seed, "rerunnable", known=False)
     trial.told = 1
     try:
-        trial.bank.start()
+        trial.fleet.start()
         start = time.monotonic() + 1.0
         trial.load(
             [trial.asks(number, 1.2 * trial.capacity / 8) for number in range(8)], start, 2.0 + span
@@ -334,16 +334,16 @@
 
 
 def cost(report: Report, folder: Path, count: int, seed: int, span: float) -> None:
-    """CPU of the bank's own work at rest: processes that know each other less one that knows nobody."""
+    """CPU of the fleet's own work at rest: processes that know each other less one that knows nobody."""
     trial = Trial(folder, count, 1, seed)
     alone = Trial(folder / "alone", 1, 1, seed)
-    alone.bank.seed_count = 0
+    alone.fleet.seed_count = 0
     try:
-        trial.bank.start()
-        trial.bank.until(trial.bank.gathered, 30.0)
-        alone.bank.start()
+        trial.fleet.start()
+        trial.fleet.until(trial.fleet.gathered, 30.0)
+        alone.fleet.start()
         time.sleep(1.0)
-        those = [*trial.bank.processes, *alone.bank.processes]
+        those = [*trial.fleet.processes, *alone.fleet.processes]
         before, at = [spent(one) for one in those], time.monotonic()
         time.sleep(span)
         shares = [(spent(one) - then) / (time.monotonic() - at) for one, then in zip(those, before)]
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -1,12 +1,12 @@
-"""Verdicts of the whole bank on real processes: how soon a slow upstream is out, and who is never
+"""Verdicts of the whole fleet on real processes: how soon a slow upstream is out, and who is never
 wronged.
 
-`slow` has twenty processes with little traffic each and makes one upstream of ten ten times slower,
-with verdicts and without, in the same run. `ways` gives one process bad ways to six of ten
-upstreams, `all_slow` slows them all: nothing may rest. `parts` cuts the bank in two while upstreams
-fail, and counts what rests anywhere. `stale` cuts off a process that goes by a verdict. `orders`
-explores the votes: every order of small worlds, walks, each fault put into the code. See
-docs/design/verdicts.md.
+`slow` has twenty processes with little traffic each and makes one upstream of ten ten times
+slower, with verdicts and without, in the same run. `ways` gives one process bad ways to six of
+ten upstreams, `all_slow` slows them all: nothing may rest. `parts` cuts the fleet in two while
+upstreams fail, and counts what rests anywhere. `stale` cuts off a process that goes by a
+verdict. `orders` explores the votes: every order of small worlds, walks, each fault put into the
+code. See docs/design/verdicts.md.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from whinpier.model_checking import ejection_scenarios
 from whinpier.model_checking.ejection import FAULTS
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
@@ -39,7 +39,7 @@
 
 
 class Trial:
-    """A bank over one pool of ten upstreams, each process with a stream of its own."""
+    """A fleet over one pool of ten upstreams, each process with a stream of its own."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
             },
             seed,
         )
-        self.bank = Bank(
+        self.fleet = Fleet(
             count,
             folder,
             self.service,
@@ -74,15 +74,15 @@
 
     def start(self, span: float) -> float:
         """Start all and their streams; when the streams begin, on the monotonic clock."""
-        self.bank.start()
-        self.bank.until(self.bank.gathered, 30.0)
+        self.fleet.start()
+        self.fleet.until(self.fleet.gathered, 30.0)
         begun = time.monotonic() + 0.5
         streams = [
             (
                 process.balancer.address,
                 Asks(f"t{process.number}", RATE, "/t/x", "GET", "t.example", TIMEOUT, AGREED),
             )
-            for process in self.bank.processes
+            for process in self.fleet.processes
             if process.balancer
         ]
         self.loads.append(Loads(streams, self.seed, begun, span))
@@ -102,10 +102,10 @@
         return {
             process.number: {
                 row["upstream"]
-                for row in self.bank.ask(process.number, "verdicts")
+                for row in self.fleet.ask(process.number, "verdicts")
                 if row["state"] == "rests"
             }
-            for process in self.bank.processes
+            for process in self.fleet.processes
             if process.alive() and not process.stopped
         }
 
@@ -127,7 +127,7 @@
     def end(self) -> None:
         for load in self.loads:
             load.stop()
-        self.bank.end()
+        self.fleet.end()
         self.upstream_fleet.stop()
 
 
@@ -150,7 +150,7 @@
             if verdicts:
                 told = [
                     line
-                    for process in trial.bank.processes
+                    for process in trial.fleet.processes
                     if process.balancer
                     for line in process.balancer.log().splitlines()
                     if "verdict_rests" in line
@@ -187,7 +187,7 @@
         )
         said = sum(
             process.balancer.said("verdict_rests")
-            for process in trial.bank.processes
+            for process in trial.fleet.processes
             if process.balancer
         )
         report.bound("verdicts while all were slow", said, most=0)
@@ -208,17 +208,17 @@
                 row["address"] = bad.addresses.get(row["name"], row["address"])
         return given
 
-    trial.bank.service = service
+    trial.fleet.service = service
     try:
         begun = trial.start(WARM + 8.0)
         until(begun + WARM)
         bad.late(list(bad.addresses), 10 * WORK)
         until(begun + WARM + 8.0)
-        process = trial.bank.processes[0].balancer
+        process = trial.fleet.processes[0].balancer
         assert process
         hearings = process.said("event=verdict_none")
         said = sum(
-            one.balancer.said("verdict_rests") for one in trial.bank.processes if one.balancer
+            one.balancer.said("verdict_rests") for one in trial.fleet.processes if one.balancer
         )
         report.say(
             f"     one of {count} with bad ways to six of ten: {hearings} hearings of it in vain"
@@ -230,7 +230,7 @@
 
 
 def parts(report: Report, folder: Path, count: int, seed: int, rounds: int) -> None:
-    """A bank that is cut, unevenly and in halves, while upstreams turn slow: what rests anywhere."""
+    """A fleet that is cut, unevenly and in halves, while upstreams turn slow: what rests anywhere."""
     trial = Trial(
         folder, count, seed, True, relayed=True, part=0.2, term="4s", life="2s", back="1s"
     )
@@ -244,7 +244,7 @@
             order = list(range(count))
             chance.shuffle(order)
             trial.slow(trial.upstream_fleet.addresses, 1.0)
-            trial.bank.cut("parts", order[:at], order[at:])
+            trial.fleet.cut("parts", order[:at], order[at:])
             trial.slow(names, 0.1)
             ends = begun + WARM + 6.0 * turn + 5.8
             while time.monotonic() < ends:
@@ -254,8 +254,8 @@
                 again = trial.resting()
                 there = set().union(*(one & two for one, two in zip(each.values(), again.values())))
                 worst, some = max(worst, len(there)), max(some, max(map(len, again.values())))
-                if time.monotonic() > ends - 2.9 and "parts" in trial.bank.cuts:
-                    trial.bank.heal("parts")
+                if time.monotonic() > ends - 2.9 and "parts" in trial.fleet.cuts:
+                    trial.fleet.heal("parts")
         report.bound("upstreams at rest at once, over the whole bank", worst, most=most)
         report.bound("and at some moment as many as may", some, least=most)
     finally:
@@ -269,17 +269,17 @@
         begun = trial.start(WARM + 12.0)
         until(begun + WARM)
         trial.slow(["s-3"], 0.1)
-        trial.bank.until(lambda: all("s-3" in one for one in trial.resting().values()), 10.0)
-        trial.bank.cut("one", [0], list(range(1, count)))
-        took = trial.bank.until(lambda: not trial.resting()[0], 10.0)
+        trial.fleet.until(lambda: all("s-3" in one for one in trial.resting().values()), 10.0)
+        trial.fleet.cut("one", [0], list(range(1, count)))
+        took = trial.fleet.until(lambda: not trial.resting()[0], 10.0)
         report.bound("a verdict at a member that was cut off lasted, s", took, most=3.5)
         report.bound(
             "members that go on by it",
             sum("s-3" in one for one in trial.resting().values()),
             least=count - 1,
         )
-        trial.bank.heal("one")
-        trial.bank.until(lambda: all("s-3" in one for one in trial.resting().values()), 10.0)
+        trial.fleet.heal("one")
+        trial.fleet.until(lambda: all("s-3" in one for one in trial.resting().values()), 10.0)
     finally:
         trial.end()
 
--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -1,4 +1,4 @@
-"""Stories of counts in calendar windows, of the bank's time, and of limits that are nearly kept."""
+"""Stories of counts in calendar windows, of the fleet's time, and of limits that are nearly kept."""
 
 import os
 import socket
@@ -26,7 +26,7 @@
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.storage.append_log import Torn
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
@@ -230,10 +230,10 @@
     again.journal.close()
 
 
-# The bank's time.
+# The fleet's time.
 
 
-def test_the_banks_time_is_where_most_clocks_lie_and_one_that_is_wrong_moves_nothing():
+def test_the_fleets_time_is_where_most_clocks_lie_and_one_that_is_wrong_moves_nothing():
     clocks = Clocks(3_600 * SECOND)  # the own one, an hour ahead
     for member in range(4):
         clocks.heard(member, -1_000_000 * member, 2_000_000, 0)
@@ -378,8 +378,8 @@
     return made
 
 
-def ready(bank, *numbers):
-    rows = [row for number in numbers for row in bank.ask(number, "limits")]
+def ready(fleet, *numbers):
+    rows = [row for number in numbers for row in fleet.ask(number, "limits")]
     return all(row["agreed"] and not row["fenced_ms"] for row in rows)
 
 
@@ -390,27 +390,27 @@
     limits = {
         "day": {"kind": "count", "amount": 90, "window": "minute", "homes": ["m0", "m1", "m2"]}
     }
-    bank = Bank(3, tmp_path, service(upstream_fleet), limits=limits, relayed=False)
+    fleet = Fleet(3, tmp_path, service(upstream_fleet), limits=limits, relayed=False)
     loads = None
     try:
         # By their clocks a minute ends 13 s from now; that of one is an hour behind.
         shift = 47.0 - time.time() % 60.0
         closes = time.monotonic() + 13.0
-        for process in bank.processes:
+        for process in fleet.processes:
             process.wall = shift - 3_600.0 * (process.number == 2)
-        bank.start()
-        until(lambda: ready(bank, 0, 1, 2))
+        fleet.start()
+        until(lambda: ready(fleet, 0, 1, 2))
         # Nobody knows of this minute what was used before: only an operator can say that nothing
         # was.
-        assert all(row["home"] == 0 for number in range(3) for row in bank.ask(number, "limits"))
+        assert all(row["home"] == 0 for number in range(3) for row in fleet.ask(number, "limits"))
         for number in range(3):
-            bank.ask(number, "begin", name="day")
+            fleet.ask(number, "begin", name="day")
         upstream_fleet.meter()
         start = time.monotonic() + 0.2
         loads = Loads(
             [
                 (
-                    bank.processes[number].balancer.address,
+                    fleet.processes[number].balancer.address,
                     Asks(f"t{number}", rate, "/t/x", host="t.example", timeout=1.0, agreed=0.5),
                 )
                 for number, rate in ((0, 40.0), (1, 5.0))
@@ -420,8 +420,8 @@
             closes + 3.0 - start,
         )
         time.sleep(max(0.0, start + 1.5 - time.monotonic()))
-        bank.kill(1)
-        bank.processes[1].start()
+        fleet.kill(1)
+        fleet.processes[1].start()
         seen = loads.results()
         times = upstream_fleet.meter()["times"]
         before = sum(one < closes - 0.3 for one in times)
@@ -434,26 +434,26 @@
     finally:
         if loads:
             loads.stop()
-        bank.end()
+        fleet.end()
         upstream_fleet.stop()
 
 
 def test_an_old_copy_of_the_state_file_is_found_out_and_counts_for_nothing(tmp_path):
     upstream_fleet = UpstreamFleet({"s": Script(workers=32, work=0.005)}, 1)
     limits = {"day": {"kind": "count", "amount": 1_000, "window": "day", "homes": ["m0", "m1"]}}
-    bank = Bank(2, tmp_path, service(upstream_fleet), limits=limits, relayed=False)
+    fleet = Fleet(2, tmp_path, service(upstream_fleet), limits=limits, relayed=False)
     loads = None
     try:
-        bank.start()
-        until(lambda: ready(bank, 0, 1))
-        bank.ask(0, "begin", name="day")
-        state = bank.processes[0].folder / "state"
-        until(lambda: bank.ask(0, "limits")[0]["mine"] == 500)
+        fleet.start()
+        until(lambda: ready(fleet, 0, 1))
+        fleet.ask(0, "begin", name="day")
+        state = fleet.processes[0].folder / "state"
+        until(lambda: fleet.ask(0, "limits")[0]["mine"] == 500)
         old = state.read_bytes()
         loads = Loads(
             [
                 (
-                    bank.processes[0].balancer.address,
+                    fleet.processes[0].balancer.address,
                     Asks("t", 100.0, "/t/x", host="t.example", timeout=1.0, agreed=0.5),
                 )
             ],
@@ -462,18 +462,18 @@
             1.5,
         )
         loads.results()
-        until(lambda: bank.ask(1, "figures").get("bank_stamps_heard", 0) > 3)
-        bank.kill(0)
+        until(lambda: fleet.ask(1, "figures").get("bank_stamps_heard", 0) > 3)
+        fleet.kill(0)
         state.write_bytes(old)
-        bank.processes[0].start()
-        bank.processes[0].balancer.wait_ready()
-        until(lambda: ready(bank, 0))
-        (row,) = bank.ask(0, "limits")
-        assert row["mine"] == 0 and "event=bank_state_old" in bank.processes[0].balancer.log()
+        fleet.processes[0].start()
+        fleet.processes[0].balancer.wait_ready()
+        until(lambda: ready(fleet, 0))
+        (row,) = fleet.ask(0, "limits")
+        assert row["mine"] == 0 and "event=bank_state_old" in fleet.processes[0].balancer.log()
     finally:
         if loads:
             loads.stop()
-        bank.end()
+        fleet.end()
         upstream_fleet.stop()
 
 
@@ -501,11 +501,11 @@
         routes = [files.route("t", "rerunnable", "t"), files.route("u", "rerunnable", "t")]
         return {"pools": {"t": pool}, "routes": routes}
 
-    bank = Bank(2, tmp_path, service, limits=limits, relayed=False)
+    fleet = Fleet(2, tmp_path, service, limits=limits, relayed=False)
     loads = None
     try:
-        bank.start()
-        until(lambda: ready(bank, 0, 1))
+        fleet.start()
+        until(lambda: ready(fleet, 0, 1))
         upstream_fleet.meter()
         start = time.monotonic() + 0.3
 
@@ -522,13 +522,13 @@
                 **more,
             )
 
-        address = bank.processes[0].balancer.address
+        address = fleet.processes[0].balancer.address
         loads = Loads(
             [
                 (address, asks("a", 30.0, "a")),
                 (address, asks("b", 30.0, "big")),
                 (address, asks("c", 30.0, "c", "u")),
-                (bank.processes[1].balancer.address, asks("d", 4.0, "a")),
+                (fleet.processes[1].balancer.address, asks("d", 4.0, "a")),
             ],
             1,
             start,
@@ -544,13 +544,13 @@
         assert met["most"] <= 6 and len(met["times"]) <= 60 * 5 + 10 + 30
         told = upstream_fleet.tell("s")
         assert told["most_open"] <= 8
-        rows = {(row["limit"], row["of"]): row for row in bank.ask(0, "limits")}
+        rows = {(row["limit"], row["of"]): row for row in fleet.ask(0, "limits")}
         assert rows["wide", "s"]["kind"] == "in_flight" and rows["all", ""]["sharing"] == 2
         assert not any(one.unanswered() or one.answered_twice() for one in seen)
     finally:
         if loads:
             loads.stop()
-        bank.end()
+        fleet.end()
         upstream_fleet.stop()
 
 
@@ -564,10 +564,10 @@
         pool = files.service("t", "ticketed", upstream_fleet.addresses, 0.5, 1.0)
         return {"pools": {"t": pool}, "routes": [files.route("t", "ticketed", "t")]}
 
-    bank = Bank(2, tmp_path, service, limits=limits, relayed=False)
+    fleet = Fleet(2, tmp_path, service, limits=limits, relayed=False)
     try:
-        bank.start()
-        until(lambda: ready(bank, 0, 1))
+        fleet.start()
+        until(lambda: ready(fleet, 0, 1))
         limits["all"] |= {"amount": 200, "burst": 100}
         limits["org"] = {
             "kind": "count",
@@ -576,29 +576,29 @@
             "homes": ["m0"],
             "each": "tenant",
         }
-        for number, process in enumerate(bank.processes):
+        for number, process in enumerate(fleet.processes):
             process.limits = limits
             process.balancer.reload(files.document(process.file()))
             if number == 0:
-                until(lambda: bank.ask(0, "limits")[0]["amount"] == 200_000)
-                assert bank.ask(0, "limits")[0]["home"] == 10_000  # the other has not read it yet
+                until(lambda: fleet.ask(0, "limits")[0]["amount"] == 200_000)
+                assert fleet.ask(0, "limits")[0]["home"] == 10_000  # the other has not read it yet
         until(
             lambda: [
                 row["home"]
                 for number in (0, 1)
-                for row in bank.ask(number, "limits")
+                for row in fleet.ask(number, "limits")
                 if row["limit"] == "all"
             ]
             == [100_000, 100_000]
         )
-        bank.ask(0, "begin", name="org")
+        fleet.ask(0, "begin", name="org")
 
         def ask(ticket, repeat):
             head = (
                 f"POST /t/x HTTP/1.1\r\nHost: t.example\r\nX-Txn: {random()}\r\nX-Remaining: 1\r\n"
             )
             head += f"Idempotency-Key: {ticket}\r\nX-Org: a\r\nContent-Length: 2\r\n"
-            with socket.create_connection(bank.processes[0].balancer.address, 5.0) as sock:
+            with socket.create_connection(fleet.processes[0].balancer.address, 5.0) as sock:
                 sock.sendall((head + "X-Resent: 1\r\n" * repeat + "\r\n{}").encode())
                 return int(sock.recv(200).split()[1])
 
@@ -606,5 +606,5 @@
         assert [ask("first", True) for _ in range(6)] == [200] * 6  # one request, asked for again
         assert [ask(f"t{number}", False) for number in range(4)].count(200) <= 3
     finally:
-        bank.end()
+        fleet.end()
         upstream_fleet.stop()
--- a/tests/fleet/test_consensus_service.py
+++ b/tests/fleet/test_consensus_service.py
@@ -13,7 +13,7 @@
 from whinpier.config import operator
 from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
@@ -29,12 +29,12 @@
 
 
 class Trial:
-    """A bank that agrees, with upstreams of its own."""
+    """A fleet that agrees, with upstreams of its own."""
 
     def __init__(self, count, folder, relayed=False, **more):
         self.folder = folder
         self.upstream_fleet = UpstreamFleet({f"s-{n}": Script(work=0.004) for n in range(3)}, 1)
-        self.bank = Bank(count, folder, self.service, relayed=relayed, agreement=AGREEMENT | more)
+        self.fleet = Fleet(count, folder, self.service, relayed=relayed, agreement=AGREEMENT | more)
         self.loads = None
 
     def service(self, process=None, **more):
@@ -42,22 +42,22 @@
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def start(self):
-        self.bank.start()
-        until(self.bank.gathered)
+        self.fleet.start()
+        until(self.fleet.gathered)
         until(lambda: all(self.status(n)["line"] >= 3 for n in self.alive()))
         return self
 
     def alive(self):
-        return [one.number for one in self.bank.processes if one.alive() and not one.stopped]
+        return [one.number for one in self.fleet.processes if one.alive() and not one.stopped]
 
     def status(self, number):
-        return self.bank.ask(number, "status")
+        return self.fleet.ask(number, "status")
 
     def leader(self):
         return until(lambda: [n for n in self.alive() if self.status(n)["role"] == "leader"])[0]
 
     def load(self, span, *numbers):
-        those = [self.bank.processes[number] for number in numbers]
+        those = [self.fleet.processes[number] for number in numbers]
         self.loads = Loads(
             [
                 (one.balancer.address, Asks(one.name, 40.0, "/t/x", "POST", "t.example", 1.5, 0.25))
@@ -71,7 +71,7 @@
     def say(self, number, *words, code=0):
         """One command at one process, to its end."""
         found = CliRunner().invoke(
-            cli, ["bank", *words, "--socket", self.bank.processes[number].control]
+            cli, ["bank", *words, "--socket", self.fleet.processes[number].control]
         )
         assert found.exit_code == code, (words, found.exit_code, found.output)
         return found.output
@@ -87,7 +87,7 @@
     def end(self):
         if self.loads:
             self.loads.stop()
-        self.bank.end()
+        self.fleet.end()
         self.upstream_fleet.stop()
 
 
@@ -110,18 +110,18 @@
     five.say(1, "drain", "balancer", "m4")
     assert "all: 1 may be out; out are m4" in five.say(2, "drain", "balancer", "m3", code=1)
     assert five.status(0)["drains"][0]["state"] == "done"
-    assert {one["balancers"] for one in [five.bank.ask(0, "members")["shares"]["t"]]} <= {4, 5}
+    assert {one["balancers"] for one in [five.fleet.ask(0, "members")["shares"]["t"]]} <= {4, 5}
     five.say(3, "drain", "upstream", "t/s-0")
     until(lambda: five.upstream_fleet.tell("s-0")["met"] == five.upstream_fleet.tell("s-0")["met"])
     met = five.upstream_fleet.tell("s-0")["met"]
     leader = five.leader()
-    five.bank.kill(leader)
+    five.fleet.kill(leader)
     other = next(n for n in five.alive() if n != 4)
     until(lambda: f"m{leader}" in five.status(other)["lost"])
     five.say(other, "undrain", "balancer", "m4")
     # One is lost, so that nothing else may go out.
     assert f"out are m{leader}" in five.say(other, "drain", "balancer", "m4", code=1)
-    five.bank.processes[leader].start()
+    five.fleet.processes[leader].start()
     until(lambda: not five.status(other)["lost"])
     assert five.upstream_fleet.tell("s-0")["met"] == met  # drained all the time, whoever led
     five.say(other, "undrain", "upstream", "t/s-0")
@@ -161,14 +161,14 @@
     begun = time.monotonic()
     said = four.say(2, "release", str(bad), "--waves", "1", "--window", "1s", code=3)
     assert "undone" in said and "gate of wave 1" in said and time.monotonic() - begun < 8.0
-    logs = [one.balancer.log() for one in four.bank.processes]
+    logs = [one.balancer.log() for one in four.fleet.processes]
     assert [log.count("event=release_runs") for log in logs] == [3, 1, 1, 1]
     assert four.upstream_fleet.tell("s-2")["met"] == met
     until(four.one_state)
     # A process that starts again takes up what was released, before it serves.
-    four.bank.kill(1)
-    four.bank.processes[1].start()
-    four.bank.processes[1].balancer.wait_ready()
+    four.fleet.kill(1)
+    four.fleet.processes[1].start()
+    four.fleet.processes[1].balancer.wait_ready()
     assert four.status(1)["runs"] == four.status(0)["good"]
     four.say(0, "undo")
     until(lambda: {four.status(n)["runs"] for n in range(4)} == {""})
@@ -181,39 +181,39 @@
 def test_voters_with_a_lost_disk_an_old_one_a_cut_and_a_whole_restart(trial):
     four = trial(4, relayed=True)
     voter = next(n for n in range(3) if n != four.leader())
-    folder = four.bank.processes[voter].folder / "agreed"
+    folder = four.fleet.processes[voter].folder / "agreed"
     shutil.copy(folder / "record", four.folder / "old")
     four.say(3, "drain", "balancer", "m3")
-    four.bank.kill(voter)
+    four.fleet.kill(voter)
     shutil.copy(four.folder / "old", folder / "record")
-    four.bank.processes[voter].start()
-    until(lambda: "agreement_old_disk" in four.bank.processes[voter].balancer.log())
+    four.fleet.processes[voter].start()
+    until(lambda: "agreement_old_disk" in four.fleet.processes[voter].balancer.log())
     until(lambda: len(four.status(four.leader())["voters"]) == 3 and four.status(voter)["votes"])
-    four.bank.kill(voter)
+    four.fleet.kill(voter)
     shutil.rmtree(folder)
-    four.bank.processes[voter].start()
+    four.fleet.processes[voter].start()
     until(lambda: len(four.status(four.leader())["voters"]) == 3 and four.status(voter)["votes"])
     leader = four.leader()
     rest = [n for n in range(4) if n != leader]
-    four.bank.cut("apart", [leader], rest)
+    four.fleet.cut("apart", [leader], rest)
     until(lambda: [n for n in rest if four.status(n)["role"] == "leader"])
     until(lambda: four.status(leader)["role"] != "leader")
     assert "most voters are not heard" in four.say(
         leader, "undrain", "balancer", "m3", "--wait", "1", code=1
     )
-    four.bank.heal("apart")
+    four.fleet.heal("apart")
     until(lambda: four.one_state() and not four.status(0)["lost"])
     for number in range(4):
-        four.bank.kill(number)
+        four.fleet.kill(number)
     for number in range(4):
-        four.bank.processes[number].start()
+        four.fleet.processes[number].start()
     for number in range(3):
-        four.bank.processes[number].balancer.wait_ready()
+        four.fleet.processes[number].balancer.wait_ready()
     until(
         lambda: four.status(3)["current"] and four.status(3)["aside"]
     )  # it is drained, as the record says
     four.say(0, "undrain", "balancer", "m3")
-    four.bank.processes[3].balancer.wait_ready()
+    four.fleet.processes[3].balancer.wait_ready()
 
 
 def test_two_operators_at_two_ends_and_a_command_that_is_said_again(trial):
@@ -223,7 +223,7 @@
     def operate(number, name):
         found = three.status(number)["revision"]
         ends.wait(10.0)
-        three.bank.ask(
+        three.fleet.ask(
             number,
             "command",
             name="drain",
@@ -232,7 +232,7 @@
         said[name] = until(
             lambda: [
                 one
-                for one in [three.bank.ask(number, "outcome", name=str(7 + number))]
+                for one in [three.fleet.ask(number, "outcome", name=str(7 + number))]
                 if one["known"]
             ]
         )[0]
@@ -249,7 +249,7 @@
     three.say(0, "drain", "balancer", "m1", "--id", "4242")
     three.say(0, "undrain", "balancer", "m1")
     line = three.status(0)["line"]
-    assert three.bank.ask(1, "outcome", name="4242")["good"]
+    assert three.fleet.ask(1, "outcome", name="4242")["good"]
     again = three.say(1, "drain", "balancer", "m1", "--id", "4242", "--wait", "2", code=3)
     assert "was undrained meanwhile" in again
     assert three.status(0)["line"] == line
@@ -265,7 +265,7 @@
     three.say(0, "drain", "upstream", "t/s-1")
     three.load(3.0, 0, 1, 2)
     met = three.upstream_fleet.tell("s-1")["met"]
-    for one in three.bank.processes:  # listed anew under its name, as another run
+    for one in three.fleet.processes:  # listed anew under its name, as another run
         again = [
             {
                 "name": name,
@@ -308,18 +308,18 @@
         ({"voters": ["m0"], "folder": "/x", "wait": "soon"}, "bank.agreement.wait"),
         ({"voters": ["m0"], "folder": "/x", "cut_off": "1s"}, "bank.agreement.cut_off: is shorter"),
     ):
-        bank = {"listen": "127.0.0.1:9001", "key_files": [str(key)], "agreement": wrong}
-        path.write_text(files.document(whole | {"bank": bank}))
+        fleet = {"listen": "127.0.0.1:9001", "key_files": [str(key)], "agreement": wrong}
+        path.write_text(files.document(whole | {"bank": fleet}))
         with pytest.raises(ConfigFault, match=said):
             operator.read(str(path))
     folder = tmp_path / "agreed"
     folder.mkdir()
-    bank = {
+    fleet = {
         "listen": "127.0.0.1:9001",
         "key_files": [str(key)],
         "agreement": {"voters": ["m0"], "folder": str(folder)},
     }
-    path.write_text(files.document(whole | {"bank": bank}))
+    path.write_text(files.document(whole | {"bank": fleet}))
     before = operator.read(str(path))
     (folder / "released.toml").write_text('# release ab\nup = "/ready"\n')
     after = operator.read(str(path))
@@ -355,19 +355,19 @@
                 "--back",
                 "2s",
                 "--socket",
-                three.bank.processes[2].control,
+                three.fleet.processes[2].control,
             ],
         )
 
     thread = threading.Thread(target=say)
     thread.start()
     until(lambda: three.status(0)["runs"])
-    three.bank.cut("off", [0], [1, 2])
-    until(lambda: "event=release_taken_back" in three.bank.processes[0].balancer.log())
+    three.fleet.cut("off", [0], [1, 2])
+    until(lambda: "event=release_taken_back" in three.fleet.processes[0].balancer.log())
     until(lambda: three.status(0)["runs"] == "")
     thread.join(20.0)
     assert content["said"].exit_code == 3 and "m0" in content["said"].output
-    three.bank.heal("off")
+    three.fleet.heal("off")
     until(
         lambda: three.one_state() and not three.status(1)["lost"] and not three.status(1)["release"]
     )
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -18,7 +18,7 @@
 from whinpier.config import operator
 from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.faults import Fault, Schedule
 from whinpier.testbed.upstream_fleet import UpstreamFleet
@@ -38,11 +38,11 @@
 
 
 @pytest.fixture
-def bank(tmp_path):
+def fleet(tmp_path):
     made = []
 
     def make(count, **more):
-        made.append(Bank(count, tmp_path, more.pop("service", service), **more))
+        made.append(Fleet(count, tmp_path, more.pop("service", service), **more))
         return made[-1]
 
     yield make
@@ -50,12 +50,12 @@
         one.end()
 
 
-def shares(bank, *numbers):
-    return [bank.ask(number, "members")["shares"]["t"] for number in numbers]
+def shares(fleet, *numbers):
+    return [fleet.ask(number, "members")["shares"]["t"] for number in numbers]
 
 
-def test_five_processes_gather_lose_a_killed_one_pause_and_are_cut_in_two(bank):
-    five = bank(5, seeds=2)
+def test_five_processes_gather_lose_a_killed_one_pause_and_are_cut_in_two(fleet):
+    five = fleet(5, seeds=2)
     five.start()
     until(five.gathered)
     five.play(
@@ -84,8 +84,8 @@
     assert sorted(numbers) == [0, 1, 2, 3]
 
 
-def test_a_goodbye_a_restart_and_all_killed_at_once_without_their_seeds(bank):
-    four = bank(4, seeds=1)
+def test_a_goodbye_a_restart_and_all_killed_at_once_without_their_seeds(fleet):
+    four = fleet(4, seeds=1)
     four.start()
     until(four.gathered)
     four.leave(3)
@@ -113,7 +113,7 @@
     until(lambda: {one["balancers"] for one in shares(four, 1, 2, 3)} == {3})
 
 
-def test_every_answer_is_given_once_while_members_come_and_go(bank):
+def test_every_answer_is_given_once_while_members_come_and_go(fleet):
     upstream_fleet = UpstreamFleet({f"s-{number}": Script(work=0.005) for number in range(3)}, 1)
     try:
 
@@ -121,7 +121,7 @@
             pool = files.service("t", "exclusive", upstream_fleet.addresses, 0.25, 1.5)
             return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
-        three = bank(3, service=charges, relayed=False)
+        three = fleet(3, service=charges, relayed=False)
         three.start()
         until(three.gathered)
         asks = Asks("t", 100.0, "/t/x", host="t.example", timeout=1.5)
@@ -141,8 +141,8 @@
         upstream_fleet.stop()
 
 
-def test_one_that_is_told_to_end_while_it_joins_ends_in_order(bank):
-    one = bank(2, seeds=2, relayed=False)
+def test_one_that_is_told_to_end_while_it_joins_ends_in_order(fleet):
+    one = fleet(2, seeds=2, relayed=False)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent:
         silent.bind(one.processes[1].real)  # a seed that is there and says nothing
         one.processes[0].start()
@@ -152,8 +152,8 @@
         assert "event=bank_left" in process.log() and "network_fault" not in process.log()
 
 
-def test_the_control_socket_is_its_owners_and_no_caller_holds_the_process(bank):
-    one = bank(2, relayed=False)
+def test_the_control_socket_is_its_owners_and_no_caller_holds_the_process(fleet):
+    one = fleet(2, relayed=False)
     one.start()
     until(one.gathered)
     path = one.processes[0].control
@@ -213,8 +213,8 @@
         again.stop()
 
 
-def test_what_people_ask_is_answered_as_text_and_as_data(bank):
-    one = bank(2, relayed=False)
+def test_what_people_ask_is_answered_as_text_and_as_data(fleet):
+    one = fleet(2, relayed=False)
     one.start()
     until(one.gathered)
     run = CliRunner()
@@ -234,8 +234,8 @@
     assert found.exit_code == 0 and "watching" in found.output
 
 
-def test_keys_and_seeds_change_by_a_reload_and_what_waits_is_said(bank):
-    two = bank(2, relayed=False, seeds=1)
+def test_keys_and_seeds_change_by_a_reload_and_what_waits_is_said(fleet):
+    two = fleet(2, relayed=False, seeds=1)
     two.start()
     until(two.gathered)
     new = two.folder / "new.key"
@@ -258,11 +258,11 @@
     } == {"z"}
 
 
-def given(tmp_path, **bank):
+def given(tmp_path, **fleet):
     key = tmp_path / "key"
     key.write_text("k" * 20)
     key.chmod(0o600)
-    table = {"listen": "127.0.0.1:7000", "key_files": [str(key)]} | bank
+    table = {"listen": "127.0.0.1:7000", "key_files": [str(key)]} | fleet
     return {"version": 1, "listen": ["127.0.0.1:9000"], "bank": table} | service(None)
 
 
@@ -302,12 +302,12 @@
         operator.made(table)
 
 
-def test_a_pool_that_says_how_many_share_it_is_not_the_banks(tmp_path):
+def test_a_pool_that_says_how_many_share_it_is_not_the_fleets(tmp_path):
     table = given(tmp_path)
-    assert operator.made(table).bank.pools == ("t",)
+    assert operator.made(table).fleet.pools == ("t",)
     table["pools"]["t"] |= {"balancers": 4, "number": 2}
     made = operator.made(table)
-    assert made.bank.pools == () and made.pools["t"].settings["balancers"] == 4
+    assert made.fleet.pools == () and made.pools["t"].settings["balancers"] == 4
 
 
 def test_the_platforms_way_imports_nothing_of_it(tmp_path):
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Stories of the bank in simulated time: forms, members, counts, the referee, schedules of faults."""
+"""Stories of the fleet in simulated time: forms, members, counts, the referee, schedules of faults."""
 
 import json
 import time
@@ -16,7 +16,7 @@
 from whinpier.fleet.membership.membership import BURST, KNOCKS, MOST_PROBES, SECOND, Members, Times
 from whinpier.cli.main import cli
 from whinpier.simulation import fleet_scenarios
-from whinpier.simulation.fleet import KEY, POOL, Bank
+from whinpier.simulation.fleet import KEY, POOL, Fleet
 from whinpier.simulation.fleet_mutants import MUTATIONS, caught, spoilt
 from whinpier.simulation.experiment import shipped
 from whinpier.testbed import faults
@@ -62,7 +62,7 @@
 
 
 def play(*events, count=12, seconds=24.0, **more):
-    found = Bank(Schedule(count, seconds, events, **more), bounds=Bounds())
+    found = Fleet(Schedule(count, seconds, events, **more), bounds=Bounds())
     return found, found.play()
 
 
@@ -96,7 +96,7 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=300), st.booleans(), st.integers(0, 255))
 def test_no_bytes_do_more_than_be_counted(noise, sealed, form):
-    """Also bytes that are proved to come from the bank: a later build's, or a faulty one's."""
+    """Also bytes that are proved to come from the fleet: a later build's, or a faulty one's."""
     one = members()
     if sealed:
         noise = messages.MAGIC + bytes((form,)) + noise
@@ -186,32 +186,34 @@
 
 
 def test_a_killed_member_is_lost_by_all_within_three_seconds_by_evidence():
-    bank, found = play(Fault(10.0, "kill", (5, 6)))
+    fleet, found = play(Fault(10.0, "kill", (5, 6)))
     assert (
         found["breaches"] == []
         and found["checked"]["dead"] == 20
         and found["slowest"]["dead"] < 1.5
     )
-    lost = [said for said in bank.said if said.event == "member_lost"]
+    lost = [said for said in fleet.said if said.event == "member_lost"]
     assert {said.pairs["why"] for said in lost} == {"refused"}
-    assert {node.members.position for node in bank.nodes.values() if node.alive} == {"whole"}
+    assert {node.members.position for node in fleet.nodes.values() if node.alive} == {"whole"}
 
 
 def test_one_whose_machine_is_gone_is_lost_as_fast_but_reckoned_with():
-    bank, found = play(Fault(10.0, "vanish", (5,)))
+    fleet, found = play(Fault(10.0, "vanish", (5,)))
     assert found["breaches"] == [] and 1.0 < found["slowest"]["dead"] < 3.0
-    for node in (node for node in bank.nodes.values() if node.alive):
+    for node in (node for node in fleet.nodes.values() if node.alive):
         assert node.members.position == "larger" and len(node.members.shares(POOL)) == 12
 
 
 def test_a_pause_of_a_second_is_no_loss_and_the_one_who_stood_still_accuses_nobody():
-    bank, found = play(Fault(10.0, "stop", (5, 6), span=1.0))
+    fleet, found = play(Fault(10.0, "stop", (5, 6), span=1.0))
     assert (
-        found["breaches"] == [] and bank.counts["member_suspect"] and not bank.counts["member_lost"]
+        found["breaches"] == []
+        and fleet.counts["member_suspect"]
+        and not fleet.counts["member_lost"]
     )
-    bank, found = play(Fault(10.0, "stop", (5,), span=60.0), seconds=80.0)
+    fleet, found = play(Fault(10.0, "stop", (5,), span=60.0), seconds=80.0)
     assert (
-        found["breaches"] == [] and bank.counts["member_lost"] == 11
+        found["breaches"] == [] and fleet.counts["member_lost"] == 11
     )  # it is lost, and loses nobody
 
 
@@ -220,12 +222,12 @@
 
 @pytest.mark.parametrize("parts", [HALVES, ((0,), tuple(range(1, 12))), THIRDS])
 def test_parts_know_their_own_position_and_are_one_again_after_it(parts):
-    bank, found = play(Fault(8.0, "cut", parts=parts, span=8.0))
+    fleet, found = play(Fault(8.0, "cut", parts=parts, span=8.0))
     assert found["breaches"] == [] and found["checked"]["position"] >= 24
 
 
 def test_three_parts_of_which_two_meet_first():
-    bank, found = play(
+    fleet, found = play(
         Fault(8.0, "cut", parts=((0, 1, 2, 3), (4, 5, 6, 7), (8, 9, 10, 11)), span=6.0),
         Fault(8.0, "cut", parts=((0, 1, 2, 3, 4, 5, 6, 7), (8, 9, 10, 11)), span=12.0),
         seconds=30.0,
@@ -234,10 +236,10 @@
 
 
 def test_a_tenth_of_all_datagrams_lost_loses_nobody():
-    bank, found = play(Fault(5.0, "lossy", span=60.0, amount=0.1), seconds=70.0)
+    fleet, found = play(Fault(5.0, "lossy", span=60.0, amount=0.1), seconds=70.0)
     assert (
-        bank.counts["member_suspect"] > 20
-        and not bank.counts["member_lost"]
+        fleet.counts["member_suspect"] > 20
+        and not fleet.counts["member_lost"]
         and found["breaches"] == []
     )
 
@@ -286,38 +288,38 @@
 
 
 def test_a_way_that_works_in_one_direction_only_loses_nobody():
-    bank, _ = play(Fault(8.0, "one_way", (1,), (2,), span=10.0))
-    assert not bank.counts["member_lost"]
-    bank, found = play(Fault(8.0, "one_way", (1,), (0,), span=8.0), count=2, seconds=30.0)
-    assert bank.counts["member_lost"] and found["breaches"] == []  # two have nobody to ask
+    fleet, _ = play(Fault(8.0, "one_way", (1,), (2,), span=10.0))
+    assert not fleet.counts["member_lost"]
+    fleet, found = play(Fault(8.0, "one_way", (1,), (0,), span=8.0), count=2, seconds=30.0)
+    assert fleet.counts["member_lost"] and found["breaches"] == []  # two have nobody to ask
 
 
 def test_two_processes_of_one_name_both_count_and_a_moved_one_counts_once():
-    bank, _ = play(Fault(8.0, "twin", (7,)))
-    assert all(len(node.members.shares(POOL)) == 13 for node in bank.nodes.values())
-    bank, found = play(Fault(8.0, "move", (7,), span=0.5))
+    fleet, _ = play(Fault(8.0, "twin", (7,)))
+    assert all(len(node.members.shares(POOL)) == 13 for node in fleet.nodes.values())
+    fleet, found = play(Fault(8.0, "move", (7,), span=0.5))
     assert found["breaches"] == []
-    assert all(len(node.members.shares(POOL)) == 12 for node in bank.nodes.values())
+    assert all(len(node.members.shares(POOL)) == 12 for node in fleet.nodes.values())
 
 
 def test_all_die_at_once_and_come_back_while_the_seeds_are_down():
-    bank, found = play(
+    fleet, found = play(
         Fault(6.0, "restart", tuple(range(3, 12)), span=2.0),
         Fault(6.0, "restart", (0, 1, 2), span=9.0),
         seconds=30.0,
     )
-    assert found["breaches"] == [] and bank.counts["bank_joined"] == 24
+    assert found["breaches"] == [] and fleet.counts["bank_joined"] == 24
 
 
-def test_a_bank_that_doubles_at_once_and_a_seed_that_dies_for_good():
-    bank, found = play(Fault(6.0, "join", tuple(range(6, 12))), Fault(10.0, "kill", (0,)), seeds=1)
+def test_a_fleet_that_doubles_at_once_and_a_seed_that_dies_for_good():
+    fleet, found = play(Fault(6.0, "join", tuple(range(6, 12))), Fault(10.0, "kill", (0,)), seeds=1)
     assert found["breaches"] == []
 
 
 def test_what_is_said_in_order_is_a_leaving_not_a_loss():
-    bank, found = play(Fault(8.0, "leave", (5,)), Fault(8.0, "leave", (6,)))
-    assert found["breaches"] == [] and bank.counts["member_left"] >= 20
-    assert not bank.counts["member_lost"]
+    fleet, found = play(Fault(8.0, "leave", (5,)), Fault(8.0, "leave", (6,)))
+    assert found["breaches"] == [] and fleet.counts["member_left"] >= 20
+    assert not fleet.counts["member_lost"]
 
 
 def test_old_datagrams_bring_nobody_back():
@@ -365,9 +367,9 @@
 
 
 def test_a_hundred_and_fifty_that_start_at_once_from_three_seeds_suspect_nobody():
-    bank, found = play(count=150, seconds=4.0)
-    told = {who: set() for who in {said.process for said in bank.said}}
-    for said in bank.said:
+    fleet, found = play(count=150, seconds=4.0)
+    told = {who: set() for who in {said.process for said in fleet.said}}
+    for said in fleet.said:
         if said.event == "member_here":
             told[said.process].add(said.pairs["member"])
     assert len(told) == 150 and all(len(those) == 149 for those in told.values())
@@ -493,7 +495,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_drawn_faults_break_nothing(seed):
-    assert Bank(faults.draw(seed, 9, 40.0, 5)).play()["breaches"] == []
+    assert Fleet(faults.draw(seed, 9, 40.0, 5)).play()["breaches"] == []
 
 
 @pytest.mark.parametrize("name", sorted(MUTATIONS))
@@ -511,7 +513,7 @@
 # The lab.
 
 
-def test_days_of_the_bank_are_an_experiment_and_a_broken_one_is_kept_and_shortened(tmp_path):
+def test_days_of_the_fleet_are_an_experiment_and_a_broken_one_is_kept_and_shortened(tmp_path):
     file = tmp_path / "days.toml"
     file.write_text(
         'name = "x"\nseconds = 24.0\nseeds = 2\n[bank]\nmembers = 6\n'
@@ -532,9 +534,9 @@
     assert found.exit_code == 2 and "faults[0]: names a member that is none of 6" in found.output
 
 
-def test_every_experiment_on_the_bank_that_ships_is_well_formed():
+def test_every_experiment_on_the_fleet_that_ships_is_well_formed():
     found = [path for path in shipped().values() if fleet_scenarios.is_one(path)]
     assert len(found) >= 6
     for path in found:
         days = fleet_scenarios.read(path)
-        assert fleet_scenarios.schedule(days, 1).members == days.bank.members
+        assert fleet_scenarios.schedule(days, 1).members == days.fleet.members
--- a/tests/fleet/test_operator_limits.py
+++ b/tests/fleet/test_operator_limits.py
@@ -1,4 +1,4 @@
-"""Stories of what operators say to the whole bank: it reaches all, and it ends."""
+"""Stories of what operators say to the whole fleet: it reaches all, and it ends."""
 
 import json
 import signal
@@ -14,7 +14,7 @@
 from whinpier.config import operator
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank
+from whinpier.testbed.fleet import Fleet
 
 
 def test_of_two_words_the_later_holds_everywhere_whatever_order_they_come_in():
@@ -79,37 +79,38 @@
             "routes": [files.route("t", "rerunnable", "t")],
         }
 
-    bank, run = Bank(3, tmp_path, service, limits=limits, relayed=False), CliRunner()
+    fleet, run = Fleet(3, tmp_path, service, limits=limits, relayed=False), CliRunner()
 
     def limit(*arguments, number=0):
         return run.invoke(
-            cli, ["bank", "limits", *arguments, "--socket", bank.processes[number].control]
+            cli, ["bank", "limits", *arguments, "--socket", fleet.processes[number].control]
         )
 
     try:
-        bank.start()
+        fleet.start()
         until(
-            lambda: all(row["agreed"] for number in range(3) for row in bank.ask(number, "limits"))
+            lambda: all(row["agreed"] for number in range(3) for row in fleet.ask(number, "limits"))
         )
         found = limit("set", "all", "90", "--for", "30m", "--who", "night", "--why", "a surge")
         assert found.exit_code == 0 and "confirmed by 3 members" in found.output, found.output
         # All go by it; what is larger counts from when each knows that all do.
         until(
-            lambda: [bank.ask(number, "limits")[0]["home"] for number in range(3)] == [30_000] * 3
+            lambda: [fleet.ask(number, "limits")[0]["home"] for number in range(3)] == [30_000] * 3
         )
-        (word,) = bank.ask(2, "register")["words"]
+        (word,) = fleet.ask(2, "register")["words"]
         assert (word["who"], word["why"], word["at"]) == ("night", "a surge", "m0")
         assert 1_700_000 < word["left_ms"] <= 1_800_000
-        bank.stop(2)
+        fleet.stop(2)
         found = limit("lift", "all", "--wait", "0.4", "--json", number=1)
         assert (
             found.exit_code == 3 and "m2" in found.output and '"confirmed": false' in found.output
         )
         # Lower at once for who has heard it, whoever has not.
-        until(lambda: bank.ask(0, "limits")[0]["home"] == 10_000)
-        bank.go_on(2)
+        until(lambda: fleet.ask(0, "limits")[0]["home"] == 10_000)
+        fleet.go_on(2)
         until(
-            lambda: [bank.ask(number, "limits")[0]["amount"] for number in range(3)] == [30_000] * 3
+            lambda: [fleet.ask(number, "limits")[0]["amount"] for number in range(3)]
+            == [30_000] * 3
         )
         for arguments, said in (
             (("set", "none", "5"), "no limit of this file"),
@@ -122,11 +123,11 @@
         assert limit("show", "--json").exit_code == 0 and limit().exit_code == 0
         until(
             lambda: "held by all"
-            in run.invoke(cli, ["bank", "said", "--socket", bank.processes[0].control]).output
+            in run.invoke(cli, ["bank", "said", "--socket", fleet.processes[0].control]).output
         )
     finally:
-        bank.processes[2].signal(signal.SIGCONT)
-        bank.end()
+        fleet.processes[2].signal(signal.SIGCONT)
+        fleet.end()
 
 
 @pytest.mark.parametrize(
@@ -169,7 +170,7 @@
         "bank": {"listen": "127.0.0.1:7000", "key_files": [str(key)], "limits": {"x": limit}},
         "routes": [files.route("t", "rerunnable", "t")],
     }
-    found = explained(operator.made(given).bank.limits[0], 10)
+    found = explained(operator.made(given).fleet.limits[0], 10)
     assert all(found[key].startswith(value) for key, value in said.items()), found
     file = tmp_path / "operator.toml"
     file.write_text(files.document(given))
--- a/tests/fleet/test_outlier_ejection.py
+++ b/tests/fleet/test_outlier_ejection.py
@@ -17,7 +17,7 @@
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
@@ -175,7 +175,7 @@
     assert len(rest(those, 25)) == 6 and not rest(those, 24)
 
 
-def test_in_a_part_that_is_not_most_of_the_bank_nothing_new_rests_and_what_rests_ends():
+def test_in_a_part_that_is_not_most_of_the_fleet_nothing_new_rests_and_what_rests_ends():
     those = courts(life=3 * SECOND)
     good(those, 0)
     for court in those:
@@ -267,13 +267,13 @@
     secret = tmp_path / "key"
     secret.write_text("k" * 20)
     secret.chmod(0o600)
-    bank = {"listen": "127.0.0.1:7000", "key_files": [str(secret)], "verdicts": {key: value}}
+    fleet = {"listen": "127.0.0.1:7000", "key_files": [str(secret)], "verdicts": {key: value}}
     with pytest.raises(ConfigFault) as fault:
         operator.made(
             {
                 "version": 1,
                 "listen": ["127.0.0.1:9000"],
-                "bank": bank,
+                "bank": fleet,
                 "routes": [],
                 "pools": {"t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.25, 1.5)},
             }
@@ -291,18 +291,18 @@
         pool = files.service("t", "rerunnable", upstream_fleet.addresses, 0.1, 1.0)
         return {"pools": {"t": pool}, "routes": [files.route("t", "rerunnable", "t")]}
 
-    bank = Bank(6, tmp_path, service, relayed=False, verdicts={"life": "3s", "term": "60s"})
+    fleet = Fleet(6, tmp_path, service, relayed=False, verdicts={"life": "3s", "term": "60s"})
     loads = None
 
     def states():
         return [
-            {row["upstream"]: row["state"] for row in bank.ask(number, "verdicts")}
+            {row["upstream"]: row["state"] for row in fleet.ask(number, "verdicts")}
             for number in range(6)
         ]
 
     try:
-        bank.start()
-        until(bank.gathered)
+        fleet.start()
+        until(fleet.gathered)
         start = time.monotonic() + 0.2
         loads = Loads(
             [
@@ -310,7 +310,7 @@
                     process.balancer.address,
                     Asks(f"t{process.number}", 40.0, "/t/x", "GET", "t.example", 1.0, 0.1),
                 )
-                for process in bank.processes
+                for process in fleet.processes
             ],
             1,
             start,
@@ -327,7 +327,7 @@
         rested = time.monotonic()
         upstream_fleet.tell("s-2", speed=1.0)
         # Its next run is another upstream, of which nothing is known.
-        for entry in (process for process in bank.processes):
+        for entry in (process for process in fleet.processes):
             given_ = files.document(
                 entry.file()
                 | {
@@ -347,9 +347,9 @@
         until(lambda: upstream_fleet.tell("s-2")["last"]["s-2"] > rested + 0.5)
         seen = loads.results()
         assert not any(one.unanswered() or one.answered_twice() for one in seen)
-        assert "event=verdict_rests" in bank.processes[0].balancer.log()
+        assert "event=verdict_rests" in fleet.processes[0].balancer.log()
     finally:
         if loads:
             loads.stop()
-        bank.end()
+        fleet.end()
         upstream_fleet.stop()
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""Stories of limits of the whole bank: what may be used never adds up to more, whatever is lost or
+"""Stories of limits of the whole fleet: what may be used never adds up to more, whatever is lost or
 killed.
 """
 
@@ -22,7 +22,7 @@
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
@@ -306,7 +306,7 @@
 
 
 def test_loans_of_requests_in_flight_last_longer_than_any_request(tmp_path):
-    (held,) = operator.made(table(tmp_path, kind="in_flight")).bank.limits
+    (held,) = operator.made(table(tmp_path, kind="in_flight")).fleet.limits
     assert (
         held.limit.span == 3 * 3 * SECOND // 2 and held.pools == ("t",) and held.limit.amount == 10
     )
@@ -328,25 +328,25 @@
         "all": {"kind": "rate", "amount": 60, "burst": 12, "homes": ["m0", "m1", "m2"]},
         "out": {"kind": "in_flight", "amount": 4, "homes": ["m0", "m1", "m2"]},
     }
-    bank = Bank(3, tmp_path, service, limits=limits)
+    fleet = Fleet(3, tmp_path, service, limits=limits)
     loads = None
     try:
-        bank.start()
+        fleet.start()
         until(
             lambda: all(
                 row["agreed"] and not row["fenced_ms"]
                 for number in range(3)
-                for row in bank.ask(number, "limits")
+                for row in fleet.ask(number, "limits")
             )
         )
-        kept = [one.folder / "recall" for one in bank.processes]
+        kept = [one.folder / "recall" for one in fleet.processes]
         until(lambda: all(one.exists() and json.loads(one.read_text())["limits"] for one in kept))
         upstream_fleet.meter()
         start = time.monotonic() + 0.3
         loads = Loads(
             [
                 (
-                    bank.processes[number].balancer.address,
+                    fleet.processes[number].balancer.address,
                     Asks(f"t{number}", 150.0, "/t/x", host="t.example", timeout=1.0, agreed=0.5),
                 )
                 for number in (0, 1)
@@ -356,8 +356,8 @@
             7.0,
         )
         time.sleep(max(0.0, start + 2.0 - time.monotonic()))
-        bank.kill(2)
-        bank.processes[
+        fleet.kill(2)
+        fleet.processes[
             2
         ].start()  # its disk says that it may go by its home, after what may be lent is over
         seen = loads.results()
@@ -375,10 +375,10 @@
         assert turned_back and all(request.retry_after for request in turned_back)
         assert not any(one.unanswered() or one.answered_twice() for one in seen)
         assert not upstream_fleet.ledger().twice()
-        row = bank.ask(2, "limits")[0]
+        row = fleet.ask(2, "limits")[0]
         assert row["agreed"] or row["home"] == 20_000
     finally:
         if loads:
             loads.stop()
-        bank.end()
+        fleet.end()
         upstream_fleet.stop()
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -34,7 +34,7 @@
 ids = numbers()  # no two requests have the same
 
 
-class Bank:
+class Deployment:
     """One balancer, the upstreams it is given and the discovery that lists them."""
 
     def __init__(self, folder, *upstreams, known=(), **settings):
@@ -123,11 +123,11 @@
 
 @contextmanager
 def started(folder, *upstreams, **settings):
-    bank = Bank(folder, *upstreams, **settings)
+    deployment = Deployment(folder, *upstreams, **settings)
     try:
-        yield bank
+        yield deployment
     finally:
-        bank.end()
+        deployment.end()
 
 
 def good(request):
@@ -168,12 +168,14 @@
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged(tmp_path):
     body, sent = os.urandom(64 * 1024), os.urandom(64 * 1024)
-    with started(tmp_path, Upstream(lambda request: request.reply(200, body, X_Note="n"))) as bank:
-        answer = bank.ask(
+    with started(
+        tmp_path, Upstream(lambda request: request.reply(200, body, X_Note="n"))
+    ) as deployment:
+        answer = deployment.ask(
             "POST", "/charge/some?a=b", sent, X_Lane="charge", X_Txn="9b", X_Labels="w=1"
         )
         assert (answer.status, answer.body, answer.headers["X-Note"]) == (200, body, "n")
-        (met,) = bank.met()
+        (met,) = deployment.met()
         assert (met.command, met.path, met.body) == ("POST", "/charge/some?a=b", sent)
         assert (met.headers["X-Txn"], met.headers["X-Labels"]) == ("9b", "w=1")
         assert 1.3 < float(met.headers["X-Remaining"]) < 1.5
@@ -181,24 +183,29 @@
 
 def test_an_answer_larger_than_the_protocol_says_is_passed_on(tmp_path):
     sent = os.urandom(400_000)
-    with started(tmp_path, Upstream(lambda request: request.reply(200, sent))) as bank:
-        assert [bank.charge().body == sent for _ in range(3)] == [True] * 3
+    with started(tmp_path, Upstream(lambda request: request.reply(200, sent))) as deployment:
+        assert [deployment.charge().body == sent for _ in range(3)] == [True] * 3
 
 
 def test_connections_are_kept_on_both_sides_and_a_body_in_chunks_is_a_body(tmp_path):
-    with started(tmp_path, Upstream(good)) as bank:
-        client = bank.client()
-        assert [bank.charge(client=client).status for _ in range(5)] == [200] * 5
-        answer = bank.ask("POST", "/settle", iter([b"a", b"bc"]), client, Idempotency_Key="5c")
-        assert answer.status == 200 and bank.met()[-1].body == b"abc"
-        assert bank.met()[-1].headers["Idempotency-Key"] == "5c" and bank.upstreams[0].opened == 1
+    with started(tmp_path, Upstream(good)) as deployment:
+        client = deployment.client()
+        assert [deployment.charge(client=client).status for _ in range(5)] == [200] * 5
+        answer = deployment.ask(
+            "POST", "/settle", iter([b"a", b"bc"]), client, Idempotency_Key="5c"
+        )
+        assert answer.status == 200 and deployment.met()[-1].body == b"abc"
+        assert (
+            deployment.met()[-1].headers["Idempotency-Key"] == "5c"
+            and deployment.upstreams[0].opened == 1
+        )
 
 
 def test_two_requests_sent_at_once_on_one_connection_are_answered_in_turn(tmp_path):
     request = b"GET /look/%d HTTP/1.1\r\nHost: a\r\nX-Txn: %d\r\nX-Remaining: 1\r\n%s\r\n"
     echo = Upstream(lambda request: request.reply(200, request.path.encode()))
-    with started(tmp_path, echo) as bank:
-        sock = bank.raw(request % (1, 1, b"") + request % (2, 2, b"Connection: close\r\n"))
+    with started(tmp_path, echo) as deployment:
+        sock = deployment.raw(request % (1, 1, b"") + request % (2, 2, b"Connection: close\r\n"))
         said = sock.makefile("rb").read()
         assert said.index(b"/look/1") < said.index(b"/look/2") and said.count(b"200 OK") == 2
 
@@ -236,89 +243,89 @@
     turns = iter([bad, good])
     with started(
         tmp_path, *(Upstream(lambda request: next(turns)(request)) for _ in range(2))
-    ) as bank:
+    ) as deployment:
         again = kind == "settle" or bad is turned_away
-        assert getattr(bank, kind)().status == (200 if again else 502)
-        assert len(bank.met()) == 1 + again
+        assert getattr(deployment, kind)().status == (200 if again else 502)
+        assert len(deployment.met()) == 1 + again
 
 
 def test_interim_answers_are_passed_over(tmp_path):
     both = raw(b"HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-    with started(tmp_path, Upstream(both)) as bank:
-        assert bank.charge().body == b"ok"
+    with started(tmp_path, Upstream(both)) as deployment:
+        assert deployment.charge().body == b"ok"
 
 
 def test_where_no_connection_comes_up_nothing_ran_and_the_request_goes_elsewhere(tmp_path):
     gone, works = Upstream(good), Upstream(good)
     gone.stop()  # its port refuses
-    with started(tmp_path, works) as bank:
-        bank.discovery.change(gone.entry("s-gone"))
-        until(lambda: bank.said("ready=2"))
-        assert [bank.charge().status for _ in range(10)] == [200] * 10
+    with started(tmp_path, works) as deployment:
+        deployment.discovery.change(gone.entry("s-gone"))
+        until(lambda: deployment.said("ready=2"))
+        assert [deployment.charge().status for _ in range(10)] == [200] * 10
 
 
 def test_where_connecting_gets_no_answer_the_request_goes_elsewhere_in_time(tmp_path):
-    with socket.socket() as vanished, started(tmp_path, Upstream(good)) as bank:
+    with socket.socket() as vanished, started(tmp_path, Upstream(good)) as deployment:
         vanished.bind(("127.0.0.1", 0))
         vanished.listen(0)
-        bank.clients.append(
+        deployment.clients.append(
             socket.create_connection(vanished.getsockname())
         )  # its queue is full now
-        bank.discovery.change(
-            bank.upstreams[0].entry("s-1") | {"dial": "%s:%d" % vanished.getsockname()}
+        deployment.discovery.change(
+            deployment.upstreams[0].entry("s-1") | {"dial": "%s:%d" % vanished.getsockname()}
         )
-        until(lambda: bank.lists() == 2)
-        assert [bank.charge().status for _ in range(6)] == [200] * 6
+        until(lambda: deployment.lists() == 2)
+        assert [deployment.charge().status for _ in range(6)] == [200] * 6
 
 
 @pytest.mark.parametrize("pressure", ["", "x", "served_ps=nan", "served_ps=1e999,,=", "\x01;\xff"])
 def test_a_load_report_that_cannot_be_read_costs_its_answer_nothing(tmp_path, pressure):
     with started(
         tmp_path, Upstream(lambda request: request.reply(200, b"ok", X_Pressure=pressure))
-    ) as bank:
-        assert [bank.charge().body for _ in range(3)] == [b"ok"] * 3
+    ) as deployment:
+        assert [deployment.charge().body for _ in range(3)] == [b"ok"] * 3
 
 
 def test_surplus_bytes_do_not_pass_for_the_next_answer(tmp_path):
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
     two = Upstream(lambda request: request.wfile.write(answer + b"mine" + answer + b"none"))
-    with started(tmp_path, two) as bank:
-        assert [bank.charge().body for _ in range(3)] == [b"mine"] * 3 and bank.upstreams[
-            0
-        ].opened == 3
+    with started(tmp_path, two) as deployment:
+        assert [deployment.charge().body for _ in range(3)] == [
+            b"mine"
+        ] * 3 and deployment.upstreams[0].opened == 3
 
 
 def test_a_silent_upstream_is_waited_for_until_the_client_gives_up_and_not_longer(tmp_path):
-    with started(tmp_path, Upstream(silent)) as bank:
+    with started(tmp_path, Upstream(silent)) as deployment:
         began = time.monotonic()
-        assert bank.charge(X_Remaining="1").status == 502
+        assert deployment.charge(X_Remaining="1").status == 502
         assert 0.7 < time.monotonic() - began < 1.2  # a late loop answers up to 0.2 s early
-        assert len(bank.met()) == 1 and until(lambda: bank.met()[0].gone)
+        assert len(deployment.met()) == 1 and until(lambda: deployment.met()[0].gone)
 
 
 @pytest.mark.parametrize("remaining, status", [("0", 504), ("-1.5", 504), ("0.004", 504)])
 def test_a_request_that_comes_too_late_is_answered_at_once_and_not_sent(
     tmp_path, remaining, status
 ):
-    with started(tmp_path, Upstream(good)) as bank:
-        assert bank.charge(X_Remaining=remaining).status == status and not bank.met()
+    with started(tmp_path, Upstream(good)) as deployment:
+        assert deployment.charge(X_Remaining=remaining).status == status and not deployment.met()
 
 
 def test_with_no_upstream_ready_a_request_is_rejected_soon_with_a_time_to_come_back(tmp_path):
-    with started(tmp_path, Upstream(good)) as bank:
-        bank.discovery.change(bank.upstreams[0].entry("s-0", "draining"))
-        until(lambda: bank.said("draining=1"))
-        began, answer = time.monotonic(), bank.charge()
+    with started(tmp_path, Upstream(good)) as deployment:
+        deployment.discovery.change(deployment.upstreams[0].entry("s-0", "draining"))
+        until(lambda: deployment.said("draining=1"))
+        began, answer = time.monotonic(), deployment.charge()
         assert answer.status == 503 and float(answer.headers["Retry-After"]) > 0
-        assert time.monotonic() - began < 1.0 and not bank.met()
+        assert time.monotonic() - began < 1.0 and not deployment.met()
 
 
 def test_a_client_that_leaves_takes_its_request_with_it(tmp_path):
-    with started(tmp_path, Upstream(silent)) as bank:
-        bank.raw(f"{HEAD}X-Txn: 1\r\nX-Remaining: 3\r\nContent-Length: 0\r\n\r\n".encode())
-        until(bank.met)
-        bank.clients[-1].close()
-        until(lambda: bank.met()[0].gone)
+    with started(tmp_path, Upstream(silent)) as deployment:
+        deployment.raw(f"{HEAD}X-Txn: 1\r\nX-Remaining: 3\r\nContent-Length: 0\r\n\r\n".encode())
+        until(deployment.met)
+        deployment.clients[-1].close()
+        until(lambda: deployment.met()[0].gone)
 
 
 def test_what_drains_finishes_what_it_has_and_gets_nothing_new(tmp_path):
@@ -331,58 +338,58 @@
         good(request)
 
     slow.behave, slow.let_go = wait, []
-    with started(tmp_path, slow) as bank:
-        client = bank.client()
+    with started(tmp_path, slow) as deployment:
+        client = deployment.client()
         client.request("POST", "/charge", b"{}", {"X-Txn": "1", "X-Remaining": "3"})
         until(lambda: held)
-        bank.discovery.change(slow.entry("s-0", "draining"), other.entry("s-1"))
-        until(lambda: bank.said("draining=1"))
-        assert [bank.charge().status for _ in range(5)] == [200] * 5 and len(other.met) == 5
+        deployment.discovery.change(slow.entry("s-0", "draining"), other.entry("s-1"))
+        until(lambda: deployment.said("draining=1"))
+        assert [deployment.charge().status for _ in range(5)] == [200] * 5 and len(other.met) == 5
         slow.let_go.append(held[0])
         assert client.getresponse().status == 200 and len(held) == 1
-        bank.discovery.change(slow.entry("s-0", "removed"))
-        until(lambda: bank.lists() == 3)
-        assert bank.charge().status == 200 and len(other.met) == 6
+        deployment.discovery.change(slow.entry("s-0", "removed"))
+        until(lambda: deployment.lists() == 3)
+        assert deployment.charge().status == 200 and len(other.met) == 6
         other.stop()
 
 
 def test_a_new_run_of_an_upstream_gets_connections_of_its_own(tmp_path):
-    with started(tmp_path, Upstream(good)) as bank:
-        bank.charge()
-        bank.discovery.change(bank.upstreams[0].entry("s-0", born_ms=1_000))
-        until(lambda: bank.lists() == 2)
-        assert bank.charge().status == 200 and bank.upstreams[0].opened == 2
+    with started(tmp_path, Upstream(good)) as deployment:
+        deployment.charge()
+        deployment.discovery.change(deployment.upstreams[0].entry("s-0", born_ms=1_000))
+        until(lambda: deployment.lists() == 2)
+        assert deployment.charge().status == 200 and deployment.upstreams[0].opened == 2
 
 
 def test_an_upstream_that_moves_is_met_at_its_new_address(tmp_path):
     new = Upstream(good)
-    with started(tmp_path, Upstream(good)) as bank:
-        bank.charge()
-        bank.discovery.change(new.entry("s-0"))
-        until(lambda: bank.lists() == 2)
-        assert bank.charge().status == 200 and len(new.met) == 1
+    with started(tmp_path, Upstream(good)) as deployment:
+        deployment.charge()
+        deployment.discovery.change(new.entry("s-0"))
+        until(lambda: deployment.lists() == 2)
+        assert deployment.charge().status == 200 and len(new.met) == 1
     new.stop()
 
 
 def test_the_list_that_was_known_serves_while_discovery_is_down(tmp_path):
     upstream, down = Upstream(good), Upstream(silent)
-    with started(tmp_path, upstream, known=[upstream.entry("s-0")]) as bank:
-        bank.discovery.stop()
-        bank.discovery.hang_up()
-        until(lambda: bank.said("discovery_lost"))
-        assert bank.charge().status == 200
+    with started(tmp_path, upstream, known=[upstream.entry("s-0")]) as deployment:
+        deployment.discovery.stop()
+        deployment.discovery.hang_up()
+        until(lambda: deployment.said("discovery_lost"))
+        assert deployment.charge().status == 200
     down.stop()
 
 
 def test_a_lost_watch_is_taken_up_again_where_it_was(tmp_path):
     other = Upstream(good)
-    with started(tmp_path, Upstream(good)) as bank:
-        bank.discovery.change(bank.upstreams[0].entry("s-0"))
-        until(lambda: bank.lists() == 2)
-        bank.discovery.hang_up()
-        until(lambda: bank.discovery.asked[-1] == "/discovery/hosts?watch=1&from=2")
-        bank.discovery.change(other.entry("s-1"))
-        until(lambda: bank.said("ready=2"))
+    with started(tmp_path, Upstream(good)) as deployment:
+        deployment.discovery.change(deployment.upstreams[0].entry("s-0"))
+        until(lambda: deployment.lists() == 2)
+        deployment.discovery.hang_up()
+        until(lambda: deployment.discovery.asked[-1] == "/discovery/hosts?watch=1&from=2")
+        deployment.discovery.change(other.entry("s-1"))
+        until(lambda: deployment.said("ready=2"))
     other.stop()
 
 
@@ -392,44 +399,46 @@
     told, other = [], Upstream(good)
     slow = Upstream(lambda request: until(lambda: told) and good(request))
     moved = Discovery(slow.entry("s-0"))
-    with started(tmp_path, slow) as bank:
-        client = bank.client()
+    with started(tmp_path, slow) as deployment:
+        client = deployment.client()
         client.request("POST", "/charge", b"{}", {"X-Txn": "1", "X-Remaining": "3"})
-        until(bank.met)
+        until(deployment.met)
         for text in [
             None,
             "{",
-            json.dumps(bank.given | {"discovery": "nowhere"}),
-            json.dumps(bank.given | {"discovery": moved.dial}),
+            json.dumps(deployment.given | {"discovery": "nowhere"}),
+            json.dumps(deployment.given | {"discovery": moved.dial}),
         ]:
-            bank.file.unlink(missing_ok=True)
+            deployment.file.unlink(missing_ok=True)
             if text is not None:
-                bank.file.write_text(text)
-            lines = bank.log.read_text().count("event=configur")
-            bank.process.send_signal(signal.SIGHUP)
-            until(lambda: bank.log.read_text().count("event=configur") > lines)
+                deployment.file.write_text(text)
+            lines = deployment.log.read_text().count("event=configur")
+            deployment.process.send_signal(signal.SIGHUP)
+            until(lambda: deployment.log.read_text().count("event=configur") > lines)
         until(lambda: "/discovery/hosts?watch=1&from=1" in moved.asked)
-        bank.discovery.hang_up()
+        deployment.discovery.hang_up()
         moved.change(other.entry("s-1"))
-        until(lambda: bank.said("ready=2"))
+        until(lambda: deployment.said("ready=2"))
         told.append("go on")
-        assert client.getresponse().status == 200 and len(bank.met()) == 1 and slow.opened == 1
-        assert bank.log.read_text().count("configuration_fault") == 3 and bank.said(
+        assert (
+            client.getresponse().status == 200 and len(deployment.met()) == 1 and slow.opened == 1
+        )
+        assert deployment.log.read_text().count("configuration_fault") == 3 and deployment.said(
             "discovery: 'nowhere'"
         )
-        bank.process.send_signal(signal.SIGTERM)
-        until(lambda: bank.said("event=stopping"))
-        bank.process.send_signal(signal.SIGHUP)
-        assert bank.process.wait(LIMIT) == 0
+        deployment.process.send_signal(signal.SIGTERM)
+        until(lambda: deployment.said("event=stopping"))
+        deployment.process.send_signal(signal.SIGHUP)
+        assert deployment.process.wait(LIMIT) == 0
     moved.stop()
     other.stop()
 
 
 def test_a_watch_that_falls_silent_is_taken_up_again(tmp_path):
-    with started(tmp_path, Upstream(good)) as bank:
-        bank.discovery.beat = 60.0
-        until(lambda: len(bank.discovery.asked) == 2)
-        bank.discovery.hang_up()
+    with started(tmp_path, Upstream(good)) as deployment:
+        deployment.discovery.beat = 60.0
+        until(lambda: len(deployment.discovery.asked) == 2)
+        deployment.discovery.hang_up()
 
 
 @pytest.mark.parametrize(
@@ -448,12 +457,12 @@
 def test_what_discovery_garbles_leaves_the_last_good_list_and_the_whole_is_asked_for(
     tmp_path, line
 ):
-    with started(tmp_path, Upstream(good)) as bank:
-        until(lambda: "/discovery/hosts?watch=1&from=0" in bank.discovery.asked)
-        asked = len(bank.discovery.asked)
-        bank.discovery.say(line)
-        until(lambda: "/discovery/hosts" in bank.discovery.asked[asked:])
-        assert bank.charge().status == 200
+    with started(tmp_path, Upstream(good)) as deployment:
+        until(lambda: "/discovery/hosts?watch=1&from=0" in deployment.discovery.asked)
+        asked = len(deployment.discovery.asked)
+        deployment.discovery.say(line)
+        until(lambda: "/discovery/hosts" in deployment.discovery.asked[asked:])
+        assert deployment.charge().status == 200
 
 
 @pytest.mark.parametrize(
@@ -518,41 +527,48 @@
     ],
 )
 def test_what_is_no_request_is_answered_and_never_sent(tmp_path, data, status):
-    with started(tmp_path, Upstream(good)) as bank:
-        answer = HTTPResponse(bank.raw(data.encode()))
+    with started(tmp_path, Upstream(good)) as deployment:
+        answer = HTTPResponse(deployment.raw(data.encode()))
         answer.begin()
-        assert answer.status == status and bank.charge().status == 200 and len(bank.met()) == 1
+        assert (
+            answer.status == status
+            and deployment.charge().status == 200
+            and len(deployment.met()) == 1
+        )
 
 
 def test_a_client_that_sends_half_a_request_and_stops_is_let_go(tmp_path):
-    with started(tmp_path, Upstream(good)) as bank:
+    with started(tmp_path, Upstream(good)) as deployment:
         for sock in [
-            bank.raw(b"POST /charge HT"),
-            bank.raw(f"{HEAD}Content-Length: 9\r\n\r\nx".encode()),
+            deployment.raw(b"POST /charge HT"),
+            deployment.raw(f"{HEAD}Content-Length: 9\r\n\r\nx".encode()),
         ]:
             assert sock.makefile("rb").read().startswith(b"HTTP/1.1 408")
-        assert not bank.met()
+        assert not deployment.met()
 
 
 def test_an_id_that_another_request_has_or_had_is_refused(tmp_path):
     let_go = []
     with started(
         tmp_path, Upstream(lambda request: until(lambda: let_go) and good(request))
-    ) as bank:
-        client = bank.client()
+    ) as deployment:
+        client = deployment.client()
         client.request("POST", "/charge", b"{}", {"X-Txn": "7", "X-Remaining": "3"})
-        until(bank.met)
-        assert bank.charge(X_Txn="7").status == 409
+        until(deployment.met)
+        assert deployment.charge(X_Txn="7").status == 409
         let_go.append("all")
-        assert client.getresponse().status == 200 and bank.charge(X_Txn="7").status == 409
-        assert len(bank.met()) == 1
+        assert client.getresponse().status == 200 and deployment.charge(X_Txn="7").status == 409
+        assert len(deployment.met()) == 1
 
 
 def test_a_client_that_says_nothing_or_too_much_is_let_go_and_others_are_served(tmp_path):
-    with started(tmp_path, Upstream(good), sockets={"sockets": 64}) as bank:
-        began, silent = time.monotonic(), [bank.raw() for _ in range(60)]  # more than it can hold
-        assert [bank.charge().status for _ in range(5)] == [200] * 5
-        sock = bank.raw(
+    with started(tmp_path, Upstream(good), sockets={"sockets": 64}) as deployment:
+        began, silent = (
+            time.monotonic(),
+            [deployment.raw() for _ in range(60)],
+        )  # more than it can hold
+        assert [deployment.charge().status for _ in range(5)] == [200] * 5
+        sock = deployment.raw(
             f"{HEAD}X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 60000000\r\n\r\n".encode()
         )
         with pytest.raises(OSError):
@@ -562,9 +578,9 @@
 
 
 def test_clients_that_ask_once_and_stay_are_let_go_before_they_hold_what_others_need(tmp_path):
-    with started(tmp_path, Upstream(good), sockets={"sockets": 256}) as bank:
-        stay = [bank.client() for _ in range(80)]  # they may hold 85
-        answers = [bank.charge(client=client) for client in stay]
+    with started(tmp_path, Upstream(good), sockets={"sockets": 256}) as deployment:
+        stay = [deployment.client() for _ in range(80)]  # they may hold 85
+        answers = [deployment.charge(client=client) for client in stay]
         assert {answer.status for answer in answers} == {200}
         assert sum(answer.headers["Connection"] == "close" for answer in answers) > 10
         began = time.monotonic()
@@ -573,24 +589,26 @@
 
 
 def test_more_clients_than_descriptors_wait_their_turn(tmp_path):
-    with started(tmp_path, Upstream(good), sockets={"sockets": 64}) as bank:
-        answers = [bank.charge() for _ in range(100)]  # each on a connection that its client keeps
+    with started(tmp_path, Upstream(good), sockets={"sockets": 64}) as deployment:
+        answers = [
+            deployment.charge() for _ in range(100)
+        ]  # each on a connection that its client keeps
         assert {answer.status for answer in answers} <= {200, 503} and answers[0].status == 200
         assert all(
             float(answer.headers["Retry-After"]) > 0 for answer in answers if answer.status == 503
         )
-        until(lambda: bank.charge().status == 200)
+        until(lambda: deployment.charge().status == 200)
 
 
 def test_at_the_limit_of_descriptors_no_client_that_has_asked_is_closed_unheard(tmp_path):
     let_go = []
     request = HEAD + "X-Txn: %d\r\nX-Remaining: 3\r\nContent-Length: 0\r\n\r\n"
     slow = Upstream(lambda request: until(lambda: let_go) and good(request))
-    with started(tmp_path, slow, sockets={"sockets": 64}) as bank:
+    with started(tmp_path, slow, sockets={"sockets": 64}) as deployment:
         asked = [
-            bank.raw((request % n).encode()).makefile("rb") for n in range(40)
+            deployment.raw((request % n).encode()).makefile("rb") for n in range(40)
         ]  # more than it can hold
-        turned_back = until(lambda: bank.met()) and [file.readline() for file in asked[-5:]]
+        turned_back = until(lambda: deployment.met()) and [file.readline() for file in asked[-5:]]
         let_go.append("all")
         lines = turned_back + [file.readline() for file in asked[:-5]]
         assert {line.split()[1] for line in lines} == {b"200", b"503"}
@@ -600,30 +618,32 @@
     tmp_path,
 ):
     told = []
-    with started(tmp_path, Upstream(lambda request: until(lambda: told) and good(request))) as bank:
-        first, stays = bank.client(), bank.client()
+    with started(
+        tmp_path, Upstream(lambda request: until(lambda: told) and good(request))
+    ) as deployment:
+        first, stays = deployment.client(), deployment.client()
         first.request("POST", "/charge", b"{}", {"X-Txn": "1", "X-Remaining": "3"})
-        until(bank.met)
-        bank.process.send_signal(signal.SIGTERM)
-        until(lambda: bank.said("event=stopping"))
+        until(deployment.met)
+        deployment.process.send_signal(signal.SIGTERM)
+        until(lambda: deployment.said("event=stopping"))
         began, served = time.monotonic(), 0
         told.append("to stop")
-        assert first.getresponse().status == 200 and bank.ask("GET", "/up").status == 503
+        assert first.getresponse().status == 200 and deployment.ask("GET", "/up").status == 503
         with suppress(OSError, HTTPException):  # closed between two requests, in the end
-            while bank.charge(client=stays, X_Remaining="3").status == 200:
+            while deployment.charge(client=stays, X_Remaining="3").status == 200:
                 served += 1
         # The longest timeout is 4 s, which counts for 3: it may be killed 3.7 s after the signal.
         assert served > 50 and time.monotonic() - began > 2.5
-        assert bank.process.wait(LIMIT) == 0 and time.monotonic() - began < 3.7
+        assert deployment.process.wait(LIMIT) == 0 and time.monotonic() - began < 3.7
 
 
 def test_told_to_stop_with_nobody_connected_it_leaves_soon(tmp_path):
-    with started(tmp_path, Upstream(good)) as bank:
-        for client in bank.clients:
+    with started(tmp_path, Upstream(good)) as deployment:
+        for client in deployment.clients:
             client.close()
-        bank.process.send_signal(signal.SIGTERM)
+        deployment.process.send_signal(signal.SIGTERM)
         began = time.monotonic()
-        assert bank.process.wait(LIMIT) == 0 and time.monotonic() - began < 2
+        assert deployment.process.wait(LIMIT) == 0 and time.monotonic() - began < 2
 
 
 def life(spec):
@@ -639,10 +659,10 @@
 @contextmanager
 def inside(folder, *upstreams):
     """A configuration and a listener for a balancer that runs in the test itself."""
-    with started(folder, *upstreams) as bank:
-        config = read(bank.environment)
-        bank.process.kill()
-        bank.process.wait()
+    with started(folder, *upstreams) as deployment:
+        config = read(deployment.environment)
+        deployment.process.kill()
+        deployment.process.wait()
         with socket.socket() as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.bind(config.listen[0])
--- a/tests/kept_control_stage.py
+++ b/tests/kept_control_stage.py
@@ -1,4 +1,4 @@
-"""One process of the bank inside the test, on a clock that stands still, asked as by its socket."""
+"""One process of the fleet inside the test, on a clock that stands still, asked as by its socket."""
 
 import heapq
 import json
@@ -94,7 +94,7 @@
         self.told += data
 
 
-def spec_of(folder, **bank):
+def spec_of(folder, **fleet):
     """What the process goes by."""
     key = folder / "key"
     key.write_text("a key for a trial, not a secret")
@@ -107,7 +107,7 @@
         "listen": ["127.0.0.1:9000"],
         "pools": {"t": pool},
         "routes": [files.route("t", "exclusive", "t")],
-        "bank": {"listen": "127.0.0.1:7000", "key_files": [str(key)], "zone": "a"} | bank,
+        "bank": {"listen": "127.0.0.1:7000", "key_files": [str(key)], "zone": "a"} | fleet,
     }
     return replace(operator.made(whole), revision="0123456789ab", seed=7)
 
@@ -116,7 +116,7 @@
     """The process."""
 
     def __init__(self, patch, folder, whole=True):
-        bank = (
+        fleet = (
             {
                 "agreement": AGREEMENT | {"folder": str(folder / "agreed")},
                 "limits": LIMITS,
@@ -128,12 +128,12 @@
         self.clock = Clock(patch)
         patch.setattr(link_module, "Random", Seeded)
         patch.setattr(agreed_module, "Random", Seeded)
-        spec = spec_of(folder, **bank)
+        spec = spec_of(folder, **fleet)
         self.life = Life(spec, Http1(), lambda: spec, operator.changes)
         self.life.loop.requests = SimpleNamespace(start_soon=lambda *given: None)
         for pool in self.life.pools.values():
             pool.start()
-        self.link = self.life.bank = Link(self.life, spec.bank, Datagrams())
+        self.link = self.life.fleet = Link(self.life, spec.fleet, Datagrams())
         self.link.loop.at(self.link.loop.clock(), self.link, self.link.deal)
         if self.link.agreed:
             self.link.agreed.judge_pools()
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize(
     "balancers, count", [(400, 80), (400, 3), (30, 80), (1, 80), (0, 80), (400, 1)]
 )
-def test_a_large_bank_spreads_its_connections_evenly_over_a_large_fleet(balancers, count):
+def test_a_large_fleet_spreads_its_connections_evenly_over_a_large_fleet(balancers, count):
     met = Counter()
     for number in range(max(1, balancers)):
         host = FakeHost(Effect.NON_IDEMPOTENT, count, balancers=balancers, slot_no=number)
@@ -411,7 +411,7 @@
 
 
 def test_in_its_first_second_a_balancer_does_not_say_that_it_has_no_traffic():
-    """Told rates of nothing had each of a bank take all room for its own."""
+    """Told rates of nothing had each of a fleet take all room for its own."""
     host = FakeHost(count=6, balancers=6, **{"limits.peers": True})
     host.wait(900 * MS)
     assert host.told == []
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -113,18 +113,21 @@
 def test_each_pool_gets_what_its_route_says_and_what_has_none_is_answered_at_once(
     tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, upstream_fleet) as bank:
-        assert [bank.by("a"), bank.by("B:80"), bank.by("a.")] == ["a", "b", "a"]
-        client = bank.client()  # one connection, two hosts
-        assert [bank.by(host, client=client) for host in "abab"] == list("abab")
-        began, lost = time.monotonic(), bank.ask("c", client=client)
+    with setting(tmp_path, upstream_fleet) as deployment:
+        assert [deployment.by("a"), deployment.by("B:80"), deployment.by("a.")] == ["a", "b", "a"]
+        client = deployment.client()  # one connection, two hosts
+        assert [deployment.by(host, client=client) for host in "abab"] == list("abab")
+        began, lost = time.monotonic(), deployment.ask("c", client=client)
         assert (lost.status, lost.body) == (404, b"no route: host or path not known\n")
         assert (
-            time.monotonic() - began < 0.2 and bank.by("a", client=client) == "a"
+            time.monotonic() - began < 0.2 and deployment.by("a", client=client) == "a"
         )  # it may go on asking
         for path in ("/a/../b", "/%2e%2e/b", "//b", "/a%2fb"):
-            assert bank.ask("a", path).status == 400
-        assert bank.ask("a, b").status == 400 and bank.ask("a", method="HEAD").status == 405
+            assert deployment.ask("a", path).status == 400
+        assert (
+            deployment.ask("a, b").status == 400
+            and deployment.ask("a", method="HEAD").status == 405
+        )
 
 
 def test_requests_of_two_pools_sent_at_once_on_one_connection_are_answered_in_turn(
@@ -132,8 +135,8 @@
 ):
     request = "POST /x HTTP/1.1\r\nHost: %s\r\nX-Txn: p%d\r\nX-Remaining: 1\r\nContent-Length: 0\r\n%s\r\n"
     with (
-        setting(tmp_path, upstream_fleet) as bank,
-        socket.create_connection(bank.balancer.address, LIMIT) as sock,
+        setting(tmp_path, upstream_fleet) as deployment,
+        socket.create_connection(deployment.balancer.address, LIMIT) as sock,
     ):
         upstream_fleet.tell("a-1", work=0.1, workers=1)
         upstream_fleet.tell("a-2", work=0.1, workers=1)
@@ -158,32 +161,34 @@
 def test_a_route_says_which_headers_say_what_how_long_is_waited_and_which_statuses_pass(
     tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, upstream_fleet) as bank:
-        bank.pools["a"] |= {"statuses": [200, 500][:1]}
+    with setting(tmp_path, upstream_fleet) as deployment:
+        deployment.pools["a"] |= {"statuses": [200, 500][:1]}
         says = {"id": "x-request-id", "patience": "x-timeout", "ticket": "", "optional": True}
-        bank.routes[0] |= {"says": says, "patience": "300ms", "headers": {"x-partner": "*"}}
-        bank.reload()
-        assert bank.ask("a").status == 404
+        deployment.routes[0] |= {"says": says, "patience": "300ms", "headers": {"x-partner": "*"}}
+        deployment.reload()
+        assert deployment.ask("a").status == 404
         partner = {"x-partner": "p", "X-Txn": None, "X-Remaining": None}
-        assert bank.ask("a", **partner).status == 200
-        assert bank.ask("a", **partner, **{"x-request-id": "r1", "x-timeout": "1"}).status == 200
-        assert bank.ask("a", **partner, **{"x-request-id": "r1"}).status == 409
-        assert bank.ask("a", **partner, **{"x-timeout": "soon"}).status == 400
+        assert deployment.ask("a", **partner).status == 200
+        assert (
+            deployment.ask("a", **partner, **{"x-request-id": "r1", "x-timeout": "1"}).status == 200
+        )
+        assert deployment.ask("a", **partner, **{"x-request-id": "r1"}).status == 409
+        assert deployment.ask("a", **partner, **{"x-timeout": "soon"}).status == 400
         upstream_fleet.tell("a-1", hang=1.0)
         upstream_fleet.tell("a-2", hang=1.0)
         began = time.monotonic()
-        assert bank.ask("a", **partner).status == 502 and time.monotonic() - began < 0.8
+        assert deployment.ask("a", **partner).status == 502 and time.monotonic() - began < 0.8
 
 
 def test_a_pool_whose_upstreams_hang_with_all_it_may_have_in_use_keeps_no_other_waiting(
     tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, upstream_fleet, descriptors=96) as bank:
+    with setting(tmp_path, upstream_fleet, descriptors=96) as deployment:
         upstream_fleet.tell("a-1", hang=1.0)
         upstream_fleet.tell("a-2", hang=1.0)
         hangs = Asks(f"hung{next(ids)}", 150, "/x", host="a", timeout=1.5)
         works = Asks(f"well{next(ids)}", 60, "/x", host="b")
-        gateways = [Gateway(bank.balancer.address, asks, 1) for asks in (hangs, works)]
+        gateways = [Gateway(deployment.balancer.address, asks, 1) for asks in (hangs, works)]
 
         async def both():
             await asyncio.gather(*(gateway.run(2.0) for gateway in gateways))
@@ -202,29 +207,29 @@
 def test_a_pool_that_is_taken_out_finishes_its_requests_while_its_route_leads_elsewhere(
     tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, upstream_fleet) as bank:
+    with setting(tmp_path, upstream_fleet) as deployment:
         upstream_fleet.tell("a-1", work=0.6, workers=1, spread="constant")
         upstream_fleet.tell("a-2", work=0.6, workers=1, spread="constant")
         client, before = (
-            bank.client(),
+            deployment.client(),
             sum(upstream_fleet.tell(name)["met"] for name in ("a-1", "a-2")),
         )
         client.request(
             "POST", "/x", b"{}", {"Host": "a", "X-Txn": f"out{before}", "X-Remaining": "2"}
         )
         until(lambda: sum(upstream_fleet.tell(name)["met"] for name in ("a-1", "a-2")) > before)
-        del bank.pools["a"]
-        bank.routes[0]["pool"] = "b"
-        bank.reload()
-        assert [bank.by("a") for _ in range(5)] == ["b"] * 5
+        del deployment.pools["a"]
+        deployment.routes[0]["pool"] = "b"
+        deployment.reload()
+        assert [deployment.by("a") for _ in range(5)] == ["b"] * 5
         answer = client.getresponse()
         assert (answer.status, answer.read(), answer.headers["X-By"][0]) == (200, b"ok", "a")
-        until(lambda: bank.balancer.said("event=pool_ended pool=a"))
+        until(lambda: deployment.balancer.said("event=pool_ended pool=a"))
         assert upstream_fleet.ledger().twice("out") == []
-        bank.pools["a"] = bank.pool(["a-1"])
-        bank.routes[0]["pool"] = "a"
-        bank.reload()
-        assert bank.by("a") == "a"
+        deployment.pools["a"] = deployment.pool(["a-1"])
+        deployment.routes[0]["pool"] = "a"
+        deployment.reload()
+        assert deployment.by("a") == "a"
         upstream_fleet.tell("a-1", spread="exponential")
         upstream_fleet.tell("a-2", spread="exponential")
 
@@ -232,9 +237,9 @@
 def test_reloads_under_load_lose_no_answer_and_run_nothing_twice(tmp_path, upstream_fleet):
     # Held for up to half a second: a machine that stands still for a tenth must not turn requests
     # back.
-    with setting(tmp_path, upstream_fleet, latency_objective="2s") as bank:
+    with setting(tmp_path, upstream_fleet, latency_objective="2s") as deployment:
         names = [f"moved{next(ids)}", f"stays{next(ids)}"]
-        address = bank.balancer.address
+        address = deployment.balancer.address
         gateways = [
             Gateway(address, Asks(name, 150, "/x", host=host), 1) for name, host in zip(names, "ab")
         ]
@@ -242,12 +247,14 @@
         async def reload():
             for turn in range(8):
                 await asyncio.sleep(0.25)
-                bank.routes[0]["pool"] = "ab"[turn % 2]
-                bank.pools["c"] = bank.pool(["a-1"], kind="ticketed")
-                bank.pools["a"] = bank.pool(["a-1", "a-2"][: 1 + turn % 2], hand_offs=1 + turn % 3)
+                deployment.routes[0]["pool"] = "ab"[turn % 2]
+                deployment.pools["c"] = deployment.pool(["a-1"], kind="ticketed")
+                deployment.pools["a"] = deployment.pool(
+                    ["a-1", "a-2"][: 1 + turn % 2], hand_offs=1 + turn % 3
+                )
                 if turn % 3 == 2:
-                    del bank.pools["c"]
-                await asyncio.to_thread(bank.reload)
+                    del deployment.pools["c"]
+                await asyncio.to_thread(deployment.reload)
 
         async def story():
             await asyncio.gather(*(gateway.run(2.5) for gateway in gateways), reload())
@@ -265,33 +272,33 @@
             )
             assert all(request.answers == 1 for request in gateway.told)
         assert ledger.twice(names[0]) == ledger.twice(names[1]) == []
-        assert bank.balancer.said("event=configured") == 8
+        assert deployment.balancer.said("event=configured") == 8
 
 
 def test_a_faulty_file_changes_nothing_and_is_said_with_its_key(tmp_path, upstream_fleet):
-    with setting(tmp_path, upstream_fleet) as bank:
-        bank.routes[0]["pool"] = "nowhere"
-        bank.pools["b"]["upstreams"] = bank.pools["a"]["upstreams"]
-        bank.reload()
-        assert bank.balancer.said("routes.a.pool: 'nowhere' is none of a, b") == 1
-        assert [bank.by("a"), bank.by("b")] == ["a", "b"]
+    with setting(tmp_path, upstream_fleet) as deployment:
+        deployment.routes[0]["pool"] = "nowhere"
+        deployment.pools["b"]["upstreams"] = deployment.pools["a"]["upstreams"]
+        deployment.reload()
+        assert deployment.balancer.said("routes.a.pool: 'nowhere' is none of a, b") == 1
+        assert [deployment.by("a"), deployment.by("b")] == ["a", "b"]
 
 
 def test_an_upstream_of_two_pools_may_drain_in_one_and_not_in_the_other(tmp_path, upstream_fleet):
-    with setting(tmp_path, upstream_fleet) as bank:
-        bank.pools["b"] = bank.pool(["a-1", "b-1"])
-        bank.pools["a"] = bank.pool(["a-1", "a-2"], states={"a-1": "draining"})
-        bank.reload()
-        before = len(bank.ran("a-1"))
-        assert {bank.ask("a").headers["X-By"] for _ in range(20)} == {"a-2"}
-        assert len(bank.ran("a-1")) == before
-        assert "a-1" in {bank.ask("b").headers["X-By"] for _ in range(40)}
+    with setting(tmp_path, upstream_fleet) as deployment:
+        deployment.pools["b"] = deployment.pool(["a-1", "b-1"])
+        deployment.pools["a"] = deployment.pool(["a-1", "a-2"], states={"a-1": "draining"})
+        deployment.reload()
+        before = len(deployment.ran("a-1"))
+        assert {deployment.ask("a").headers["X-By"] for _ in range(20)} == {"a-2"}
+        assert len(deployment.ran("a-1")) == before
+        assert "a-1" in {deployment.ask("b").headers["X-By"] for _ in range(40)}
 
 
 def test_fifty_pools_and_a_thousand_routes_fit_in_64_mb(tmp_path, upstream_fleet):
-    with setting(tmp_path, upstream_fleet, descriptors=1024, memory_mb=64) as bank:
-        bank.pools = {f"p{number}": bank.pool(["a-1", "b-1"]) for number in range(50)}
-        bank.routes = [
+    with setting(tmp_path, upstream_fleet, descriptors=1024, memory_mb=64) as deployment:
+        deployment.pools = {f"p{number}": deployment.pool(["a-1", "b-1"]) for number in range(50)}
+        deployment.routes = [
             {
                 "name": f"r{number}",
                 "host": f"h{number}.example",
@@ -300,10 +307,10 @@
             }
             for number in range(1000)
         ]
-        bank.reload()
+        deployment.reload()
         some = [f"h{number}.example" for number in range(0, 1000, 99)]
-        assert {bank.ask(host, "/x/1/y").status for host in some} == {200}
-        assert bank.balancer.memory() < 64 << 20
+        assert {deployment.ask(host, "/x/1/y").status for host in some} == {200}
+        assert deployment.balancer.memory() < 64 << 20
 
 
 def parts(budget, *limits):
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -117,7 +117,7 @@
     table = given(
         policy={"mutation": mutation},
         troubles=[*troubles, {"kind": "slow", "at": 2.0}],
-        upstream_fleet={"balancers": 2, "machines": machines},
+        fleet={"balancers": 2, "machines": machines},
     )
     table["streams"][0]["rate"] = 200.0
     small, broken, tried = shrink(table, 3, most=12)
@@ -179,15 +179,15 @@
             list(runs(given(vary={path: [1.0]})))
 
 
-def bank(*troubles, **more):
+def fleet(*troubles, **more):
     """Ten balancers before twelve upstreams in two zones that start cold."""
     machines = [{"count": 12, "cores": 2, "queue": 16, "warm_up": 3.0}]
     upstream_fleet = {"balancers": 10, "zones": 2, "machines": machines}
-    return play(given(upstream_fleet=upstream_fleet, troubles=list(troubles), **more))
+    return play(given(fleet=upstream_fleet, troubles=list(troubles), **more))
 
 
 def test_balancers_that_are_killed_lose_what_they_had_and_the_front_finds_the_others():
-    found = bank({"kind": "killed", "at": 2.0, "span": 1.0, "share": 0.7})
+    found = fleet({"kind": "killed", "at": 2.0, "span": 1.0, "share": 0.7})
     assert found["holds"], found["why"]
     lost, asked = found["fleet"]["lost_with_a_balancer"], sum(found["by_second"]["asked"])
     unanswered = asked - sum(
@@ -198,7 +198,7 @@
 
 
 def test_a_rolling_restart_loses_nothing_and_a_list_that_moves_is_taken_up():
-    found = bank(
+    found = fleet(
         {"kind": "rolling", "at": 1.0, "span": 8.0},
         {"kind": "moved_list", "at": 1.5, "span": 1.0},
         seconds=14.0,
@@ -208,14 +208,14 @@
 
 
 def test_a_fleet_that_is_replaced_by_new_names_gets_nothing_new_at_the_old_ones():
-    found = bank({"kind": "replace", "at": 1.5, "span": 2.0, "share": 0.6}, seconds=8.0)
+    found = fleet({"kind": "replace", "at": 1.5, "span": 2.0, "share": 0.6}, seconds=8.0)
     assert found["holds"], found["why"]
     new = [name for name in found["servers"] if int(name.partition("-")[2]) >= 12]
     assert len(new) == 7 and all(found["servers"][name] > 0 for name in new)
 
 
 def test_answers_that_never_come_and_resets_under_requests_run_nothing_twice_and_clients_may_leave():
-    found = bank(
+    found = fleet(
         {"kind": "silent_answers", "at": 1.0, "span": 4.0, "amount": 0.1},
         {"kind": "resets", "at": 1.0, "span": 4.0, "amount": 0.1},
         {"kind": "leavers", "at": 1.0, "span": 4.0, "amount": 0.3},
@@ -231,7 +231,7 @@
 
 
 def test_a_zone_that_is_cut_off_is_reached_from_within_and_the_front_follows_who_asks():
-    found = bank(
+    found = fleet(
         {"kind": "cut_zone", "at": 2.0, "span": 1.5, "zone": 1},
         {"kind": "shift", "at": 2.0, "span": 2.0, "zone": 1, "amount": 5.0},
         front={"busy": 0.2, "times": 4.0, "zones": [1.0, 1.0]},
--- a/tests/test_kept_control.py
+++ b/tests/test_kept_control.py
@@ -1,6 +1,6 @@
 """The control socket's requests and answers as they stand, byte for byte: stories played again.
 
-`data/kept/control.json` holds three: of a process with all that a bank has, of one with nothing of
+`data/kept/control.json` holds three: of a process with all that a fleet has, of one with nothing of
 it, of one whose record has not begun. Each step waits so long, asks one line, and has its answer.
 """
 
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -1,4 +1,4 @@
-"""What verbs that need no running bank print with `--json`, and how they exit, from fixed files.
+"""What verbs that need no running fleet print with `--json`, and how they exit, from fixed files.
 
 What is measured in a run is kept by its keys and types; all else byte for byte.
 """
@@ -84,12 +84,12 @@
         "routes": routes[:1],
         "pools": pools | {"t": pools["t"] | {"connect_timeout": "200ms"}},
     }
-    bank = {"listen": "127.0.0.1:7000", "key_files": [key], "limits": LIMITS}
+    fleet = {"listen": "127.0.0.1:7000", "key_files": [key], "limits": LIMITS}
     acct = files.records("127.0.0.1:1813", {"a": "127.0.0.1:1"}, ["old", SECRET.decode()])
     texts = {
         "old.toml": whole,
         "new.toml": later,
-        "bank.toml": whole | {"bank": bank},
+        "bank.toml": whole | {"bank": fleet},
         "acct.toml": {"version": 1, "name": "m0", "listen": ["127.0.0.1:9000"]} | acct,
     }
     for name, table in texts.items():
--- a/tests/test_kept_outputs.py
+++ b/tests/test_kept_outputs.py
@@ -1,4 +1,4 @@
-"""What each verb of `whinpier bank` prints with `--json`, exits with and asks of a process.
+"""What each verb of `whinpier fleet` prints with `--json`, exits with and asks of a process.
 
 A process is played by a thread that answers each kind of request with one kept result.
 """
@@ -94,6 +94,6 @@
         yield from verbs(one, (*path, name))
 
 
-def test_each_verb_of_the_bank_that_prints_json_is_in_the_record():
+def test_each_verb_of_the_fleet_that_prints_json_is_in_the_record():
     named = {name for name in verbs(cli.commands["bank"])} - {"limits explain"}
     assert named == {case["verb"] for case in CASES if case["found"]["exit"] == 0}
--- a/tests/test_kept_verbs.py
+++ b/tests/test_kept_verbs.py
@@ -63,8 +63,18 @@
 FOUND = forms(cli)
 
 
+def is_new(verb):
+    """Whether this is a new name of a verb that keeps its old one."""
+    return verb.split()[:1] == ["fleet"]
+
+
 def test_no_verb_is_gone_or_has_come():
-    assert list(FOUND) == list(KEPT)
+    assert [verb for verb in FOUND if not is_new(verb)] == list(KEPT)
+
+
+def test_fleet_takes_every_verb_that_bank_takes():
+    new = {verb.replace("fleet", "bank", 1): form for verb, form in FOUND.items() if is_new(verb)}
+    assert new == {verb: form for verb, form in FOUND.items() if verb.split()[:1] == ["bank"]}
 
 
 @pytest.mark.parametrize("verb", KEPT)
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -42,11 +42,11 @@
 from whinpier.model_checking.ejection import FAULTS as VOTE_FAULTS
 from whinpier.model_checking.ejection import Voting
 from whinpier.policy.policy import Choice
-from whinpier.simulation.fleet import Bank
+from whinpier.simulation.fleet import Fleet
 from whinpier.simulation.clock import Clock
 from whinpier.simulation.experiment import checked
 from whinpier.simulation.metrics import Measure
-from whinpier.simulation.consensus import RecordBank
+from whinpier.simulation.consensus import RecordFleet
 from whinpier.simulation.invariants import Referee
 from whinpier.simulation.world import World
 from whinpier.policy.model import Attempt, Host, Outcome, Request, Upstream, UpstreamState
@@ -701,18 +701,18 @@
     return journal.result()
 
 
-def journal_of_bank(bank, journal):
+def journal_of_bank(fleet, journal):
     """What members have said of themselves, after a run."""
     numbering = Numbering()
-    for said in bank.said:
+    for said in fleet.said:
         values = [number for value in said.pairs.values() for number in numbering.values(value)]
         journal.note(2, said.at, numbering(said.process), numbering(said.event), *values)
-    journal.note(3, bank.clock.events)
-    journal.count(events=len(bank.said), steps=bank.clock.events)
+    journal.note(3, fleet.clock.events)
+    journal.count(events=len(fleet.said), steps=fleet.clock.events)
     return journal.result()
 
 
-class RecordingBank(Bank):
+class RecordingBank(Fleet):
     """Notes each datagram that a member sends."""
 
     def __init__(self, schedule, journal):
@@ -725,7 +725,7 @@
         super().carry(node, address, data)
 
 
-class RecordingRecordBank(RecordBank):
+class RecordingRecordBank(RecordFleet):
     """The same for members that agree on a record."""
 
     def __init__(self, schedule, voters, journal):
@@ -740,9 +740,9 @@
 
 def day_of_members(seed):
     journal = Journal()
-    bank = RecordingBank(draw(seed, 9, 40.0, 8), journal)
-    bank.play()
-    return journal_of_bank(bank, journal)
+    fleet = RecordingBank(draw(seed, 9, 40.0, 8), journal)
+    fleet.play()
+    return journal_of_bank(fleet, journal)
 
 
 def day_of_record(seed):
@@ -755,20 +755,20 @@
         Fault(30.0, "join", (7,)),
         Fault(33.0, "stop", (0,), span=2.0),
     )
-    bank = RecordingRecordBank(Schedule(8, 45.0, faults, seed), 5, journal)
+    fleet = RecordingRecordBank(Schedule(8, 45.0, faults, seed), 5, journal)
     for number, at in enumerate((18.0, 20.0, 20.5, 27.0, 36.0, 40.0)):
-        bank.until(at)
-        leader = bank.leader()
+        fleet.until(at)
+        leader = fleet.leader()
         data = encode(Drain(Said(100 + number, "seeded", "w" * 20), f"n{number}"))
         leader.agreement.command(DRAIN, data)
         leader.pass_on()
-    bank.until(45.0)
-    for node in bank.record_nodes():
+    fleet.until(45.0)
+    for node in fleet.record_nodes():
         agreement = node.agreement
         journal.note(
             4, node.number, agreement.term, agreement.last, agreement.commit, agreement.applied
         )
-    return journal_of_bank(bank, journal)
+    return journal_of_bank(fleet, journal)
 
 
 # The explorers, and the state machines that they hold.
--- a/tests/testbed/test_fault_scenarios.py
+++ b/tests/testbed/test_fault_scenarios.py
@@ -71,8 +71,8 @@
         def clock(self):
             return 25.0
 
-    player.bank = History()
-    player.bank.said, player.bank.facts = list(said), list(facts)
+    player.fleet = History()
+    player.fleet.said, player.fleet.facts = list(said), list(facts)
     player.judge_rests()
     player.judge_drains()
     return [line.partition(":")[0] for line in player.outcome.broken]
--- a/whinpier/__main__.py
+++ b/whinpier/__main__.py
@@ -76,11 +76,11 @@
         except ConfigFault as fault:
             log.warn("configuration_fault", fault=fault)
             return 2
-        if spec.bank:
-            from whinpier.fleet import bootstrap as bank  # only where a file has it
+        if spec.fleet:
+            from whinpier.fleet import bootstrap as fleet  # only where a file has it
 
             try:
-                life.bank = bank.start(life, datagrams)
+                life.fleet = fleet.start(life, datagrams)
             except OSError as fault:
                 log.warn("cannot_listen", address="bank.listen", fault=fault)
                 return 1
--- a/whinpier/cli/fleet.py
+++ b/whinpier/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`whinpier bank`: asks a running process what it knows of the others, by its control socket."""
+"""`whinpier fleet`: asks a running process what it knows of the others, by its control socket."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @click.group()
-def bank() -> None:
+def fleet() -> None:
     """The processes that know each other."""
 
 
@@ -38,7 +38,7 @@
         spec = files.read(str(operator))
     except ConfigFault as fault:
         fail(str(fault))
-    control: str = getattr(spec.bank, "control", "")
+    control: str = getattr(spec.fleet, "control", "")
     if not control:
         fail(f"{operator}: bank.control: is not set, so that nobody can ask")
     return control
@@ -108,7 +108,7 @@
     return f"{span} ms" if span < 1_000 else f"{span / 1000:.1f} s"
 
 
-@bank.command()
+@fleet.command()
 @options
 def members(path: Path | None, operator: Path | None, as_json: bool) -> None:
     """Who is here, suspect, lost or leaving, since when, by whose word; this one's own position."""
@@ -131,7 +131,7 @@
     show([{key: row[key] for key in SHOWN} for row in rows], "members")
 
 
-@bank.command()
+@fleet.command()
 @options
 def links(path: Path | None, operator: Path | None, as_json: bool) -> None:
     """How this process reaches each of the others: itself, by way of another, or not."""
@@ -145,7 +145,7 @@
     show([{key: row[key] for key in shown} for row in rows], "links")
 
 
-@bank.command()
+@fleet.command()
 @options
 def figures(path: Path | None, operator: Path | None, as_json: bool) -> None:
     """What it has sent, received, refused and seen since its start."""
@@ -154,11 +154,11 @@
     show([{"figure": name, "count": count} for name, count in sorted(found.items())], "figures")
 
 
-@bank.group(invoke_without_command=True)
+@fleet.group(invoke_without_command=True)
 @options
 @click.pass_context
 def limits(context: click.Context, path: Path | None, operator: Path | None, as_json: bool) -> None:
-    """What this process holds, uses, has lent and borrowed of each limit of the whole bank."""
+    """What this process holds, uses, has lent and borrowed of each limit of the whole fleet."""
     if context.invoked_subcommand is None:
         show_limits(path, operator, as_json)
 
@@ -213,7 +213,7 @@
         spec = files.read(str(file))
     except ConfigFault as fault:
         fail(str(fault))
-    found = [explained(said, members) for said in getattr(spec.bank, "limits", ())]
+    found = [explained(said, members) for said in getattr(spec.fleet, "limits", ())]
     if as_json:
         click.echo(json.dumps(found, indent=1))
         return
@@ -235,7 +235,7 @@
 
 
 def saying(command: Any) -> Any:
-    """What each command has that says something to the whole bank."""
+    """What each command has that says something to the whole fleet."""
     for option in (
         click.option(
             "--wait",
@@ -298,7 +298,9 @@
     operator: Path | None,
     as_json: bool,
 ) -> None:
-    """Have the whole bank go by another AMOUNT of limit NAME for a while; 3 where some did not confirm."""
+    """Have the whole fleet go by another AMOUNT of limit NAME for a while; 3 where some did not
+    confirm.
+    """
     call = Call(socket_of(path, operator))
     value = {"amount": amount, "who": who} | ({"why": why} if why else {})
     found = call.one("say", name=f"limit/{name}", value=value, life_ms=life)
@@ -317,7 +319,7 @@
     operator: Path | None,
     as_json: bool,
 ) -> None:
-    """Have the whole bank go by the files' amount of limit NAME again."""
+    """Have the whole fleet go by the files' amount of limit NAME again."""
     call = Call(socket_of(path, operator))
     found = call.one("say", name=f"limit/{name}", life_ms=3_600_000)
     confirmed(call, wait, goes_by, found, as_json, f"limit {name}: lifted")
@@ -332,13 +334,13 @@
     click.echo(json.dumps(found) if as_json else f"{name}: begun")
 
 
-@bank.group(invoke_without_command=True)
+@fleet.group(invoke_without_command=True)
 @options
 @click.pass_context
 def verdicts(
     context: click.Context, path: Path | None, operator: Path | None, as_json: bool
 ) -> None:
-    """Which upstreams rest over the whole bank, or are about to, as one process has it."""
+    """Which upstreams rest over the whole fleet, or are about to, as one process has it."""
     if context.invoked_subcommand is None:
         show_verdicts(path, operator, as_json)
 
@@ -384,7 +386,7 @@
     operator: Path | None,
     as_json: bool,
 ) -> None:
-    """Let an upstream (POOL/UPSTREAM) rest, or reject a tenant or route, at the whole bank
+    """Let an upstream (POOL/UPSTREAM) rest, or reject a tenant or route, at the whole fleet
     for a while.
     """
     call, key = Call(socket_of(path, operator)), key_of(kind, name)
@@ -428,10 +430,10 @@
     confirmed(call, wait, holds, found, as_json, f"{kind} {name}: lifted")
 
 
-@bank.command()
+@fleet.command()
 @options
 def said(path: Path | None, operator: Path | None, as_json: bool) -> None:
-    """What operators have said to the whole bank, till when, and which members hold it."""
+    """What operators have said to the whole fleet, till when, and which members hold it."""
     if (found := asked("register", path, operator, as_json)) is None:
         return
     show([row | {"left_ms": ago(row["left_ms"])} for row in found["words"]], "said")
@@ -439,7 +441,7 @@
     click.echo(f"not held by {', '.join(missing)}" if missing else "held by all who are there")
 
 
-@bank.command()
+@fleet.command()
 @click.argument("name")
 @options
 def strike(name: str, path: Path | None, operator: Path | None, as_json: bool) -> None:
@@ -450,7 +452,7 @@
     click.echo(json.dumps(found) if as_json else f"{name}: struck, {found['struck']} of its runs")
 
 
-@bank.command()
+@fleet.command()
 @click.option("--most", type=click.IntRange(1), default=None, help="Lines after which it ends.")
 @options
 def watch(path: Path | None, operator: Path | None, as_json: bool, most: int | None) -> None:
--- a/whinpier/cli/fleet_demo.py
+++ b/whinpier/cli/fleet_demo.py
@@ -1,6 +1,6 @@
-"""Plays a bank of some processes on this machine: a drain, a killed leader, a release, a bad one.
+"""Plays a fleet of some processes on this machine: a drain, a killed leader, a release, a bad one.
 
-Starts and ends all of it itself. With `stay` the bank is left running for a while, for whoever
+Starts and ends all of it itself. With `stay` the fleet is left running for a while, for whoever
 wants to try the commands on it.
 """
 
@@ -15,7 +15,7 @@
 from typing import Any
 
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Loads
@@ -26,14 +26,14 @@
 
 
 class Demo:
-    """One bank with upstreams of its own."""
+    """One fleet with upstreams of its own."""
 
     def __init__(self, folder: Path, count: int, tell: Tell) -> None:
         self.folder, self.count, self.tell = folder, count, tell
         self.upstream_fleet = UpstreamFleet(
             {f"s-{n}": Script(workers=8, work=WORK) for n in range(4)}, 1
         )
-        self.bank = Bank(
+        self.fleet = Fleet(
             count,
             folder,
             self.service,
@@ -54,18 +54,18 @@
         return {"pools": {"t": pool}, "routes": [files.route("t", "exclusive", "t")]}
 
     def status(self, number: int) -> dict[str, Any]:
-        found: dict[str, Any] = self.bank.ask(number, "status")
+        found: dict[str, Any] = self.fleet.ask(number, "status")
         return found
 
     def start(self) -> None:
-        self.bank.start()
-        self.bank.until(self.bank.gathered, 30.0)
-        self.bank.until(lambda: all(self.status(n)["line"] >= 3 for n in range(self.count)), 30.0)
+        self.fleet.start()
+        self.fleet.until(self.fleet.gathered, 30.0)
+        self.fleet.until(lambda: all(self.status(n)["line"] >= 3 for n in range(self.count)), 30.0)
 
     def command(self, number: int, *words: str) -> int:
-        """One command of `whinpier bank`, as somebody types it."""
+        """One command of `whinpier fleet`, as somebody types it."""
         self.tell(
-            f"$ whinpier bank {' '.join(words)} --socket {self.bank.processes[number].control}"
+            f"$ whinpier bank {' '.join(words)} --socket {self.fleet.processes[number].control}"
         )
         found = subprocess.run(
             [
@@ -75,7 +75,7 @@
                 "bank",
                 *words,
                 "--socket",
-                self.bank.processes[number].control,
+                self.fleet.processes[number].control,
             ],
             capture_output=True,
             text=True,
@@ -88,7 +88,7 @@
     def leader(self) -> int:
         return next(
             one.number
-            for one in self.bank.processes
+            for one in self.fleet.processes
             if one.alive() and self.status(one.number)["role"] == "leader"
         )
 
@@ -98,7 +98,7 @@
         loads = Loads(
             [
                 (
-                    self.bank.processes[n].balancer.address,  # type: ignore[union-attr]
+                    self.fleet.processes[n].balancer.address,  # type: ignore[union-attr]
                     Asks(f"t{n}", RATE, "/t/x", "POST", "t.example", TIMEOUT, AGREED),
                 )
                 for n in (last - 1, last)
@@ -119,12 +119,12 @@
         }
         leads = self.leader()
         self.tell(f"    m{leads}, which leads, is killed")
-        self.bank.kill(leads)
+        self.fleet.kill(leads)
         other = next(n for n in range(self.count) if n != leads)
-        self.bank.until(lambda: f"m{leads}" in self.status(other)["lost"], 20.0)
+        self.fleet.until(lambda: f"m{leads}" in self.status(other)["lost"], 20.0)
         codes["drain while one is lost"] = self.command(other, "drain", "balancer", f"m{last}")
-        self.bank.processes[leads].start()
-        self.bank.until(lambda: not self.status(other)["lost"], 20.0)
+        self.fleet.processes[leads].start()
+        self.fleet.until(lambda: not self.status(other)["lost"], 20.0)
         self.tell(f"    m{leads} is there again")
         codes["release"] = self.command(
             other, "release", str(good), "--waves", "1", "--window", "1s"
@@ -158,17 +158,17 @@
     def stay(self, seconds: float) -> None:
         """Leave it running, and say how it is asked."""
         self.tell(f"the bank goes on for {seconds:g} s; ask any of its processes, for instance:")
-        for one in self.bank.processes:
+        for one in self.fleet.processes:
             self.tell(f"    whinpier bank status --socket {one.control}")
         time.sleep(seconds)
 
     def end(self) -> None:
-        self.bank.end()
+        self.fleet.end()
         self.upstream_fleet.stop()
 
 
 def play(count: int, seconds: float, stay: float, tell: Tell) -> dict[str, Any]:
-    """Start a bank, play its story, leave it for a while, end it."""
+    """Start a fleet, play its story, leave it for a while, end it."""
     with tempfile.TemporaryDirectory(prefix="whinpier-") as name:
         demo = Demo(Path(name), count, tell)
         try:
--- a/whinpier/cli/main.py
+++ b/whinpier/cli/main.py
@@ -16,7 +16,7 @@
 import click
 
 from whinpier.cli import rollouts
-from whinpier.cli.fleet import bank
+from whinpier.cli.fleet import fleet
 from whinpier.cli.simulation import lab
 from whinpier.cli.radius import radius
 from whinpier.cli.tables import FILE, fail, show
@@ -214,25 +214,28 @@
 )
 @click.option("--seed", default=1, show_default=True)
 @click.option(
-    "--bank", is_flag=True, help="Several processes that know each other, drained and released."
+    "--bank",
+    "fleet",
+    is_flag=True,
+    help="Several processes that know each other, drained and released.",
 )
 @click.option(
-    "--members", default=5, show_default=True, type=click.IntRange(3, 20), help="Of the bank."
+    "--members", default=5, show_default=True, type=click.IntRange(3, 20), help="Of the fleet."
 )
 @click.option(
     "--stay",
     default=0.0,
     type=click.FloatRange(0.0, 3600.0),
-    help="Seconds that the bank is left running, for trying the commands on it.",
+    help="Seconds that the fleet is left running, for trying the commands on it.",
 )
 @click.option("--json", "as_json", is_flag=True)
 def demo(
-    seconds: float, rate: float, seed: int, bank: bool, members: int, stay: float, as_json: bool
+    seconds: float, rate: float, seed: int, fleet: bool, members: int, stay: float, as_json: bool
 ) -> None:
     """Play three pools under load on this machine, and stop an upstream in the middle."""
     from whinpier.cli.demo import play, tell
 
-    if bank:
+    if fleet:
         from whinpier.cli import fleet_demo
 
         try:
@@ -301,7 +304,8 @@
     cli(prog_name="whinpier")
 
 
-rollouts.add_to(bank)
-cli.add_command(bank)
+rollouts.add_to(fleet)
+cli.add_command(fleet)
+cli.add_command(fleet, "bank")  # the name that operators' scripts know
 cli.add_command(lab)
 cli.add_command(radius)
--- a/whinpier/cli/rollouts.py
+++ b/whinpier/cli/rollouts.py
@@ -1,5 +1,5 @@
-"""`whinpier bank drain|undrain|release|halt|resume|undo|status|...`: what operators say to the
-bank's record.
+"""`whinpier fleet drain|undrain|release|halt|resume|undo|status|...`: what operators say to the
+fleet's record.
 
 Each command has an id, by which it counts once, and states the revision that it rests on. Must
 never call done what the record does not: 0 done, 1 refused, 3 done in part, with the names of those
@@ -583,6 +583,6 @@
 
 
 def add_to(group: click.Group) -> None:
-    """These are commands of `whinpier bank`."""
+    """These are commands of `whinpier fleet`."""
     for command in COMMANDS:
         group.add_command(command)
--- a/whinpier/cli/simulation.py
+++ b/whinpier/cli/simulation.py
@@ -45,7 +45,7 @@
             rows.append(
                 {
                     "experiment": name,
-                    "balancers": days.bank.members,
+                    "balancers": days.fleet.members,
                     "upstreams": None,
                     "seconds": days.seconds,
                     "about": days.about,
@@ -97,7 +97,7 @@
             fail(
                 f"{file}: days of the bank are played in the model here; on processes by benchmarks.members"
             )
-        run_bank(path, jobs, out, seeds, as_json)
+        run_fleet(path, jobs, out, seeds, as_json)
     try:
         given, experiment = read(path)
         if seeds:
@@ -125,10 +125,10 @@
     raise SystemExit(1 if any(row["failed"] or row["void"] for row in table) else 0)
 
 
-def run_bank(
+def run_fleet(
     path: Path, jobs: int | None, out: Path | None, seeds: int | None, as_json: bool
 ) -> NoReturn:
-    """Days of the bank; what broke is kept with the least that still breaks it."""
+    """Days of the fleet; what broke is kept with the least that still breaks it."""
     import msgspec
     from rich.progress import Progress
 
@@ -164,7 +164,7 @@
                 }
                 for row in rows
             ],
-            f"{days.name}, {days.bank.members} members",
+            f"{days.name}, {days.fleet.members} members",
         )
         if broken:
             click.echo(
--- a/whinpier/config/model.py
+++ b/whinpier/config/model.py
@@ -193,7 +193,7 @@
     not_honoured: list[str] = field(
         default_factory=list
     )  # settings that the protocol has no way for
-    bank: Together | None = None  # how it knows the other processes; None: not at all
+    fleet: Together | None = None  # how it knows the other processes; None: not at all
     revision: str = ""  # of the operator's file, by its content
 
     @property
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -124,7 +124,7 @@
     discovery: str | None = None
     limits: LimitsTable = LimitsTable()
     says: Says = Says()
-    balancers: Count | None = None  # said: so many, whatever the bank knows
+    balancers: Count | None = None  # said: so many, whatever the fleet knows
     number: Whole = 0
     zone: str = ""
     zones: list[str] = []
@@ -169,7 +169,7 @@
     seed: str = ""
 
 
-class FileTable(Strict, frozen=True):
+class FileTable(Strict, frozen=True, rename={"fleet": "bank"}):
     """The whole file."""
 
     version: Literal[1]
@@ -177,7 +177,7 @@
     pools: dict[str, Any]
     routes: list[Any] = []
     radius: Any = None
-    bank: Any = None
+    fleet: Any = None
     name: str = "balancer"
     up: str = "/up"
     process: ProcessTable = ProcessTable()
@@ -343,15 +343,17 @@
     table: FileTable, config: dict[str, PoolTable], pools: dict[str, PoolSpec], routes: list[Route]
 ) -> Together | None:
     """How the process knows the others, if the file says so."""
-    if table.bank is None:
+    if table.fleet is None:
         return None
-    from whinpier.fleet.config import bank
+    from whinpier.fleet.config import fleet
 
     timeout = {
         name: max(one.timeout for one in spec.request_classes) for name, spec in pools.items()
     }
     shared = tuple(name for name, one in config.items() if one.balancers is None)
-    return bank(table.bank, table.name, shared, timeout, {one.name: one.to.pool for one in routes})
+    return fleet(
+        table.fleet, table.name, shared, timeout, {one.name: one.to.pool for one in routes}
+    )
 
 
 class To(Struct, frozen=True):
@@ -464,7 +466,7 @@
         beside(table, pools),
         table.up.encode(),
         table.process.isolate,
-        bank=together(table, config, pools, routes),
+        fleet=together(table, config, pools, routes),
     )
     check_room(spec)
     return spec
@@ -492,19 +494,19 @@
     for key in released:
         if key not in RELEASED and key != "bank":
             raise ConfigFault(f"released: {key}: belongs into each process's own file")
-    bank = released.get("bank", {})
-    if not isinstance(bank, dict) or not bank.keys() <= RELEASED_BANK:
+    fleet = released.get("bank", {})
+    if not isinstance(fleet, dict) or not fleet.keys() <= RELEASED_BANK:
         raise ConfigFault(
             f"released: bank: only {' and '.join(sorted(RELEASED_BANK))} are released"
         )
     whole = given | {key: value for key, value in released.items() if key != "bank"}
-    return whole | ({"bank": given.get("bank", {}) | bank} if bank else {})
+    return whole | ({"bank": given.get("bank", {}) | fleet} if fleet else {})
 
 
 def released_to(given: Any) -> bytes | None:
     """What was released to the process of this file, if anything was."""
-    bank = given.get("bank")
-    agreement = bank.get("agreement") if isinstance(bank, dict) else None
+    fleet = given.get("bank")
+    agreement = fleet.get("agreement") if isinstance(fleet, dict) else None
     folder = agreement.get("folder") if isinstance(agreement, dict) else None
     if not isinstance(folder, str):
         return None
@@ -567,7 +569,7 @@
         found += [
             f"{name}.{key}" for key in {**before, **after} if before.get(key) != after.get(key)
         ]
-    before, after = (spec.bank.till_restart if spec.bank else {} for spec in (old, new))
+    before, after = (spec.fleet.till_restart if spec.fleet else {} for spec in (old, new))
     found += [f"bank.{key}" for key in {**before, **after} if before.get(key) != after.get(key)]
     return found
 
--- a/whinpier/fleet/__init__.py
+++ b/whinpier/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Processes of whinpier that know each other. Off unless an operator's file has a table `bank`."""
+"""Processes of whinpier that know each other. Off unless an operator's file has a table `fleet`."""
--- a/whinpier/fleet/bootstrap.py
+++ b/whinpier/fleet/bootstrap.py
@@ -1,18 +1,18 @@
-"""Puts the bank beside the life of the process; not imported where no file has it."""
+"""Puts the fleet beside the life of the process; not imported where no file has it."""
 
 from __future__ import annotations
 
 import socket
 
 from whinpier.fleet.service import Link
-from whinpier.fleet.spec import BankSpec
+from whinpier.fleet.spec import FleetSpec
 from whinpier.runtime.process import Life
 
 
 def start(life: Life, sockets: list[socket.socket]) -> Link:
     """The link, on a socket that is closed with the others. Raises OSError if its address can't be had."""
-    assert isinstance(life.spec.bank, BankSpec)
+    assert isinstance(life.spec.fleet, FleetSpec)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
     sockets.append(sock)
-    sock.bind(life.spec.bank.listen)
-    return Link(life, life.spec.bank, sock)
+    sock.bind(life.spec.fleet.listen)
+    return Link(life, life.spec.fleet, sock)
--- a/whinpier/fleet/clock_offset.py
+++ b/whinpier/fleet/clock_offset.py
@@ -1,11 +1,11 @@
-"""Decides what time of day it is for the whole bank, and how sure of it this member is.
+"""Decides what time of day it is for the whole fleet, and how sure of it this member is.
 
 Wall clocks may be wrong by an hour, or step. Each member tells its own with what it sends; an
-answer to a ping bounds the other's clock by when the ping went and when the answer came. The bank's
-time is where a majority lies closest together, and it may be off by as far as that majority lies
-apart. Free of I/O: times are nanoseconds, `now` of this process's clock, walls since the epoch.
-Must never let one wrong clock move the bank's time, or call sure what only one clock says when
-others were heard before.
+answer to a ping bounds the other's clock by when the ping went and when the answer came. The
+fleet's time is where a majority lies closest together, and it may be off by as far as that
+majority lies apart. Free of I/O: times are nanoseconds, `now` of this process's clock, walls
+since the epoch. Must never let one wrong clock move the fleet's time, or call sure what only one
+clock says when others were heard before.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from whinpier.policy.decaying_sum import SECOND
 
-KEPT = 60 * SECOND  # that a word on a clock counts: some turns of pings in a bank of two hundred
+KEPT = 60 * SECOND  # that a word on a clock counts: some turns of pings in a fleet of two hundred
 MARGIN = SECOND // 20  # a late loop, on either side
 DRIFT = 2_000  # a clock runs wrong by a part of this at most: 0.05 %, five times what hardware does
 
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -1,4 +1,4 @@
-"""The table `bank` of an operator's file: its keys, what is said of a faulty one. Not imported
+"""The table `fleet` of an operator's file: its keys, what is said of a faulty one. Not imported
 without it.
 """
 
@@ -17,7 +17,7 @@
 from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SPAN, Limit
 from whinpier.fleet.membership.membership import MS, Times
 from whinpier.fleet.rollouts.state_machine import BALANCERS, MOST_RULES, Rule
-from whinpier.fleet.spec import AgreementSpec, BankSpec
+from whinpier.fleet.spec import AgreementSpec, FleetSpec
 from whinpier.fleet.outliers.ejection import Rules
 from whinpier.fleet.quotas.calendar_quota import Calendar
 from whinpier.policy.decaying_sum import SECOND
@@ -41,7 +41,7 @@
 
 
 class LimitTable(Strict, frozen=True):
-    """A limit of the whole bank."""
+    """A limit of the whole fleet."""
 
     kind: Literal["rate", "in_flight", "count", "connections"]
     amount: Annotated[float, Meta(gt=0.0, le=1e9)]
@@ -58,7 +58,7 @@
 
 
 class VerdictsTable(Strict, frozen=True):
-    """By what upstreams rest over the whole bank."""
+    """By what upstreams rest over the whole fleet."""
 
     part: Annotated[float, Meta(gt=0.0, le=0.5)] = 0.2
     witnesses: Annotated[int, Meta(ge=2, le=100)] = 3
@@ -79,7 +79,7 @@
 
 
 class AgreementTable(Strict, frozen=True):
-    """The bank's record: drains and releases that all agree on."""
+    """The fleet's record: drains and releases that all agree on."""
 
     voters: list[str]
     folder: str
@@ -90,8 +90,8 @@
     build: Annotated[str, Meta(max_length=63)] = messages.BUILD
 
 
-class BankTable(Strict, frozen=True):
-    """How this process takes part in the bank."""
+class FleetTable(Strict, frozen=True):
+    """How this process takes part in the fleet."""
 
     listen: str
     key_files: list[str]
@@ -273,15 +273,15 @@
     )
 
 
-def bank(
+def fleet(
     value: Any, name: str, pools: tuple[str, ...], every: dict[str, int], routes: dict[str, str]
-) -> BankSpec:
-    """What the bank's part of the process runs by, or a ConfigFault that names the key.
+) -> FleetSpec:
+    """What the fleet's part of the process runs by, or a ConfigFault that names the key.
 
-    `pools` are shared by as many as the bank says; `every` pool has its longest timeout, in
+    `pools` are shared by as many as the fleet says; `every` pool has its longest timeout, in
     nanoseconds; `routes` have their pool.
     """
-    table = part(value, BankTable, "bank")
+    table = part(value, FleetTable, "bank")
     if len(table.seeds) > MOST_SEEDS:
         raise ConfigFault(f"bank.seeds: {len(table.seeds)} of them; {MOST_SEEDS} at most")
     if len(pools) > messages.MOST_POOLS:
@@ -314,7 +314,7 @@
             raise ConfigFault(f"bank.{key}: is no path")
     if table.state and not table.state.startswith("/"):
         raise ConfigFault(f"bank.state: {table.state!r} is no whole path")
-    return BankSpec(
+    return FleetSpec(
         named(table.name or name, "bank.name" if table.name else "name"),
         listen,
         advertise,
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -1,4 +1,4 @@
-"""Decides one ordered record that a few voters of the bank keep and all members learn.
+"""Decides one ordered record that a few voters of the fleet keep and all members learn.
 
 After Raft (Ongaro, Ousterhout 2014): terms, votes asked for before an election is begun, a log that
 a leader copies to voters, what most of them hold for good is agreed, voters are changed one at a
@@ -885,7 +885,7 @@
     # What comes.
 
     def hear(self, talk: Talk, sender: str, now: int) -> None:
-        """A talk of a member that is proved to be of the bank."""
+        """A talk of a member that is proved to be of the fleet."""
         self.now = max(self.now, now)
         if talk.record != self.record:
             if self.outdone(talk.record):
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -1,4 +1,4 @@
-"""What operators ask of the bank's record, and say to it, by the control socket.
+"""What operators ask of the fleet's record, and say to it, by the control socket.
 
 Reads what they say into commands with an id each, and shows what is agreed. Must never say that
 something is done before the record does, or let a command through that the record could not read.
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -1,4 +1,4 @@
-"""Owns the control socket: what the process knows of the bank can be asked while it serves.
+"""Owns the control socket: what the process knows of the fleet can be asked while it serves.
 
 One JSON object a line each way, with the id that the caller gave. Must never let a caller hold the
 process: a line is bounded, so is what waits to be read, and each write has a deadline.
@@ -51,7 +51,7 @@
         "voters",
         "recover",
     )
-)  # about the bank's record
+)  # about the fleet's record
 GONE_CALLER = (
     OSError,
     TimeoutError,
@@ -200,7 +200,7 @@
         )
 
     def of_record(self, asked: ControlRequest) -> Any:
-        """What is about the bank's record."""
+        """What is about the fleet's record."""
         if self.link.agreed is None:
             raise Refused("bank.agreement is not in this file, so that nothing is agreed")
         from whinpier.fleet.control_commands import Fault, found  # only where a file has it
@@ -211,7 +211,7 @@
             raise Refused(str(fault)) from None
 
     def say(self, asked: ControlRequest) -> Any:
-        """An operator's word to the whole bank."""
+        """An operator's word to the whole fleet."""
         kind, _, name = asked.name.partition("/")
         if not 1_000 <= asked.life_ms <= LONGEST:
             raise Refused(
--- a/whinpier/fleet/fleet_size.py
+++ b/whinpier/fleet/fleet_size.py
@@ -1,4 +1,4 @@
-"""Decides what pools are told of the bank: how many balancers share each, and which this one is.
+"""Decides what pools are told of the fleet: how many balancers share each, and which this one is.
 
 Too few is by far the dearer mistake: those who think they are alone together push everything over.
 So the number rises at once and falls only for good reason, and late. Free of I/O. Must never tell a
@@ -30,7 +30,7 @@
 
 
 class Counting:
-    """Of all pools that the bank shares."""
+    """Of all pools that the fleet shares."""
 
     def __init__(self, members: Members, pools: tuple[str, ...]) -> None:
         self.members = members
--- a/whinpier/fleet/membership/membership.py
+++ b/whinpier/fleet/membership/membership.py
@@ -1,4 +1,4 @@
-"""Decides who is in the bank: who is here, suspect, lost or left, by whose word, and one's own
+"""Decides who is in the fleet: who is here, suspect, lost or left, by whose word, and one's own
 position.
 
 After SWIM (Das, Gupta, Motivala 2002): pings in turn, others asked to ping, news carried by what is
@@ -62,7 +62,7 @@
     int, int, Callable[..., None], tuple[Any, ...], int
 ]  # at, number, call, arguments, nonce
 
-MOST = 4_096  # members of a table: four times the largest bank that was tried
+MOST = 4_096  # members of a table: four times the largest fleet that was tried
 MOST_TOMBS = 4_096  # of those that have gone for good
 TOMB = 600 * SECOND  # longer than a process is stopped, or a network cut, and old beliefs come back
 MOST_WALLS = 1_024  # clocks that were heard and not looked at yet
@@ -78,9 +78,9 @@
 SLOW = SECOND // 4  # of lateness that doubles this one's timers, up to `MOST_SLOW` times
 MOST_SLOW, SLOW_FOR = 4.0, 5 * SECOND
 WINDOW = 1_024  # datagrams of one sender that may come out of order: 3 s late at 300 a second
-TIMES = 3  # each piece of news is sent, for each doubling of the bank
+TIMES = 3  # each piece of news is sent, for each doubling of the fleet
 BYTES, BURST = 64_000, 64_000  # a second, and at once: what goes beyond waits for another turn
-# a second that are answered of those who are not known: a bank of hundreds starts at once
+# a second that are answered of those who are not known: a fleet of hundreds starts at once
 KNOCKS = 400.0
 RETRY = SECOND // 4  # between pings to one of those that are lost
 PRESENTED = (
@@ -93,7 +93,7 @@
 )  # so often while nobody is there, and in the first seconds
 SEED_NOW_AND_THEN = (
     5 * SECOND
-)  # and one by one for good: a part of the bank that only the file knows
+)  # and one by one for good: a part of the fleet that only the file knows
 EXCHANGE_APART, EXCHANGE_SOON = SECOND, SECOND // 4  # between exchanges; where somebody is lost
 TALK_ROOM = (
     messages.LARGEST - messages.EMPTY_SIZE - messages.WORD_SIZE - 1
@@ -104,7 +104,9 @@
 
 @dataclass(frozen=True)
 class Times:
-    """How quick the bank is. The defaults lose a killed member within 3 s, and none for a pause of 1 s."""
+    """How quick the fleet is. The defaults lose a killed member within 3 s, and none for a pause
+    of 1 s.
+    """
 
     probe: int = 100 * MS  # between pings of this member
     answer: int = 300 * MS  # from a ping to suspicion, others asked in between
@@ -212,7 +214,7 @@
 
 
 class Members:
-    """One member's view of the bank."""
+    """One member's view of the fleet."""
 
     def __init__(
         self,
@@ -344,7 +346,7 @@
         self.spread(word)
 
     def spread(self, word: Word) -> None:
-        """News goes out with whatever is sent next, a few times for each doubling of the bank."""
+        """News goes out with whatever is sent next, a few times for each doubling of the fleet."""
         old = self.fresh_news.pop(word.id, None)
         if old is not None:
             old[0] = None  # dropped when its turn comes
@@ -563,7 +565,7 @@
 
     def remind(self, member_id: int, life: int) -> None:
         """Whoever suspects tells the suspect so itself, until it has refuted or its time is over."""
-        # Guards against a loss by hearsay alone: in a bank of hundreds few have heard it just now,
+        # Guards against a loss by hearsay alone: in a fleet of hundreds few have heard it just now,
         # so that none of them may tell it, and by news it may hear too late.
         member = self.members.get(member_id)
         if member is not None and member.state == SUSPECT and member.word.life == life:
@@ -882,7 +884,7 @@
             word = Word(word.id, word.life, SUSPECT, word.why, word.by)
         self.adopt(member, word)
         if word.state == SUSPECT and heard and self.random() < HELPERS / self.count():
-            self.tell(member)  # a few of those who hear it, whatever the size of the bank
+            self.tell(member)  # a few of those who hear it, whatever the size of the fleet
 
     def answer_for(self, word: Word, sender: Member) -> None:
         """Something is said of this member itself."""
--- a/whinpier/fleet/messages.py
+++ b/whinpier/fleet/messages.py
@@ -1,7 +1,7 @@
-"""Each datagram of the bank with its form: packed, sealed by the bank's key, opened, bounded.
+"""Each datagram of the fleet with its form: packed, sealed by the fleet's key, opened, bounded.
 
 A datagram is `MAGIC`, one byte of form, a MessagePack body and a keyed BLAKE2b tag over all before
-it. Must never read a body whose tag does not prove that it comes from the bank, make a datagram of
+it. Must never read a body whose tag does not prove that it comes from the fleet, make a datagram of
 more than `LARGEST` bytes, or raise anything but `Unread` for what came in.
 """
 
@@ -30,7 +30,8 @@
     6
 )  # deals about a part of a limit, and a state file
 HEARING, EVIDENCE, VOTE_FOR, VOTE, REST = range(5)  # pleas about an upstream
-# What keeps the bank's record: elections, copies, learning, commands, reads, what a member reports.
+# What keeps the fleet's record: elections, copies, learning, commands, reads, what a member
+# reports.
 (
     ASK_EARLY,
     EARLY,
@@ -98,7 +99,7 @@
     pools: Annotated[
         tuple[Small, ...], Meta(max_length=MOST_POOLS)
     ] = ()  # that it shares, by `pool_mark`
-    limits: Small = 0  # how limits of the whole bank are divided, by its file
+    limits: Small = 0  # how limits of the whole fleet are divided, by its file
 
     @property
     def id(self) -> int:
@@ -211,7 +212,7 @@
     talks: Annotated[list[Talk], Meta(max_length=MOST_TALKS)] = []
 
 
-@lru_cache(maxsize=16_384)  # four tables of the largest bank that there may be
+@lru_cache(maxsize=16_384)  # four tables of the largest fleet that there may be
 def member_id(name: str, run: int) -> int:
     """Which member this is, in eight bytes: a name and one of its runs."""
     text = f"{name}/{run:x}".encode()
@@ -251,7 +252,7 @@
 
 
 class Seal:
-    """Keys of the bank: the first seals, each opens; two hold while they are changed."""
+    """Keys of the fleet: the first seals, each opens; two hold while they are changed."""
 
     def __init__(self, keys: tuple[bytes, ...]) -> None:
         self.keys = keys
@@ -275,7 +276,7 @@
         body, tag = data[:-TAG], data[-TAG:]
         if not any(hmac.compare_digest(self.tag(body, key), tag) for key in self.keys):
             raise Unread("unproved")
-        # Only now: a form that is proved to be of the bank's is a later build's, not noise.
+        # Only now: a form that is proved to be of the fleet's is a later build's, not noise.
         if data[2] != FORM:
             raise Unread("later_form")
         try:
--- a/whinpier/fleet/outliers/ejection.py
+++ b/whinpier/fleet/outliers/ejection.py
@@ -1,10 +1,10 @@
-"""Decides which upstreams the whole bank lets rest, by what witnesses, and until when.
+"""Decides which upstreams the whole fleet lets rest, by what witnesses, and until when.
 
 Each member measures how much slower than its own usual an upstream answers it. Who suspects one
 asks the others what they have seen; where enough of those who tried it, by their own measure and in
 good standing themselves, saw the same, it asks for votes. A pool has a few slots for what rests;
 each slot goes to one upstream at a time, by the votes of most of all members that are reckoned
-with, for a few seconds; so no two judges and no two parts of a bank that is cut let more rest than
+with, for a few seconds; so no two judges and no two parts of a fleet that is cut let more rest than
 there are slots: docs/design/verdicts.md.
 
 Free of I/O: handed time, chance, messages. Must never count the word of one whose own ways are bad,
@@ -120,7 +120,7 @@
 
 
 class Court:
-    """One member's part in the bank's verdicts."""
+    """One member's part in the fleet's verdicts."""
 
     def __init__(self, rules: Rules, own: int, now: int, chance: Random, fence: int = 0) -> None:
         """`fence`: votes of this member's last run may still hold for so long."""
--- a/whinpier/fleet/outliers/monitor.py
+++ b/whinpier/fleet/outliers/monitor.py
@@ -1,6 +1,6 @@
-"""Puts the bank's verdicts where pools look: what answers say goes in, what rests comes out.
+"""Puts the fleet's verdicts where pools look: what answers say goes in, what rests comes out.
 
-Knows both sides' names for an upstream: its host in a pool, a number in the bank, which a restart
+Knows both sides' names for an upstream: its host in a pool, a number in the fleet, which a restart
 changes. Must never let an upstream rest that the court has not said, or tell it of answers that no
 upstream gave.
 """
@@ -103,7 +103,7 @@
         self.missed: dict[tuple[str, ...], int] = {}  # of those: since when one does not rest here
 
     def put(self, pools: Iterable[Pool], shared: tuple[str, ...]) -> None:
-        """Watch these, as far as the bank shares them."""
+        """Watch these, as far as the fleet shares them."""
         found = {}
         for pool in pools:
             mark = pool_mark(pool.name)
--- a/whinpier/fleet/peer_cache.py
+++ b/whinpier/fleet/peer_cache.py
@@ -1,4 +1,4 @@
-"""Where members were, kept in a file, so that a bank that was all restarted finds itself without
+"""Where members were, kept in a file, so that a fleet that was all restarted finds itself without
 its seeds.
 
 A help, not a promise: what can't be read or written is said once, and the process goes on by its
--- a/whinpier/fleet/quotas/allocation.py
+++ b/whinpier/fleet/quotas/allocation.py
@@ -338,7 +338,7 @@
 
         `there`: members heard to go by this epoch, `apart`: heard to go by another, `silent`:
         reckoned with and not heard; this member itself is left out of all. `voices`: clocks that
-        the bank's time is from.
+        the fleet's time is from.
         """
         if self.agreed or not self.tables:
             return False
--- a/whinpier/fleet/quotas/enforcement.py
+++ b/whinpier/fleet/quotas/enforcement.py
@@ -1,4 +1,4 @@
-"""Decides which limits of the whole bank a request passes, and puts them where pools look.
+"""Decides which limits of the whole fleet a request passes, and puts them where pools look.
 
 By the pools, routes and tenants that the file names; what is limited at upstreams comes to the
 decisions as a plain number, how many more each may be sent. Must never count a request in a limit
--- a/whinpier/fleet/quotas/fair_share.py
+++ b/whinpier/fleet/quotas/fair_share.py
@@ -4,7 +4,7 @@
 who asks for little has that, the rest is shared evenly among those who ask for more. It goes by the
 least that it told itself within the time that a word needs to reach all, and by the most that the
 others told within it; so while words come in time the parts add up to no more than the limit,
-however demand moves. Who is unheard counts for an even share at the least, so that parts of a bank
+however demand moves. Who is unheard counts for an even share at the least, so that parts of a fleet
 that is cut do not add up to more either, once they know that they are. By how much it can go over
 until then stands in docs/design/limits.md.
 
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -1,12 +1,12 @@
-"""Decides what part of a limit of the whole bank this member may use just now, and whom it asks for
-more.
+"""Decides what part of a limit of the whole fleet this member may use just now, and whom it asks
+for more.
 
 A limit is cut into homes, one for each member that the operator's file names; they add up to the
 limit. A member lends what it does not need of its home for a span, by the borrower's word and at
-once; the lender takes off first, the borrower's span runs from when it asked and the lender's from
-when it lent, and longer. So whatever is lost, late, doubled, cut or killed, all that may be used
-adds up to no more than the limit; what can happen is that some of it lies unused till a span is
-over. Why so: docs/design/limits.md.
+once; the lender takes off first, the borrower's span runs from when it asked and the lender's
+from when it lent, and longer. So whatever is lost, late, doubled, cut or killed, all that may be
+used adds up to no more than the limit; what can happen is that some of it lies unused till a
+span is over. Why so: docs/design/limits.md.
 
 Free of I/O: handed time, messages and chance. Amounts are whole: slots of requests in flight, or
 thousandths of a request a second. Must never use, or lend, what may be in use elsewhere.
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Limit:
-    """A limit of the whole bank that is never exceeded."""
+    """A limit of the whole fleet that is never exceeded."""
 
     name: str
     kind: str  # RATE, IN_FLIGHT, COUNT or CONNECTIONS, which are in flight and lent to nobody
--- a/whinpier/fleet/registry.py
+++ b/whinpier/fleet/registry.py
@@ -1,10 +1,10 @@
-"""Decides what operators have said to the whole bank, and for how long: a small table that all come
-to hold.
+"""Decides what operators have said to the whole fleet, and for how long: a small table that all
+come to hold.
 
 Of two words on one key the later version holds, of two of one version that of the higher member.
-Each has an end, so that what was said and forgotten does not stay; lifting it is a word too. Words
-go with datagrams that are sent anyway, and whole tables where digests differ. It is not an
-agreement: while parts of the bank are cut off they may go by different words. Free of I/O. Must
+Each has an end, so that what was said and forgotten does not stay; lifting it is a word too.
+Words go with datagrams that are sent anyway, and whole tables where digests differ. It is not an
+agreement: while parts of the fleet are cut off they may go by different words. Free of I/O. Must
 never hold a word beyond its end by more than its way took, or more words than `MOST`.
 """
 
@@ -23,7 +23,7 @@
 MS = SECOND // 1000
 MOST, MOST_KEY, MOST_VALUE = 512, 160, 320  # words, characters, bytes
 LONGEST = 24 * 3600 * 1000  # ms that one may last: what is to stay belongs into files
-TIMES = 3  # each is sent, for each doubling of the bank
+TIMES = 3  # each is sent, for each doubling of the fleet
 APART = SECOND  # between two whole tables to whoever differs
 FADING = 2 * SECOND  # before its end a word counts in no digest: clocks and ways differ by less
 
--- a/whinpier/fleet/rollouts/state_machine.py
+++ b/whinpier/fleet/rollouts/state_machine.py
@@ -1,4 +1,4 @@
-"""Decides what the lines of the bank's record come to: permits, drains, releases, what each member
+"""Decides what the lines of the fleet's record come to: permits, drains, releases, what each member
 is to do.
 
 A pure function of the lines: every member that has learned the same lines holds the same, and finds
@@ -123,7 +123,7 @@
 
 
 class Gate(Struct, frozen=True, array_like=True):
-    """What has to hold between two waves, measured beside the rest of the bank in the same seconds."""
+    """What has to hold between two waves, measured beside the rest of the fleet in the same seconds."""
 
     window_ms: Annotated[int, Meta(ge=200, le=3_600_000)] = 3_000
     on_time: float = 0.05  # by how much less may be on time
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -1,4 +1,4 @@
-"""Owns the bank's datagrams: their socket, the clock, the log lines, what pools are told.
+"""Owns the fleet's datagrams: their socket, the clock, the log lines, what pools are told.
 
 Hands bytes and times to `members` and sends what it gives back. Must never decide anything, let a
 flood take the loop's time beyond a bound, or end the process for anything that comes or fails to
@@ -43,7 +43,7 @@
 from whinpier.fleet.quotas.leases import TURN
 from whinpier.fleet.membership.membership import GONE, MS, UNHEARD, Address, Event, Member, Members
 from whinpier.fleet.quotas.fair_share import Nearly
-from whinpier.fleet.spec import BankSpec
+from whinpier.fleet.spec import FleetSpec
 from whinpier.fleet.outliers.monitor import Watching
 from whinpier.fleet.quotas.calendar_quota import Note, Units
 from whinpier.policy.decaying_sum import SECOND
@@ -66,9 +66,9 @@
 
 
 class Link:
-    """This process as a member of the bank."""
+    """This process as a member of the fleet."""
 
-    def __init__(self, life: Life, spec: BankSpec, sock: socket.socket) -> None:
+    def __init__(self, life: Life, spec: FleetSpec, sock: socket.socket) -> None:
         self.life, self.spec, self.sock, self.loop = life, spec, sock, life.loop
         self.now = self.loop.clock()
         self.first_notes: dict[tuple[Any, ...], tuple[Any, ...]] = {}
@@ -198,7 +198,7 @@
                 well = False
 
     def attach(self) -> None:
-        """Connect the pools that the bank shares."""
+        """Connect the pools that the fleet shares."""
         self.by_mark = {pool_mark(name): name for name in self.spec.pools}
         self.nearly_marks = {one.limit.mark: one for one in self.shares.nearly.values()}
         for name, pool in self.life.pools.items():
@@ -231,7 +231,7 @@
             self.agreed.start()
         self.schedule()
 
-    def follow(self, spec: BankSpec) -> None:
+    def follow(self, spec: FleetSpec) -> None:
         """Go on by a new file."""
         keys, self.spec = spec.differs(self.spec), spec
         self.counting.follow(spec.pools)
@@ -427,7 +427,7 @@
     # What operators say.
 
     def say(self, key: str, value: dict[str, Any], life: int) -> bool:
-        """One word to the whole bank; without a value it lifts what was said. Whether there was room."""
+        """One word to the whole fleet; without a value it lifts what was said. Whether there was room."""
         data = msgspec.json.encode(value) if value else b""
         said = self.members.register.say(key, data, life, self.members.card.id, self.loop.clock())
         if said is not None:
--- a/whinpier/fleet/spec.py
+++ b/whinpier/fleet/spec.py
@@ -1,4 +1,4 @@
-"""Plain types of what is configured for the bank. Reads no file."""
+"""Plain types of what is configured for the fleet. Reads no file."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class AgreementSpec:
-    """How this process takes part in the bank's record."""
+    """How this process takes part in the fleet's record."""
 
     voters: tuple[str, ...]  # who votes where a record begins; the first begins it
     folder: str  # where the record and the released file lie
@@ -38,8 +38,8 @@
 
 
 @dataclass(frozen=True)
-class BankSpec:
-    """How this process takes part in the bank."""
+class FleetSpec:
+    """How this process takes part in the fleet."""
 
     name: str
     listen: Address
@@ -51,9 +51,9 @@
     state: str = ""  # path of a file of what must outlive the process; empty: none
     zone: str = ""
     times: Times = Times()
-    pools: tuple[str, ...] = ()  # that are shared by as many as the bank says
+    pools: tuple[str, ...] = ()  # that are shared by as many as the fleet says
     limits: tuple[Said, ...] = ()
-    verdicts: Rules | None = None  # None: nothing rests by what the bank says
+    verdicts: Rules | None = None  # None: nothing rests by what the fleet says
     agreement: AgreementSpec | None = None  # None: nothing is agreed
 
     @property
@@ -70,14 +70,14 @@
     def till_restart(self) -> dict[str, object]:
         return {key: getattr(self, key) for key in TILL_RESTART}
 
-    def kept(self, old: object) -> BankSpec:
+    def kept(self, old: object) -> FleetSpec:
         """This one as it can be run by a process that was started by an old one."""
-        assert isinstance(old, BankSpec)
+        assert isinstance(old, FleetSpec)
         return replace(self, **{key: getattr(old, key) for key in TILL_RESTART})
 
-    def differs(self, other: BankSpec) -> list[str]:
+    def differs(self, other: FleetSpec) -> list[str]:
         return [
             one.name
-            for one in fields(BankSpec)
+            for one in fields(FleetSpec)
             if getattr(self, one.name) != getattr(other, one.name)
         ]
--- a/whinpier/fleet/state_store.py
+++ b/whinpier/fleet/state_store.py
@@ -1,4 +1,4 @@
-"""Owns the bank's state file: what has to be on the disk before it may be acted on.
+"""Owns the fleet's state file: what has to be on the disk before it may be acted on.
 
 Notes of a durable file, by key; written beside the loop, the newest of each key at once, and
 compacted. Must never say that something is on the disk before it is, or hold more notes than there
--- a/whinpier/policy/policy.py
+++ b/whinpier/policy/policy.py
@@ -693,9 +693,9 @@
         self.ask_later()
 
     def ask_later(self) -> None:
-        # Guards against a bank that asks in step for a list that can answer only so many: by chance
-        # within two seconds, and within twice as long after each call in vain, which may itself
-        # take half of that.
+        # Guards against a fleet that asks in step for a list that can answer only so many: by
+        # chance within two seconds, and within twice as long after each call in vain, which may
+        # itself take half of that.
         if self.asks and not self.following:
             within, chance = (
                 min(2 * SECOND << min(self.tries, 9), self.ask_within),
--- a/whinpier/policy/rate_gossip.py
+++ b/whinpier/policy/rate_gossip.py
@@ -7,7 +7,7 @@
 from whinpier.policy.decaying_sum import SECOND
 
 FORM, MESSAGE = 1, Struct("<Bf")  # which build's form it is, the sender's rate of requests a second
-HEARD = 30 * SECOND  # for which a rate holds: some messages are lost, and large banks speak seldom
+HEARD = 30 * SECOND  # for which a rate holds: some messages are lost, and large fleets speak seldom
 MOST = 1e9  # requests a second: what is beyond, or no number, is not believed
 
 
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -329,7 +329,7 @@
         upstream.close_idle()
 
     def tell(self, balancer: int | None, contents: bytes) -> None:
-        """No protocol of clients and upstreams carries a message; where there is a bank, that does."""
+        """No protocol of clients and upstreams carries a message; where there is a fleet, that does."""
         if self.speaks:
             self.speaks(contents)
 
