--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -61,7 +61,7 @@
     def figures(self) -> dict[str, int]: ...
 
 
-class Bank(Protocol):
+class Fleet(Protocol):
     """What knows the other processes; pools are told of them by it."""
 
     def start(self) -> None: ...
@@ -118,7 +118,7 @@
         self.random = self.chance.random if spec.routed else first.choice.split.random
         self.budget.idle = self.idle
         self.fronts = wire.fronts(self)
-        self.bank: Bank | None = None
+        self.fleet: Fleet | None = None
 
     def add(self, spec: PoolSpec) -> Pool:
         seed = self.chance.getrandbits(64) if self.spec.routed else self.spec.seed
@@ -245,9 +245,9 @@
         """A new file as it can be run by: what waits for a restart is as it was."""
         old = self.spec
         beside = {name: new.beside.get(name, kept) for name, kept in old.beside.items()}
-        bank = new.bank.kept(old.bank) if new.bank and old.bank else old.bank
+        fleet = new.fleet.kept(old.fleet) if new.fleet and old.fleet else old.fleet
         return replace(
-            new, beside=beside, bank=bank, **{key: getattr(old, key) for key in KEPT_TILL_RESTART}
+            new, beside=beside, fleet=fleet, **{key: getattr(old, key) for key in KEPT_TILL_RESTART}
         )
 
     def apply(self, new: Spec) -> None:
@@ -267,8 +267,8 @@
                 self.pools[name].change(spec)
                 log.say("pool_changed", pool=name, keys=",".join(keys))
         self.wire.reroute(self.fronts, self)
-        if self.bank:
-            self.bank.follow(new.bank)
+        if self.fleet:
+            self.fleet.follow(new.fleet)
         for pool in leaving:
             self.going.add(pool)
             log.say("pool_leaves", pool=pool.name, out=pool.out)
@@ -349,8 +349,8 @@
             for request_class in spec.request_classes
         )
         self.stop_by = loop.clock() + min(longest, LONGEST) + AFTERWARDS
-        if self.bank:
-            self.bank.leave()
+        if self.fleet:
+            self.fleet.leave()
         for request in list(self.ids.values()):
             request.pool.shorten(request, self.stop_by - loop.margin())
         await anyio.sleep(STILL_COMING / SECOND)
@@ -365,8 +365,8 @@
             if loop.clock() > self.stop_by:
                 break
             await anyio.sleep(0.01)
-        if self.bank:
-            self.bank.goodbye()
+        if self.fleet:
+            self.fleet.goodbye()
         log.say("stopped", out=self.out(), **self.total())
         loop.task_group.cancel_scope.cancel()
 
@@ -388,8 +388,8 @@
             loop.spawn(self.heed, loop.task_group.cancel_scope.cancel)
             for pool in self.pools.values():
                 pool.start()
-            if self.bank:
-                self.bank.start()
+            if self.fleet:
+                self.fleet.start()
             loop.at(loop.clock() + SWEEP, loop, self.sweep)
             for front in self.fronts:
                 front.start(listeners if front is self.fronts[0] else [])
--- a/whinpier/runtime/resource_budget.py
+++ b/whinpier/runtime/resource_budget.py
@@ -42,8 +42,8 @@
     if not spec.routed:
         return SPARE
     listeners = len(spec.listen) + sum(beside.descriptors for beside in spec.beside.values())
-    if spec.bank:
-        listeners += spec.bank.descriptors
+    if spec.fleet:
+        listeners += spec.fleet.descriptors
     return SPARE + listeners + sum(pool.discovery is not None for pool in spec.pools.values())
 
 
--- a/whinpier/simulation/consensus.py
+++ b/whinpier/simulation/consensus.py
@@ -1,4 +1,5 @@
-"""The bank's record on simulated time: voters agree, hundreds learn, over the model of the network.
+"""The fleet's record on simulated time: voters agree, hundreds learn, over the model of the
+network.
 
 Each node is the lab's, with the real state machine of the record beside the real members, and a
 disk that takes a while. Owns what is counted of it. Must never hand the record anything that a
@@ -25,7 +26,7 @@
     Said,
     encode,
 )
-from whinpier.simulation.fleet import Bank, Node
+from whinpier.simulation.fleet import Fleet, Node
 from whinpier.simulation.clock import MS, SECOND
 from whinpier.testbed.faults import Fault, Schedule
 from whinpier.testbed.referee import Bounds
@@ -39,29 +40,29 @@
 
     def __init__(
         self,
-        bank: RecordBank,
+        fleet: RecordFleet,
         number: int,
         name: str,
         address: Address,
         recalled: list[Address] | None,
     ) -> None:
-        self.record_bank, self.machine = bank, Record()
-        chance = Random(f"record/{bank.schedule.seed}/{name}")
+        self.record_fleet, self.machine = fleet, Record()
+        chance = Random(f"record/{fleet.schedule.seed}/{name}")
         self.agreement = Agreement(
-            name, Copy(disk=chance.getrandbits(62) | 1), self.machine, bank.clock.now, chance
+            name, Copy(disk=chance.getrandbits(62) | 1), self.machine, fleet.clock.now, chance
         )
         self.agreement.note(raft.WHO, 0, self.agreement.disk)
         self.told: dict[str, tuple[int, int]] = {}
         self.syncing = False
         self.learned: dict[int, int] = {}  # when it had applied each line
-        super().__init__(bank, number, name, address, recalled)
-        bank.clock.after(int(chance.random() * TURN), self.turn)
+        super().__init__(fleet, number, name, address, recalled)
+        fleet.clock.after(int(chance.random() * TURN), self.turn)
 
     def turn(self) -> None:
         if not self.alive:
             return
-        now = self.bank.clock.now
-        self.bank.clock.after(TURN, self.turn)
+        now = self.fleet.clock.now
+        self.fleet.clock.after(TURN, self.turn)
         self.members.carry(RECORD_NEWS, self.agreement.news(0))
         if self.agreement.due() <= now:
             self.agreement.tick(now)
@@ -69,7 +70,7 @@
         self.pass_on()
 
     def begin(self) -> None:
-        voters = self.record_bank.voters
+        voters = self.record_fleet.voters
         if self.agreement.record or self.name != voters[0]:
             return
         disks = {self.name: self.agreement.disk}
@@ -82,7 +83,7 @@
         self.agreement.begin(raft.GENERATIONS, disks, [(RULES, encode(rules))])
 
     def pass_on(self) -> None:
-        agreement, now = self.agreement, self.bank.clock.now
+        agreement, now = self.agreement, self.fleet.clock.now
         by_id = {one.id: one.card.name for one in self.members.members.values()}
         heard, self.members.heard_talks = self.members.heard_talks, []
         for sender, talk in heard:
@@ -102,7 +103,7 @@
             self.members.send_talks(talks, now)
         if agreement.notes and not self.syncing:
             self.syncing = True
-            self.bank.clock.after(SYNC, self.synced, len(agreement.notes), agreement.noted)
+            self.fleet.clock.after(SYNC, self.synced, len(agreement.notes), agreement.noted)
         for index in range(len(self.learned) + 1, agreement.applied + 1):
             self.learned[index] = now
             self.members.carry(RECORD_NEWS, agreement.news(0))
@@ -117,8 +118,8 @@
             self.pass_on()
 
 
-class RecordBank(Bank):
-    """A bank whose first members vote."""
+class RecordFleet(Fleet):
+    """A fleet whose first members vote."""
 
     def __init__(self, schedule: Schedule, voters: int) -> None:
         self.voters = [f"m{number}" for number in range(voters)]
@@ -147,16 +148,16 @@
 def play(members: int, voters: int, seed: int) -> dict[str, Any]:
     """All begin, agree on a record; a command goes to all; a tenth come late and learn all there is."""
     late = tuple(range(members - members // 10, members))
-    bank = RecordBank(Schedule(members, 60.0, (Fault(32.0, "join", late),), seed), voters)
-    bank.until(20.0)
-    nodes, leader = bank.record_nodes(), bank.leader()
-    idle = max(bank.bytes[number][second] for number in range(voters) for second in (16, 17, 18))
+    fleet = RecordFleet(Schedule(members, 60.0, (Fault(32.0, "join", late),), seed), voters)
+    fleet.until(20.0)
+    nodes, leader = fleet.record_nodes(), fleet.leader()
+    idle = max(fleet.bytes[number][second] for number in range(voters) for second in (16, 17, 18))
     others = max(
-        bank.bytes[number][second]
+        fleet.bytes[number][second]
         for number in range(voters, members // 2)
         for second in (16, 17, 18)
     )
-    begun, size = bank.clock.now, 0
+    begun, size = fleet.clock.now, 0
     for number in range(60):
         data = encode(Drain(Said(100 + number, "model", "w" * 200), "n" * 100 + str(number)))
         size = len(data)
@@ -164,17 +165,17 @@
         leader.pass_on()
         if number == 0:
             first = leader.agreement.last
-            bank.until(24.0)
-    bank.until(32.0)
+            fleet.until(24.0)
+    fleet.until(32.0)
     agreed = (leader.learned[first] - begun) / SECOND
     everywhere = max(node.learned[first] for node in nodes) - begun
     last = leader.agreement.commit
-    bank.until(58.0)
-    came = [node for node in bank.record_nodes() if node.number in late]
-    learned = max(node.learned.get(last, 10**18) for node in came) - bank.clock.start
+    fleet.until(58.0)
+    came = [node for node in fleet.record_nodes() if node.number in late]
+    learned = max(node.learned.get(last, 10**18) for node in came) - fleet.clock.start
 
     def most(numbers: list[int]) -> int:
-        return max(bank.bytes[number][second] for number in numbers for second in range(20, 58))
+        return max(fleet.bytes[number][second] for number in numbers for second in range(20, 58))
 
     return {
         "bytes": size,
--- a/whinpier/simulation/fleet.py
+++ b/whinpier/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""The bank on simulated time: each member's real state machine, a model of the network, faults by
+"""The fleet on simulated time: each member's real state machine, a model of the network, faults by
 schedule.
 
 Owns the order of everything in a run, and the facts that the referee holds the members' events
@@ -28,27 +28,27 @@
 
     def __init__(
         self,
-        bank: Bank,
+        fleet: Fleet,
         number: int,
         name: str,
         address: Address,
         recalled: list[Address] | None = None,
     ) -> None:
-        self.bank, self.number, self.name, self.address = bank, number, name, address
+        self.fleet, self.number, self.name, self.address = fleet, number, name, address
         self.alive, self.awake, self.slow = True, True, 0.0
         self.box: list[tuple[bytes, Address]] = []  # what has come while it stood still
-        chance = Random(f"member/{bank.schedule.seed}/{name}/{bank.clock.now}")
+        chance = Random(f"member/{fleet.schedule.seed}/{name}/{fleet.clock.now}")
         self.run = chance.getrandbits(63)
-        seeds = bank.seeds()
+        seeds = fleet.seeds()
         card = Card(name, self.run, 1, *address, build="model", pools=(POOL,))
         self.members = Members(
-            card, seeds, KEY, bank.times, chance, bank.clock.now, recalled=recalled or ()
+            card, seeds, KEY, fleet.times, chance, fleet.clock.now, recalled=recalled or ()
         )
-        bank.spoil(self.members)
+        fleet.spoil(self.members)
         self.called_at = 0
         self.done = 0  # when its core has done what it has
         self.dues = 0
-        bank.fact("started", self)
+        fleet.fact("started", self)
         self.schedule()
 
     @property
@@ -61,18 +61,18 @@
             return
         due = self.members.due()
         if not self.called_at or due < self.called_at:
-            self.called_at = max(due, self.bank.clock.now)
-            self.bank.clock.at(self.called_at + self.late(), self.tick, self.called_at)
+            self.called_at = max(due, self.fleet.clock.now)
+            self.fleet.clock.at(self.called_at + self.late(), self.tick, self.called_at)
 
     def late(self) -> int:
-        return int(self.bank.chance.random() * self.slow * SECOND) if self.slow else 0
+        return int(self.fleet.chance.random() * self.slow * SECOND) if self.slow else 0
 
     def tick(self, called_at: int) -> None:
         if called_at != self.called_at or not (self.alive and self.awake):
             return
         self.called_at = 0
-        if self.members.due() <= self.bank.clock.now:
-            self.members.tick(self.bank.clock.now)
+        if self.members.due() <= self.fleet.clock.now:
+            self.members.tick(self.fleet.clock.now)
         self.pass_on()
 
     def receive(self, data: bytes, source: Address) -> None:
@@ -83,44 +83,44 @@
                 self.box.append((data, source))
             return
         if self.slow:
-            self.bank.clock.after(self.late(), self.read, data, source)
+            self.fleet.clock.after(self.late(), self.read, data, source)
         else:
             self.read(data, source)
 
     def read(self, data: bytes, source: Address) -> None:
         if not (self.alive and self.awake):
             return
-        self.members.receive(data, source, self.bank.clock.now)
+        self.members.receive(data, source, self.fleet.clock.now)
         self.pass_on()
 
     def refused(self, address: Address) -> None:
         if self.alive and self.awake:
-            self.members.refused(address, self.bank.clock.now)
+            self.members.refused(address, self.fleet.clock.now)
             self.pass_on()
 
     def pass_on(self) -> None:
         out, events, _ = self.members.take()
         for address, data in out:
-            self.bank.carry(self, address, data)
+            self.fleet.carry(self, address, data)
         for event in events:
-            self.bank.said.append(
-                Said((event.at - self.bank.clock.start) / SECOND, self.id, event.name, event.pairs)
+            self.fleet.said.append(
+                Said((event.at - self.fleet.clock.start) / SECOND, self.id, event.name, event.pairs)
             )
-            self.bank.counts[event.name] += 1
+            self.fleet.counts[event.name] += 1
         self.schedule()
 
     def stop(self) -> None:
         self.awake, self.called_at = False, 0
-        self.bank.fact("stopped", self)
+        self.fleet.fact("stopped", self)
 
     def go_on(self) -> None:
         if not self.alive or self.awake:
             return
         self.awake = True
-        self.bank.fact("goes_on", self)
+        self.fleet.fact("goes_on", self)
         # What it should have done long ago first, or what has come: as it falls out.
-        if self.bank.chance.random() < 0.5 and self.members.due() <= self.bank.clock.now:
-            self.members.tick(self.bank.clock.now)
+        if self.fleet.chance.random() < 0.5 and self.members.due() <= self.fleet.clock.now:
+            self.members.tick(self.fleet.clock.now)
             self.pass_on()
         box, self.box = self.box, []
         for data, source in box:
@@ -128,7 +128,7 @@
         self.schedule()
 
 
-class Bank:
+class Fleet:
     """One run."""
 
     def __init__(
@@ -372,5 +372,5 @@
 
 
 def breaches(schedule: Schedule, spoil: Spoil = lambda members: None) -> list[Breach]:
-    found: list[Breach] = Bank(schedule, spoil=spoil).play()["breaches"]
+    found: list[Breach] = Fleet(schedule, spoil=spoil).play()["breaches"]
     return found
--- a/whinpier/simulation/fleet_mutants.py
+++ b/whinpier/simulation/fleet_mutants.py
@@ -1,4 +1,4 @@
-"""Faults put back into the bank's real code, one by one: what the referee must catch, and on which
+"""Faults put back into the fleet's real code, one by one: what the referee must catch, and on which
 days.
 
 Each replaces methods of the state machine for as long as a run lasts. Must never leave a class
@@ -16,7 +16,7 @@
 from whinpier.fleet.fleet_size import Counting
 from whinpier.fleet.messages import HERE, LOST, SILENT, Word
 from whinpier.fleet.membership.membership import Member, Members
-from whinpier.simulation.fleet import POOL, Bank
+from whinpier.simulation.fleet import POOL, Fleet
 from whinpier.testbed.faults import Fault, Schedule, draw
 from whinpier.testbed.referee import Breach
 
@@ -211,21 +211,21 @@
 
 def holds(schedule: Schedule) -> list[Breach]:
     """What breaks on a day: the referee's properties, and what pools are told (each half second)."""
-    bank = Bank(schedule)
+    fleet = Fleet(schedule)
     counted: dict[int, Counting] = {}
     broken: list[Breach] = []
 
     def look() -> None:
-        bank.clock.after(500_000_000, look)
-        now = (bank.clock.now - bank.clock.start) / 1e9
-        alive = sum(node.alive for node in bank.nodes.values())
-        for number, node in bank.nodes.items():
+        fleet.clock.after(500_000_000, look)
+        now = (fleet.clock.now - fleet.clock.start) / 1e9
+        alive = sum(node.alive for node in fleet.nodes.values())
+        for number, node in fleet.nodes.items():
             counting = counted.get(number)
             if counting is None or counting.members is not node.members:
                 counting = counted[number] = Counting(node.members, ("all",))
-            counting.update(bank.clock.now)
+            counting.update(fleet.clock.now)
             told = counting.pools["all"].balancers
-            settled = bank.clock.now - node.members.began > 5_000_000_000
+            settled = fleet.clock.now - node.members.began > 5_000_000_000
             if node.alive and node.awake and settled and told < alive and not broken:
                 broken.append(
                     Breach(
@@ -237,11 +237,11 @@
                 )
 
     assert POOL
-    bank.clock.after(0, look)
-    found: list[Breach] = bank.play()["breaches"]
+    fleet.clock.after(0, look)
+    found: list[Breach] = fleet.play()["breaches"]
     accused = Counter(
         said.process[0]
-        for said in bank.said
+        for said in fleet.said
         if said.event == "member_suspect" and said.pairs.get("by") == said.process[0]
     )
     broken += [
@@ -254,7 +254,7 @@
         # lose nobody.
         broken += [
             Breach("false", said.at, said.process[0], f"loses {said.pairs.get('member')}")
-            for said in bank.said
+            for said in fleet.said
             if said.event == "member_lost"
         ]
     return found + broken
--- a/whinpier/simulation/fleet_scenarios.py
+++ b/whinpier/simulation/fleet_scenarios.py
@@ -1,8 +1,8 @@
-"""Experiments on the bank: a file of members and faults, its days played on simulated time, side by
-side.
+"""Experiments on the fleet: a file of members and faults, its days played on simulated time,
+side by side.
 
-Owns the keys of such a file and what is kept of a day that broke a property: its schedule, and the
-least of it that still breaks one.
+Owns the keys of such a file and what is kept of a day that broke a property: its schedule, and
+the least of it that still breaks one.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec import Meta
 
-from whinpier.simulation.fleet import Bank
+from whinpier.simulation.fleet import Fleet
 from whinpier.simulation.fleet import breaches as broken
 from whinpier.simulation.experiment import Table
 from whinpier.config.model import ConfigFault
@@ -39,18 +39,18 @@
 
 
 class Size(Table, frozen=True, kw_only=True):
-    """The bank."""
+    """The fleet."""
 
     members: Annotated[int, Meta(ge=2, le=4096)]
     seeds: Annotated[int, Meta(ge=1, le=64)] = 3
     refusing: bool = True  # whether a machine says so when nothing listens
 
 
-class Days(Table, frozen=True, kw_only=True):
+class Days(Table, frozen=True, kw_only=True, rename={"fleet": "bank"}):
     """The whole file."""
 
     name: str
-    bank: Size
+    fleet: Size
     about: str = ""
     seconds: Annotated[float, Meta(ge=10.0, le=7200.0)] = 40.0
     seeds: Annotated[int, Meta(ge=1, le=10_000)] = 1  # days, each with another
@@ -72,7 +72,7 @@
     try:
         days = part(tomllib.loads(path.read_text()), Days, "")
         for index, given in enumerate(days.faults):
-            fault(given, index, days.bank.members)
+            fault(given, index, days.fleet.members)
         return days
     except ConfigFault as wrong:
         raise ConfigFault(f"{path}: {wrong}") from None
@@ -93,7 +93,7 @@
 
 def schedule(days: Days, seed: int) -> Schedule:
     """What happens on one day."""
-    members = days.bank.members
+    members = days.fleet.members
     found = [fault(given, index, members) for index, given in enumerate(days.faults)]
     if days.rolling:
         order = range(0, members, days.rolling.each)
@@ -109,12 +109,12 @@
     if days.drawn:
         found += faults.draw(seed, members, days.seconds, days.drawn).faults
     ordered = tuple(sorted(found, key=lambda one: one.at))
-    return Schedule(members, days.seconds, ordered, seed, days.bank.seeds, days.bank.refusing)
+    return Schedule(members, days.seconds, ordered, seed, days.fleet.seeds, days.fleet.refusing)
 
 
 def play(given: Schedule) -> dict[str, Any]:
     """One day, in whichever process."""
-    found = Bank(given).play()
+    found = Fleet(given).play()
     return {
         "seed": given.seed,
         "broken": [str(breach) for breach in found["breaches"]],
--- a/whinpier/testbed/fault_scenario.py
+++ b/whinpier/testbed/fault_scenario.py
@@ -1,4 +1,4 @@
-"""Bad days of a whole bank on processes: all that it promises held at once, under all faults at
+"""Bad days of a whole fleet on processes: all that it promises held at once, under all faults at
 once.
 
 Owns what a day is (data, drawn from a seed, played, made smaller) and what is held against what
@@ -28,7 +28,7 @@
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
 from whinpier.testbed.faults import Fault, Kind, Schedule, split
-from whinpier.testbed.fleet import Bank, Process
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.load import Loads
 from whinpier.testbed.operators import Operator, halt
 from whinpier.testbed.referee import Bounds, Referee, Said
@@ -37,7 +37,7 @@
 
 AGREED, TIMEOUT, WORK = 0.25, 1.5, 0.005
 CHARGES, READS = 4, 5  # upstreams of the exclusive pool, and of the rerunnable one
-RATE, BURST = 120, 16  # requests a second of the rerunnable pool, over the whole bank
+RATE, BURST = 120, 16  # requests a second of the rerunnable pool, over the whole fleet
 BUNCHED = (
     0.1  # seconds by which what passed a limit may come to an upstream sooner or later than another
 )
@@ -235,7 +235,7 @@
             {f"r-{n}": Script(workers=16, work=WORK) for n in range(READS)}, day.seed
         )
         homes = [f"m{n}" for n in range(self.count)]
-        self.bank = Bank(
+        self.fleet = Fleet(
             self.count,
             folder,
             self.service,
@@ -274,21 +274,23 @@
         }
 
     def end(self) -> None:
-        self.bank.end()
+        self.fleet.end()
         self.charges.stop()
         self.reads.stop()
 
     def play(self) -> Outcome:
         """All of it."""
-        bank, day = self.bank, self.day
-        bank.start()
-        bank.until(bank.gathered, 40.0)
-        bank.until(lambda: all(bank.ask(n, "status")["line"] >= 3 for n in range(self.count)), 30.0)
-        bank.until(
+        fleet, day = self.fleet, self.day
+        fleet.start()
+        fleet.until(fleet.gathered, 40.0)
+        fleet.until(
+            lambda: all(fleet.ask(n, "status")["line"] >= 3 for n in range(self.count)), 30.0
+        )
+        fleet.until(
             lambda: all(
                 not row["fenced_ms"] and row["agreed"]
                 for n in range(self.count)
-                for row in bank.ask(n, "limits")
+                for row in fleet.ask(n, "limits")
             ),
             30.0,
         )
@@ -301,7 +303,7 @@
         ]
         ends = begun + day.schedule.seconds
         operators = [
-            Operator(bank, number, day.seed, ends, self.hit(), self.charges, contents, 0.8, "c")
+            Operator(fleet, number, day.seed, ends, self.hit(), self.charges, contents, 0.8, "c")
             for number in range(day.operators)
         ]
         for one in operators:
@@ -318,7 +320,7 @@
 
     def load(self, begun: float) -> Loads:
         day, streams = self.day, []
-        for number, process in enumerate(self.bank.processes):
+        for number, process in enumerate(self.fleet.processes):
             surges = [
                 (one.at, one.at + one.span, one.times) for one in day.surges if one.stream == number
             ]
@@ -357,9 +359,9 @@
 
     def faults(self, begun: float) -> None:
         """What happens, when it does."""
-        bank, steps = self.bank, list[tuple[float, Callable[[], Any]]]()
+        fleet, steps = self.fleet, list[tuple[float, Callable[[], Any]]]()
         for index, fault in enumerate(self.day.schedule.faults):
-            steps += bank.steps(fault, f"fault-{index}")
+            steps += fleet.steps(fault, f"fault-{index}")
         for trouble in self.day.troubles:
             upstreams = self.charges if trouble.upstream in self.charges.addresses else self.reads
             usual = {key: getattr(Script(), key) for key in trouble.script}
@@ -375,14 +377,14 @@
         time.sleep(max(0.0, begun + self.day.schedule.seconds - time.monotonic()))
 
     def restart_all(self) -> None:
-        alive = [one.number for one in self.bank.processes if one.alive()]
+        alive = [one.number for one in self.fleet.processes if one.alive()]
         for number in alive:
-            self.bank.kill(number)
+            self.fleet.kill(number)
         begun = time.monotonic()
         chance = Random(f"whole/{self.day.seed}")
         chance.shuffle(alive)
         for number in alive:
-            self.bank.processes[number].start()
+            self.fleet.processes[number].start()
         for number in alive:
             with suppress(RuntimeError):
                 self.wait_served(number)
@@ -396,11 +398,11 @@
             return bool(found["current"])
 
         with suppress(TimeoutError):
-            self.bank.until(served, 15.0)
+            self.fleet.until(served, 15.0)
 
     def asked(self, number: int) -> dict[str, Any]:
         with suppress(OSError, ValueError, RuntimeError):
-            found: dict[str, Any] = self.bank.ask(number, "status")
+            found: dict[str, Any] = self.fleet.ask(number, "status")
             return found
         return {
             "record": "?",
@@ -416,17 +418,17 @@
 
     def settle(self) -> None:
         """All that run hold one record, and each other, soon after the last fault."""
-        bank, begun = self.bank, time.monotonic()
-        alive = [one.number for one in bank.processes if one.alive()]
+        fleet, begun = self.fleet, time.monotonic()
+        alive = [one.number for one in fleet.processes if one.alive()]
 
         def one_state() -> bool:
             found = [self.asked(n) for n in alive]
             return len(
                 {(one["record"], one["line"], one["digest"]) for one in found}
-            ) == 1 and bank.gathered(*alive)
+            ) == 1 and fleet.gathered(*alive)
 
         try:
-            bank.until(one_state, SETTLED)
+            fleet.until(one_state, SETTLED)
         except (TimeoutError, OSError, RuntimeError):
             states = [
                 (n, *(self.asked(n)[key] for key in ("role", "record", "line", "digest")))
@@ -439,7 +441,7 @@
             return self.asked(alive[0])["release"] is not None or self.all_run_what_is_good(alive)
 
         with suppress(TimeoutError, OSError, RuntimeError):
-            bank.until(through, SETTLED)
+            fleet.until(through, SETTLED)
         found = self.asked(alive[0])
         if found["release"] is None and not self.all_run_what_is_good(alive):
             runs = {n: self.asked(n)["runs"] for n in alive}
@@ -452,11 +454,11 @@
     def judge_said(self, operators: list[Operator]) -> None:
         """What was answered as done is still known in the end."""
         answers = [answer for one in operators for answer in one.answers if answer.good]
-        alive = next(one.number for one in self.bank.processes if one.alive())
+        alive = next(one.number for one in self.fleet.processes if one.alive())
         lost = []
         for answer in answers[-400:]:
             with suppress(OSError, ValueError, RuntimeError):
-                found = self.bank.ask(alive, "outcome", name=str(answer.identity))
+                found = self.fleet.ask(alive, "outcome", name=str(answer.identity))
                 if not found["known"] or not found["good"] or found["text"] != answer.text:
                     lost.append(f"{answer.what} {answer.name} at {answer.at:.1f} s")
         if lost:
@@ -491,7 +493,7 @@
 
     def judge_members(self) -> None:
         bounds = Bounds(dead=5.0, position=4.5, agree=6.0)
-        referee = Referee(self.bank.facts, self.bank.said, self.bank.clock(), bounds)
+        referee = Referee(self.fleet.facts, self.fleet.said, self.fleet.clock(), bounds)
         for breach in referee.judge()[:3]:
             self.broke("members", str(breach))
         if referee.checked["dead"]:
@@ -532,10 +534,10 @@
         """From when to when each process was in some state, by its own events; dead ones are in none."""
         found: list[tuple[float, float, str, str]] = []
         on: dict[tuple[str, str], float] = {}
-        events = [(one.at, 1, one) for one in self.bank.said if one.event in (begins, ends)]
+        events = [(one.at, 1, one) for one in self.fleet.said if one.event in (begins, ends)]
         events += [
             (one.at, 0, one)  # type: ignore[misc]
-            for one in self.bank.facts
+            for one in self.fleet.facts
             if one.kind in ("dead", "left", "stopped")
         ]
         for at, _, one in sorted(events, key=lambda row: row[:2]):
@@ -548,10 +550,10 @@
             else:
                 for key in [key for key in on if key[0] == one.member[0]]:
                     found.append((on.pop(key), at, *key))
-        return found + [(since, self.bank.clock(), *key) for key, since in on.items()]
+        return found + [(since, self.fleet.clock(), *key) for key, since in on.items()]
 
     def judge_rests(self) -> None:
-        """Never more upstreams of a pool at rest, over the whole bank, than may be."""
+        """Never more upstreams of a pool at rest, over the whole fleet, than may be."""
         rests = [one for one in self.intervals("verdict_rests", "verdict_over", "upstream")]
         may = READS // 5
         most = at_once(
@@ -576,8 +578,8 @@
 
     def judge_processes(self) -> None:
         """None ended by itself, none met a fault of its own, none holds too much."""
-        dead = {one.member[0] for one in self.bank.facts if one.kind in ("dead", "left")}
-        for one in self.bank.processes:
+        dead = {one.member[0] for one in self.fleet.facts if one.kind in ("dead", "left")}
+        for one in self.fleet.processes:
             if one.balancer and not one.alive() and one.name not in dead:
                 self.broke("process", f"{one.name} ended by itself: {one.balancer.log()[-300:]}")
             for log in sorted(one.folder.glob("*/log")):
--- a/whinpier/testbed/faults.py
+++ b/whinpier/testbed/faults.py
@@ -1,9 +1,9 @@
-"""Schedules of faults for a bank, as data: drawn from a seed, kept with a failure, replayed,
+"""Schedules of faults for a fleet, as data: drawn from a seed, kept with a failure, replayed,
 shortened.
 
-Owns what a fault is and how schedules are drawn and made smaller; who plays them is somebody else's
-business (`standin/bank.py` on processes, `lab/bank.py` on simulated time). Times are seconds after
-the start.
+Owns what a fault is and how schedules are drawn and made smaller; who plays them is somebody
+else's business (`standin/fleet.py` on processes, `lab/fleet.py` on simulated time). Times are
+seconds after the start.
 """
 
 from __future__ import annotations
@@ -171,7 +171,7 @@
 
 
 def without(fault: Fault, members: int) -> Fault:
-    """The same fault in a bank that has fewer members."""
+    """The same fault in a fleet that has fewer members."""
     parts = (tuple(one for one in part if one < members) for part in fault.parts)
     return msgspec.structs.replace(fault, parts=tuple(part for part in parts if part))
 
--- a/whinpier/testbed/fleet.py
+++ b/whinpier/testbed/fleet.py
@@ -1,4 +1,4 @@
-"""A bank of real processes with the stand-in network between them, and schedules of faults played
+"""A fleet of real processes with the stand-in network between them, and schedules of faults played
 on it.
 
 Owns the processes, their files, what they say on their control sockets, and the facts of what was
@@ -37,18 +37,18 @@
 
 
 class Process:
-    """One process of the bank, over all its runs."""
+    """One process of the fleet, over all its runs."""
 
-    def __init__(self, bank: Bank, number: int) -> None:
-        self.bank, self.number, self.name = bank, number, f"m{number}"
-        self.folder = bank.folder / self.name
+    def __init__(self, fleet: Fleet, number: int) -> None:
+        self.fleet, self.number, self.name = fleet, number, f"m{number}"
+        self.folder = fleet.folder / self.name
         self.advertised, self.real = free(), free()
         self.http = "%s:%d" % free(socket.SOCK_STREAM)
         self.balancer: Balancer | None = None
         self.runs, self.run = 0, ""
         self.stopped = False
-        self.limits = bank.limits
-        self.agreement: files.Plain = {}  # what its file has of the record beside the bank's
+        self.limits = fleet.limits
+        self.agreement: files.Plain = {}  # what its file has of the record beside the fleet's
         self.wall = 0.0  # seconds by which its wall clock is wrong
         self.dies: Path | None = (
             None  # a file that says at which point of its work on the record it dies
@@ -66,25 +66,25 @@
     def file(self) -> files.Plain:
         """Its operator's file."""
         given: files.Plain = {"version": 1, "name": self.name, "listen": [self.http]}
-        given |= self.bank.service(self)
+        given |= self.fleet.service(self)
         given["bank"] = {
             "listen": "%s:%d" % self.real,
-            "key_files": [str(self.bank.key)],
+            "key_files": [str(self.fleet.key)],
             "control": self.control,
             "recall": str(self.folder / "recall"),
             "state": str(self.folder / "state"),
-            "advertise": "%s:%d" % (self.advertised if self.bank.links else self.real),
-            "seeds": ["%s:%d" % address for address in self.bank.seeds()],
-            **({"times": self.bank.times} if self.bank.times else {}),
+            "advertise": "%s:%d" % (self.advertised if self.fleet.links else self.real),
+            "seeds": ["%s:%d" % address for address in self.fleet.seeds()],
+            **({"times": self.fleet.times} if self.fleet.times else {}),
             **({"limits": self.limits} if self.limits else {}),
-            **({"verdicts": self.bank.verdicts} if self.bank.verdicts is not None else {}),
+            **({"verdicts": self.fleet.verdicts} if self.fleet.verdicts is not None else {}),
             **(
                 {
                     "agreement": {"folder": str(self.folder / "agreed")}
-                    | self.bank.agreement
+                    | self.fleet.agreement
                     | self.agreement
                 }
-                if self.bank.agreement is not None
+                if self.fleet.agreement is not None
                 else {}
             ),
         }
@@ -96,13 +96,13 @@
             self.folder / str(self.runs),
             files.document(self.file()),
             listen=self.http,
-            cores=self.bank.cores,
+            cores=self.fleet.cores,
             wall=self.wall,
             dies=self.dies,
-            fault=self.bank.fault_put_in,
+            fault=self.fleet.fault_put_in,
             root=self.root,
         )
-        self.bank.watch(self)
+        self.fleet.watch(self)
 
     def alive(self) -> bool:
         return self.balancer is not None and self.balancer.process.poll() is None
@@ -112,7 +112,7 @@
             self.balancer.process.send_signal(number)
 
 
-class Bank:
+class Fleet:
     """All of them."""
 
     def __init__(
@@ -130,7 +130,7 @@
         agreement: files.Plain | None = None,
         fault: str = "",
     ) -> None:
-        """`service` gives each process what its file has beside the bank: pools, routes, limits."""
+        """`service` gives each process what its file has beside the fleet: pools, routes, limits."""
         self.folder, self.service, self.times, self.cores = folder, service, times or {}, cores
         self.limits, self.verdicts, self.agreement = limits or {}, verdicts, agreement
         self.fault_put_in = fault  # into each process's code
@@ -258,7 +258,7 @@
         }
 
     def until(self, holds: Callable[[], bool], limit: float = LIMIT) -> float:
-        """Wait for something that the bank does in its own time; seconds that it took."""
+        """Wait for something that the fleet does in its own time; seconds that it took."""
         start = time.monotonic()
         while not holds():
             if time.monotonic() - start > limit:
--- a/whinpier/testbed/links.py
+++ b/whinpier/testbed/links.py
@@ -1,4 +1,4 @@
-"""Stands in for the network between processes of a bank: every way, each direction by itself, can
+"""Stands in for the network between processes of a fleet: every way, each direction by itself, can
 go wrong.
 
 Each member advertises an address of this relay. What is sent there is known by its source, treated
--- a/whinpier/testbed/operators.py
+++ b/whinpier/testbed/operators.py
@@ -1,4 +1,4 @@
-"""Stands in for operators who change a bank all the time: drains, releases, halts, at any of its
+"""Stands in for operators who change a fleet all the time: drains, releases, halts, at any of its
 processes.
 
 Each notes what it was answered, and when, so that it can be held against what was so. Must never
@@ -14,7 +14,7 @@
 from typing import Any
 
 from whinpier.fleet.consensus.service import pieces
-from whinpier.testbed.fleet import Bank
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 APART = 0.03  # seconds between looks
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        bank: Bank,
+        fleet: Fleet,
         number: int,
         seed: int,
         ends: float,
@@ -51,7 +51,7 @@
         pool: str = "t",
     ) -> None:
         super().__init__(daemon=True)
-        self.bank, self.number, self.ends, self.balancers = bank, number, ends, balancers
+        self.fleet, self.number, self.ends, self.balancers = fleet, number, ends, balancers
         self.upstream_fleet, self.contents, self.pause = upstream_fleet, contents, pause
         self.pool = pool  # whose upstreams it drains
         self.chance = Random(f"operator/{seed}/{number}")
@@ -100,9 +100,9 @@
     def ask(self, what: str, **more: Any) -> Any:
         """Ask a process that answers; None where none does in time, or it refuses."""
         for _ in range(40):
-            number = self.chance.choice([one.number for one in self.bank.processes])
+            number = self.chance.choice([one.number for one in self.fleet.processes])
             try:
-                return number, self.bank.ask(number, what, **more)
+                return number, self.fleet.ask(number, what, **more)
             except (OSError, ValueError):
                 time.sleep(APART)
             except RuntimeError as fault:
@@ -134,7 +134,7 @@
             found = self.ask("outcome", name=str(identity))
             if found and isinstance(found[1], dict) and found[1]["known"]:
                 answer = Answer(
-                    what, name, found[1]["good"], found[1]["text"], self.bank.clock(), identity
+                    what, name, found[1]["good"], found[1]["text"], self.fleet.clock(), identity
                 )
                 self.answers.append(answer)
                 if answer.good and what == "drain" and "/" in name:
@@ -163,9 +163,9 @@
 
     def row(self, answer: Answer) -> dict[str, Any] | None:
         """The same drain, if every process that is asked still has it so."""
-        for number in range(len(self.bank.processes)):
+        for number in range(len(self.fleet.processes)):
             try:
-                found = self.bank.ask(number, "status")["drains"]
+                found = self.fleet.ask(number, "status")["drains"]
             except (OSError, ValueError, RuntimeError):
                 continue
             same = [
--- a/whinpier/testbed/referee.py
+++ b/whinpier/testbed/referee.py
@@ -1,4 +1,4 @@
-"""The referee of a bank: from what was done to it and what its processes said, which property
+"""The referee of a fleet: from what was done to it and what its processes said, which property
 broke, when.
 
 Reads facts (what really happened to processes and ways) and events (what each process said),
@@ -131,7 +131,7 @@
         return self.breaches
 
     def fact(self, fact: Fact) -> bool:
-        """Take up what was done; whether the bounds of the whole bank run anew from here."""
+        """Take up what was done; whether the bounds of the whole fleet run anew from here."""
         who = fact.member
         if fact.kind == "started":
             self.alive[who] = fact.at
