--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -56,9 +56,12 @@
         relayed: bool = False,
         agreed: bool = True,
         dies: bool = False,
+        script: Script = Script(workers=16, work=WORK),
+        **more: Any,
     ) -> None:
+        """`more`: what else the processes' files have of the bank."""
         self.folder, self.count, self.seed = folder, count, seed
-        self.fleet = Fleet({f"s-{n}": Script(workers=16, work=WORK) for n in range(4)}, seed)
+        self.fleet = Fleet({f"s-{n}": script for n in range(4)}, seed)
         agreement = {
             "voters": [f"m{n}" for n in range(voters)],
             "permits": {
@@ -73,6 +76,7 @@
             seed,
             relayed=relayed,
             agreement=agreement if agreed else None,
+            **more,
         )
         if dies:
             for one in self.bank.processes:
