--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -1,11 +1,11 @@
 """What the fleet agrees on, on real processes: drains and releases beside faults, and a way back.
 
-`orders` explores the record's state machine and finds each fault that is put in. `days` plays drawn
-kills, pauses, cuts and losses while two operators change the fleet all the time. `release` brings a
-file to all processes in one wave, and three bad ones to their canary. `leader` kills the one that
-leads at counted points of its work. `learn` plays 200 members and 5 voters on simulated time.
-`cost` holds what it costs an idle fleet, and a request, against a fleet without. See
-docs/design/agreement.md.
+`orders` explores the record's state machine and finds each fault that is put in. `days` plays
+drawn kills, pauses, cuts and losses while two operators change the fleet all the time. `release`
+brings a file to all processes in one wave, and three bad ones to their canary. `leader` kills
+the one that leads at counted points of its work. `learn` plays 200 members and 5 voters on
+simulated time. `cost` holds what it costs an idle fleet, and a request, against a fleet without.
+See docs/design/agreement.md.
 """
 
 from __future__ import annotations
@@ -57,11 +57,12 @@
         relayed: bool = False,
         agreed: bool = True,
         dies: bool = False,
+        script: Script = Script(workers=16, work=WORK),
+        **more: Any,
     ) -> None:
+        """`more`: what else the processes' files have of the fleet."""
         self.folder, self.count, self.seed = folder, count, seed
-        self.upstream_fleet = UpstreamFleet(
-            {f"s-{n}": Script(workers=16, work=WORK) for n in range(4)}, seed
-        )
+        self.upstream_fleet = UpstreamFleet({f"s-{n}": script for n in range(4)}, seed)
         agreement = {
             "voters": [f"m{n}" for n in range(voters)],
             "permits": {
@@ -76,6 +77,7 @@
             seed,
             relayed=relayed,
             agreement=agreement if agreed else None,
+            **more,
         )
         if dies:
             for one in self.fleet.processes:
