--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -25,19 +25,19 @@
 import msgspec
 
 from benchmarks.common import Report, main
-from whinpier.fleet.consensus.service import deflated, pieces
 from whinpier.fleet.consensus.node import Agreement
+from whinpier.fleet.consensus.service import deflated, pieces
 from whinpier.model_checking import consensus_scenarios
 from whinpier.model_checking.consensus import FAULTS
 from whinpier.simulation import consensus as model
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks, Gateway
 from whinpier.testbed.faults import Fault, Schedule, split
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.load import Loads
 from whinpier.testbed.operators import Operator, halt
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.ways import Ways
 
 AGREED, TIMEOUT, WORK = 0.25, 1.5, 0.005
@@ -219,10 +219,10 @@
     most = times = 0
     for one in sorted(said, key=lambda one: one.at):
         name, run = one.process
-        if one.event == "drain_begins":
+        if one.event == "drain_started":
             out[name] = run
             times += 1
-        elif one.event == "drain_ends" or name in out and out[name] != run:
+        elif one.event == "drain_finished" or name in out and out[name] != run:
             out.pop(name, None)  # another run of it tells anew
         most = max(most, len(out))
     return most, times
@@ -412,7 +412,7 @@
 def ran(fleet: Fleet) -> list[int]:
     """How often each process has gone on by another released file."""
     return [
-        one.balancer.said("event=release_runs") if one.balancer else 0 for one in fleet.processes
+        one.balancer.said("event=release_applied") if one.balancer else 0 for one in fleet.processes
     ]
 
 
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -24,8 +24,8 @@
 from benchmarks.agreed import SETTLED, answered
 from benchmarks.common import Report, main
 from whinpier.testbed import files
-from whinpier.testbed.fault_scenario import BURST, RATE, excess
 from whinpier.testbed.clients import Asks
+from whinpier.testbed.fault_scenario import BURST, RATE, excess
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -14,13 +14,13 @@
 from typing import Any
 
 from benchmarks.common import Report, main
+from whinpier.config.model import ConfigFault
 from whinpier.simulation.experiment import checked
 from whinpier.simulation.invariants import ANSWER, DRAIN, EFFECT
 from whinpier.simulation.minimize import shrink
 from whinpier.simulation.sockets import play as on_sockets
 from whinpier.simulation.theory import mean_time
 from whinpier.simulation.world import World
-from whinpier.config.model import ConfigFault
 
 Given = dict[str, Any]
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -24,9 +24,9 @@
 
 from benchmarks.common import Report, main
 from whinpier.fleet.quotas.allocation import Said, Shares, Table
+from whinpier.fleet.quotas.fair_share import UNHEARD, aged
 from whinpier.fleet.quotas.leases import RATE as A_RATE
 from whinpier.fleet.quotas.leases import Limit, Share
-from whinpier.fleet.quotas.fair_share import UNHEARD, aged
 from whinpier.model_checking import count_scenarios, quota_scenarios
 from whinpier.model_checking.count_mutants import FAULTS as COUNT_FAULTS
 from whinpier.model_checking.counts import Wishful
@@ -34,13 +34,13 @@
 from whinpier.model_checking.quotas import Wishing
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.testbed import files
-from whinpier.testbed.fault_scenario import excess
-from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks
+from whinpier.testbed.fault_scenario import excess
 from whinpier.testbed.faults import Fault, Schedule, split
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 AGREED, TIMEOUT = 0.25, 0.6
 RATE, BURST, OUT = 240, 16, 8
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -20,19 +20,19 @@
 
 from benchmarks.common import Report, main
 from whinpier.fleet.messages import member_id
-from whinpier.policy.policy import Choice
 from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import RequestClass, Upstream
+from whinpier.policy.policy import Choice
 from whinpier.simulation.fleet import Fleet as Model
 from whinpier.simulation.fleet_mutants import MUTATIONS, caught
-from whinpier.policy.model import RequestClass, Upstream
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks, Gateway
 from whinpier.testbed.faults import Fault, Schedule, draw
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.load import Loads
 from whinpier.testbed.referee import Bounds, Referee
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 AGREED, TIMEOUT = 0.25, 1.5
 WORK = 0.01  # seconds of an upstream's one worker: 100 requests a second each
@@ -151,7 +151,7 @@
         report.bound("answer of the control socket, s", time.monotonic() - asked, most=0.1)
         positions: dict[str, tuple[float, str]] = {}
         for said in fleet.said:
-            if said.event == "bank_position" and cut_at <= said.at <= cut_at + 3.8:
+            if said.event == "partition_state_changed" and cut_at <= said.at <= cut_at + 3.8:
                 positions[said.process[0]] = (said.at - cut_at, said.pairs["position"])
         # With one vanished of those known, neither half has over half of all that are reckoned
         # with.
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -18,10 +18,10 @@
 
 from benchmarks.common import MINE, Report, apart, main
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 RATE = 400.0  # requests a second: some way below a full core
 SETTINGS = json.loads(Path("example/config.json").read_text())
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -16,11 +16,11 @@
 from benchmarks.common import Report, apart, main
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.ledger import Ledger, percentile
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 KINDS = {"tariff": "rerunnable", "posting": "exclusive", "settlement": "ticketed"}
 PER_POOL = 3
@@ -273,7 +273,7 @@
     report.bound("memory, MB", seen.memory / 2**20, most=MEMORY)
     report.bound(
         "lines that say a rule or the program is broken",
-        seen.log.count("event=broken") + seen.log.count("level=error"),
+        seen.log.count("event=invariant_violated") + seen.log.count("level=error"),
         most=0,
     )
 
@@ -340,7 +340,7 @@
         )
         report.bound(
             "reloads: lines that say a rule or the program is broken",
-            balancer.said("event=broken") + balancer.said("level=error"),
+            balancer.said("event=invariant_violated") + balancer.said("level=error"),
             most=0,
         )
         report.figure("reloads", turns)
--- a/benchmarks/radius.py
+++ b/benchmarks/radius.py
@@ -22,17 +22,17 @@
 import trustme
 
 from benchmarks.common import Report, apart, main
+from whinpier.radius.client_table import Clients, Routes
 from whinpier.radius.packet import Packet
 from whinpier.radius.spec import ClientSpec, RouteSpec
-from whinpier.radius.client_table import Clients, Routes
 from whinpier.testbed import files
-from whinpier.testbed.files import Plain
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.files import Plain
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.radius import Behaviour, Burst, Caller, Client, Server, Weather, record
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 CLIENTS, RATE, AGREED = 4, 100.0, 1.5  # seconds: one retransmission of a client is in time
 HTTP_RATE = 150.0
@@ -201,7 +201,9 @@
                 EACH / BURST * chance.uniform(0.1, 1.1) if not again else EACH / BURST + 0.3
             )
             await asyncio.to_thread(balancer.stop, again)
-            lost += balancer.log().count("level=error") + balancer.log().count("event=broken")
+            lost += balancer.log().count("level=error") + balancer.log().count(
+                "event=invariant_violated"
+            )
             await sending
     burst.close()
     server.stop()
@@ -385,7 +387,7 @@
         )
         report.bound(
             f"{name}: lines that say a rule or the program is broken",
-            seen["log"].count("event=broken") + seen["log"].count("level=error"),
+            seen["log"].count("event=invariant_violated") + seen["log"].count("level=error"),
             most=0,
         )
     most, records = (300, 600) if given.short else (3000, 6000)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -13,7 +13,7 @@
 
 from benchmarks.common import Report, main
 from whinpier.routing import normal
-from whinpier.routing.table import RouteQuery, Missed, Route, Table, scan
+from whinpier.routing.table import Missed, Route, RouteQuery, Table, scan
 
 SIZES = (10, 1_000, 10_000)
 PER_HOST = 10
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -26,11 +26,11 @@
 from whinpier.model_checking import ejection_scenarios
 from whinpier.model_checking.ejection import FAULTS
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.ways import Ways
 
 AGREED, TIMEOUT, WORK = 0.05, 1.0, 0.01
@@ -153,7 +153,7 @@
                     for process in trial.fleet.processes
                     if process.balancer
                     for line in process.balancer.log().splitlines()
-                    if "verdict_rests" in line
+                    if "ejection_started" in line
                 ]
                 report.bound("processes at which it rested", len(told), least=count)
                 report.bound(
@@ -186,7 +186,7 @@
             "that rested while all were slow", sum(map(len, trial.resting().values())), most=0
         )
         said = sum(
-            process.balancer.said("verdict_rests")
+            process.balancer.said("ejection_started")
             for process in trial.fleet.processes
             if process.balancer
         )
@@ -216,9 +216,9 @@
         until(begun + WARM + 8.0)
         process = trial.fleet.processes[0].balancer
         assert process
-        hearings = process.said("event=verdict_none")
+        hearings = process.said("event=ejection_not_agreed")
         said = sum(
-            one.balancer.said("verdict_rests") for one in trial.fleet.processes if one.balancer
+            one.balancer.said("ejection_started") for one in trial.fleet.processes if one.balancer
         )
         report.say(
             f"     one of {count} with bad ways to six of ten: {hearings} hearings of it in vain"
--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -13,8 +13,8 @@
 
 from whinpier.cli.main import cli
 from whinpier.config import operator
-from whinpier.config.platform import read as read_platform
 from whinpier.config.model import ConfigFault, differs
+from whinpier.config.platform import read as read_platform
 
 EXAMPLE = "deploy/operator.example.toml"
 
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -76,7 +76,7 @@
     (tmp_path / "c.json").write_text(json.dumps(given))
     ended = run(tmp_path / "c.json")
     assert ended.returncode == 2 and len(ended.stderr.splitlines()) == 1
-    assert "event=configuration_fault" in ended.stderr and f"{said}:" in ended.stderr
+    assert "event=configuration_rejected" in ended.stderr and f"{said}:" in ended.stderr
 
 
 @pytest.mark.parametrize("text", [None, "", "[]", "{", "\0"])
@@ -95,13 +95,13 @@
             json.dumps(GIVEN | {"listen": "%s:%d" % taken.getsockname()})
         )
         ended = run(tmp_path / "c.json")
-    assert ended.returncode == 1 and "event=cannot_listen" in ended.stderr
+    assert ended.returncode == 1 and "event=listen_failed" in ended.stderr
     assert len(ended.stderr.splitlines()) == 1
 
 
 @pytest.mark.parametrize("options, code", [([], 1), (["-O"], 0)])
 def test_what_must_hold_is_asserted_in_debug_builds_and_counted_in_release_builds(options, code):
-    text = "from whinpier import log; log.must(False, 'x'); print(log.counts['broken'])"
+    text = "from whinpier import log; log.invariant(False, 'x'); print(log.counters['invariant_violated'])"
     ended = subprocess.run(
         [sys.executable, *options, "-c", text], capture_output=True, text=True, timeout=20
     )
@@ -111,7 +111,7 @@
 def test_a_line_is_key_value_and_a_repeated_event_is_bounded(capsys):
     log.set_up()
     for _ in range(1000):
-        log.say("again", why='a "b"\n')
+        log.info("again", why='a "b"\n')
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) <= 2 * log.LINES  # a second may end in between
     assert lines[0].endswith(' level=info event=again why="a \\"b\\"\\n"')
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from whinpier.policy.policy import SECOND, Choice
 from whinpier.policy.model import Attempt, Outcome, Request, RequestClass, Upstream, UpstreamState
+from whinpier.policy.policy import SECOND, Choice
 
 MS = SECOND // 1000
 SETTINGS = {
--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -15,22 +15,22 @@
 from tests.waiting import until
 from whinpier.fleet.clock_offset import KEPT, MARGIN, Clocks
 from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
-from whinpier.fleet.state_store import Keeper
-from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, Limit
-from whinpier.fleet.quotas.fair_share import WORD, Nearly, aged, fill
 from whinpier.fleet.quotas.calendar_quota import MOST_GRANTED, Calendar, Units
-from whinpier.model_checking.count_scenarios import WALKS, WHOLE, found
+from whinpier.fleet.quotas.fair_share import WORD, Nearly, aged, fill
+from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, Limit
+from whinpier.fleet.state_store import Keeper
 from whinpier.model_checking.count_mutants import FAULTS
+from whinpier.model_checking.count_scenarios import WALKS, WHOLE, found
 from whinpier.model_checking.counts import Wishful
 from whinpier.model_checking.explore import every, replay
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.storage.append_log import Torn
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 HOUR = 3600
 MINUTES = Calendar("minute")
@@ -469,7 +469,7 @@
         fleet.processes[0].balancer.wait_ready()
         until(lambda: ready(fleet, 0))
         (row,) = fleet.ask(0, "limits")
-        assert row["mine"] == 0 and "event=bank_state_old" in fleet.processes[0].balancer.log()
+        assert row["mine"] == 0 and "event=state_store_stale" in fleet.processes[0].balancer.log()
     finally:
         if loads:
             loads.stop()
--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -35,9 +35,9 @@
     Talk,
     size_of,
 )
-from whinpier.model_checking.explore import every, replay
 from whinpier.model_checking.consensus import COMMAND, FAULTS, Lines
 from whinpier.model_checking.consensus_scenarios import SLOW, WALKS, WHOLE, found
+from whinpier.model_checking.explore import every, replay
 from whinpier.policy.decaying_sum import SECOND
 
 QUICK = sorted(set(FAULTS) - SLOW)
--- a/tests/fleet/test_consensus_service.py
+++ b/tests/fleet/test_consensus_service.py
@@ -13,11 +13,11 @@
 from whinpier.config import operator
 from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 AGREEMENT = {
     "voters": ["m0", "m1", "m2"],
@@ -162,7 +162,7 @@
     said = four.say(2, "release", str(bad), "--waves", "1", "--window", "1s", code=3)
     assert "undone" in said and "gate of wave 1" in said and time.monotonic() - begun < 8.0
     logs = [one.balancer.log() for one in four.fleet.processes]
-    assert [log.count("event=release_runs") for log in logs] == [3, 1, 1, 1]
+    assert [log.count("event=release_applied") for log in logs] == [3, 1, 1, 1]
     assert four.upstream_fleet.tell("s-2")["met"] == met
     until(four.one_state)
     # A process that starts again takes up what was released, before it serves.
@@ -187,7 +187,7 @@
     four.fleet.kill(voter)
     shutil.copy(four.folder / "old", folder / "record")
     four.fleet.processes[voter].start()
-    until(lambda: "agreement_old_disk" in four.fleet.processes[voter].balancer.log())
+    until(lambda: "consensus_log_stale" in four.fleet.processes[voter].balancer.log())
     until(lambda: len(four.status(four.leader())["voters"]) == 3 and four.status(voter)["votes"])
     four.fleet.kill(voter)
     shutil.rmtree(folder)
@@ -363,7 +363,7 @@
     thread.start()
     until(lambda: three.status(0)["runs"])
     three.fleet.cut("off", [0], [1, 2])
-    until(lambda: "event=release_taken_back" in three.fleet.processes[0].balancer.log())
+    until(lambda: "event=release_rolled_back" in three.fleet.processes[0].balancer.log())
     until(lambda: three.status(0)["runs"] == "")
     thread.join(20.0)
     assert content["said"].exit_code == 3 and "m0" in content["said"].output
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -18,14 +18,14 @@
 from whinpier.config import operator
 from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.faults import Fault, Schedule
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.referee import Bounds, Referee
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 UPSTREAMS = {"s-0": "127.0.0.1:9"}
 
@@ -78,7 +78,11 @@
     )
     # The dead one was refused, so it is reckoned with no longer; those across the cut were all the
     # time.
-    told = [line for line in five.processes[0].balancer.log().splitlines() if "bank_shares" in line]
+    told = [
+        line
+        for line in five.processes[0].balancer.log().splitlines()
+        if "quota_allocation_changed" in line
+    ]
     assert [line.split("balancers=")[1].split()[0] for line in told][-2:] == ["5", "4"]
     numbers = [one["number"] for one in shares(five, 0, 1, 2, 3)]
     assert sorted(numbers) == [0, 1, 2, 3]
@@ -149,7 +153,7 @@
         process = one.processes[0].balancer
         process.process.send_signal(signal.SIGTERM)
         assert process.process.wait(10.0) == 0
-        assert "event=bank_left" in process.log() and "network_fault" not in process.log()
+        assert "event=fleet_left" in process.log() and "connection_task_failed" not in process.log()
 
 
 def test_the_control_socket_is_its_owners_and_no_caller_holds_the_process(fleet):
@@ -206,7 +210,7 @@
     again = Balancer(one.folder / "again", given.replace('/state"', '/other"'))
     try:
         until(
-            lambda: again.said("bank_control_fault")
+            lambda: again.said("control_socket_failed")
         )  # it goes on without, and does not take the path away
         assert one.ask(0, "members")["here"] >= 2
     finally:
@@ -252,7 +256,10 @@
         lambda: {row["zone"] for row in two.ask(0, "members")["members"]} == {"z"}
     )  # news needs its time
     log = two.processes[0].balancer.log()
-    assert "kept_till_restart=bank.name" in log and "event=bank_changed keys=keys" in log
+    assert (
+        "kept_till_restart=bank.name" in log
+        and "event=fleet_configuration_changed keys=keys" in log
+    )
     assert "member_lost" not in log and {
         row["zone"] for row in two.ask(0, "members")["members"]
     } == {"z"}
@@ -328,7 +335,7 @@
     try:
         for line in process.stderr:
             lines.append(line)
-            if "event=list" in line or len(lines) > 5000:
+            if "event=endpoints_updated" in line or len(lines) > 5000:
                 break
         inodes = {os.readlink(one) for one in Path(f"/proc/{process.pid}/fd").iterdir()}
     finally:
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -10,15 +10,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from whinpier.cli.main import cli
 from whinpier.fleet import messages
 from whinpier.fleet.fleet_size import Counting
-from whinpier.fleet.messages import Card, Datagram, Seal, Unread, Word
 from whinpier.fleet.membership.membership import BURST, KNOCKS, MOST_PROBES, SECOND, Members, Times
-from whinpier.cli.main import cli
+from whinpier.fleet.messages import Card, Datagram, Seal, Unread, Word
 from whinpier.simulation import fleet_scenarios
+from whinpier.simulation.experiment import shipped
 from whinpier.simulation.fleet import KEY, POOL, Fleet
 from whinpier.simulation.fleet_mutants import MUTATIONS, caught, spoilt
-from whinpier.simulation.experiment import shipped
 from whinpier.testbed import faults
 from whinpier.testbed.faults import Fault, Schedule
 from whinpier.testbed.referee import Bounds, Fact, Referee, Said
@@ -308,7 +308,7 @@
         Fault(6.0, "restart", (0, 1, 2), span=9.0),
         seconds=30.0,
     )
-    assert found["breaches"] == [] and fleet.counts["bank_joined"] == 24
+    assert found["breaches"] == [] and fleet.counts["fleet_joined"] == 24
 
 
 def test_a_fleet_that_doubles_at_once_and_a_seed_that_dies_for_good():
@@ -463,8 +463,8 @@
     said = [
         Said(0.1, a, "member_here", {"member": "b", "run": "2"}),
         Said(0.1, b, "member_here", {"member": "a", "run": "1"}),
-        Said(0.1, a, "bank_position", {"position": "whole"}),
-        Said(0.1, b, "bank_position", {"position": "whole"}),
+        Said(0.1, a, "partition_state_changed", {"position": "whole"}),
+        Said(0.1, b, "partition_state_changed", {"position": "whole"}),
     ]
     facts += [one for one in moments if isinstance(one, Fact)]
     said += [one for one in moments if isinstance(one, Said)]
@@ -474,7 +474,7 @@
 def test_the_referee_finds_each_property_that_breaks_and_nothing_else():
     a, b, of_b = ("a", "1"), ("b", "2"), {"member": "b", "run": "2", "by": "a"}
     apart = (frozenset({"a"}), frozenset({"b"}))
-    alone = [Said(10.5, who, "bank_position", {"position": "alone"}) for who in (a, b)]
+    alone = [Said(10.5, who, "partition_state_changed", {"position": "alone"}) for who in (a, b)]
     assert history() == []
     assert history(Fact(10.0, "dead", b), Said(11.0, a, "member_lost", of_b)) == []
     assert history(Fact(10.0, "dead", b), Said(14.0, a, "member_lost", of_b)) == ["agree", "dead"]
@@ -488,8 +488,8 @@
         *alone,
         Fact(16.0, "ways"),
         Said(15.0, a, "member_lost", of_b),
-        Said(16.5, a, "bank_position", {"position": "whole"}),
-        Said(16.5, b, "bank_position", {"position": "whole"}),
+        Said(16.5, a, "partition_state_changed", {"position": "whole"}),
+        Said(16.5, b, "partition_state_changed", {"position": "whole"}),
     ) == ["agree"]
 
 
--- a/tests/fleet/test_operator_limits.py
+++ b/tests/fleet/test_operator_limits.py
@@ -8,10 +8,10 @@
 
 from tests.fleet.test_membership import members, pass_on
 from tests.waiting import until
-from whinpier.fleet.limit_bounds import explained
-from whinpier.fleet.registry import FADING, MOST, MS, Entry, Register
 from whinpier.cli.main import cli
 from whinpier.config import operator
+from whinpier.fleet.limit_bounds import explained
+from whinpier.fleet.registry import FADING, MOST, MS, Entry, Register
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Fleet
--- a/tests/fleet/test_outlier_ejection.py
+++ b/tests/fleet/test_outlier_ejection.py
@@ -8,20 +8,20 @@
 from hypothesis import strategies as st
 
 from tests.waiting import until
+from whinpier.config import operator
+from whinpier.config.model import ConfigFault
 from whinpier.fleet.messages import EVIDENCE, HEARING, REST, VOTE, VOTE_FOR, Plea
 from whinpier.fleet.outliers.ejection import CAP, MOST_HEARINGS, SLACK, Court, Rules
-from whinpier.model_checking.explore import every, replay
-from whinpier.model_checking.ejection_scenarios import SLOW, WALKS, WHOLE, found
 from whinpier.model_checking.ejection import FAULTS
-from whinpier.config import operator
+from whinpier.model_checking.ejection_scenarios import SLOW, WALKS, WHOLE, found
+from whinpier.model_checking.explore import every, replay
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 POOL, USUAL, MS = 7, 1e7, 1_000_000
 
@@ -347,7 +347,7 @@
         until(lambda: upstream_fleet.tell("s-2")["last"]["s-2"] > rested + 0.5)
         seen = loads.results()
         assert not any(one.unanswered() or one.answered_twice() for one in seen)
-        assert "event=verdict_rests" in fleet.processes[0].balancer.log()
+        assert "event=ejection_started" in fleet.processes[0].balancer.log()
     finally:
         if loads:
             loads.stop()
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -11,22 +11,22 @@
 from hypothesis import strategies as st
 
 from tests.waiting import until
+from whinpier.config import operator
+from whinpier.config.model import ConfigFault
 from whinpier.fleet import peer_cache
 from whinpier.fleet.quotas.allocation import Kept, Said, Shares
 from whinpier.fleet.quotas.leases import IN_FLIGHT, RATE, SLACK, SPAN, TASK, TURN, Limit, Share
 from whinpier.model_checking.explore import every, replay, walk
-from whinpier.model_checking.quota_scenarios import WALKS, WHOLE, found
 from whinpier.model_checking.quota_mutants import FAULTS
+from whinpier.model_checking.quota_scenarios import WALKS, WHOLE, found
 from whinpier.model_checking.quotas import Sharing
-from whinpier.config import operator
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 HOMES = ("a", "b", "c")
 
--- a/tests/fleet/test_rollouts.py
+++ b/tests/fleet/test_rollouts.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from whinpier.fleet.messages import Line
 from whinpier.fleet.rollouts import state_machine as r
 from whinpier.fleet.rollouts.controller import Conduct, Report, Seat, chosen, split
-from whinpier.fleet.messages import Line
 from whinpier.fleet.rollouts.state_machine import (
     BACK,
     CONFIRMED,
--- a/tests/http/test_buffers.py
+++ b/tests/http/test_buffers.py
@@ -62,7 +62,7 @@
 )
 def test_a_head_is_taken_or_refused_the_same_however_it_is_cut(side, kind, of, wanted):
     """A request of 5,000 lines that came in one read was passed on, while in two it was refused."""
-    head, before = kind(side, of), log.counts["heads_too_large"]
+    head, before = kind(side, of), log.counters["heads_too_large"]
     assert verdict(side, head) == wanted
     near = sorted(
         {
@@ -73,7 +73,7 @@
         }
     )
     assert {verdict(side, head[:cut], head[cut:]) for cut in near} == {wanted}
-    assert (log.counts["heads_too_large"] > before) == (wanted == 431)
+    assert (log.counters["heads_too_large"] > before) == (wanted == 431)
 
 
 @pytest.mark.parametrize("side", STARTS, ids=["request", "answer"])
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -12,8 +12,8 @@
 import pytest
 
 from tests.waiting import LIMIT
-from whinpier.http.discovery import PIECE, SILENCE, Discovery, Pieces
 from whinpier.config.model import ConfigFault
+from whinpier.http.discovery import PIECE, SILENCE, Discovery, Pieces
 
 WHOLE, WATCH = b"GET /discovery/hosts HTTP/1.1", b"GET /discovery/hosts?watch=1&from=%d HTTP/1.1"
 TOLD_BY = (
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -17,15 +17,15 @@
 
 from tests.fake_host import MS, FakeHost
 from tests.waiting import LIMIT
+from whinpier.config.model import kept_till_restart
 from whinpier.config.platform import read
-from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import Effect, Outcome
 from whinpier.http import upstream_connection
 from whinpier.http.client_connection import AHEAD, IDLE, LINGER
-from whinpier.http.upstream_connection import Link
 from whinpier.http.transport import Http1
+from whinpier.http.upstream_connection import Link
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import Effect, Outcome
 from whinpier.runtime.process import Life
-from whinpier.config.model import kept_till_restart
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 FULL = b"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
@@ -143,7 +143,7 @@
 
     def begun(self):
         """How many attempts have begun."""
-        return self.pool.counts["handed_off"]
+        return self.pool.counts["attempts"]
 
 
 @asynccontextmanager
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -12,7 +12,8 @@
 import time
 from contextlib import contextmanager, suppress
 from http.client import HTTPConnection, HTTPException, HTTPResponse
-from itertools import count as numbers, cycle
+from itertools import count as numbers
+from itertools import cycle
 from pathlib import Path
 
 import anyio
@@ -20,14 +21,14 @@
 
 from example.echo_upstreams import Discovery, Upstream
 from tests.waiting import LIMIT, until
-from whinpier.policy.decaying_sum import SECOND
 from whinpier import log
-from whinpier.http.client_connection import HttpRequest
+from whinpier.config.model import kept_till_restart
 from whinpier.config.platform import read
-from whinpier.http.upstream_connection import Sending
+from whinpier.http.client_connection import HttpRequest
 from whinpier.http.transport import Http1
+from whinpier.http.upstream_connection import Sending
+from whinpier.policy.decaying_sum import SECOND
 from whinpier.runtime.process import Life
-from whinpier.config.model import kept_till_restart
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 HEAD = "POST /charge HTTP/1.1\r\nHost: a\r\n"
@@ -108,7 +109,7 @@
 
     def lists(self):
         """How often it was told the list or a change of it."""
-        return self.log.read_text().count("event=list ")
+        return self.log.read_text().count("event=endpoints_updated ")
 
     def end(self):
         for client in self.clients:
@@ -118,7 +119,9 @@
         self.process.wait()
         for server in (*self.upstreams, self.discovery):
             server.stop()
-        assert not self.said("event=broken") and not self.said("level=error"), self.log.read_text()
+        assert not self.said("event=invariant_violated") and not self.said("level=error"), (
+            self.log.read_text()
+        )
 
 
 @contextmanager
@@ -376,7 +379,7 @@
     with started(tmp_path, upstream, known=[upstream.entry("s-0")]) as deployment:
         deployment.discovery.stop()
         deployment.discovery.hang_up()
-        until(lambda: deployment.said("discovery_lost"))
+        until(lambda: deployment.said("discovery_disconnected"))
         assert deployment.charge().status == 200
     down.stop()
 
@@ -423,7 +426,7 @@
         assert (
             client.getresponse().status == 200 and len(deployment.met()) == 1 and slow.opened == 1
         )
-        assert deployment.log.read_text().count("configuration_fault") == 3 and deployment.said(
+        assert deployment.log.read_text().count("configuration_rejected") == 3 and deployment.said(
             "discovery: 'nowhere'"
         )
         deployment.process.send_signal(signal.SIGTERM)
@@ -764,7 +767,7 @@
 
 
 def test_a_decision_that_fails_costs_its_request_and_no_more(tmp_path, monkeypatch):
-    monkeypatch.setattr(log, "must", lambda holds, what: None)  # as in release builds
+    monkeypatch.setattr(log, "invariant", lambda holds, what: None)  # as in release builds
 
     async def story(config, listener):
         balancer = life(config)
--- a/tests/kept_control_stage.py
+++ b/tests/kept_control_stage.py
@@ -13,10 +13,10 @@
 
 import whinpier.fleet.consensus.service as agreed_module
 import whinpier.fleet.service as link_module
+from whinpier.config import operator
 from whinpier.fleet.control_socket import Control
 from whinpier.fleet.messages import HERE, LOST, SILENT, SUSPECT, Card, Word, pool_mark
 from whinpier.fleet.service import Link
-from whinpier.config import operator
 from whinpier.http.transport import Http1
 from whinpier.runtime.process import Life
 from whinpier.testbed import files
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -8,8 +8,8 @@
 import pytest
 
 from tests.fake_host import MS, SETTINGS, FakeHost
-from whinpier.policy.policy import SECOND, level
 from whinpier.policy.model import Effect, Outcome, Upstream, UpstreamState
+from whinpier.policy.policy import SECOND, level
 from whinpier.policy.rate_gossip import Peers
 
 
--- a/tests/radius/test_radius.py
+++ b/tests/radius/test_radius.py
@@ -20,21 +20,20 @@
 from pyrad.dictionary import Dictionary
 
 from tests.waiting import LIMIT, until
-from whinpier.config import fields
 from whinpier.cli.main import cli
-from whinpier.config import operator
+from whinpier.config import fields, operator
+from whinpier.config.model import ConfigFault
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.storage.append_log import Torn, notes
 from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
-from whinpier.radius.server import Front
+from whinpier.radius.client_table import Clients, Routes
 from whinpier.radius.identifiers import EACH, Idents
 from whinpier.radius.packet import BadPacket, Packet
-from whinpier.radius.spec import ClientSpec, RouteSpec
 from whinpier.radius.response_cache import MAGIC, MOST, State, StateSpec
+from whinpier.radius.server import Front
+from whinpier.radius.spec import ClientSpec, RouteSpec
 from whinpier.radius.stream_server import Datagrams
-from whinpier.radius.client_table import Clients, Routes
-from whinpier.config.model import ConfigFault
+from whinpier.storage.append_log import Torn, notes
 from whinpier.testbed import files
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.radius import (
@@ -674,7 +673,9 @@
         )
     finally:
         balancer.stop(wait=False)
-    assert not balancer.said("event=broken") and not balancer.said("level=error"), balancer.log()
+    assert not balancer.said("event=invariant_violated") and not balancer.said("level=error"), (
+        balancer.log()
+    )
 
 
 def play(tmp_path, behaviours, story, weather=None, **more):
@@ -776,7 +777,7 @@
         assert max(ran(servers).values()) == 1 and len(burst.answers) > 40
         burst.close()
         await asyncio.to_thread(again.stop)
-        assert again.process.returncode == 0 and "event=radius_state " in again.log()
+        assert again.process.returncode == 0 and "event=radius_cache_loaded " in again.log()
         state = tmp_path / "state"
         data = bytearray(state.read_bytes())
         data[200] ^= 1
--- a/tests/radius/test_streams.py
+++ b/tests/radius/test_streams.py
@@ -14,11 +14,11 @@
 
 from tests.radius.test_radius import SECRET, play, ran
 from tests.waiting import until
+from whinpier.config.model import ConfigFault
 from whinpier.radius import packet as wire
-from whinpier.radius.packet import BadPacket
 from whinpier.radius.listeners import TlsSpec
+from whinpier.radius.packet import BadPacket
 from whinpier.radius.stream_server import Splitter
-from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
 from whinpier.testbed.process import free_address
 from whinpier.testbed.radius import Behaviour, Burst, Caller, proved, record, request_packet
@@ -128,7 +128,7 @@
         await half.open()
         half.writer.write(record(3, SECRET)[:10])
         await asyncio.wait_for(half.ended.wait(), 8)
-        await asyncio.to_thread(until, lambda: balancer.said("event=radius_slow_peer"))
+        await asyncio.to_thread(until, lambda: balancer.said("event=radius_slow_client"))
 
     streams(tmp_path, story, timeout=3.0)
 
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from whinpier.routing import normal
-from whinpier.routing.table import RouteQuery, Missed, Route, RouteFault, Table, scan
+from whinpier.routing.table import Missed, Route, RouteFault, RouteQuery, Table, scan
 
 
 def found(routes, **asked):
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -11,15 +11,15 @@
 
 from tests.fake_host import MS, FakeHost
 from tests.waiting import LIMIT, until
+from whinpier.config.model import Limits
 from whinpier.policy.decaying_sum import SECOND, Turn
 from whinpier.policy.model import RequestClass, Upstream, UpstreamState
 from whinpier.runtime.resource_budget import Budget, Part
-from whinpier.config.model import Limits
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 USUAL = Script(workers=4, work=0.002)
 ids = numbers(1)
@@ -107,7 +107,7 @@
     finally:
         made.balancer.stop(wait=False)
     log = made.balancer.log()
-    assert "event=broken" not in log and "level=error" not in log, log
+    assert "event=invariant_violated" not in log and "level=error" not in log, log
 
 
 def test_each_pool_gets_what_its_route_says_and_what_has_none_is_answered_at_once(
@@ -224,7 +224,7 @@
         assert [deployment.by("a") for _ in range(5)] == ["b"] * 5
         answer = client.getresponse()
         assert (answer.status, answer.read(), answer.headers["X-By"][0]) == (200, b"ok", "a")
-        until(lambda: deployment.balancer.said("event=pool_ended pool=a"))
+        until(lambda: deployment.balancer.said("event=pool_removed pool=a"))
         assert upstream_fleet.ledger().twice("out") == []
         deployment.pools["a"] = deployment.pool(["a-1"])
         deployment.routes[0]["pool"] = "a"
@@ -272,7 +272,7 @@
             )
             assert all(request.answers == 1 for request in gateway.told)
         assert ledger.twice(names[0]) == ledger.twice(names[1]) == []
-        assert deployment.balancer.said("event=configured") == 8
+        assert deployment.balancer.said("event=configuration_applied") == 8
 
 
 def test_a_faulty_file_changes_nothing_and_is_said_with_its_key(tmp_path, upstream_fleet):
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -13,9 +13,9 @@
 from tests.waiting import until
 from whinpier.cli.main import cli
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 MOVED = {  # as a deployment is put together where each client has a balancer of its own
@@ -82,7 +82,9 @@
         yield made
     finally:
         made.stop()
-    assert "event=broken" not in made.log() and "level=error" not in made.log(), made.log()
+    assert "event=invariant_violated" not in made.log() and "level=error" not in made.log(), (
+        made.log()
+    )
 
 
 def test_settings_switched_there_and_back_under_traffic_lose_no_answer_and_run_nothing_twice(
@@ -122,21 +124,22 @@
             assert sum(request.status == 200 for request in gateway.told) > 0.5 * len(gateway.told)
         assert upstream_fleet.ledger().twice("charge") == []
         assert running.said("event=settings_changed") == 8
-        assert running.said("event=settings_not_honoured keys=limits.peers,limits.probes") == 4
+        assert running.said("event=settings_ignored keys=limits.peers,limits.probes") == 4
         # With the new settings the list is asked for by the module: a change of it still arrives.
         probed = MOVED | {"report": {"source": "on_probe", "columns": "busy_reqs,cpu_share"}}
         running.reload(file(running.listen, upstream_fleet.discovery, **probed))
         assert (
-            running.said(
-                "event=settings_not_honoured keys=limits.peers,limits.probes,report.source"
-            )
+            running.said("event=settings_ignored keys=limits.peers,limits.probes,report.source")
             == 1
         )
-        lists = running.said("event=list ")
+        lists = running.said("event=endpoints_updated ")
         upstream_fleet.tell_list(
             change=[{"host": "s-3", "dial": upstream_fleet.addresses["s-3"], "health": "draining"}]
         )
-        until(lambda: running.said("event=list ") > lists and "draining=1" in running.log())
+        until(
+            lambda: running.said("event=endpoints_updated ") > lists
+            and "draining=1" in running.log()
+        )
 
 
 @pytest.mark.parametrize(
@@ -157,7 +160,7 @@
 ):
     with balancer(tmp_path, upstream_fleet) as running:
         running.reload(file(running.listen, upstream_fleet.discovery, **(MOVED | settings)))
-        assert running.said(f'event=configuration_fault fault="{key}:') == 1
+        assert running.said(f'event=configuration_rejected fault="{key}:') == 1
         assert running.said("event=settings_changed") == 0
 
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -10,15 +10,15 @@
 
 from whinpier.cli.main import cli
 from whinpier.cli.tables import show
+from whinpier.config.model import ConfigFault
 from whinpier.simulation import fleet_scenarios
 from whinpier.simulation.clock import SECOND, Clock
-from whinpier.simulation.experiment import KINDS, checked, encoded, put, read, runs, shipped
 from whinpier.simulation.environment import Network
-from whinpier.simulation.results import Results, compare, interval, run_all
+from whinpier.simulation.experiment import KINDS, checked, encoded, put, read, runs, shipped
 from whinpier.simulation.minimize import failing, shrink, toml
+from whinpier.simulation.results import Results, compare, interval, run_all
 from whinpier.simulation.theory import erlang_c, mean_time
 from whinpier.simulation.world import World
-from whinpier.config.model import ConfigFault
 
 
 def given(**more):
--- a/tests/test_kept_control.py
+++ b/tests/test_kept_control.py
@@ -82,7 +82,9 @@
     stage.advance(100)
     found = stage.ask(b'{"ask":"watch","id":"w"}\n', lambda: stage.meet("m1", "here", 7001))
     assert found == kept("watch.json")["member"]
-    found = stage.ask(b'{"ask":"watch","id":2}\n', lambda: stage.happens("verdict_rests", pool="t"))
+    found = stage.ask(
+        b'{"ask":"watch","id":2}\n', lambda: stage.happens("ejection_started", pool="t")
+    )
     assert found == kept("watch.json")["said"]
 
 
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -16,9 +16,9 @@
 from whinpier.cli import demo
 from whinpier.cli.main import cli
 from whinpier.testbed import files
-from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 DATA = Path(__file__).parent / "data" / "kept"
 CASES = json.loads((DATA / "file_outputs.json").read_text("utf-8"))
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -13,15 +13,13 @@
 import msgspec
 import pytest
 
+from whinpier.fleet import messages, peer_cache, registry, service, state_store
 from whinpier.fleet.consensus import node as agreement
 from whinpier.fleet.consensus import service as consensus_service
-from whinpier.fleet.quotas import allocation, leases, fair_share
-from whinpier.fleet import messages, state_store, service
 from whinpier.fleet.membership import membership
-from whinpier.fleet import peer_cache, registry
-from whinpier.fleet.rollouts import state_machine
 from whinpier.fleet.outliers import ejection
-from whinpier.fleet.quotas import calendar_quota
+from whinpier.fleet.quotas import allocation, calendar_quota, fair_share, leases
+from whinpier.fleet.rollouts import state_machine
 from whinpier.fleet.rollouts.controller import Report
 from whinpier.storage.append_log import Journal, Torn, framed, notes
 
--- a/tests/test_kept_http.py
+++ b/tests/test_kept_http.py
@@ -17,9 +17,9 @@
 
 from tests.waiting import LIMIT
 from whinpier.config import operator, platform
+from whinpier.config.model import kept_till_restart
 from whinpier.http.transport import Http1
 from whinpier.runtime.process import Life
-from whinpier.config.model import kept_till_restart
 
 KEPT = Path("tests/data/kept").resolve()
 LATER = 3_000_000_000  # nanoseconds: after the time that half a request may take
--- a/tests/test_kept_radius.py
+++ b/tests/test_kept_radius.py
@@ -18,16 +18,16 @@
 
 from tests.waiting import LIMIT
 from whinpier.config import operator
-from whinpier.storage.append_log import Torn
 from whinpier.radius import deduplication, packet
 from whinpier.radius.client import delayed
-from whinpier.radius.server import Front
 from whinpier.radius.packet import BadPacket, Packet
-from whinpier.radius.spec import ClientSpec
 from whinpier.radius.response_cache import State, StateSpec
+from whinpier.radius.server import Front
+from whinpier.radius.spec import ClientSpec
 from whinpier.radius.stream_server import Datagrams
 from whinpier.radius.transport import WithRadius
 from whinpier.runtime.process import Life
+from whinpier.storage.append_log import Torn
 
 KEPT = Path("tests/data/kept").resolve()
 SECRET = b"kept secret"
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -23,37 +23,37 @@
 import pytest
 
 from whinpier.fleet.consensus.node import Agreement
-from whinpier.fleet.rollouts.state_machine import DRAIN, Drain, Said, encode
 from whinpier.fleet.outliers.ejection import Court, Rules
 from whinpier.fleet.quotas.calendar_quota import LEAST_AHEAD
+from whinpier.fleet.rollouts.state_machine import DRAIN, Drain, Said, encode
 from whinpier.model_checking import (
-    count_scenarios,
     consensus_scenarios,
-    quota_scenarios,
+    count_scenarios,
     ejection_scenarios,
+    quota_scenarios,
 )
+from whinpier.model_checking.consensus import FAULTS as RECORD_FAULTS
+from whinpier.model_checking.consensus import Recording
 from whinpier.model_checking.count_mutants import FAULTS as COUNT_FAULTS
 from whinpier.model_checking.counts import Counting, Wishful
+from whinpier.model_checking.ejection import FAULTS as VOTE_FAULTS
+from whinpier.model_checking.ejection import Voting
 from whinpier.model_checking.explore import every
-from whinpier.model_checking.consensus import FAULTS as RECORD_FAULTS
-from whinpier.model_checking.consensus import Recording
 from whinpier.model_checking.quota_mutants import FAULTS as SHARE_FAULTS
 from whinpier.model_checking.quotas import Sharing, Wishing
-from whinpier.model_checking.ejection import FAULTS as VOTE_FAULTS
-from whinpier.model_checking.ejection import Voting
-from whinpier.policy.policy import Choice
-from whinpier.simulation.fleet import Fleet
-from whinpier.simulation.clock import Clock
-from whinpier.simulation.experiment import checked
-from whinpier.simulation.metrics import Measure
-from whinpier.simulation.consensus import RecordFleet
-from whinpier.simulation.invariants import Referee
-from whinpier.simulation.world import World
 from whinpier.policy.model import Attempt, Host, Outcome, Request, Upstream, UpstreamState
+from whinpier.policy.policy import Choice
 from whinpier.policy.rate_gossip import Peers
 from whinpier.settings import COLUMNS, request_classes
 from whinpier.simhost import wire
 from whinpier.simhost.__main__ import Process, main
+from whinpier.simulation.clock import Clock
+from whinpier.simulation.consensus import RecordFleet
+from whinpier.simulation.experiment import checked
+from whinpier.simulation.fleet import Fleet
+from whinpier.simulation.invariants import Referee
+from whinpier.simulation.metrics import Measure
+from whinpier.simulation.world import World
 from whinpier.testbed.faults import Fault, Schedule, draw
 
 KEPT = Path(__file__).parent / "data" / "kept" / "seeded_day.json"
--- a/tests/testbed/test_fault_scenarios.py
+++ b/tests/testbed/test_fault_scenarios.py
@@ -80,9 +80,9 @@
 
 def test_too_many_at_rest_or_drained_at_one_moment_are_seen():
     def rests(at, who, what):
-        return Said(at, (who, "1"), "verdict_rests", {"upstream": what})
+        return Said(at, (who, "1"), "ejection_started", {"upstream": what})
 
-    def drains(at, who, event="drain_begins"):
+    def drains(at, who, event="drain_started"):
         return Said(at, (who, "1"), event)
 
     assert judged([rests(1.0, "m0", "r-1"), rests(2.0, "m1", "r-1")]) == []
@@ -90,7 +90,7 @@
     assert judged([rests(1.0, "m0", "c-1")]) == ["rests"]
     three = [drains(1.0, "m0"), drains(2.0, "m1"), drains(3.0, "m2")]
     assert judged(three) == ["permits"]
-    assert judged([three[0], drains(1.5, "m0", "drain_ends"), *three[1:]]) == []
+    assert judged([three[0], drains(1.5, "m0", "drain_finished"), *three[1:]]) == []
     assert judged(three, [Fact(1.5, "dead", ("m0", "1"))]) == []
 
 
--- a/whinpier/__main__.py
+++ b/whinpier/__main__.py
@@ -15,10 +15,10 @@
 # of 27).
 from whinpier import log
 from whinpier.config.model import Address, ConfigFault, Spec, kept_till_restart
-from whinpier.policy.policy import Choice  # noqa: F401
-from whinpier.runtime.process import Life
 from whinpier.config.platform import read
 from whinpier.http.transport import Http1
+from whinpier.policy.policy import Choice  # noqa: F401
+from whinpier.runtime.process import Life
 
 BACKLOG = 1024
 
@@ -50,7 +50,7 @@
     try:
         spec = reread()
     except ConfigFault as fault:
-        log.warn("configuration_fault", fault=fault)
+        log.warning("configuration_rejected", fault=fault)
         return 2
     streams: list[socket.socket] = []
     datagrams: list[socket.socket] = []
@@ -64,7 +64,7 @@
             try:
                 sockets.append(bound(kind, address))
             except OSError as fault:
-                log.warn("cannot_listen", address="%s:%d" % address, fault=fault)
+                log.warning("listen_failed", address="%s:%d" % address, fault=fault)
                 return 1
         wire = Http1()
         if spec.beside:
@@ -74,7 +74,7 @@
         try:
             life = Life(spec, wire, reread, changed)
         except ConfigFault as fault:
-            log.warn("configuration_fault", fault=fault)
+            log.warning("configuration_rejected", fault=fault)
             return 2
         if spec.fleet:
             from whinpier.fleet import bootstrap as fleet  # only where a file has it
@@ -82,10 +82,10 @@
             try:
                 life.fleet = fleet.start(life, datagrams)
             except OSError as fault:
-                log.warn("cannot_listen", address="bank.listen", fault=fault)
+                log.warning("listen_failed", address="bank.listen", fault=fault)
                 return 1
             except ConfigFault as fault:
-                log.warn("configuration_fault", fault=fault)
+                log.warning("configuration_rejected", fault=fault)
                 return 2
         anyio.run(run, streams, life)
     finally:
--- a/whinpier/cli/demo.py
+++ b/whinpier/cli/demo.py
@@ -11,11 +11,11 @@
 from whinpier.cli.tables import show
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.ledger import percentile
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 POOLS = {"tariff": "rerunnable", "posting": "exclusive", "settlement": "ticketed"}
 WORK = {"tariff": 0.008, "posting": 0.012, "settlement": 0.015}  # seconds of a worker
@@ -85,7 +85,7 @@
     ]
     twice = len(ledger.twice("posting"))
     unanswered = sum(len(gateway.unanswered()) for gateway in seen.values())
-    broken = log.count("event=broken") + log.count("level=error")
+    broken = log.count("event=invariant_violated") + log.count("level=error")
     return {
         "stopped": STOPPED,
         "pools": pools,
--- a/whinpier/cli/fleet.py
+++ b/whinpier/cli/fleet.py
@@ -206,8 +206,8 @@
 @click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
 def limits_explain(file: Path, members: int, as_json: bool) -> None:
     """Say what each limit of FILE promises, in figures, without starting anything."""
-    from whinpier.fleet.limit_bounds import explained
     from whinpier.config import operator as files
+    from whinpier.fleet.limit_bounds import explained
 
     try:
         spec = files.read(str(file))
--- a/whinpier/cli/fleet_demo.py
+++ b/whinpier/cli/fleet_demo.py
@@ -15,11 +15,11 @@
 from typing import Any
 
 from whinpier.testbed import files
-from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.clients import Asks
-from whinpier.testbed.upstream_fleet import UpstreamFleet
+from whinpier.testbed.fleet import Fleet, Process
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 AGREED, TIMEOUT, WORK, RATE = 0.25, 1.5, 0.008, 40.0
 Tell = Callable[[str], None]
--- a/whinpier/cli/main.py
+++ b/whinpier/cli/main.py
@@ -17,8 +17,8 @@
 
 from whinpier.cli import rollouts
 from whinpier.cli.fleet import fleet
-from whinpier.cli.simulation import lab
 from whinpier.cli.radius import radius
+from whinpier.cli.simulation import lab
 from whinpier.cli.tables import FILE, fail, show
 from whinpier.config.model import ConfigFault, Spec
 
@@ -129,7 +129,7 @@
 ) -> None:
     """Say which route of FILE takes a request, and why. Exits with 1 where none does."""
     from whinpier.routing import normal
-    from whinpier.routing.table import RouteQuery, Missed
+    from whinpier.routing.table import Missed, RouteQuery
 
     spec, given = read(file), {}
     for header in headers:
--- a/whinpier/cli/simulation.py
+++ b/whinpier/cli/simulation.py
@@ -264,9 +264,9 @@
 def shrink(results: Path, seed: int, chosen: tuple[str, ...], out: Path | None) -> None:
     """Reduce a failing run of RESULTS to the smallest that still fails the same way."""
     from whinpier.simulation.experiment import encoded
-    from whinpier.simulation.results import Results
     from whinpier.simulation.minimize import shrink as smallest
     from whinpier.simulation.minimize import toml
+    from whinpier.simulation.results import Results
 
     try:
         run = Results(results).experiment(values(chosen), seed)
--- a/whinpier/config/fields.py
+++ b/whinpier/config/fields.py
@@ -14,9 +14,9 @@
 import msgspec
 from msgspec import Meta, Struct
 
+from whinpier.config.model import ConfigFault
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.storage.bounded_files import contents
-from whinpier.config.model import ConfigFault
 
 SECRET = 4096  # bytes of a secret with what stands round it
 NAME = re.compile(r"[a-z0-9][a-z0-9_-]{0,62}\Z")
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -20,10 +20,18 @@
 
 from msgspec import Meta, Struct
 
-from whinpier.policy import model
-from whinpier.storage.bounded_files import contents
-from whinpier.routing.table import Route, RouteFault, Table
-from whinpier.runtime.resource_budget import DOOR, MOST_DOOR, spare
+from whinpier.config.fields import (
+    UNITS,
+    Amount,
+    Count,
+    Duration,
+    Part,
+    Strict,
+    Whole,
+    duration,
+    named,
+    part,
+)
 from whinpier.config.model import (
     Beside,
     ConfigFault,
@@ -37,18 +45,10 @@
     differs,
     kept_till_restart,
 )
-from whinpier.config.fields import (
-    UNITS,
-    Amount,
-    Count,
-    Duration,
-    Part,
-    Strict,
-    Whole,
-    duration,
-    named,
-    part,
-)
+from whinpier.policy import model
+from whinpier.routing.table import Route, RouteFault, Table
+from whinpier.runtime.resource_budget import DOOR, MOST_DOOR, spare
+from whinpier.storage.bounded_files import contents
 
 MOST_POOLS, MOST_ROUTES = 256, 20_000  # what is still checked within a second or two
 LEAST = 16  # connections for each pool: with fewer nothing can be held apart
--- a/whinpier/config/platform.py
+++ b/whinpier/config/platform.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from whinpier import settings as common
-from whinpier.storage.bounded_files import contents
-from whinpier.policy.model import RequestClass, WireError
 from whinpier.config.model import PLATFORM, ConfigFault, PoolSpec, Spec, address, entries
+from whinpier.policy.model import RequestClass, WireError
+from whinpier.storage.bounded_files import contents
 
 CHOICES = {
     "discovery": ("automatic", "subscribe"),
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -11,18 +11,18 @@
 
 from msgspec import Meta
 
+from whinpier.config.fields import Duration, Strict, duration, kept_secret, named, part
+from whinpier.config.model import ConfigFault, address
 from whinpier.fleet import messages
 from whinpier.fleet.consensus.node import MOST_VOTERS
+from whinpier.fleet.membership.membership import MS, Times
+from whinpier.fleet.outliers.ejection import Rules
 from whinpier.fleet.quotas.allocation import Said
+from whinpier.fleet.quotas.calendar_quota import Calendar
 from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SPAN, Limit
-from whinpier.fleet.membership.membership import MS, Times
 from whinpier.fleet.rollouts.state_machine import BALANCERS, MOST_RULES, Rule
 from whinpier.fleet.spec import AgreementSpec, FleetSpec
-from whinpier.fleet.outliers.ejection import Rules
-from whinpier.fleet.quotas.calendar_quota import Calendar
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.config.model import ConfigFault, address
-from whinpier.config.fields import Duration, Strict, duration, kept_secret, named, part
 
 MOST_SEEDS = 1_000
 MOST_LIMITS, MOST_HOMES = 64, 1_000
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -454,7 +454,7 @@
         self.rounds, self.reads = {}, []
         self.heard = {name: self.now for name in self.others()}
         self.counts["led"] += 1
-        self.events.append(("agreement_leads", {"term": self.term}))
+        self.events.append(("consensus_leader_elected", {"term": self.term}))
         self.append(NOTHING, b"")
 
     def step_down(self, why: str) -> None:
@@ -764,7 +764,7 @@
 
     def start_anew(self, record: int) -> None:
         """Go by another record, of which nothing is known here."""
-        self.events.append(("agreement_record", {"record": f"{record:x}"}))
+        self.events.append(("consensus_cluster_id", {"record": f"{record:x}"}))
         fresh = self.record != 0
         self.record, self.term, self.voted = record, 0, 0
         self.start = self.start_term = self.base = self.commit = self.applied = self.durable = 0
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -23,10 +23,11 @@
 import msgspec
 
 from whinpier import log
+from whinpier.config.model import ConfigFault, Spec
 from whinpier.fleet.consensus import node as raft
 from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, compacted, replayed, unpack
-from whinpier.fleet.rollouts.controller import Conduct, Report, Seat
 from whinpier.fleet.messages import FORWARD, HERE, RECORD_NEWS, REPORT, STALE, SUSPECT, Line, Talk
+from whinpier.fleet.rollouts.controller import Conduct, Report, Seat
 from whinpier.fleet.rollouts.state_machine import (
     RULES,
     Orders,
@@ -38,10 +39,9 @@
 )
 from whinpier.fleet.spec import RELEASED, AgreementSpec
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.storage.append_log import Journal, Torn, framed
 from whinpier.policy.model import Outcome
 from whinpier.runtime.pool import PendingRequest
-from whinpier.config.model import ConfigFault, Spec
+from whinpier.storage.append_log import Journal, Torn, framed
 
 if TYPE_CHECKING:
     from whinpier.fleet.service import Link
@@ -164,13 +164,13 @@
                 f"{self.journal.path}: {fault}; move it away to begin as a new voter"
             ) from None
         if self.journal.cut:
-            log.warn(
-                "agreement_torn",
+            log.warning(
+                "consensus_log_torn",
                 file=self.journal.path,
                 kept=self.journal.size,
                 cut=self.journal.cut,
             )
-        log.say(
+        log.info(
             "agreement",
             record=f"{copy.record:x}",
             disk=f"{copy.disk:x}",
@@ -216,11 +216,11 @@
                 await anyio.to_thread.run_sync(journal.append, b"".join(map(framed, notes)))
         except OSError as fault:
             if not self.fault:
-                log.warn("agreement_disk_fault", file=journal.path, fault=fault)
+                log.warning("consensus_log_failed", file=journal.path, fault=fault)
             self.fault = str(fault)
             return False
         if self.fault:
-            log.say("agreement_disk_well", file=journal.path)
+            log.info("consensus_log_recovered", file=journal.path)
             self.fault = ""
         del agreement.notes[: len(notes)]
         self.stamp = stamp
@@ -290,7 +290,7 @@
         agreement = self.agreement
         if talk.two != agreement.disk or talk.one <= self.begun_stamp:
             return
-        log.warn("agreement_old_disk", disk=f"{agreement.disk:x}", known=talk.one)
+        log.warning("consensus_log_stale", disk=f"{agreement.disk:x}", known=talk.one)
         noted, synced, waiting = agreement.noted, agreement.synced, agreement.notes
         self.record.thaw(b"")
         self.agreement = Agreement(
@@ -412,8 +412,8 @@
         if waited or known:
             self.current = True
             if waited:
-                log.warn(
-                    "agreement_not_heard",
+                log.warning(
+                    "consensus_quorum_lost",
                     waited_ms=(now - self.begun) // MS,
                     lines=self.agreement.commit,
                 )
@@ -436,7 +436,7 @@
         )
         number = (self.chance.getrandbits(40) | 1) * raft.GENERATIONS
         agreement.begin(number, disks, [(RULES, encode(Rules(said, list(self.spec.permits))))])
-        log.say("agreement_begun", record=f"{number:x}", voters=",".join(disks))
+        log.info("consensus_bootstrapped", record=f"{number:x}", voters=",".join(disks))
 
     def lead(self, now: int) -> None:
         assert self.conduct
@@ -465,7 +465,7 @@
     def change_voters(self, config: dict[str, int]) -> str:
         fault = self.agreement.change_voters(config)
         if not fault:
-            self.tell("agreement_voters", voters=",".join(config))
+            self.tell("consensus_voters_changed", voters=",".join(config))
         return fault
 
     def seats(self) -> dict[str, Seat]:
@@ -492,7 +492,7 @@
         if self.current and orders.drained != self.drained:
             self.drained = orders.drained
             self.tell(
-                "drain_begins" if self.drained else "drain_ends",
+                "drain_started" if self.drained else "drain_finished",
                 revision=self.record.whole.revision,
             )
             self.link.share(not self.drained)
@@ -522,7 +522,7 @@
             self.first_build = orders.build
         known = orders.build in ("", self.spec.build, self.first_build)
         if not known and not self.life.stopping:
-            self.tell("release_ends", build=self.spec.build, wanted=orders.build)
+            self.tell("release_finished", build=self.spec.build, wanted=orders.build)
             self.life.stop()
         if orders.build == self.spec.build:
             self.first_build = orders.build
@@ -553,7 +553,7 @@
             await anyio.to_thread.run_sync(self.put_file, text)
         except OSError as fault:
             self.refuse(wanted, fault)
-            log.warn("release_disk_fault", file=self.file, fault=fault)
+            log.warning("release_file_failed", file=self.file, fault=fault)
             return
         self.before = self.running
         await self.life.configure()
@@ -564,7 +564,7 @@
             await anyio.to_thread.run_sync(self.put_file, file_of(self.before, held or b""))
         else:
             self.running, self.switched_at = wanted, self.loop.clock()
-            self.tell("release_runs", content=wanted or "own", before=self.before or "own")
+            self.tell("release_applied", content=wanted or "own", before=self.before or "own")
         self.loop.enter(self, self.after_switch)
 
     def after_switch(self) -> None:
@@ -593,8 +593,8 @@
                 self.switched_at = 0  # it was tried for long enough
             return
         if now - self.switched_at > self.spec.cut_off:
-            log.warn(
-                "release_taken_back", content=self.running, position=self.link.members.position
+            log.warning(
+                "release_rolled_back", content=self.running, position=self.link.members.position
             )
             self.avoid, self.switched_at = self.running, 0
             data = self.record.content(self.before) if self.before else b""
@@ -679,7 +679,7 @@
 
     def recover(self) -> None:
         """An operator says that most voters are lost for good, and that this copy is to go on."""
-        log.warn("agreement_recovered", lines=self.agreement.commit, term=self.agreement.term)
+        log.warning("consensus_recovered", lines=self.agreement.commit, term=self.agreement.term)
         self.agreement.recover()
         self.pass_on()
 
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from whinpier.fleet.rollouts import state_machine as agreed_on
 from whinpier.fleet.consensus.node import LEADER
-from whinpier.fleet.rollouts.controller import worded
 from whinpier.fleet.messages import MOST_LINE
+from whinpier.fleet.rollouts import state_machine as agreed_on
+from whinpier.fleet.rollouts.controller import worded
 from whinpier.fleet.rollouts.state_machine import (
     DRAIN,
     FORMS,
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -106,7 +106,7 @@
             prepare(self.path)
             listener = await anyio.create_unix_listener(self.path, mode=0o600)
         except OSError as fault:
-            log.warn("bank_control_fault", path=self.path, fault=fault)
+            log.warning("control_socket_failed", path=self.path, fault=fault)
             return
         try:
             async with listener:
@@ -118,7 +118,7 @@
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
         async with stream:
             if self.callers >= CALLERS:
-                log.note("bank_control_full", callers=self.callers)
+                log.warning_uncounted("control_socket_full", callers=self.callers)
                 return
             self.callers += 1
             try:
@@ -128,7 +128,7 @@
             except GONE_CALLER:
                 return  # a caller that goes, or does not read, is its own trouble
             except Exception:  # a fault of ours ends this call, and not the listener
-                log.fault("bank_control_call_fault")
+                log.exception("control_call_failed")
             finally:
                 self.callers -= 1
 
@@ -192,7 +192,7 @@
             struck = link.strike(asked.name)
             if not struck:
                 raise Refused(f"no member {asked.name!r} is lost by silence alone")
-            log.say("bank_struck", member=asked.name)
+            log.info("member_removed_by_operator", member=asked.name)
             return {"struck": struck}
         raise Refused(
             f"{asked.ask!r} is none of members, links, limits, figures, watch, strike, begin, "
@@ -250,7 +250,7 @@
         link = self.link
         if not link.begin(name):
             raise Refused(f"{name!r} is no count of windows that is never over")
-        log.say("bank_limit_begun", limit=name)
+        log.info("quota_window_opened", limit=name)
         return {"begun": name}
 
     async def watch(self, asked: ControlRequest, stream: anyio.abc.SocketStream) -> None:
--- a/whinpier/fleet/fleet_size.py
+++ b/whinpier/fleet/fleet_size.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-from whinpier.fleet.messages import pool_mark
 from whinpier.fleet.membership.membership import Members
+from whinpier.fleet.messages import pool_mark
 from whinpier.policy.decaying_sum import SECOND
 
 LASTING = (
--- a/whinpier/fleet/limit_bounds.py
+++ b/whinpier/fleet/limit_bounds.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from whinpier.fleet.quotas.allocation import Said
-from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SLACK
-from whinpier.fleet.quotas.fair_share import UNHEARD, aged
 from whinpier.fleet.quotas.calendar_quota import AHEAD, LEAST_AHEAD
+from whinpier.fleet.quotas.fair_share import UNHEARD, aged
+from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SLACK
 from whinpier.policy.decaying_sum import SECOND
 
 
--- a/whinpier/fleet/membership/membership.py
+++ b/whinpier/fleet/membership/membership.py
@@ -303,7 +303,7 @@
         if late > STOPPED:
             # Guards against taking the others for silent when it was this one that did not listen.
             self.timers = [(set_timer[0] + late, *set_timer[1:]) for set_timer in self.timers]
-            self.event("bank_stood_still", for_ms=late // MS)
+            self.event("process_paused", for_ms=late // MS)
         if late > SLOW // 4:
             self.slow, self.slow_at = (
                 max(self.slowness(), min(late / SLOW, MOST_SLOW - 1.0)),
@@ -649,7 +649,7 @@
 
     def join(self, how: str) -> None:
         self.joined = True
-        self.event("bank_joined", how=how, members=self.count(), seeds=len(self.seeds))
+        self.event("fleet_joined", how=how, members=self.count(), seeds=len(self.seeds))
 
     def silent_seeds(self) -> int:
         """Seeds of which nothing is known: neither met nor refused."""
@@ -755,7 +755,7 @@
             return None
         if len(self.members) >= self.most:
             self.counts["table_full"] += 1
-            self.event("bank_table_full", name=card.name, most=self.most)
+            self.event("member_table_full", name=card.name, most=self.most)
             return None
         if tomb is not None and word.life <= tomb[1]:
             word = Word(
@@ -1231,7 +1231,7 @@
         if self.state == HERE:
             self.life, self.state = self.life + 1, LEAVING
             self.sign()
-            self.event("bank_leaving")
+            self.event("fleet_leaving")
 
     def goodbye(self, now: int) -> None:
         """The last word, to as many as may be told at once; the others hear it from them."""
@@ -1241,7 +1241,7 @@
         there = self.others()
         for member in self.sample(there, min(64, len(there))):
             self.send(PING, member.card.address, member, words=[self.word()])
-        self.event("bank_left", told=min(64, len(there)))
+        self.event("fleet_left", told=min(64, len(there)))
 
     def sweep(self) -> None:
         """Once a second: what has lasted long enough goes."""
@@ -1272,7 +1272,11 @@
             before, self.position = self.position, position
             known = self.count() + self.tally[UNHEARD]
             self.event(
-                "bank_position", position=position, was=before, here=self.count(), known=known
+                "partition_state_changed",
+                position=position,
+                was=before,
+                here=self.count(),
+                known=known,
             )
 
     def where(self) -> str:
--- a/whinpier/fleet/outliers/ejection.py
+++ b/whinpier/fleet/outliers/ejection.py
@@ -401,7 +401,7 @@
             self.counts["rests"] += 1
             self.events.append(
                 (
-                    "verdict_rests",
+                    "ejection_started",
                     {"pool": known[0], "key": known[1], "by": judge, "times": strikes},
                 )
             )
@@ -414,7 +414,7 @@
             seen.answers.value = seen.ratios.value = 0.0
         if known in self.zones:
             self.returns[known] = now + int(self.random() * self.rules.back)
-        self.events.append(("verdict_over", {"pool": known[0], "key": known[1]}))
+        self.events.append(("ejection_ended", {"pool": known[0], "key": known[1]}))
 
     # Time.
 
@@ -426,7 +426,7 @@
             self.lift(known, now)
         for known in [known for known, at in self.returns.items() if at <= now]:
             del self.returns[known]
-            self.events.append(("verdict_back", {"pool": known[0], "key": known[1]}))
+            self.events.append(("ejection_returning", {"pool": known[0], "key": known[1]}))
         self.given = {slot: given for slot, given in self.given.items() if given.until > now}
         self.others = {known: until for known, until in self.others.items() if until > now}
         for pool in {pool for pool, _ in self.zones}:
@@ -443,7 +443,7 @@
             if self.open_case(hearing.pool, hearing.key, now):
                 self.events.append(
                     (
-                        "verdict_asked",
+                        "ejection_proposed",
                         {
                             "pool": hearing.pool,
                             "key": hearing.key,
@@ -460,7 +460,7 @@
             tried, witnesses, weight, mean = self.weigh([own, *hearing.words.values()])
             self.events.append(
                 (
-                    "verdict_none",
+                    "ejection_not_agreed",
                     {
                         "pool": hearing.pool,
                         "key": hearing.key,
--- a/whinpier/fleet/outliers/monitor.py
+++ b/whinpier/fleet/outliers/monitor.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Any
 
-from whinpier.fleet.messages import Plea, pool_mark
 from whinpier.fleet.membership.membership import Members
+from whinpier.fleet.messages import Plea, pool_mark
 from whinpier.fleet.outliers.ejection import CAP, SLACK, Court, Rules
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome
@@ -168,8 +168,8 @@
         for name, pairs in events:
             watcher = self.watchers.get(pairs["pool"])
             host = watcher.hosts.get(pairs["key"], "") if watcher else ""
-            if watcher and host and name in ("verdict_rests", "verdict_back"):
-                watcher.pool.rest(host, name == "verdict_rests")
+            if watcher and host and name in ("ejection_started", "ejection_returning"):
+                watcher.pool.rest(host, name == "ejection_started")
             by = {"by": self.members.name_of(pairs["by"])} if "by" in pairs else {}
             self.tell(
                 name,
--- a/whinpier/fleet/peer_cache.py
+++ b/whinpier/fleet/peer_cache.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from whinpier.fleet.quotas.allocation import Kept
+from whinpier.config.model import ConfigFault, address
 from whinpier.fleet.membership.membership import Address
+from whinpier.fleet.quotas.allocation import Kept
 from whinpier.storage.bounded_files import contents
-from whinpier.config.model import ConfigFault, address
 
 MOST, LARGEST = 1_000, 2_000_000  # addresses, bytes: with 64 limits of 1,000 homes
 
--- a/whinpier/fleet/quotas/allocation.py
+++ b/whinpier/fleet/quotas/allocation.py
@@ -22,9 +22,9 @@
 from msgspec import Struct
 
 from whinpier.fleet.messages import Deal, pool_mark
-from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, RATE, SLACK, Limit, Share
-from whinpier.fleet.quotas.fair_share import Nearly
 from whinpier.fleet.quotas.calendar_quota import Calendar, Note, Units
+from whinpier.fleet.quotas.fair_share import Nearly
+from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, RATE, SLACK, Limit, Share
 from whinpier.policy.decaying_sum import SECOND
 
 MOST_ROWS = 100  # of one limit's tenants, to people
--- a/whinpier/fleet/quotas/fair_share.py
+++ b/whinpier/fleet/quotas/fair_share.py
@@ -20,8 +20,8 @@
 from struct import Struct
 from typing import Any
 
-from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, TASK, Limit
 from whinpier.fleet.quotas.calendar_quota import Calendar
+from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, TASK, Limit
 from whinpier.policy.decaying_sum import SECOND, Sum
 
 FORM, WORD = 1, Struct("<BQQI")  # demand, used in the window, the window
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -23,10 +23,11 @@
 
 from whinpier import log
 from whinpier.fleet import peer_cache
-from whinpier.fleet.control_socket import Control
 from whinpier.fleet.clock_offset import Clocks
+from whinpier.fleet.control_socket import Control
+from whinpier.fleet.event_names import control_name
 from whinpier.fleet.fleet_size import Counting
-from whinpier.fleet.quotas.allocation import NEVER, Kept, Said, Shares
+from whinpier.fleet.membership.membership import GONE, MS, UNHEARD, Address, Event, Member, Members
 from whinpier.fleet.messages import (
     BUILD,
     OLD,
@@ -38,20 +39,20 @@
     Seal,
     pool_mark,
 )
+from whinpier.fleet.outliers.monitor import Watching
+from whinpier.fleet.quotas.allocation import NEVER, Kept, Said, Shares
+from whinpier.fleet.quotas.calendar_quota import Note, Units
 from whinpier.fleet.quotas.enforcement import Gates
-from whinpier.fleet.state_store import Batch, Keeper
-from whinpier.fleet.quotas.leases import TURN
-from whinpier.fleet.membership.membership import GONE, MS, UNHEARD, Address, Event, Member, Members
 from whinpier.fleet.quotas.fair_share import Nearly
+from whinpier.fleet.quotas.leases import TURN
 from whinpier.fleet.spec import FleetSpec
-from whinpier.fleet.outliers.monitor import Watching
-from whinpier.fleet.quotas.calendar_quota import Note, Units
+from whinpier.fleet.state_store import Batch, Keeper
 from whinpier.policy.decaying_sum import SECOND
 
 if TYPE_CHECKING:
     from whinpier.fleet.consensus.service import Agreed
-    from whinpier.runtime.process import Life
     from whinpier.runtime.pool import Pool
+    from whinpier.runtime.process import Life
 
 IP_RECVERR, MSG_ERRQUEUE = 11, 0x2000  # Linux: errors come with the address they are about
 AT_ONCE = 64  # datagrams read in one go, before others have their turn
@@ -142,8 +143,11 @@
         self.keeper.batches = self.to_write
         live = self.keeper.open()
         begun = live.get((BEGUN,), (NEVER,))
-        log.say(
-            "bank_state", file=self.keeper.journal.path, notes=len(live), stamp=self.keeper.stamp
+        log.info(
+            "state_store_loaded",
+            file=self.keeper.journal.path,
+            notes=len(live),
+            stamp=self.keeper.stamp,
         )
         self.begun_stamp = self.keeper.stamp
         return (
@@ -178,7 +182,7 @@
         try:
             return peer_cache.read(self.spec.recall) if self.spec.recall else ([], {})
         except (OSError, ValueError) as fault:
-            log.warn("bank_recall_fault", fault=fault)
+            log.warning("peer_cache_failed", fault=fault)
             return [], {}
 
     async def remember(self) -> None:
@@ -194,7 +198,7 @@
                 kept, well = now, True
             except OSError as fault:
                 if well:
-                    log.warn("bank_recall_fault", fault=fault)
+                    log.warning("peer_cache_failed", fault=fault)
                 well = False
 
     def attach(self) -> None:
@@ -248,7 +252,7 @@
             pools=self.marks(),
         )
         if keys:
-            log.say("bank_changed", keys=",".join(keys))
+            log.info("fleet_configuration_changed", keys=",".join(keys))
         if not self.dealing:
             self.loop.enter(self, self.deal)
         self.pass_on()
@@ -285,13 +289,15 @@
         self.pass_on()
 
     def figures(self) -> dict[str, int]:
+        """Return the counters by the names that the control socket tells."""
         members = self.members
-        return {
-            "bank_here": members.count(),
-            "bank_unheard": members.tally[UNHEARD],
+        found = {
+            "members_reachable": members.count(),
+            "members_unreachable": members.tally[UNHEARD],
             **members.counts,
             **self.counts,
         }
+        return {control_name(name): count for name, count in found.items()}
 
     # In and out.
 
@@ -316,7 +322,7 @@
             self.second, self.opened = second, 0
         self.opened += 1
         if self.opened > OPENED:
-            self.counts["bank_flood"] += 1
+            self.counts["fleet_receive_limit"] += 1
             return False
         return True
 
@@ -358,11 +364,13 @@
             try:
                 self.sock.sendto(data, address)
             except BlockingIOError:
-                self.counts["bank_not_sent"] += 1
+                self.counts["fleet_not_sent"] += 1
             except OSError as fault:
-                self.counts["bank_send_fault"] += 1
+                self.counts["fleet_send_failed"] += 1
                 if fault.errno != errno.ECONNREFUSED:
-                    log.note("bank_send_fault", address="%s:%d" % address, fault=fault)
+                    log.warning_uncounted(
+                        "fleet_send_failed", address="%s:%d" % address, fault=fault
+                    )
         for event in events:
             self.happened(event)
         for member, mark, contents in said:
@@ -402,7 +410,7 @@
         )  # on the machine's monotonic clock, as every process has it
         run = f"{self.members.card.run:x}"
         pairs = {"process": self.spec.name, "process_run": run, "mono_ns": at} | event.pairs
-        log.say(event.name, **pairs)
+        log.info(event.name, **pairs)
         name = event.pairs.get("member", "")
         if event.name in ("member_left", "member_lost"):
             if event.pairs.get("why") != WHY[SILENT]:
@@ -410,7 +418,7 @@
         elif event.name == "member_here":
             self.shares.departed.discard(name)
         for watcher in list(self.watchers):
-            watcher({"event": event.name} | pairs)
+            watcher({"event": control_name(event.name)} | pairs)
 
     def strike(self, name: str) -> int:
         """An operator says that a member is dead: one that is unheard, or a home that was never met."""
@@ -431,7 +439,7 @@
         data = msgspec.json.encode(value) if value else b""
         said = self.members.register.say(key, data, life, self.members.card.id, self.loop.clock())
         if said is not None:
-            log.say("bank_said", key=key, **value)
+            log.info("registry_entry_changed", key=key, **value)
             self.members.tell_all_now(self.loop.clock())
             self.pass_on()
         return said is not None
@@ -443,7 +451,7 @@
             try:
                 amounts[name] = float(msgspec.json.decode(value)["amount"])
             except (msgspec.DecodeError, KeyError, TypeError, ValueError):
-                log.warn("bank_said_fault", key=f"limit/{name}")
+                log.warning("registry_entry_invalid", key=f"limit/{name}")
         words = self.members.register.words
         closed = {
             (kind, name): words[f"{kind}/{name}"].until
@@ -463,7 +471,7 @@
             self.shares.follow(self.said_limits(), self.loop.clock())
             self.attach()
             told = ",".join(f"{name}={amount:g}" for name, amount in amounts.items())
-            log.say("bank_limits_said", limits=told)
+            log.info("quota_overrides_changed", limits=told)
 
     def said_limits(self) -> tuple[Said, ...]:
         """The limits of the file, with the amounts that operators have said for a while."""
@@ -578,7 +586,9 @@
             # From here on the file knows of all that is used; what was before it does not say.
             self.first_notes[BEGUN,] = (shares.since,)
         if agreed:
-            log.say("bank_limits_agreed", limits=",".join(shares.tables), epoch=f"{shares.epoch:x}")
+            log.info(
+                "quota_allocation_agreed", limits=",".join(shares.tables), epoch=f"{shares.epoch:x}"
+            )
 
     def tell_nearly(self, now: int, others: list[Member]) -> None:
         """Tell what is asked for of limits that are nearly kept, and hear what the others tell."""
@@ -610,7 +620,7 @@
         if there is None or len(contents) != 8:
             return
         name, stamp = there.card.name, int.from_bytes(contents, "big")
-        self.counts["bank_stamps_heard"] += 1
+        self.counts["state_stamps_received"] += 1
         run, most = self.stamps.pop(name, (member, 0))
         if run != member and stamp < most:
             self.members.send_deals([(member, Deal(OLD, 0, most, 0, 0))], self.loop.clock())
@@ -622,8 +632,8 @@
         """Another knows that this process's last run had written more than its state file holds."""
         if self.keeper is None or deal.nonce <= self.begun_stamp:
             return
-        log.warn(
-            "bank_state_old",
+        log.warning(
+            "state_store_stale",
             file=self.keeper.journal.path,
             notes=self.begun_stamp,
             known=deal.nonce,
@@ -670,8 +680,8 @@
             if pool is not None:
                 pool.shared(counted.balancers, counted.number)
                 self.said.clear()  # by other numbers now
-                log.say(
-                    "bank_shares",
+                log.info(
+                    "quota_allocation_changed",
                     pool=counted.name,
                     balancers=counted.balancers,
                     number=counted.number,
--- a/whinpier/fleet/spec.py
+++ b/whinpier/fleet/spec.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, fields, replace
 
-from whinpier.fleet.quotas.allocation import Said
 from whinpier.fleet.membership.membership import Address, Times
-from whinpier.fleet.rollouts.state_machine import Rule
 from whinpier.fleet.outliers.ejection import Rules
+from whinpier.fleet.quotas.allocation import Said
+from whinpier.fleet.rollouts.state_machine import Rule
 from whinpier.policy.decaying_sum import SECOND
 
 RELEASED = "released.toml"  # the file's name in the folder of what is agreed
--- a/whinpier/fleet/state_store.py
+++ b/whinpier/fleet/state_store.py
@@ -51,8 +51,8 @@
                     f"{self.journal.path}: a note of another build; move it away to begin without"
                 ) from None
         if self.journal.cut:
-            log.warn(
-                "bank_state_torn",
+            log.warning(
+                "state_store_torn",
                 file=self.journal.path,
                 kept=self.journal.size,
                 cut=self.journal.cut,
@@ -89,13 +89,13 @@
             await anyio.to_thread.run_sync(self.journal.append, data)
         except OSError as fault:
             if not self.fault:
-                log.warn("bank_state_fault", file=self.journal.path, fault=fault)
+                log.warning("state_store_failed", file=self.journal.path, fault=fault)
             self.fault = str(fault)
             failed()
             self.came.set()
             return
         if self.fault:
-            log.say("bank_state_well", file=self.journal.path)
+            log.info("state_store_recovered", file=self.journal.path)
             self.fault = ""
         self.stamp = stamp
         self.live |= notes
@@ -107,7 +107,7 @@
         try:
             await anyio.to_thread.run_sync(self.journal.rewrite, notes)
         except OSError as fault:
-            log.warn("bank_state_fault", file=self.journal.path, fault=fault)
+            log.warning("state_store_failed", file=self.journal.path, fault=fault)
 
     def forget(self, over: Callable[[tuple[Any, ...]], bool]) -> None:
         """Keys that are over go with the next compaction."""
--- a/whinpier/http/buffers.py
+++ b/whinpier/http/buffers.py
@@ -16,8 +16,8 @@
 import h11
 
 from whinpier import log
-from whinpier.runtime.resource_budget import Part
 from whinpier.runtime.event_loop import Loop
+from whinpier.runtime.resource_budget import Part
 
 SIZE = 64 * 1024  # the largest body in one read; a body and its head seldom come in more than two
 KEPT = 8  # a read ends before the next begins: more than one is in use only where reads nest
@@ -93,7 +93,7 @@
 
     def __init__(self, what: str) -> None:
         super().__init__(what, error_status_hint=431)
-        log.counts["heads_too_large"] += 1
+        log.counters["heads_too_large"] += 1
 
 
 def check_head(parser: h11.Connection) -> None:
@@ -178,7 +178,7 @@
         try:
             self.read()
         except Exception:  # a fault ends the connection, never the process
-            log.fault("network_fault")
+            log.exception("connection_task_failed")
             self.close()
 
     def received(self) -> bytes | None:
--- a/whinpier/http/client_connection.py
+++ b/whinpier/http/client_connection.py
@@ -16,13 +16,13 @@
 import h11
 
 from whinpier import log
-from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import RequestClass
 from whinpier.http import buffers
 from whinpier.http.platform_routes import BadRequest, Target, fits
 from whinpier.http.upstream_connection import BODILESS, BODY, HOP, Answer, Http
-from whinpier.runtime.resource_budget import Part
+from whinpier.policy.decaying_sum import SECOND
+from whinpier.policy.model import RequestClass
 from whinpier.runtime.pool import hashed
+from whinpier.runtime.resource_budget import Part
 
 if TYPE_CHECKING:
     from whinpier.http.listener import Door
@@ -126,7 +126,7 @@
             if len(self.parser.trailing_data[0]) > AHEAD:
                 # Its request is owed an answer, behind which the connection ends; till then what
                 # comes is passed over unread, so that its leaving is still seen.
-                log.warn("client_floods")
+                log.warning("client_flood")
                 self.flooded = True
 
     def take_plain(self, data: bytes) -> bool:
@@ -234,7 +234,7 @@
         pool = self.to[0].pool
         request = self.read_request(*self.to)
         if request.ends <= self.loop.clock():
-            log.counts["came_too_late"] += 1
+            log.counters["request_expired"] += 1
             self.answer(504, b"too late\n")
             return
         if pool.further is None:
@@ -249,7 +249,7 @@
                 request.repeat,
             )
         if full:
-            log.counts["turned_back_at_the_door"] += 1
+            log.counters["rejected_on_arrival"] += 1
             self.answer(
                 503,
                 b"turned back\n",
@@ -295,7 +295,7 @@
 
     def refuse(self, bad: BadRequest) -> None:
         """Answer what is no request, and end the connection."""
-        log.warn("bad_request", status=bad.status, why=bad)
+        log.warning("bad_request", status=bad.status, why=bad)
         self.reading = False
         self.answer(bad.status, f"{bad}\n".encode("utf-8", "replace"), bad.headers, last=bad.last)
 
@@ -367,7 +367,7 @@
         waited = now - self.since
         if self.left or self.reading:
             if waited > HALF:
-                log.warn("slow_client", reading=self.reading)
+                log.warning("slow_client", reading=self.reading)
                 self.close() if self.left else self.refuse(BadRequest(408, "half a request"))
         elif self.last and waited > LINGER:
             self.close()
--- a/whinpier/http/discovery.py
+++ b/whinpier/http/discovery.py
@@ -16,8 +16,8 @@
 import h11
 
 from whinpier import log
-from whinpier.http import buffers
 from whinpier.config.model import Address, ConfigFault, Entry, entries
+from whinpier.http import buffers
 
 SILENCE = 2.5  # seconds for the next whole piece: one, or an empty line, comes at least every 2
 ANSWER = 1.0  # seconds to connect, and as long until an answer begins: it is on this machine
@@ -129,11 +129,11 @@
             except (OSError, h11.RemoteProtocolError, anyio.ClosedResourceError) as lost:
                 why = repr(lost)
             except Exception as fault:  # whatever it was: without the list the balancer goes blind
-                log.fault("discovery_fault")
+                log.exception("discovery_failed")
                 why = repr(fault)
             if self.ended:
                 return
-            log.warn("discovery_lost", **self.tag(), why=why)
+            log.warning("discovery_disconnected", **self.tag(), why=why)
             await anyio.sleep(self.wait * (0.5 + self.chance()))
             self.wait = min(2 * self.wait, LONGEST)
 
--- a/whinpier/http/listener.py
+++ b/whinpier/http/listener.py
@@ -14,12 +14,12 @@
 import anyio
 
 from whinpier import log
-from whinpier.policy.decaying_sum import SECOND
 from whinpier.http.client_connection import Client
 from whinpier.http.platform_routes import Router
-from whinpier.runtime.resource_budget import Part
-from whinpier.runtime.process import SWEEP, Life
+from whinpier.policy.decaying_sum import SECOND
 from whinpier.runtime.pool import Pool
+from whinpier.runtime.process import SWEEP, Life
+from whinpier.runtime.resource_budget import Part
 
 AT_ONCE = 32  # clients taken in before others have their turn: some 3 ms
 UNUSED = SECOND // 10  # a connection idle for less may be about to be used again
@@ -136,7 +136,7 @@
                     # never ring.
                     await anyio.sleep(0)
                     continue
-                log.warn(
+                log.warning(
                     "descriptors_used_up", clients=len(self.clients), links=self.budget.links.used
                 )
                 self.space = anyio.Event()
@@ -147,13 +147,13 @@
             except anyio.ClosedResourceError:
                 return
             except Exception:  # whatever it was: nobody else takes clients in
-                log.fault("accept_failed")
+                log.exception("accept_failed")
                 await anyio.sleep(0.01)
 
     def start(self, listeners: list[socket.socket]) -> None:
         for listener in listeners:
             self.loop.task_group.start_soon(self.accept, listener)
-            log.say("listening", address="%s:%d" % listener.getsockname(), debug=__debug__)
+            log.info("listening", address="%s:%d" % listener.getsockname(), debug=__debug__)
 
     def sweep(self) -> None:
         """Every wait has an end."""
--- a/whinpier/http/operator_routes.py
+++ b/whinpier/http/operator_routes.py
@@ -9,10 +9,10 @@
 from collections.abc import Mapping
 
 from whinpier import log
-from whinpier.policy.model import RequestClass
 from whinpier.http.platform_routes import BadRequest, Headers, Target
+from whinpier.policy.model import RequestClass
 from whinpier.routing import normal
-from whinpier.routing.table import RouteQuery, Missed, Table
+from whinpier.routing.table import Missed, RouteQuery, Table
 from whinpier.runtime.pool import Pool
 
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))  # whose answers end as they say
@@ -58,7 +58,7 @@
         asked = RouteQuery(method.decode(), host, path, found, found.get("x-lane", ""))
         route = self.table.find(asked)
         if isinstance(route, Missed):
-            log.counts["no_route"] += 1
+            log.counters["no_route"] += 1
             if route.methods:
                 allow = ", ".join(sorted(route.methods)).encode()
                 raise BadRequest(405, "no route takes this method", [(b"allow", allow)], last=False)
--- a/whinpier/http/platform_routes.py
+++ b/whinpier/http/platform_routes.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from whinpier.config.model import Fields
 from whinpier.policy.model import Effect, RequestClass
 from whinpier.runtime.pool import Pool
-from whinpier.config.model import Fields
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/whinpier/http/transport.py
+++ b/whinpier/http/transport.py
@@ -4,13 +4,13 @@
 
 from __future__ import annotations
 
+from whinpier.config.model import Entry
 from whinpier.http.discovery import Discovery
 from whinpier.http.listener import Door
 from whinpier.http.platform_routes import Lanes, Router
 from whinpier.http.upstream_connection import Server
-from whinpier.runtime.process import Front, Life
 from whinpier.runtime.pool import Peer, Pool, Watch
-from whinpier.config.model import Entry
+from whinpier.runtime.process import Front, Life
 
 
 class Http1:
--- a/whinpier/http/upstream_connection.py
+++ b/whinpier/http/upstream_connection.py
@@ -17,13 +17,13 @@
 import h11
 
 from whinpier import log
+from whinpier.config.model import Address
+from whinpier.http import buffers
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome, UpstreamState
-from whinpier.http import buffers
+from whinpier.runtime.pool import Peer, PendingRequest, Pool, Sent
 from whinpier.runtime.resource_budget import Part
-from whinpier.runtime.pool import Peer, Pool, Sent, PendingRequest
 from whinpier.settings import COLUMNS
-from whinpier.config.model import Address
 
 BODY = 64 * 1024  # the largest body, by the protocol
 # Of an answer: upstreams have been met whose good ones are six times what the protocol says.
@@ -180,7 +180,7 @@
             link = Link(self)
         except OSError as fault:  # the system's own limit, met before ours
             self.pool.part.links.give()
-            log.warn("no_socket", fault=fault)
+            log.warning("socket_unavailable", fault=fault)
             return False
         self.opening += 1
         self.links.add(link)
@@ -288,10 +288,10 @@
 
     def start(self, sending: Sending) -> None:
         """Write an attempt; what the socket does not take at once goes out as it can."""
-        log.must(
+        log.invariant(
             self.sending is None and not self.closed, "a connection carries one task at a time"
         )
-        log.must(sending.outcome is None, "what has its outcome is not sent")
+        log.invariant(sending.outcome is None, "what has its outcome is not sent")
         self.sending, sending.link, self.answer, self.moved = sending, self, Answer(), 0
         asked = sending.asked
         remaining = max(0, asked.ends - self.loop.clock()) / SECOND
@@ -342,7 +342,7 @@
 
     def spoilt(self, why: object) -> None:
         """What came is no answer, yet the upstream is there: an error that may have done the request."""
-        log.warn("upstream_rubbish", upstream=self.server.host, fault=why)
+        log.warning("upstream_protocol_error", upstream=self.server.host, fault=why)
         sending, written = self.sending, not self.left
         self.give_up()
         if sending:
--- a/whinpier/log.py
+++ b/whinpier/log.py
@@ -13,7 +13,7 @@
 
 LINES = 5  # a second for one event: enough to see what it is; the counters say how often
 
-counts: Counter[str] = Counter()
+counters: Counter[str] = Counter()
 _logger = logging.getLogger("whinpier")
 
 
@@ -72,28 +72,28 @@
     logging.raiseExceptions = False  # a log that can't be written is no reason to fail
 
 
-def say(event: str, **pairs: Any) -> None:
+def info(event: str, **pairs: Any) -> None:
     _logger.info(event, extra={"pairs": pairs})
 
 
-def note(event: str, **pairs: Any) -> None:
+def warning_uncounted(event: str, **pairs: Any) -> None:
     """What is counted elsewhere: a few lines that say where it happens."""
     _logger.warning(event, extra={"pairs": pairs})
 
 
-def warn(event: str, **pairs: Any) -> None:
-    counts[event] += 1
+def warning(event: str, **pairs: Any) -> None:
+    counters[event] += 1
     _logger.warning(event, extra={"pairs": pairs})
 
 
-def fault(event: str, **pairs: Any) -> None:
+def exception(event: str, **pairs: Any) -> None:
     """A fault of ours, with the trace of the exception being handled."""
-    counts[event] += 1
+    counters[event] += 1
     _logger.error(event, exc_info=True, extra={"pairs": pairs})
 
 
-def must(holds: bool, what: str) -> None:
+def invariant(holds: bool, what: str) -> None:
     """What must hold: asserted in debug builds, counted and logged in release builds (`python -O`)."""
     if not holds:
         assert not __debug__, what
-        warn("broken", what=what)
+        warning("invariant_violated", what=what)
--- a/whinpier/model_checking/consensus_scenarios.py
+++ b/whinpier/model_checking/consensus_scenarios.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from whinpier.model_checking import scenarios
-from whinpier.model_checking.scenarios import Days
 from whinpier.model_checking.consensus import FAULTS, Coarse, Recording
+from whinpier.model_checking.scenarios import Days
 
 WHOLE = (
     Days(
--- a/whinpier/model_checking/counts.py
+++ b/whinpier/model_checking/counts.py
@@ -12,8 +12,8 @@
 from collections.abc import Hashable
 from typing import Any
 
-from whinpier.fleet.quotas.leases import COUNT, Limit
 from whinpier.fleet.quotas.calendar_quota import Both, Calendar, Note, Slot, Units
+from whinpier.fleet.quotas.leases import COUNT, Limit
 from whinpier.model_checking.network import Named, Network
 from whinpier.policy.decaying_sum import SECOND
 
--- a/whinpier/model_checking/quota_scenarios.py
+++ b/whinpier/model_checking/quota_scenarios.py
@@ -5,9 +5,9 @@
 from __future__ import annotations
 
 from whinpier.model_checking import scenarios
-from whinpier.model_checking.scenarios import Days
 from whinpier.model_checking.quota_mutants import FAULTS
 from whinpier.model_checking.quotas import Sharing
+from whinpier.model_checking.scenarios import Days
 
 WHOLE = (
     Days(
--- a/whinpier/policy/policy.py
+++ b/whinpier/policy/policy.py
@@ -14,25 +14,26 @@
 import heapq
 from bisect import bisect_right
 from collections import deque
-from itertools import accumulate, chain, count as numbers, islice
+from itertools import accumulate, chain, islice
+from itertools import count as numbers
 from math import exp
 from random import Random
 from typing import Any
 
 from whinpier.policy.decaying_sum import SECOND, Sum
 from whinpier.policy.model import (
+    NEVER_RAN,
     Attempt,
     Effect,
     Host,
-    NEVER_RAN,
     Outcome,
     Request,
     RequestClass,
     Upstream,
     UpstreamState,
 )
-from whinpier.policy.statistics import Known, Seen
 from whinpier.policy.rate_gossip import Peers
+from whinpier.policy.statistics import Known, Seen
 
 PASS, KEEP, END = "pass on", "keep", "end"
 PERIOD = SECOND  # between solves; the design page's
--- a/whinpier/radius/client.py
+++ b/whinpier/radius/client.py
@@ -14,14 +14,14 @@
 from os import urandom
 
 from whinpier import log
+from whinpier.config.model import Address, Entry
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome, UpstreamState
 from whinpier.radius import packet as wire
 from whinpier.radius.identifiers import Idents
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.spec import ServerSpec
-from whinpier.runtime.pool import Peer, Pool, Sent, PendingRequest
-from whinpier.config.model import Address, Entry
+from whinpier.runtime.pool import Peer, PendingRequest, Pool, Sent
 
 AT_ONCE = 64  # datagrams read before others have their turn
 BUFFER = 1 << 20  # bytes that the system keeps of what has come: some thousand answers
@@ -65,7 +65,7 @@
         sending = Sending(request, self, now, slot or (-1, -1))
         request.attempts.append(sending)
         if slot is None or not self.open(slot[0]):
-            log.counts["radius_no_identifier"] += 1
+            log.counters["radius_no_identifier"] += 1
             if slot:
                 self.idents.give(*slot, True, now)
             self.pool.settle(sending, Outcome.NOT_SENT)
@@ -88,7 +88,7 @@
         try:
             sending.data = wire.sealed(asked, sending.secret, self.spec.sign)
         except ValueError:
-            log.counts["radius_too_large"] += 1
+            log.counters["radius_too_large"] += 1
             self.release(sending, True)
             self.pool.settle(sending, Outcome.NOT_SENT)
             return sending
@@ -110,7 +110,7 @@
             sock.connect(self.address)
         except OSError as fault:
             self.pool.part.links.give()
-            log.warn("no_socket", fault=fault)
+            log.warning("socket_unavailable", fault=fault)
             return False
         self.sockets[number] = sock
         asyncio.get_running_loop().add_reader(sock, self.came, number)
@@ -126,13 +126,13 @@
         sending.tries += 1
         try:
             sending.sock.send(sending.data)
-            log.counts["radius_sent"] += 1
+            log.counters["radius_sent"] += 1
         except (BlockingIOError, ConnectionRefusedError):
-            log.counts["radius_not_sent"] += (
+            log.counters["radius_not_sent"] += (
                 1  # a full buffer, or word of an earlier one: sent again later
             )
         except OSError as fault:
-            log.warn("radius_not_sent", upstream=self.host, fault=fault)
+            log.warning("radius_not_sent", upstream=self.host, fault=fault)
         if sending.tries <= self.spec.retransmissions:
             # Twice as long each time, and spread a little (RFC 5080, section 2.2.1).
             wait = int(
@@ -151,23 +151,25 @@
             except OSError:
                 # Its port is closed, or was a moment ago. What was sent before may have run: it is
                 # silent.
-                log.counts["radius_refused"] += 1
+                log.counters["radius_refused"] += 1
                 return
             except KeyError:
                 return
             try:
                 self.answered(number, data)
             except BadPacket as bad:
-                log.counts["radius_bad_answer"] += 1
-                log.note("radius_bad_answer", upstream=self.host, why=bad)
+                log.counters["radius_bad_answer"] += 1
+                log.warning_uncounted("radius_bad_answer", upstream=self.host, why=bad)
             except Exception:  # no bytes end the loop
-                log.fault("network_fault")
+                log.exception("connection_task_failed")
 
     def answered(self, number: int, data: bytes) -> None:
         packet = wire.parse(data)
         sending = self.waiting.get((number, packet.id))
         if sending is None:
-            log.counts["radius_late_answer"] += 1  # to one that was given up, or the second to one
+            log.counters["radius_late_answer"] += (
+                1  # to one that was given up, or the second to one
+            )
             return
         wire.check_answer(packet, data, sending.asked, sending.secret, self.spec.signed)
         states = packet.all(wire.PROXY_STATE)
--- a/whinpier/radius/config.py
+++ b/whinpier/radius/config.py
@@ -8,11 +8,6 @@
 
 from msgspec import Meta
 
-from whinpier.radius.packet import STATUSES
-from whinpier.radius.spec import ClientSpec, RadiusSpec, RouteSpec, ServerSpec, normal
-from whinpier.radius.response_cache import StateSpec
-from whinpier.radius.listeners import StreamSpec, TlsSpec
-from whinpier.config.model import ConfigFault, PoolSpec, address
 from whinpier.config.fields import (
     UNITS,
     Count,
@@ -23,6 +18,11 @@
     named,
     part,
 )
+from whinpier.config.model import ConfigFault, PoolSpec, address
+from whinpier.radius.listeners import StreamSpec, TlsSpec
+from whinpier.radius.packet import STATUSES
+from whinpier.radius.response_cache import StateSpec
+from whinpier.radius.spec import ClientSpec, RadiusSpec, RouteSpec, ServerSpec, normal
 
 
 class ServersTable(Strict, frozen=True):
--- a/whinpier/radius/explain.py
+++ b/whinpier/radius/explain.py
@@ -9,9 +9,9 @@
 
 from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
+from whinpier.radius.client_table import Clients, Routes
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.spec import RadiusSpec, realm_of
-from whinpier.radius.client_table import Clients, Routes
 
 CODES = {
     wire.ACCOUNTING_REQUEST: "Accounting-Request",
--- a/whinpier/radius/listeners.py
+++ b/whinpier/radius/listeners.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from whinpier import log
-from whinpier.storage.bounded_files import contents
 from whinpier.config.model import Address, ConfigFault
+from whinpier.storage.bounded_files import contents
 
 SOON = timedelta(days=14)  # before the end of a certificate that is said when it is read
 
@@ -70,7 +70,9 @@
                 f"{own.not_valid_before_utc} to {own.not_valid_after_utc}"
             )
         if own.not_valid_after_utc - now < SOON:
-            log.warn("certificate_ends_soon", file=self.certificate, ends=own.not_valid_after_utc)
+            log.warning(
+                "certificate_ends_soon", file=self.certificate, ends=own.not_valid_after_utc
+            )
 
 
 @dataclass(frozen=True)
--- a/whinpier/radius/response_cache.py
+++ b/whinpier/radius/response_cache.py
@@ -15,8 +15,8 @@
 
 from whinpier import log
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.storage.append_log import Journal, Torn, framed
 from whinpier.radius.deduplication import Entry, Memory
+from whinpier.storage.append_log import Journal, Torn, framed
 
 MAGIC = b"whinpier radius state 1\n"
 LEAST = 1 << 20  # bytes below which a file is not compacted
@@ -74,7 +74,9 @@
             self.journal.close()
             raise
         if self.journal.cut:
-            log.warn("radius_state_torn", file=self.spec.path, kept=self.size, cut=self.journal.cut)
+            log.warning(
+                "radius_cache_torn", file=self.spec.path, kept=self.size, cut=self.journal.cut
+            )
         memory.note = self.note
 
     def load(self, memory: Memory[Any], found: list[Any]) -> None:
@@ -98,7 +100,9 @@
                     f"{self.spec.path}: a note of kind {kind!r}, which this version does not know"
                 )
         if len(memory):
-            log.say("radius_state", file=self.spec.path, remembered=len(memory), bytes=self.size)
+            log.info(
+                "radius_cache_loaded", file=self.spec.path, remembered=len(memory), bytes=self.size
+            )
 
     # While it serves.
 
@@ -153,7 +157,7 @@
             # Nothing is let go: it stands before what comes, and is tried again.
             self.queue, self.waiting = batch + self.queue, waiting + self.waiting
             if not self.fault:
-                log.warn("radius_state_fault", file=self.spec.path, fault=fault)
+                log.warning("radius_cache_failed", file=self.spec.path, fault=fault)
             self.fault = str(fault)
             self.came.set()
             if not self.spec.refuse:
@@ -162,7 +166,7 @@
                     then()
             return
         if self.fault:
-            log.say("radius_state_well", file=self.spec.path)
+            log.info("radius_cache_recovered", file=self.spec.path)
             self.fault = ""
         self.since = self.clock()
         for then in waiting:
@@ -176,7 +180,7 @@
             await anyio.to_thread.run_sync(self.rewrite, entries)
             self.anew = False
         except OSError as fault:
-            log.warn("radius_state_fault", file=self.spec.path, fault=fault)
+            log.warning("radius_cache_failed", file=self.spec.path, fault=fault)
 
     def rewrite(self, entries: list[Entry[Any]]) -> None:
         self.journal.rewrite(note for entry in entries for note in said(entry))
@@ -189,7 +193,7 @@
         try:
             self.journal.append(b"".join(self.queue))
         except OSError as fault:
-            log.warn("radius_state_fault", file=self.spec.path, fault=fault)
+            log.warning("radius_cache_failed", file=self.spec.path, fault=fault)
         self.journal.close()
 
 
--- a/whinpier/radius/server.py
+++ b/whinpier/radius/server.py
@@ -16,15 +16,15 @@
 
 from whinpier import log
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.policy.model import Effect, NEVER_RAN, RequestClass
+from whinpier.policy.model import NEVER_RAN, Effect, RequestClass
 from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
 from whinpier.radius.client import AT_ONCE, BUFFER, Record
+from whinpier.radius.client_table import Clients, Routes
 from whinpier.radius.packet import BadPacket, Packet
-from whinpier.radius.spec import ClientSpec, RadiusSpec
 from whinpier.radius.response_cache import State
+from whinpier.radius.spec import ClientSpec, RadiusSpec
 from whinpier.radius.stream_server import Datagrams, Streams, Way
-from whinpier.radius.client_table import Clients, Routes
 from whinpier.runtime.pool import hashed
 
 if TYPE_CHECKING:
@@ -111,7 +111,7 @@
             with suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
             asyncio.get_running_loop().add_reader(sock, self.came, sock)
-            log.say("listening_radius", address="%s:%d" % sock.getsockname(), over="UDP")
+            log.info("listening_radius", address="%s:%d" % sock.getsockname(), over="UDP")
         self.streams.start()
         if state := self.state:
             self.loop.spawn(lambda: state.run(self.memory), lambda: None)
@@ -123,15 +123,15 @@
             except BlockingIOError:
                 return
             except OSError:
-                log.counts["radius_refused"] += 1
+                log.counters["radius_refused"] += 1
                 return
             try:
                 self.take(sock, data, source)
             except BadPacket as bad:
-                log.counts["radius_bad_request"] += 1
-                log.note("radius_bad_request", source=source[0], why=bad)
+                log.counters["radius_bad_request"] += 1
+                log.warning_uncounted("radius_bad_request", source=source[0], why=bad)
             except Exception:  # no bytes end the loop
-                log.fault("network_fault")
+                log.exception("connection_task_failed")
 
     def allowed(self, name: str, most: int) -> bool:
         """Whether one more packet of a client is looked at in this second."""
@@ -148,11 +148,11 @@
         client = self.clients.of(source[0])
         if client is None:
             if self.allowed("", STRANGERS):
-                log.note("radius_stranger", source=source[0])
-            log.counts["radius_stranger"] += 1
+                log.warning_uncounted("radius_unknown_client", source=source[0])
+            log.counters["radius_unknown_client"] += 1
             return
         if not self.allowed(client.name, client.most):
-            log.counts["radius_flood"] += 1
+            log.counters["radius_flood"] += 1
             return
         self.on_packet(Datagrams(sock, source, client), data, client)
 
@@ -173,12 +173,12 @@
         )
         if met == deduplication.NEW:
             assert entry is not None
-            log.counts["radius_requests"] += 1
+            log.counters["radius_requests"] += 1
             self.enter(way, packet, client, secret, entry)
             return
-        log.counts["radius_" + met.replace(" ", "_")] += 1
+        log.counters["radius_" + met.replace(" ", "_")] += 1
         if entry is None:
-            log.note(
+            log.warning_uncounted(
                 "radius_full",
                 client=client.name,
                 remembered=len(self.memory),
@@ -211,18 +211,18 @@
         route = self.routes.of(packet, client.name)
         pool = self.life.pools.get(route.pool) if route else None
         if route is None or pool is None:
-            log.counts["no_route"] += 1
+            log.counters["no_route"] += 1
             self.memory.given_up(entry)
             return
         request_class = pool.request_classes[route.request_class.encode()]
         if self.state and not self.state.takes():
             # Guards against a record whose next run would not know of it: its client sends it
             # again.
-            log.counts["radius_not_kept"] += 1
+            log.counters["radius_not_kept"] += 1
             self.memory.given_up(entry)
             return
         if self.life.no_room(pool, route.name, client.name.encode()):
-            log.counts["turned_back_at_the_door"] += 1
+            log.counters["rejected_on_arrival"] += 1
             self.memory.given_up(entry)
             return
         now = self.loop.clock()
@@ -259,7 +259,7 @@
         except ValueError:
             # Proxy-States have to go back, and did fit in the request; a client needs nothing else
             # of it.
-            log.warn("radius_answer_too_large", source=way.source[0])
+            log.warning("radius_answer_too_large", source=way.source[0])
             return wire.answer(packet, secret, way.signed)
 
     def silent(self, request: RadiusRequest, harmless: bool) -> None:
@@ -271,7 +271,7 @@
 
     def send(self, way: Way, data: bytes) -> None:
         # What was not sent is answered from memory when it is asked for again, over whichever way.
-        log.counts["radius_answers" if way.send(data) else "radius_not_sent"] += 1
+        log.counters["radius_answers" if way.send(data) else "radius_not_sent"] += 1
 
     # As a front of the process.
 
--- a/whinpier/radius/spec.py
+++ b/whinpier/radius/spec.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from ipaddress import IPv4Network
 
+from whinpier.config.model import Address
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.radius import packet as wire
+from whinpier.radius.listeners import StreamSpec
 from whinpier.radius.packet import Packet
 from whinpier.radius.response_cache import StateSpec
-from whinpier.radius.listeners import StreamSpec
-from whinpier.config.model import Address
 
 
 @dataclass(frozen=True)
--- a/whinpier/radius/stream_server.py
+++ b/whinpier/radius/stream_server.py
@@ -19,11 +19,11 @@
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from whinpier import log
+from whinpier.config.model import Address
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.radius import deduplication
 from whinpier.radius import packet as wire
 from whinpier.radius.packet import BadPacket
-from whinpier.config.model import Address
 
 if TYPE_CHECKING:
     from whinpier.radius.server import Front
@@ -130,13 +130,13 @@
             self.client = self.front.clients.of(self.address)
             whose = self.address
         if self.client is None:
-            log.counts["radius_stranger"] += 1
-            log.note("radius_stranger", source=self.address, names=whose)
+            log.counters["radius_unknown_client"] += 1
+            log.warning_uncounted("radius_unknown_client", source=self.address, names=whose)
             self.close()
             return
         if not self.context:
             self.secrets, self.signed = self.client.secrets, self.client.signed
-        log.counts["radius_connections"] += 1
+        log.counters["radius_connections"] += 1
 
     def data_received(self, data: bytes) -> None:
         if self.closed or self.client is None:
@@ -153,7 +153,7 @@
         """Take what has come, as many a second as its client may send; the rest waits, as does its peer."""
         while self.waiting and not self.closed and self.client is not None:
             if not self.front.allowed(self.client.name, self.client.most):
-                log.counts["radius_held_back"] += 1
+                log.counters["radius_held_back"] += 1
                 if not self.held_back:
                     self.held_back = True
                     self.transport.pause_reading()
@@ -165,7 +165,7 @@
             except BadPacket as bad:
                 self.refuse(bad)
             except Exception:  # no bytes end the loop
-                log.fault("network_fault")
+                log.exception("connection_task_failed")
                 self.close()
 
     def go_on(self) -> None:
@@ -175,15 +175,15 @@
             self.work()
 
     def refuse(self, bad: BadPacket) -> None:
-        log.counts["radius_bad_request"] += 1
-        log.note("radius_bad_request", source=self.address, why=bad)
+        log.counters["radius_bad_request"] += 1
+        log.warning_uncounted("radius_bad_request", source=self.address, why=bad)
         self.close()
 
     def send(self, data: bytes) -> bool:
         if self.closed:
             return False
         if self.transport.get_write_buffer_size() > UNREAD:
-            log.warn("radius_slow_peer", source=self.address)
+            log.warning("radius_slow_client", source=self.address)
             self.close()
             return False
         self.transport.write(data)
@@ -199,7 +199,7 @@
 
     def sweep(self, now: int, idle: int) -> None:
         if self.splitter.held and now - self.heard > WHOLE:
-            log.warn("radius_slow_peer", source=self.address)
+            log.warning("radius_slow_client", source=self.address)
             self.close()
         elif now - self.heard > idle:
             self.close()
@@ -229,7 +229,7 @@
         for sock in self.sockets:
             asyncio.get_running_loop().add_reader(sock, self.accept, sock)
             address = sock.getsockname()
-            log.say(
+            log.info(
                 "listening_radius",
                 address="%s:%d" % address,
                 over="TLS" if address in self.contexts else "TCP",
@@ -239,7 +239,7 @@
         """Take connections as long as there is room; the others wait in the system's queue."""
         for _ in range(16):
             if len(self.open) >= self.front.spec.connections:
-                log.counts["radius_no_connection"] += 1
+                log.counters["radius_no_connection"] += 1
                 self.stop()
                 self.waits = True
                 return
@@ -248,7 +248,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as fault:
-                log.warn("no_socket", fault=fault)
+                log.warning("socket_unavailable", fault=fault)
                 return
             sock.setblocking(False)
             stream = Stream(
@@ -272,8 +272,8 @@
                     ssl_handshake_timeout=HANDSHAKE if context else None,
                 )
             except (OSError, ssl.SSLError, asyncio.TimeoutError) as fault:
-                log.counts["radius_handshake"] += 1
-                log.note(
+                log.counters["radius_handshake"] += 1
+                log.warning_uncounted(
                     "radius_handshake", source=stream.address, why=fault or type(fault).__name__
                 )
                 sock.close()
--- a/whinpier/radius/transport.py
+++ b/whinpier/radius/transport.py
@@ -4,13 +4,13 @@
 
 import socket
 
+from whinpier.config.model import Entry
 from whinpier.http.transport import Http1
 from whinpier.radius.client import Server
 from whinpier.radius.server import Front as RadiusFront
 from whinpier.radius.spec import RadiusSpec, ServerSpec
-from whinpier.runtime.process import Front, Life
 from whinpier.runtime.pool import Peer, Pool
-from whinpier.config.model import Entry
+from whinpier.runtime.process import Front, Life
 
 
 class WithRadius(Http1):
--- a/whinpier/runtime/event_loop.py
+++ b/whinpier/runtime/event_loop.py
@@ -70,7 +70,7 @@
 
     def faulty(self, call: Callable[..., None]) -> None:
         """A call has raised. One fault must not end the process: the request's end answers it."""
-        log.fault("decision_fault", call=getattr(call, "__name__", call))
+        log.exception("policy_call_failed", call=getattr(call, "__name__", call))
 
     def at(self, at: int, host: Timed, call: Callable[..., None], *args: Any) -> None:
         """Have something of a host called at a time."""
@@ -116,5 +116,5 @@
         try:
             await run()
         except Exception:
-            log.fault("network_fault")
+            log.exception("connection_task_failed")
             end()
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -16,20 +16,20 @@
 from typing import Any, Protocol
 
 from whinpier import log
-from whinpier.policy.policy import Choice
+from whinpier.config.model import Address, Entry, PoolSpec
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import (
-    Attempt,
     NEVER_RAN,
+    Attempt,
     Outcome,
     Request,
     RequestClass,
     Upstream,
     UpstreamState,
 )
-from whinpier.runtime.resource_budget import Budget, Part
+from whinpier.policy.policy import Choice
 from whinpier.runtime.event_loop import Loop
-from whinpier.config.model import Address, Entry, PoolSpec
+from whinpier.runtime.resource_budget import Budget, Part
 
 START = SECOND  # to be told the list before the one that was known must do
 
@@ -273,8 +273,8 @@
 
     def start_attempt(self, request: Request, upstream: Upstream, stop_at: int = 0) -> Attempt:
         assert isinstance(request, PendingRequest) and isinstance(upstream, Peer)
-        log.must(not request.ended, "nothing is sent for a task that has its answer")
-        log.must(
+        log.invariant(not request.ended, "nothing is sent for a task that has its answer")
+        log.invariant(
             upstream.state == UpstreamState.READY, "nothing new is sent to what drains or is gone"
         )
         # Guards against attempts for nobody: a late loop decides before it reads that the client
@@ -287,7 +287,7 @@
             request.attempts.append(sent)
             self.settle(sent, Outcome.NOT_SENT)
             return sent
-        self.counts["handed_off"] += 1
+        self.counts["attempts"] += 1
         sent = upstream.hand(request)
         if sent.settled:  # as it was handed over: nothing was sent
             for gate in given:
@@ -365,7 +365,7 @@
             self.source.fetch()
 
     def log(self, text: str) -> None:
-        log.say("decisions", pool=self.name, text=text)
+        log.info("decisions", pool=self.name, text=text)
 
     # What comes in.
 
@@ -408,7 +408,7 @@
 
     def finish(self, request: PendingRequest, how: str) -> bool:
         """Whether a request, which has no answer yet, is to have its final one now."""
-        log.must(not request.ended and request.is_awaited(), "a task has one final answer")
+        log.invariant(not request.ended and request.is_awaited(), "a task has one final answer")
         if request.ended or not request.is_awaited():
             return False
         self.end_request(request)
@@ -443,7 +443,7 @@
     def last_word(self, request: PendingRequest) -> None:
         # Guards against a fault in a decision: even then a request has its answer in time.
         if not request.ended:
-            log.must(False, "the decisions end a task by its patience")
+            log.invariant(False, "the decisions end a task by its patience")
             self.fail(request)
         # Guards against long stops of the loop: requests and attempts point to each other, so that
         # without this they would pile up, of an age that only a full collection looks at.
@@ -466,7 +466,7 @@
         self, sent: Sent, outcome: Outcome, answer: Any = None, load: dict[str, float] | None = None
     ) -> None:
         """An attempt has its outcome, once; `answer` is what a fulfilled request is given."""
-        log.must(not sent.settled, "a hand-off has one outcome")
+        log.invariant(not sent.settled, "a hand-off has one outcome")
         if not sent.settled:
             sent.settled = True
             for gate in sent.gates:
@@ -483,7 +483,7 @@
         assert isinstance(request, PendingRequest)
         self.counts["came_back_" + outcome.replace(" ", "_")] += 1
         if outcome not in (Outcome.SUCCEEDED, Outcome.CANCELLED):
-            log.note(
+            log.warning_uncounted(
                 "not_fulfilled",
                 upstream=sent.peer.host,
                 outcome=outcome,
@@ -544,7 +544,7 @@
                 peer.retire()
         states = Counter(peer.state for peer in held.values())
         by_state = {str(state): count for state, count in states.items()}
-        log.say("list", **self.tag(), whole=whole, cached=cached, **by_state)
+        log.info("endpoints_updated", **self.tag(), whole=whole, cached=cached, **by_state)
         self.tell_list()
 
     def tell_list(self) -> None:
@@ -642,7 +642,7 @@
             peer.state = UpstreamState.REMOVED
             peer.retire()
         self.part.end()
-        log.say("pool_ended", pool=self.name)
+        log.info("pool_removed", pool=self.name)
         self.on_end()
 
     def on_wire(self) -> int:
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -19,10 +19,6 @@
 import anyio
 
 from whinpier import log
-from whinpier.policy.decaying_sum import SECOND, Turn
-from whinpier.runtime.resource_budget import Budget, Part, spare
-from whinpier.runtime.event_loop import MS, Loop
-from whinpier.runtime.pool import Peer, Pool, PendingRequest, Watch
 from whinpier.config.model import (
     KEPT_TILL_RESTART,
     Address,
@@ -32,6 +28,10 @@
     Spec,
     differs,
 )
+from whinpier.policy.decaying_sum import SECOND, Turn
+from whinpier.runtime.event_loop import MS, Loop
+from whinpier.runtime.pool import Peer, PendingRequest, Pool, Watch
+from whinpier.runtime.resource_budget import Budget, Part, spare
 
 STILL_COMING = 6 * SECOND // 10  # after SIGTERM new connections go on coming for up to 0.4 s
 # After SIGTERM nothing ends the process sooner than the longest timeout and 0.7 s more. The last
@@ -122,7 +122,7 @@
 
     def add(self, spec: PoolSpec) -> Pool:
         seed = self.chance.getrandbits(64) if self.spec.routed else self.spec.seed
-        pool = Pool(self, spec, seed, Counter() if self.spec.routed else log.counts)
+        pool = Pool(self, spec, seed, Counter() if self.spec.routed else log.counters)
         self.pools[spec.name] = pool
         return pool
 
@@ -199,16 +199,16 @@
 
     async def configure(self) -> None:
         """SIGHUP: read the configuration again; a faulty one changes nothing."""
-        log.counts["reloads"] += 1
+        log.counters["reloads"] += 1
         try:
             # Guards against the loop standing still while a file of thousands of routes is read and
             # checked.
             new = await anyio.to_thread.run_sync(self.reread) if self.spec.routed else self.reread()
         except ConfigFault as fault:
-            log.warn("configuration_fault", fault=fault)
+            log.warning("configuration_rejected", fault=fault)
             return
         except Exception:  # a fault of ours must not end the process either
-            log.fault("configuration_fault")
+            log.exception("configuration_rejected")
             return
         kept = ",".join(self.changed(self.spec, new))
         if new.routed:
@@ -220,7 +220,7 @@
             if new.routed
             else {"discovery": "%s:%d" % (pool.discovery or ("", 0)) for pool in new.pools.values()}
         )
-        log.say("configured", **discovery, kept_till_restart=kept)
+        log.info("configuration_applied", **discovery, kept_till_restart=kept)
 
     def follow(self, new: Spec) -> None:
         """The platform's way: its one pool goes on by the new settings, in one step between two events."""
@@ -235,11 +235,13 @@
                 old, now = before.pools[name].settings, spec.settings
                 keys += [key for key in sorted({*old, *now}) if old.get(key) != now.get(key)]
                 pool.change(spec)
-                log.say("settings_changed", keys=",".join(key for key in keys if key != "settings"))
+                log.info(
+                    "settings_changed", keys=",".join(key for key in keys if key != "settings")
+                )
 
     def say_not_honoured(self) -> None:
         if self.spec.not_honoured:
-            log.warn("settings_not_honoured", keys=",".join(self.spec.not_honoured))
+            log.warning("settings_ignored", keys=",".join(self.spec.not_honoured))
 
     def as_run(self, new: Spec) -> Spec:
         """A new file as it can be run by: what waits for a restart is as it was."""
@@ -262,16 +264,16 @@
         for name, spec in new.pools.items():
             if name not in self.pools:
                 self.add(spec).start()
-                log.say("pool_added", pool=name)
+                log.info("pool_added", pool=name)
             elif keys := differs(before.pools[name], spec):
                 self.pools[name].change(spec)
-                log.say("pool_changed", pool=name, keys=",".join(keys))
+                log.info("pool_changed", pool=name, keys=",".join(keys))
         self.wire.reroute(self.fronts, self)
         if self.fleet:
             self.fleet.follow(new.fleet)
         for pool in leaving:
             self.going.add(pool)
-            log.say("pool_leaves", pool=pool.name, out=pool.out)
+            log.info("pool_draining", pool=pool.name, out=pool.out)
             pool.leave(lambda pool=pool: self.going.discard(pool))  # type: ignore[misc]
 
     # The process.
@@ -295,13 +297,13 @@
         self.loop.at(self.loop.clock() + FIGURES, self.loop, self.figures)
         pools = (*self.pools.values(), *self.going)
         for pool in pools:
-            log.must(
+            log.invariant(
                 pool.on_wire() == pool.choice.split.total,
                 "what is counted as out is out on a socket",
             )
             if self.spec.routed:
-                log.say("pool", pool=pool.name, **pool.part.figures(), **pool.counts)
-        log.say(
+                log.info("pool", pool=pool.name, **pool.part.figures(), **pool.counts)
+        log.info(
             "figures",
             out=sum(pool.out for pool in pools),
             **self.told(),
@@ -310,7 +312,7 @@
             lag_ms=self.loop.lag // MS,
             collect_ms=self.stopped // MS,
             cpu_s=round(time.process_time(), 2),
-            **log.counts,
+            **log.counters,
         )
         self.loop.lag = self.stopped = 0
         used = {(peer.address, peer.started) for pool in pools for peer in pool.held.values()}
@@ -342,7 +344,7 @@
         balancer.
         """
         loop = self.loop
-        log.say("stopping", out=self.out(), **self.told())
+        log.info("stopping", out=self.out(), **self.told())
         longest = max(
             request_class.timeout
             for spec in self.spec.pools.values()
@@ -367,7 +369,7 @@
             await anyio.sleep(0.01)
         if self.fleet:
             self.fleet.goodbye()
-        log.say("stopped", out=self.out(), **self.total())
+        log.info("stopped", out=self.out(), **self.total())
         loop.task_group.cancel_scope.cancel()
 
     def told(self) -> dict[str, int]:
@@ -375,7 +377,7 @@
 
     def total(self) -> dict[str, Any]:
         """All counters, those of the pools added up."""
-        counts = Counter(log.counts)
+        counts = Counter(log.counters)
         if self.spec.routed:
             for pool in (*self.pools.values(), *self.going):
                 counts.update(pool.counts)
--- a/whinpier/runtime/resource_budget.py
+++ b/whinpier/runtime/resource_budget.py
@@ -10,9 +10,9 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
+from whinpier.config.model import Limits, Spec
 from whinpier.policy.decaying_sum import SECOND, Sum
 from whinpier.runtime.event_loop import MOST_LATE
-from whinpier.config.model import Limits, Spec
 
 # descriptors kept back: the standard ones, listener, discovery, the loop's own; a dozen in all
 SPARE = 24
--- a/whinpier/simhost/instance.py
+++ b/whinpier/simhost/instance.py
@@ -6,8 +6,8 @@
 
 from typing import Any
 
-from whinpier.policy.policy import Choice
 from whinpier.policy.model import Attempt, Outcome, Request, Upstream, UpstreamState
+from whinpier.policy.policy import Choice
 from whinpier.settings import US, request_classes
 from whinpier.simhost import wire
 
--- a/whinpier/simhost/wire.py
+++ b/whinpier/simhost/wire.py
@@ -9,7 +9,8 @@
 
 from whinpier.policy import model
 from whinpier.policy.model import WireError
-from whinpier.settings import US, settings as in_our_words
+from whinpier.settings import US
+from whinpier.settings import settings as in_our_words
 
 BATCH = Struct("<IIIQ")
 REPLY = Struct("<III")
--- a/whinpier/simulation/balancers.py
+++ b/whinpier/simulation/balancers.py
@@ -13,14 +13,14 @@
 from itertools import count as numbers
 from typing import TYPE_CHECKING, Any
 
+from whinpier.config.model import Address, Entry
 from whinpier.policy.decaying_sum import Sum
-from whinpier.simulation.clock import Clock
-from whinpier.simulation.servers import CONNECTING, Server
 from whinpier.policy.model import Outcome, RequestClass
-from whinpier.runtime.resource_budget import Budget
 from whinpier.runtime.event_loop import Loop
-from whinpier.runtime.pool import Peer, Pool, Sent, PendingRequest, Watch
-from whinpier.config.model import Address, Entry
+from whinpier.runtime.pool import Peer, PendingRequest, Pool, Sent, Watch
+from whinpier.runtime.resource_budget import Budget
+from whinpier.simulation.clock import Clock
+from whinpier.simulation.servers import CONNECTING, Server
 
 if TYPE_CHECKING:
     from whinpier.simulation.environment import Ground
--- a/whinpier/simulation/baselines.py
+++ b/whinpier/simulation/baselines.py
@@ -13,15 +13,15 @@
 from itertools import accumulate
 from typing import TYPE_CHECKING, Any
 
-from whinpier.policy.policy import Choice, Split
-from whinpier.simulation.clock import SECOND
 from whinpier.policy.model import Request, UpstreamState
+from whinpier.policy.policy import Choice, Split
 from whinpier.policy.statistics import Seen
+from whinpier.simulation.clock import SECOND
 
 if TYPE_CHECKING:
+    from whinpier.runtime.pool import Pool
     from whinpier.simulation.clock import Clock
     from whinpier.simulation.servers import Server
-    from whinpier.runtime.pool import Pool
 
 
 class Plain(Split):
--- a/whinpier/simulation/clients.py
+++ b/whinpier/simulation/clients.py
@@ -12,12 +12,12 @@
 from math import cos, pi
 from random import Random
 
-from whinpier.simulation.balancers import SimulatedRequest, Balancer
+from whinpier.policy.model import Effect, RequestClass
+from whinpier.simulation.balancers import Balancer, SimulatedRequest
 from whinpier.simulation.clock import SECOND
+from whinpier.simulation.environment import Ground
 from whinpier.simulation.experiment import Front as FrontTable
 from whinpier.simulation.experiment import Stream
-from whinpier.simulation.environment import Ground
-from whinpier.policy.model import Effect, RequestClass
 from whinpier.testbed.work import draw
 
 BACK = SECOND // 4  # until a client tries again that was told no time
--- a/whinpier/simulation/consensus.py
+++ b/whinpier/simulation/consensus.py
@@ -14,8 +14,8 @@
 
 from whinpier.fleet.consensus import node as raft
 from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, unpack
-from whinpier.fleet.messages import RECORD_NEWS
 from whinpier.fleet.membership.membership import Address
+from whinpier.fleet.messages import RECORD_NEWS
 from whinpier.fleet.rollouts.state_machine import (
     DRAIN,
     RULES,
@@ -26,8 +26,8 @@
     Said,
     encode,
 )
-from whinpier.simulation.fleet import Fleet, Node
 from whinpier.simulation.clock import MS, SECOND
+from whinpier.simulation.fleet import Fleet, Node
 from whinpier.testbed.faults import Fault, Schedule
 from whinpier.testbed.referee import Bounds
 
--- a/whinpier/simulation/environment.py
+++ b/whinpier/simulation/environment.py
@@ -15,7 +15,7 @@
 from whinpier.simulation.clock import SECOND, Clock
 
 if TYPE_CHECKING:
-    from whinpier.simulation.balancers import SimulatedRequest, SimulatedAttempt, Balancer
+    from whinpier.simulation.balancers import Balancer, SimulatedAttempt, SimulatedRequest
     from whinpier.simulation.servers import Server
 
 RESENT = SECOND // 5  # after which a lost packet is sent again
--- a/whinpier/simulation/experiment.py
+++ b/whinpier/simulation/experiment.py
@@ -20,10 +20,10 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from whinpier.simulation.mutations import MUTATIONS
+from whinpier.config.fields import Strict, named, part
 from whinpier.config.model import ConfigFault
+from whinpier.simulation.mutations import MUTATIONS
 from whinpier.testbed.work import Spread
-from whinpier.config.fields import Strict, named, part
 
 Positive = Annotated[float, Meta(gt=0.0, le=1e6)]
 Amount = Annotated[float, Meta(ge=0.0, le=1e6)]
--- a/whinpier/simulation/faults.py
+++ b/whinpier/simulation/faults.py
@@ -8,9 +8,9 @@
 from random import Random
 from typing import TYPE_CHECKING, TypeVar
 
+from whinpier.policy.model import UpstreamState
 from whinpier.simulation.clock import SECOND
 from whinpier.simulation.experiment import KINDS, Chance, Trouble
-from whinpier.policy.model import UpstreamState
 
 if TYPE_CHECKING:
     from whinpier.simulation.balancers import Balancer
--- a/whinpier/simulation/fleet.py
+++ b/whinpier/simulation/fleet.py
@@ -12,8 +12,9 @@
 from random import Random
 from typing import Any
 
-from whinpier.fleet.messages import Card, Seal, pool_mark
+from whinpier.fleet.event_names import control_name
 from whinpier.fleet.membership.membership import Address, Members, Times
+from whinpier.fleet.messages import Card, Seal, pool_mark
 from whinpier.simulation.clock import MS, SECOND, Clock
 from whinpier.testbed.faults import Fault, Schedule
 from whinpier.testbed.referee import Bounds, Breach, Fact, Referee, Said
@@ -365,7 +366,7 @@
             "breaches": breaches,
             "slowest": dict(referee.slowest),
             "checked": dict(referee.checked),
-            "events": dict(self.counts),
+            "events": {control_name(name): count for name, count in self.counts.items()},
             "bytes_each": self.counts["bytes"] / each,
             "datagrams_each": self.counts["datagrams"] / each,
         }
--- a/whinpier/simulation/fleet_mutants.py
+++ b/whinpier/simulation/fleet_mutants.py
@@ -14,8 +14,8 @@
 
 from whinpier.fleet import messages
 from whinpier.fleet.fleet_size import Counting
-from whinpier.fleet.messages import HERE, LOST, SILENT, Word
 from whinpier.fleet.membership.membership import Member, Members
+from whinpier.fleet.messages import HERE, LOST, SILENT, Word
 from whinpier.simulation.fleet import POOL, Fleet
 from whinpier.testbed.faults import Fault, Schedule, draw
 from whinpier.testbed.referee import Breach
--- a/whinpier/simulation/fleet_scenarios.py
+++ b/whinpier/simulation/fleet_scenarios.py
@@ -18,13 +18,13 @@
 import msgspec
 from msgspec import Meta
 
+from whinpier.config.fields import part
+from whinpier.config.model import ConfigFault
+from whinpier.simulation.experiment import Table
 from whinpier.simulation.fleet import Fleet
 from whinpier.simulation.fleet import breaches as broken
-from whinpier.simulation.experiment import Table
-from whinpier.config.model import ConfigFault
 from whinpier.testbed import faults
 from whinpier.testbed.faults import Fault, Schedule
-from whinpier.config.fields import part
 
 Seconds = Annotated[float, Meta(ge=0.0, le=7200.0)]
 
--- a/whinpier/simulation/invariants.py
+++ b/whinpier/simulation/invariants.py
@@ -7,11 +7,11 @@
 from collections import Counter, deque
 from typing import TYPE_CHECKING
 
-from whinpier.simulation.clock import MS, SECOND
 from whinpier.policy.model import Effect, UpstreamState
+from whinpier.simulation.clock import MS, SECOND
 
 if TYPE_CHECKING:
-    from whinpier.simulation.balancers import SimulatedRequest, SimulatedAttempt, Balancer
+    from whinpier.simulation.balancers import Balancer, SimulatedAttempt, SimulatedRequest
     from whinpier.simulation.environment import Ground
     from whinpier.simulation.servers import Server
 
--- a/whinpier/simulation/minimize.py
+++ b/whinpier/simulation/minimize.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
+from whinpier.config.model import ConfigFault
 from whinpier.simulation.experiment import checked, encoded
 from whinpier.simulation.faults import by_chance
 from whinpier.simulation.world import World
-from whinpier.config.model import ConfigFault
 from whinpier.testbed.files import document
 
 Given = dict[str, Any]
--- a/whinpier/simulation/results.py
+++ b/whinpier/simulation/results.py
@@ -18,8 +18,8 @@
 from random import Random
 from typing import Any
 
-from whinpier.simulation.experiment import Run, runs
 from whinpier.config.model import ConfigFault
+from whinpier.simulation.experiment import Run, runs
 
 AHEAD = 2  # runs handed to each process ahead of time: a grid of thousands is not held in memory
 RESAMPLES = 2_000  # for confidence intervals: steady to a tenth of their width
--- a/whinpier/simulation/servers.py
+++ b/whinpier/simulation/servers.py
@@ -12,10 +12,10 @@
 from random import Random
 from typing import TYPE_CHECKING
 
+from whinpier.config.model import Entry
+from whinpier.policy.model import Outcome, UpstreamState
 from whinpier.simulation.clock import SECOND, Clock
 from whinpier.simulation.experiment import Machine
-from whinpier.policy.model import Outcome, UpstreamState
-from whinpier.config.model import Entry
 
 if TYPE_CHECKING:
     from whinpier.simulation.balancers import SimulatedAttempt
--- a/whinpier/simulation/sockets.py
+++ b/whinpier/simulation/sockets.py
@@ -16,18 +16,18 @@
 from random import Random
 from typing import Any
 
+from whinpier.config.model import ConfigFault
 from whinpier.simulation.experiment import File, Trouble
-from whinpier.simulation.invariants import ANSWER, DRAIN, EFFECT, RULES
 from whinpier.simulation.faults import USUAL, by_chance
+from whinpier.simulation.invariants import ANSWER, DRAIN, EFFECT, RULES
 from whinpier.simulation.world import verdict
-from whinpier.config.model import ConfigFault
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
-from whinpier.testbed.upstream_fleet import UpstreamFleet
 from whinpier.testbed.ledger import Ledger, percentile
 from whinpier.testbed.load import Load
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.upstream import Script
+from whinpier.testbed.upstream_fleet import UpstreamFleet
 
 POSSIBLE = frozenset(("slow", "hang", "fail", "spoilt", "shrink", "surge"))
 MOST_BALANCERS, MOST_UPSTREAMS = 16, 64  # processes and loops of one machine
--- a/whinpier/simulation/world.py
+++ b/whinpier/simulation/world.py
@@ -10,20 +10,20 @@
 from typing import Any
 
 from whinpier import log
+from whinpier.config.model import Entry, Limits, PoolSpec
+from whinpier.policy.model import Effect, RequestClass, UpstreamState
+from whinpier.runtime.pool import Pool
 from whinpier.simulation.balancers import Balancer
 from whinpier.simulation.baselines import Sight, dressed
 from whinpier.simulation.clients import Clients, Front
 from whinpier.simulation.clock import SECOND, Clock
-from whinpier.simulation.experiment import File, Machine
 from whinpier.simulation.environment import Ground, Network
+from whinpier.simulation.experiment import File, Machine
+from whinpier.simulation.faults import Troubles, by_chance
+from whinpier.simulation.invariants import RULES, Referee
 from whinpier.simulation.metrics import Measure
 from whinpier.simulation.mutations import MUTATIONS
-from whinpier.simulation.invariants import RULES, Referee
 from whinpier.simulation.servers import Server
-from whinpier.simulation.faults import Troubles, by_chance
-from whinpier.policy.model import Effect, RequestClass, UpstreamState
-from whinpier.runtime.pool import Pool
-from whinpier.config.model import Entry, Limits, PoolSpec
 
 AFTER = 2 * SECOND  # past the last request's timeout: what is late comes in
 
@@ -197,7 +197,7 @@
     def play(self) -> dict[str, Any]:
         """Play it; its measures, the rules' breaches, what it cost."""
         logging.getLogger("whinpier").disabled = True
-        log.counts.clear()
+        log.counters.clear()
         begun = time.perf_counter()
         entries = self.entries()
         for balancer in self.balancers:
--- a/whinpier/testbed/fault_scenario.py
+++ b/whinpier/testbed/fault_scenario.py
@@ -554,7 +554,7 @@
 
     def judge_rests(self) -> None:
         """Never more upstreams of a pool at rest, over the whole fleet, than may be."""
-        rests = [one for one in self.intervals("verdict_rests", "verdict_over", "upstream")]
+        rests = [one for one in self.intervals("ejection_started", "ejection_ended", "upstream")]
         may = READS // 5
         most = at_once(
             [(since, until, what) for since, until, _, what in rests if what.startswith("r-")]
@@ -569,7 +569,7 @@
         """Never more balancers drained at once than permits allow."""
         drained = [
             (since, until, who)
-            for since, until, who, _ in self.intervals("drain_begins", "drain_ends")
+            for since, until, who, _ in self.intervals("drain_started", "drain_finished")
         ]
         most = at_once(drained)
         if most > OUT:
--- a/whinpier/testbed/fleet.py
+++ b/whinpier/testbed/fleet.py
@@ -18,6 +18,7 @@
 from pathlib import Path
 from typing import Any
 
+from whinpier.fleet.event_names import event_name
 from whinpier.testbed import files
 from whinpier.testbed.faults import Fault, Schedule
 from whinpier.testbed.links import Address, Links
@@ -25,7 +26,6 @@
 from whinpier.testbed.referee import Fact, Said
 
 LIMIT = 15.0  # seconds for whatever is waited for
-EVENTS = ("bank_", "member_")
 
 
 def free(kind: socket.SocketKind = socket.SOCK_DGRAM, host: str = "127.0.0.1") -> Address:
@@ -212,7 +212,9 @@
         now = self.clock()
         with self.lock:
             # What it had found out before it could be asked.
-            self.said.append(Said(now, who, "bank_position", {"position": first["position"]}))
+            self.said.append(
+                Said(now, who, "partition_state_changed", {"position": first["position"]})
+            )
             for row in first["members"][1:]:
                 pairs = {
                     "member": row["name"],
@@ -234,7 +236,7 @@
                         Said(
                             at,
                             (event.pop("process"), event.pop("process_run")),
-                            event.pop("event"),
+                            event_name(event.pop("event")),
                             event,
                         )
                     )
--- a/whinpier/testbed/process.py
+++ b/whinpier/testbed/process.py
@@ -101,13 +101,18 @@
 
     def reload(self, operator: str) -> None:
         """Put another file in its place and say so; returns once the process has read it."""
-        before = self.said("event=configured ") + self.said("event=configuration_fault ")
+        before = self.said("event=configuration_applied ") + self.said(
+            "event=configuration_rejected "
+        )
         other = self.file.with_suffix(".new")
         other.write_text(operator)
         other.replace(self.file)
         self.process.send_signal(signal.SIGHUP)
         ends = time.monotonic() + LIMIT
-        while self.said("event=configured ") + self.said("event=configuration_fault ") <= before:
+        while (
+            self.said("event=configuration_applied ") + self.said("event=configuration_rejected ")
+            <= before
+        ):
             if time.monotonic() > ends or self.process.poll() is not None:
                 raise RuntimeError(f"no word of the new file: {self.log()}")
             time.sleep(0.01)
--- a/whinpier/testbed/referee.py
+++ b/whinpier/testbed/referee.py
@@ -162,7 +162,7 @@
     def event(self, said: Said) -> None:
         process, member = said.process, (said.pairs.get("member", ""), said.pairs.get("run", ""))
         view = self.views[process]
-        if said.event == "bank_position":
+        if said.event == "partition_state_changed":
             self.positions[process] = said.pairs["position"]
         elif said.event == "member_renewed":
             before = (process[0], said.pairs["before"])
