--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,6 +14,7 @@
 
 from tests.waiting import until
 from whinpier import log
+from whinpier.standin.process import free
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 
@@ -121,9 +122,7 @@
 
 def test_the_deployed_line_ends_in_one_process_linked_against_the_c_library(tmp_path):
     """Guards against a shell that stays before the balancer, and against a second program beside it."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.2", 0))
-        address = probe.getsockname()
+    address = free(socket.SOCK_STREAM, "127.0.0.2")
     (tmp_path / "c.json").write_text(
         json.dumps(GIVEN | {"listen": "%s:%d" % address, "discovery": "127.0.0.2:1"})
     )
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -26,6 +26,7 @@
 from whinpier.net.wire import Http1
 from whinpier.runtime.life import Life
 from whinpier.spec import kept_till_restart
+from whinpier.standin.process import free
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 HEAD = "POST /charge HTTP/1.1\r\nHost: a\r\n"
@@ -38,11 +39,10 @@
     def __init__(self, folder, *upstreams, known=(), **settings):
         self.upstreams = upstreams
         self.discovery = Discovery(
-            *(up.entry(f"s-{number}") for number, up in enumerate(upstreams))
+            *(up.entry(f"s-{number}") for number, up in enumerate(upstreams)),
+            port=free(socket.SOCK_STREAM)[1],  # nobody else takes it when it has stopped
         )
-        with socket.socket() as probe:  # a free port; no other connection starts from this address
-            probe.bind(("127.0.0.2", 0))
-            self.address = probe.getsockname()
+        self.address = free(socket.SOCK_STREAM, "127.0.0.2")
         given = json.loads(json.dumps(GIVEN)) | {
             "listen": "%s:%d" % self.address,
             "discovery": self.discovery.dial,
@@ -247,8 +247,8 @@
 
 
 def test_where_no_connection_comes_up_nothing_ran_and_the_task_goes_elsewhere(tmp_path):
-    gone, works = Upstream(good), Upstream(good)
-    gone.stop()  # its port refuses
+    gone, works = Upstream(good, free(socket.SOCK_STREAM)[1]), Upstream(good)
+    gone.stop()  # its port refuses, and nobody else takes it
     with started(tmp_path, works) as bank:
         bank.discovery.change(gone.entry("s-gone"))
         until(lambda: bank.said("ready=2"))
--- a/whinpier/standin/bank.py
+++ b/whinpier/standin/bank.py
@@ -19,21 +19,13 @@
 from whinpier.standin import files
 from whinpier.standin.faults import Fault, Schedule
 from whinpier.standin.links import Address, Links
-from whinpier.standin.process import Balancer
+from whinpier.standin.process import Balancer, free
 from whinpier.standin.referee import Fact, Said
 
 LIMIT = 15.0  # seconds for whatever is waited for
 EVENTS = ("bank_", "member_")
 
 
-def free(kind: socket.SocketKind = socket.SOCK_DGRAM, host: str = "127.0.0.1") -> Address:
-    """A port that nobody has just now."""
-    with socket.socket(socket.AF_INET, kind) as probe:
-        probe.bind((host, 0))
-        found: Address = probe.getsockname()
-        return found
-
-
 class Process:
     """One process of the bank, over all its runs."""
 
--- a/whinpier/standin/process.py
+++ b/whinpier/standin/process.py
@@ -12,17 +12,57 @@
 import subprocess
 import sys
 import time
+from contextlib import suppress
+from functools import cache
+from itertools import cycle, islice
 from pathlib import Path
 from typing import Any
 
 LIMIT = 20.0  # seconds that a start or an end may take
+PORTS = range(10_000, 32_000, 500)  # blocks, below what the system gives to who asks for any port
+
+
+class Ports:
+    """A block of ports that is this process's own, from which `free` picks.
+
+    A socket on the first of them holds the block for as long as the process lives. So nobody who picks
+    ports here, and no connection that starts, takes one between its being picked and its being bound, nor
+    while the process that has it is down for a while.
+    """
+
+    def __init__(self) -> None:
+        for first in PORTS:
+            self.held = socket.socket()
+            try:
+                self.held.bind(("127.0.0.1", first))
+            except OSError:
+                self.held.close()
+            else:
+                self.turn = cycle(range(first + 1, first + PORTS.step))
+                return
+        raise OSError("each block of ports is another process's")
+
+    def free(self, kind: socket.SocketKind, host: str) -> tuple[str, int]:
+        """The next one that nobody has."""
+        for port in islice(self.turn, PORTS.step):
+            with socket.socket(socket.AF_INET, kind) as probe, suppress(OSError):
+                probe.bind((host, port))
+                return host, port
+        raise OSError("each port of this process's block is taken")
+
+
+@cache
+def own_ports(process: int) -> Ports:
+    return Ports()
+
+
+def free(kind: socket.SocketKind = socket.SOCK_DGRAM, host: str = "127.0.0.1") -> tuple[str, int]:
+    """A port that nobody has, and that nobody else picks."""
+    return own_ports(os.getpid()).free(kind, host)
 
 
 def free_address(host: str = "127.0.0.2") -> str:
-    """A port that nobody has just now."""
-    with socket.socket() as probe:
-        probe.bind((host, 0))
-        return "%s:%d" % probe.getsockname()
+    return "%s:%d" % free(socket.SOCK_STREAM, host)
 
 
 class Balancer:
