--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -19,6 +19,8 @@
 from whinpier.standin.load import Loads
 from whinpier.standin.upstream import Script
 
+pytestmark = pytest.mark.xdist_group("bank")
+
 AGREEMENT = {
     "voters": ["m0", "m1", "m2"],
     "permits": {
--- a/tests/test_bank.py
+++ b/tests/test_bank.py
@@ -141,6 +141,7 @@
         assert one.tally[0] + one.tally[1] + one.tally[2] == len(one.members)
 
 
+@pytest.mark.xdist_group("bank")
 def test_a_hundred_members_are_told_within_a_tenth_of_a_second():
     one = members("a", 7001)
     for number in range(100):
--- a/tests/test_bank_processes.py
+++ b/tests/test_bank_processes.py
@@ -27,6 +27,8 @@
 from whinpier.standin.referee import Bounds, Referee
 from whinpier.standin.upstream import Script
 
+pytestmark = pytest.mark.xdist_group("bank")
+
 UPSTREAMS = {"s-0": "127.0.0.1:9"}
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,6 +13,8 @@
 from whinpier.net.discovery import PIECE, SILENCE, Discovery, Pieces
 from whinpier.spec import ConfigFault
 
+pytestmark = pytest.mark.xdist_group("sockets")
+
 WHOLE, WATCH = b"GET /discovery/hosts HTTP/1.1", b"GET /discovery/hosts?watch=1&from=%d HTTP/1.1"
 TOLD_BY = (
     6.0  # seconds after which what a silent watch misses counts as told, whether or not it came
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -32,7 +32,7 @@
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 ids = numbers(1)
 
-pytestmark = pytest.mark.anyio
+pytestmark = [pytest.mark.anyio, pytest.mark.xdist_group("sockets")]
 
 
 @pytest.fixture
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -315,6 +315,7 @@
 # Processes.
 
 
+@pytest.mark.xdist_group("bank")
 def test_three_processes_keep_both_kinds_while_one_is_killed_and_comes_back(tmp_path):
     fleet = Fleet({f"s-{n}": Script(workers=32, work=0.02) for n in range(2)}, 1)
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -21,6 +21,8 @@
 from whinpier.standin.process import Balancer, free_address
 from whinpier.standin.upstream import Script
 
+pytestmark = pytest.mark.xdist_group("sockets")
+
 USUAL = Script(workers=4, work=0.002)
 ids = numbers(1)
 
--- a/tests/test_radius.py
+++ b/tests/test_radius.py
@@ -49,6 +49,8 @@
 )
 from whinpier.standin.radius import record as record_packet
 
+pytestmark = pytest.mark.xdist_group("radius")
+
 SECRET = b"partner"
 attribute = st.tuples(
     st.integers(1, 255).filter(lambda kind: kind != wire.MESSAGE_AUTHENTICATOR),
--- a/tests/test_radius_streams.py
+++ b/tests/test_radius_streams.py
@@ -21,6 +21,8 @@
 from whinpier.standin.process import free_address
 from whinpier.standin.radius import Behaviour, Burst, Caller, proved, record, request
 
+pytestmark = pytest.mark.xdist_group("radius")
+
 WORK = Behaviour(delay=0.005, forgets=True)
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -28,6 +28,8 @@
 from whinpier.spec import kept_till_restart
 from whinpier.standin.process import free
 
+pytestmark = pytest.mark.xdist_group("sockets")
+
 GIVEN = json.loads(Path("example/config.json").read_text())
 HEAD = "POST /charge HTTP/1.1\r\nHost: a\r\n"
 ids = numbers()  # no two tasks have the same
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -15,6 +15,8 @@
 from whinpier.standin.process import Balancer, free_address
 from whinpier.standin.upstream import Script
 
+pytestmark = pytest.mark.xdist_group("sockets")
+
 GIVEN = json.loads(Path("example/config.json").read_text())
 MOVED = {  # as a deployment is put together where each client has a balancer of its own
     "balancers": 12,
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -284,6 +284,7 @@
 # Processes.
 
 
+@pytest.mark.xdist_group("bank")
 def test_six_processes_let_a_slow_upstream_rest_and_take_up_its_next_run_at_once(tmp_path):
     fleet = Fleet({f"s-{n}": Script(workers=8, work=0.01) for n in range(6)}, 1)
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -381,6 +381,7 @@
     return all(row["agreed"] and not row["fenced_ms"] for row in rows)
 
 
+@pytest.mark.xdist_group("bank")
 def test_a_window_of_three_processes_is_kept_over_kill_9_its_close_and_a_clock_that_is_wrong(
     tmp_path,
 ):
@@ -435,6 +436,7 @@
         fleet.stop()
 
 
+@pytest.mark.xdist_group("bank")
 def test_an_old_copy_of_the_state_file_is_found_out_and_counts_for_nothing(tmp_path):
     fleet = Fleet({"s": Script(workers=32, work=0.005)}, 1)
     limits = {"day": {"kind": "count", "amount": 1_000, "window": "day", "homes": ["m0", "m1"]}}
@@ -474,6 +476,7 @@
         fleet.stop()
 
 
+@pytest.mark.xdist_group("bank")
 def test_limits_by_route_by_tenant_at_upstreams_and_nearly_hold_over_two_processes(tmp_path):
     fleet = Fleet({"s": Script(workers=64, work=0.05)}, 1)
     homes = ["m0", "m1"]
@@ -550,6 +553,7 @@
         fleet.stop()
 
 
+@pytest.mark.xdist_group("bank")
 def test_a_limit_changes_while_it_serves_and_a_repeat_of_a_task_counts_once_for_its_tenant(
     tmp_path,
 ):
