--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -383,6 +383,7 @@
     return all(row["agreed"] and not row["fenced_ms"] for row in rows)
 
 
+@pytest.mark.xdist_group("fleet")
 def test_a_window_of_three_processes_is_kept_over_kill_9_its_close_and_a_clock_that_is_wrong(
     tmp_path,
 ):
@@ -438,6 +439,7 @@
         upstream_fleet.stop()
 
 
+@pytest.mark.xdist_group("fleet")
 def test_an_old_copy_of_the_state_file_is_found_out_and_counts_for_nothing(tmp_path):
     upstream_fleet = UpstreamFleet({"s": Script(workers=32, work=0.005)}, 1)
     limits = {"day": {"kind": "count", "amount": 1_000, "window": "day", "homes": ["m0", "m1"]}}
@@ -477,6 +479,7 @@
         upstream_fleet.stop()
 
 
+@pytest.mark.xdist_group("fleet")
 def test_limits_by_route_by_tenant_at_upstreams_and_nearly_hold_over_two_processes(tmp_path):
     upstream_fleet = UpstreamFleet({"s": Script(workers=64, work=0.05)}, 1)
     homes = ["m0", "m1"]
@@ -554,6 +557,7 @@
         upstream_fleet.stop()
 
 
+@pytest.mark.xdist_group("fleet")
 def test_a_limit_changes_while_it_serves_and_a_repeat_of_a_request_counts_once_for_its_tenant(
     tmp_path,
 ):
--- a/tests/fleet/test_consensus_service.py
+++ b/tests/fleet/test_consensus_service.py
@@ -19,6 +19,8 @@
 from whinpier.testbed.upstream import Script
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 
+pytestmark = pytest.mark.xdist_group("fleet")
+
 AGREEMENT = {
     "voters": ["m0", "m1", "m2"],
     "permits": {
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -27,6 +27,8 @@
 from whinpier.testbed.upstream import Script
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 
+pytestmark = pytest.mark.xdist_group("fleet")
+
 UPSTREAMS = {"s-0": "127.0.0.1:9"}
 
 
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -317,6 +317,7 @@
 # Processes.
 
 
+@pytest.mark.xdist_group("fleet")
 def test_three_processes_keep_both_kinds_while_one_is_killed_and_comes_back(tmp_path):
     upstream_fleet = UpstreamFleet({f"s-{n}": Script(workers=32, work=0.02) for n in range(2)}, 1)
 
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -29,6 +29,9 @@
 from whinpier.http.upstream_connection import Sending
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.runtime.process import Life
+from whinpier.testbed.process import free
+
+pytestmark = pytest.mark.xdist_group("sockets")
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 HEAD = "POST /charge HTTP/1.1\r\nHost: a\r\n"
@@ -41,11 +44,10 @@
     def __init__(self, folder, *upstreams, known=(), **settings):
         self.upstreams = upstreams
         self.discovery = Discovery(
-            *(up.entry(f"s-{number}") for number, up in enumerate(upstreams))
+            *(up.entry(f"s-{number}") for number, up in enumerate(upstreams)),
+            port=free(socket.SOCK_STREAM)[1],  # nobody else takes it when it has stopped
         )
-        with socket.socket() as probe:  # a free port; no other connection starts from this address
-            probe.bind(("127.0.0.2", 0))
-            self.address = probe.getsockname()
+        self.address = free(socket.SOCK_STREAM, "127.0.0.2")
         given = json.loads(json.dumps(GIVEN)) | {
             "listen": "%s:%d" % self.address,
             "discovery": self.discovery.dial,
@@ -259,8 +261,8 @@
 
 
 def test_where_no_connection_comes_up_nothing_ran_and_the_request_goes_elsewhere(tmp_path):
-    gone, works = Upstream(good), Upstream(good)
-    gone.stop()  # its port refuses
+    gone, works = Upstream(good, free(socket.SOCK_STREAM)[1]), Upstream(good)
+    gone.stop()  # its port refuses, and nobody else takes it
     with started(tmp_path, works) as deployment:
         deployment.discovery.change(gone.entry("s-gone"))
         until(lambda: deployment.said("ready=2"))
--- a/tests/radius/test_radius.py
+++ b/tests/radius/test_radius.py
@@ -48,6 +48,8 @@
 )
 from whinpier.testbed.radius import record as record_packet
 
+pytestmark = pytest.mark.xdist_group("radius")
+
 SECRET = b"partner"
 attribute = st.tuples(
     st.integers(1, 255).filter(lambda kind: kind != wire.MESSAGE_AUTHENTICATOR),
--- a/tests/radius/test_streams.py
+++ b/tests/radius/test_streams.py
@@ -23,6 +23,8 @@
 from whinpier.testbed.process import free_address
 from whinpier.testbed.radius import Behaviour, Burst, Caller, proved, record, request_packet
 
+pytestmark = pytest.mark.xdist_group("radius")
+
 WORK = Behaviour(delay=0.005, forgets=True)
 
 
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -21,6 +21,8 @@
 from whinpier.testbed.upstream import Script
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 
+pytestmark = pytest.mark.xdist_group("sockets")
+
 USUAL = Script(workers=4, work=0.002)
 ids = numbers(1)
 
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -17,6 +17,8 @@
 from whinpier.testbed.upstream import Script
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 
+pytestmark = pytest.mark.xdist_group("sockets")
+
 GIVEN = json.loads(Path("example/config.json").read_text())
 MOVED = {  # as a deployment is put together where each client has a balancer of its own
     "balancers": 12,
--- a/whinpier/testbed/fleet.py
+++ b/whinpier/testbed/fleet.py
@@ -22,20 +22,12 @@
 from whinpier.testbed import files
 from whinpier.testbed.faults import Fault, Schedule
 from whinpier.testbed.links import Address, Links
-from whinpier.testbed.process import Balancer
+from whinpier.testbed.process import Balancer, free
 from whinpier.testbed.referee import Fact, Said
 
 LIMIT = 15.0  # seconds for whatever is waited for
 
 
-def free(kind: socket.SocketKind = socket.SOCK_DGRAM, host: str = "127.0.0.1") -> Address:
-    """A port that nobody has just now."""
-    with socket.socket(socket.AF_INET, kind) as probe:
-        probe.bind((host, 0))
-        found: Address = probe.getsockname()
-        return found
-
-
 class Process:
     """One process of the fleet, over all its runs."""
 
