--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -83,7 +83,7 @@
     told = [
         line
         for line in five.processes[0].balancer.log().splitlines()
-        if "quota_allocation_changed" in line
+        if "pool_fleet_size_changed" in line
     ]
     assert [line.split("balancers=")[1].split()[0] for line in told][-2:] == ["5", "4"]
     numbers = [one["number"] for one in shares(five, 0, 1, 2, 3)]
--- a/whinpier/fleet/event_names.py
+++ b/whinpier/fleet/event_names.py
@@ -22,7 +22,7 @@
     "registry_entry_changed": "bank_said",
     "registry_entry_invalid": "bank_said_fault",
     "fleet_send_failed": "bank_send_fault",
-    "quota_allocation_changed": "bank_shares",
+    "pool_fleet_size_changed": "bank_shares",
     "state_store_loaded": "bank_state",
     "state_store_failed": "bank_state_fault",
     "state_store_stale": "bank_state_old",
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -681,7 +681,7 @@
                 pool.shared(counted.balancers, counted.number)
                 self.said.clear()  # by other numbers now
                 log.info(
-                    "quota_allocation_changed",
+                    "pool_fleet_size_changed",
                     pool=counted.name,
                     balancers=counted.balancers,
                     number=counted.number,
