--- a/whinpier/config/fields.py
+++ b/whinpier/config/fields.py
@@ -16,7 +16,7 @@
 
 from whinpier.config.model import ConfigFault
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.storage.bounded_files import contents
+from whinpier.storage.bounded_files import read_bounded
 
 SECRET = 4096  # bytes of a secret with what stands round it
 NAME = re.compile(r"[a-z0-9][a-z0-9_-]{0,62}\Z")
@@ -106,7 +106,7 @@
 def kept_secret(path: str, at: str) -> bytes:
     """A secret from a file that only its owner may read."""
     try:
-        secret = contents(path, SECRET, private=True).strip()
+        secret = read_bounded(path, SECRET, private=True).strip()
     except OSError as fault:
         raise ConfigFault(f"{at}: {fault}") from None
     except ValueError as fault:
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -48,7 +48,7 @@
 from whinpier.policy import model
 from whinpier.routing.table import Route, RouteFault, Table
 from whinpier.runtime.resource_budget import DOOR, MOST_DOOR, spare
-from whinpier.storage.bounded_files import contents
+from whinpier.storage.bounded_files import read_bounded
 
 MOST_POOLS, MOST_ROUTES = 256, 20_000  # what is still checked within a second or two
 LEAST = 16  # connections for each pool: with fewer nothing can be held apart
@@ -513,7 +513,7 @@
     from whinpier.fleet.spec import RELEASED as NAME  # only where a file has it
 
     path = os.path.join(folder, NAME)
-    return contents(path) if os.path.exists(path) else None
+    return read_bounded(path) if os.path.exists(path) else None
 
 
 def read(path: str, released: bytes | None = None, own: bool = True) -> Spec:
@@ -522,7 +522,7 @@
     `own`: with what was released to it so far, else with `released`.
     """
     try:
-        text = contents(path)
+        text = read_bounded(path)
         given = tomllib.loads(text.decode("utf-8"))
         released = released_to(given) if own else released
         if released is not None:
--- a/whinpier/config/platform.py
+++ b/whinpier/config/platform.py
@@ -15,7 +15,7 @@
 from whinpier import settings as common
 from whinpier.config.model import PLATFORM, ConfigFault, PoolSpec, Spec, address, entries
 from whinpier.policy.model import RequestClass, WireError
-from whinpier.storage.bounded_files import contents
+from whinpier.storage.bounded_files import read_bounded
 
 CHOICES = {
     "discovery": ("automatic", "subscribe"),
@@ -140,7 +140,7 @@
     if not path:
         raise ConfigFault("BALANCER_CONFIG: is not set")
     try:
-        given = json.loads(contents(path))
+        given = json.loads(read_bounded(path))
     except (OSError, ValueError, RecursionError) as fault:
         raise ConfigFault(f"BALANCER_CONFIG: {path}: {fault}") from None
     if not isinstance(given, dict):
--- a/whinpier/fleet/peer_cache.py
+++ b/whinpier/fleet/peer_cache.py
@@ -14,7 +14,7 @@
 from whinpier.config.model import ConfigFault, address
 from whinpier.fleet.membership.membership import Address
 from whinpier.fleet.quotas.allocation import Kept
-from whinpier.storage.bounded_files import contents
+from whinpier.storage.bounded_files import read_bounded
 
 MOST, LARGEST = 1_000, 2_000_000  # addresses, bytes: with 64 limits of 1,000 homes
 
@@ -35,7 +35,7 @@
 def read(path: str) -> tuple[list[Address], dict[str, Kept]]:
     """What the last run kept, nothing without a file. Raises OSError, and ValueError for another file."""
     try:
-        found: Recalled = msgspec.json.decode(contents(path, LARGEST), type=Recalled)
+        found: Recalled = msgspec.json.decode(read_bounded(path, LARGEST), type=Recalled)
         if not 1 <= found.form <= FORM or len(found.members) > MOST:
             raise ValueError(f"{path}: form {found.form} with {len(found.members)} members")
         return [address(text, "members") for text in found.members], found.limits
--- a/whinpier/radius/listeners.py
+++ b/whinpier/radius/listeners.py
@@ -13,7 +13,7 @@
 
 from whinpier import log
 from whinpier.config.model import Address, ConfigFault
-from whinpier.storage.bounded_files import contents
+from whinpier.storage.bounded_files import read_bounded
 
 SOON = timedelta(days=14)  # before the end of a certificate that is said when it is read
 
@@ -31,7 +31,7 @@
         for key in ("certificate", "key", "authorities"):
             path: str = getattr(self, key)
             try:
-                contents(path, private=key == "key")
+                read_bounded(path, private=key == "key")
             except OSError as fault:
                 raise ConfigFault(f"{at}.{key}: {fault}") from None
             except ValueError as fault:
--- a/whinpier/storage/bounded_files.py
+++ b/whinpier/storage/bounded_files.py
@@ -1,7 +1,7 @@
-"""Reads the files that are named by operators and the platform, and waits for none.
+"""Reads of files that operators and the platform name.
 
-Must never read what is no regular file, more than it is told, or a private file that others can
-read.
+Invariants: a read never waits (for the writer of a pipe, say), never takes more bytes than its
+bound, reads regular files only, and takes a private file only if none but its owner may read it.
 """
 
 from __future__ import annotations
@@ -9,25 +9,31 @@
 import os
 import stat
 
-LARGEST = (
-    8 * 1024 * 1024
-)  # of the file: a list of thousands of upstreams and the settings are a tenth of it
+# Ten times what a list of thousands of upstreams and the settings come to.
+MAX_FILE_BYTES = 8 * 1024 * 1024
+OTHERS_MAY_ACCESS = stat.S_IRWXG | stat.S_IRWXO
 
 
-def contents(path: str, largest: int = LARGEST, private: bool = False) -> bytes:
-    """What a file holds. Guards against one that never ends, or keeps whoever opens it waiting.
+class UnsuitableFileError(ValueError):
+    """A file is not regular, is larger than its bound, or others may read what is private."""
 
-    Raises OSError, and ValueError for one that is none, is larger, or, if it is to be `private`,
-    may be read by others than its owner.
+
+def read_bounded(path: str, max_bytes: int = MAX_FILE_BYTES, private: bool = False) -> bytes:
+    """Return what a file holds, if it is a regular one of at most `max_bytes`.
+
+    With `private`, only its owner may have access to it. Raises OSError and UnsuitableFileError.
     """
-    file = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
-    with open(file, "rb") as opened:
-        mode = os.fstat(file).st_mode
+    # Without O_NONBLOCK the open of a pipe waits for its writer.
+    descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
+    with open(descriptor, "rb") as file:
+        mode = os.fstat(descriptor).st_mode
         if not stat.S_ISREG(mode):
-            raise ValueError("is no plain file")
-        if private and mode & 0o077:
-            raise ValueError(f"may be read by others (mode {stat.S_IMODE(mode):o}, not 600)")
-        text = opened.read(largest + 1)
-    if len(text) > largest:
-        raise ValueError(f"is larger than {largest} bytes")
-    return text
+            raise UnsuitableFileError("is no plain file")
+        if private and mode & OTHERS_MAY_ACCESS:
+            raise UnsuitableFileError(
+                f"may be read by others (mode {stat.S_IMODE(mode):o}, not 600)"
+            )
+        data = file.read(max_bytes + 1)
+    if len(data) > max_bytes:
+        raise UnsuitableFileError(f"is larger than {max_bytes} bytes")
+    return data
