--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -24,7 +24,7 @@
 from whinpier.model_checking.counts import Wishful
 from whinpier.model_checking.explore import every, replay
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.storage.append_log import Torn
+from whinpier.storage.append_log import AppendLogError
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks
 from whinpier.testbed.fleet import Fleet
@@ -183,7 +183,7 @@
         {("window", 1, 0, 60): (10, -1, 8)},
     )
     assert keeper.stamp == 3
-    with pytest.raises(Torn, match="another process"):
+    with pytest.raises(AppendLogError, match="another process"):
         Keeper(path).open()
     keeper.journal.close()
     whole = (tmp_path / "state").read_bytes()
@@ -194,7 +194,7 @@
         assert live.get(("window", 1, 0, 60), (10, -1, 3)) in ((10, -1, 3), (10, -1, 8))
         again.journal.close()
     (tmp_path / "state").write_bytes(whole[:30] + b"\0" + whole[31:])
-    with pytest.raises(Torn, match="move it away"):
+    with pytest.raises(AppendLogError, match="move it away"):
         Keeper(path).open()
 
 
--- a/tests/radius/test_radius.py
+++ b/tests/radius/test_radius.py
@@ -33,7 +33,7 @@
 from whinpier.radius.server import Front
 from whinpier.radius.spec import ClientSpec, RouteSpec
 from whinpier.radius.stream_server import Datagrams
-from whinpier.storage.append_log import Torn, notes
+from whinpier.storage.append_log import AppendLogError, read_records
 from whinpier.testbed import files
 from whinpier.testbed.process import Balancer, free_address
 from whinpier.testbed.radius import (
@@ -525,7 +525,7 @@
     known = meet(memory, record(session=b"1", delay=7))  # by its record, in other words
     assert known[0] == deduplication.AGAIN and known[1].answer == b"answer"
     assert meet(memory, packets[0])[1].request is None
-    with pytest.raises(Torn, match="another process"):
+    with pytest.raises(AppendLogError, match="another process"):
         kept_in(tmp_path)
     state.close()
     assert len(reopened(tmp_path)) == 4
@@ -537,7 +537,7 @@
         memory.answered(meet(memory, record(session=b"%d" % number))[1], b"answer %d" % number, 0)
     state.close()
     whole = (tmp_path / "state").read_bytes()
-    ends = [end for end, _ in notes("f", whole, MAGIC)]
+    ends = [end for end, _ in read_records("f", whole, MAGIC)]
     assert len(ends) == 8 and ends[-1] == len(whole)
     for cut in range(len(whole)):
         (tmp_path / "state").write_bytes(whole[:cut])
@@ -560,19 +560,19 @@
         memory.answered(meet(memory, record(session=b"%d" % number))[1], b"answer", 0)
     state.close()
     whole, refused = (tmp_path / "state").read_bytes(), 0
-    good = list(notes("f", whole, MAGIC))
+    good = list(read_records("f", whole, MAGIC))
     for at in range(len(whole)):
         changed = bytearray(whole)
         changed[at] ^= 0x41
         try:
-            found = list(notes("f", bytes(changed), MAGIC))
-        except Torn:
+            found = list(read_records("f", bytes(changed), MAGIC))
+        except AppendLogError:
             refused += 1
             continue
         assert found == good[: len(found)] and len(found) < len(good)
     assert refused > len(whole) * 2 // 3
     (tmp_path / "state").write_bytes(b"something else altogether, of another program")
-    with pytest.raises(Torn, match="move it away"):
+    with pytest.raises(AppendLogError, match="move it away"):
         kept_in(tmp_path)
 
 
--- a/tests/test_forms_kept.py
+++ b/tests/test_forms_kept.py
@@ -10,7 +10,7 @@
 from whinpier.fleet.consensus.node import replayed
 from whinpier.fleet.messages import DEALS, LEND, VOTE, Line, Plainly, Seal, Unread, pool_mark
 from whinpier.fleet.rollouts.state_machine import Record
-from whinpier.storage.append_log import notes
+from whinpier.storage.append_log import read_records
 
 KEY = Seal((b"0123456789abcdef",))
 # Written by the build before there was a record, and by the one that brought it.
@@ -64,7 +64,9 @@
 
 def test_a_record_on_a_disk_and_what_it_comes_to_are_read():
     magic = b"whinpier bank record 1\n"
-    copy = replayed(note for _, note in notes("record", magic + base64.b85decode(RECORD), magic))
+    copy = replayed(
+        note for _, note in read_records("record", magic + base64.b85decode(RECORD), magic)
+    )
     assert (copy.record, copy.disk, copy.term, len(copy.lines)) == (256, 7, 3, 4)
     record, whole = Record(), Record()
     for index, line in enumerate(copy.lines[1:], 2):
@@ -76,5 +78,5 @@
 
 def test_a_state_file_of_windows_is_read():
     magic = b"whinpier bank state 1\n"
-    found = [note for _, note in notes("state", magic + base64.b85decode(STATE), magic)]
+    found = [note for _, note in read_records("state", magic + base64.b85decode(STATE), magic)]
     assert found == [[["window", 12345, 1700000000, 0], [5, 9, 2], 3], [["begun"], [1700000000], 4]]
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -21,7 +21,7 @@
 from whinpier.fleet.quotas import allocation, calendar_quota, fair_share, leases
 from whinpier.fleet.rollouts import state_machine
 from whinpier.fleet.rollouts.controller import Report
-from whinpier.storage.append_log import Journal, Torn, framed, notes
+from whinpier.storage.append_log import AppendLog, AppendLogError, encode_record, read_records
 
 DATA = Path(__file__).parent / "data" / "kept"
 KEPT = json.loads((DATA / "fleet.json").read_text())
@@ -550,7 +550,9 @@
 def log_of(data):
     return agreement.replayed(
         note
-        for _, note in notes("record", data, consensus_service.MAGIC, consensus_service.LONGEST)
+        for _, note in read_records(
+            "record", data, consensus_service.MAGIC, consensus_service.LONGEST
+        )
     )
 
 
@@ -558,7 +560,7 @@
     copy = agreement.Copy(
         *natural(values)[:-1], [messages.Line(*natural(line)) for line in values[-1]]
     )
-    return consensus_service.MAGIC + b"".join(map(framed, agreement.compacted(copy)))
+    return consensus_service.MAGIC + b"".join(map(encode_record, agreement.compacted(copy)))
 
 
 def test_a_log_file_begins_with_its_magic():
@@ -594,20 +596,22 @@
 def test_a_torn_tail_of_a_log_file_is_left_out(tmp_path, cut):
     path = tmp_path / "record"
     path.write_bytes(file_of("log")[:-cut])
-    journal = Journal(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
+    journal = AppendLog(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
     found = plain(agreement.replayed(journal.open()))
     journal.close()
     assert found == [*KEPT["log"][:-1], KEPT["log"][-1][:-1]]
-    assert path.read_bytes() == file_of("log")[: journal.size] and journal.cut > 0
+    assert path.read_bytes() == file_of("log")[: journal.size] and journal.torn_bytes > 0
 
 
 def test_a_kept_torn_log_file_is_read_up_to_its_tear(tmp_path):
     path = tmp_path / "record"
     path.write_bytes(file_of("log_torn"))
-    journal = Journal(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
+    journal = AppendLog(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
     found = plain(agreement.replayed(journal.open()))
     journal.close()
-    assert found == KEPT["log_torn"] and (journal.size, journal.cut) == tuple(KEPT["log_tear"])
+    assert found == KEPT["log_torn"] and (journal.size, journal.torn_bytes) == tuple(
+        KEPT["log_tear"]
+    )
 
 
 # The state store.
@@ -629,7 +633,7 @@
     path.write_bytes(file_of("store"))
     store = store_of(path)
     assert state_store.MAGIC == b"whinpier bank state 1\n"
-    assert list(store_values(store)) == KEPT["store"] and store.journal.cut == 0
+    assert list(store_values(store)) == KEPT["store"] and store.journal.torn_bytes == 0
 
 
 def test_a_state_store_is_written_as_it_was(tmp_path):
@@ -665,14 +669,14 @@
     path.write_bytes(file_of("store_torn"))
     store = store_of(path)
     assert list(store_values(store)) == KEPT["store_torn"]
-    assert (store.journal.size, store.journal.cut) == tuple(KEPT["store_tear"])
+    assert (store.journal.size, store.journal.torn_bytes) == tuple(KEPT["store_tear"])
 
 
 def test_a_state_store_that_was_changed_in_its_middle_is_refused(tmp_path):
     data = bytearray(file_of("store"))
     data[len(state_store.MAGIC) + 9] ^= 1
     (tmp_path / "state").write_bytes(data)
-    with pytest.raises(Torn):
+    with pytest.raises(AppendLogError):
         store_of(tmp_path / "state")
 
 
--- a/tests/test_kept_radius.py
+++ b/tests/test_kept_radius.py
@@ -27,7 +27,7 @@
 from whinpier.radius.stream_server import Datagrams
 from whinpier.radius.transport import WithRadius
 from whinpier.runtime.process import Life
-from whinpier.storage.append_log import Torn
+from whinpier.storage.append_log import AppendLogError
 
 KEPT = Path("tests/data/kept").resolve()
 SECRET = b"kept secret"
@@ -438,11 +438,11 @@
 def test_a_note_of_another_kind_or_a_file_of_another_magic_is_refused_with_the_kept_words(tmp_path):
     path = tmp_path / "state"
     path.write_bytes(STATE.read_bytes() + note("z", "c", b"key 0"))
-    with pytest.raises(Torn) as caught:
+    with pytest.raises(AppendLogError) as caught:
         opened(path)
     assert str(caught.value) == f"{path}: a note of kind 'z', which this version does not know"
     path.write_bytes(b"whinpier radius state 2\n" + STATE.read_bytes()[24:])
-    with pytest.raises(Torn) as caught:
+    with pytest.raises(AppendLogError) as caught:
         opened(path)
     assert str(caught.value) == (
         f"{path}: is no state file of this version; move it away to begin without"
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -41,7 +41,7 @@
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome
 from whinpier.runtime.pool import PendingRequest
-from whinpier.storage.append_log import Journal, Torn, framed
+from whinpier.storage.append_log import AppendLog, AppendLogError, encode_record
 
 if TYPE_CHECKING:
     from whinpier.fleet.service import Link
@@ -100,7 +100,7 @@
         self.chance = Random(
             Random().getrandbits(64)
         )  # numbers of disks and commands are nobody else's
-        self.journal = Journal(str(Path(spec.folder) / "record"), MAGIC, LONGEST)
+        self.journal = AppendLog(str(Path(spec.folder) / "record"), MAGIC, LONGEST)
         self.file = Path(spec.folder) / RELEASED
         copy = self.opened()
         self.stamp = self.begun_stamp = stamp_of(copy)  # how much this disk has promised
@@ -153,22 +153,22 @@
         self.agreement.note(raft.WHO, 0, self.agreement.disk)
 
     def opened(self) -> Copy:
-        """What the file holds. Raises Torn where it can't be used."""
+        """Open the log and replay it. Raises AppendLogError where it can't be used."""
         Path(self.spec.folder).mkdir(parents=True, exist_ok=True)
         notes = self.journal.open()
         try:
             copy = replayed(notes)
         except (ValueError, TypeError, IndexError) as fault:
             self.journal.close()
-            raise Torn(
-                f"{self.journal.path}: {fault}; move it away to begin as a new voter"
+            raise AppendLogError(
+                self.journal.path, f"{fault}; move it away to begin as a new voter"
             ) from None
-        if self.journal.cut:
+        if self.journal.torn_bytes:
             log.warning(
                 "consensus_log_torn",
                 file=self.journal.path,
                 kept=self.journal.size,
-                cut=self.journal.cut,
+                cut=self.journal.torn_bytes,
             )
         log.info(
             "agreement",
@@ -211,9 +211,9 @@
         whole = compacted(agreement.copy()) if anew else []
         try:
             if anew:
-                await anyio.to_thread.run_sync(journal.rewrite, whole)
+                await anyio.to_thread.run_sync(journal.compact, whole)
             else:
-                await anyio.to_thread.run_sync(journal.append, b"".join(map(framed, notes)))
+                await anyio.to_thread.run_sync(journal.append, b"".join(map(encode_record, notes)))
         except OSError as fault:
             if not self.fault:
                 log.warning("consensus_log_failed", file=journal.path, fault=fault)
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -137,7 +137,10 @@
             sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
 
     def taken_up(self) -> tuple[list[Note], int, dict[int, int]]:
-        """What the state file holds of windows, and since when it has known of all. Raises Torn."""
+        """What the state file holds of windows, and since when it has known of all.
+
+        Raises AppendLogError.
+        """
         if self.keeper is None:
             return [], NEVER, {}
         self.keeper.batches = self.to_write
--- a/whinpier/fleet/state_store.py
+++ b/whinpier/fleet/state_store.py
@@ -1,6 +1,6 @@
 """Owns the fleet's state file: what has to be on the disk before it may be acted on.
 
-Notes of a durable file, by key; written beside the loop, the newest of each key at once, and
+Records of an append-only log, by key; written beside the loop, the newest of each key at once, and
 compacted. Must never say that something is on the disk before it is, or hold more notes than there
 are keys.
 """
@@ -14,7 +14,7 @@
 
 from whinpier import log
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.storage.append_log import Journal, Torn, framed
+from whinpier.storage.append_log import AppendLog, AppendLogError, encode_record
 
 MAGIC = b"whinpier bank state 1\n"
 LEAST = 1 << 16  # bytes below which a file is not compacted
@@ -29,7 +29,7 @@
     """The state file of this process."""
 
     def __init__(self, path: str) -> None:
-        self.journal = Journal(path, MAGIC)
+        self.journal = AppendLog(path, MAGIC)
         self.live: dict[
             tuple[Any, ...], tuple[Any, ...]
         ] = {}  # the newest note of each key, as on the disk
@@ -39,7 +39,7 @@
         self.came = anyio.Event()
 
     def open(self) -> dict[tuple[Any, ...], tuple[Any, ...]]:
-        """What it holds. Raises Torn where it can't be used."""
+        """Open the log and return its newest records by key. Raises AppendLogError where it can't be used."""
         for note in self.journal.open():
             try:
                 key, value, stamp = note
@@ -47,15 +47,15 @@
                 self.stamp = int(stamp)
             except (TypeError, ValueError):
                 self.journal.close()
-                raise Torn(
-                    f"{self.journal.path}: a note of another build; move it away to begin without"
+                raise AppendLogError(
+                    self.journal.path, "a note of another build; move it away to begin without"
                 ) from None
-        if self.journal.cut:
+        if self.journal.torn_bytes:
             log.warning(
                 "state_store_torn",
                 file=self.journal.path,
                 kept=self.journal.size,
-                cut=self.journal.cut,
+                cut=self.journal.torn_bytes,
             )
         return self.live
 
@@ -84,7 +84,7 @@
     ) -> None:
         """Some notes at once; each stands for itself."""
         stamp = self.stamp + 1
-        data = b"".join(framed((key, value, stamp)) for key, value in notes.items())
+        data = b"".join(encode_record((key, value, stamp)) for key, value in notes.items())
         try:
             await anyio.to_thread.run_sync(self.journal.append, data)
         except OSError as fault:
@@ -105,7 +105,7 @@
         """Only the newest of each key, in a new file."""
         notes = [(key, value, self.stamp) for key, value in self.live.items()]
         try:
-            await anyio.to_thread.run_sync(self.journal.rewrite, notes)
+            await anyio.to_thread.run_sync(self.journal.compact, notes)
         except OSError as fault:
             log.warning("state_store_failed", file=self.journal.path, fault=fault)
 
--- a/whinpier/radius/response_cache.py
+++ b/whinpier/radius/response_cache.py
@@ -1,7 +1,7 @@
 """Owns the state file of RADIUS: which records may have run and how they were answered, over
 restarts.
 
-Notes of a durable file, written in batches beside the loop and compacted once it holds much that
+Records of an append-only log, written in batches beside the loop and compacted once it holds much that
 is over. Must never grow without bound, or say that something is on the disk before it is.
 """
 
@@ -16,7 +16,7 @@
 from whinpier import log
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.radius.deduplication import Entry, Memory
-from whinpier.storage.append_log import Journal, Torn, framed
+from whinpier.storage.append_log import AppendLog, AppendLogError, encode_record
 
 MAGIC = b"whinpier radius state 1\n"
 LEAST = 1 << 20  # bytes below which a file is not compacted
@@ -56,7 +56,7 @@
 
     def __post_init__(self) -> None:
         self.came = anyio.Event()  # there is something to write
-        self.journal = Journal(self.spec.path, MAGIC)
+        self.journal = AppendLog(self.spec.path, MAGIC)
 
     @property
     def size(self) -> int:
@@ -65,17 +65,20 @@
     def open(self, memory: Memory[Any]) -> None:
         """Take up the file: what it knows comes into the memory, and what happens there goes into it.
 
-        Raises Torn where it cannot be used, or another process has it.
+        Raises AppendLogError where it cannot be used, or another process has it.
         """
         found = self.journal.open()
         try:
             self.load(memory, found)
-        except Torn:
+        except AppendLogError:
             self.journal.close()
             raise
-        if self.journal.cut:
+        if self.journal.torn_bytes:
             log.warning(
-                "radius_cache_torn", file=self.spec.path, kept=self.size, cut=self.journal.cut
+                "radius_cache_torn",
+                file=self.spec.path,
+                kept=self.size,
+                cut=self.journal.torn_bytes,
             )
         memory.note = self.note
 
@@ -96,8 +99,8 @@
                 elif kind == ANSWERED:
                     entry.answer = more[0]
             else:
-                raise Torn(
-                    f"{self.spec.path}: a note of kind {kind!r}, which this version does not know"
+                raise AppendLogError(
+                    self.spec.path, f"a note of kind {kind!r}, which this version does not know"
                 )
         if len(memory):
             log.info(
@@ -120,7 +123,7 @@
             # anew later.
             self.queue.clear()
             self.anew = True
-        self.queue.append(framed((kind, client, entry.key, *more)))
+        self.queue.append(encode_record((kind, client, entry.key, *more)))
 
     def takes(self) -> bool:
         """Whether a new record may be taken: its note can be kept."""
@@ -183,7 +186,7 @@
             log.warning("radius_cache_failed", file=self.spec.path, fault=fault)
 
     def rewrite(self, entries: list[Entry[Any]]) -> None:
-        self.journal.rewrite(note for entry in entries for note in said(entry))
+        self.journal.compact(note for entry in entries for note in said(entry))
 
     def close(self) -> None:
         """Write what is left, and let go of the file."""
--- a/whinpier/storage/__init__.py
+++ b/whinpier/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files: read within bounds, and append-only logs that outlive the process."""
+"""Files: reads within bounds, and append-only logs that outlive the process."""
