--- a/whinpier/fleet/peer_cache.py
+++ b/whinpier/fleet/peer_cache.py
@@ -1,55 +1,76 @@
-"""Where members were, kept in a file, so that a fleet that was all restarted finds itself without
-its seeds.
+"""Peer cache: a file of where members were last, and which quota allocation was agreed.
 
-A help, not a promise: what can't be read or written is said once, and the process goes on by its
-seeds. Must never be read or written on the request path, or hold more than a bound.
+With it a fleet whose members are all restarted at once finds itself without its seeds. It is an
+optimization and no promise: a process that can't read or write the file goes on with its seeds.
+
+Invariants: the file is never read or written on the request path, it is replaced in one step, and
+what is read is bounded by `MAX_ADDRESSES` and `MAX_FILE_SIZE`.
 """
 
 from __future__ import annotations
 
 import os
+from typing import NamedTuple
 
 import msgspec
 
-from whinpier.config.model import ConfigFault, address
-from whinpier.fleet.membership.membership import Address
+from whinpier.config.model import Address, ConfigFault, address
 from whinpier.fleet.quotas.allocation import Kept
 from whinpier.storage.bounded_files import contents
 
-MOST, LARGEST = 1_000, 2_000_000  # addresses, bytes: with 64 limits of 1,000 homes
+MAX_ADDRESSES = 1_000
+MAX_FILE_SIZE = 2_000_000  # bytes: 64 limits of 1,000 homes fit
+FORMAT_VERSION = 2  # version 1 had no homes
+OLDEST_FORMAT_VERSION = 1
+
 
+class CachedPeers(msgspec.Struct, forbid_unknown_fields=True):
+    """The content of the file, as JSON."""
 
-FORM = 2  # 1 had no homes
+    format_version: int = msgspec.field(name="form")
+    members: list[str]  # HOST:PORT
+    # By name: the allocation that was agreed, this member's home in it, and whose homes it had
+    # (not in version 1).
+    limits: dict[str, Kept] = {}
 
 
-class Recalled(msgspec.Struct, forbid_unknown_fields=True):
-    """What the file holds."""
+class PeerCache(NamedTuple):
+    """What the last run of this process knew of its fleet."""
 
-    form: int
-    members: list[str]
-    # By name: the division that was agreed, this one's home in it, and whose homes it had (not in
-    # form 1).
-    limits: dict[str, Kept] = {}
+    addresses: list[Address]
+    allocations: dict[str, Kept]  # by name of the limit
 
 
-def read(path: str) -> tuple[list[Address], dict[str, Kept]]:
-    """What the last run kept, nothing without a file. Raises OSError, and ValueError for another file."""
+def read(path: str) -> PeerCache:
+    """Return what the last run wrote, empty without a file.
+
+    Raises OSError where the file can't be read, and ValueError where it is no peer cache.
+    """
     try:
-        found: Recalled = msgspec.json.decode(contents(path, LARGEST), type=Recalled)
-        if not 1 <= found.form <= FORM or len(found.members) > MOST:
-            raise ValueError(f"{path}: form {found.form} with {len(found.members)} members")
-        return [address(text, "members") for text in found.members], found.limits
+        cached: CachedPeers = msgspec.json.decode(contents(path, MAX_FILE_SIZE), type=CachedPeers)
+        _check_bounds(path, cached)
+        addresses = [address(text, "members") for text in cached.members]
     except FileNotFoundError:
-        return [], {}
-    except (msgspec.DecodeError, ConfigFault) as fault:
-        raise ValueError(f"{path}: {fault}") from None
+        return PeerCache([], {})
+    except (msgspec.DecodeError, ConfigFault) as error:
+        raise ValueError(f"{path}: {error}") from None
+    return PeerCache(addresses, cached.limits)
+
+
+def _check_bounds(path: str, cached: CachedPeers) -> None:
+    """Raise ValueError for an unknown version or too many members."""
+    is_known_version = OLDEST_FORMAT_VERSION <= cached.format_version <= FORMAT_VERSION
+    if not is_known_version or len(cached.members) > MAX_ADDRESSES:
+        raise ValueError(f"{path}: form {cached.format_version} with {len(cached.members)} members")
 
 
-def write(path: str, addresses: list[Address], limits: dict[str, Kept]) -> None:
-    """Put these in the file's place, in one step. Raises OSError."""
-    data = msgspec.json.encode(Recalled(FORM, ["%s:%d" % one for one in addresses[:MOST]], limits))
-    other = path + ".new"
-    new = os.open(other, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
-    with open(new, "wb") as file:
+def write(path: str, addresses: list[Address], allocations: dict[str, Kept]) -> None:
+    """Replace the file in one step. Raises OSError."""
+    members = [f"{host}:{port}" for host, port in addresses[:MAX_ADDRESSES]]
+    data = msgspec.json.encode(CachedPeers(FORMAT_VERSION, members, allocations))
+    temporary_path = path + ".new"
+    flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
+    descriptor = os.open(temporary_path, flags, 0o600)
+    with open(descriptor, "wb") as file:
         file.write(data)
-    os.replace(other, path)
+    os.replace(temporary_path, path)
