--- a/tests/fleet/test_operator_limits.py
+++ b/tests/fleet/test_operator_limits.py
@@ -6,70 +6,14 @@
 import pytest
 from click.testing import CliRunner
 
-from tests.fleet.test_membership import members, pass_on
 from tests.waiting import until
 from whinpier.cli.main import cli
 from whinpier.config import operator
 from whinpier.fleet.limit_bounds import explained
-from whinpier.fleet.registry import FADING, MOST, MS, Entry, Register
-from whinpier.policy.decaying_sum import SECOND
 from whinpier.testbed import files
 from whinpier.testbed.fleet import Fleet
 
 
-def test_of_two_words_the_later_holds_everywhere_whatever_order_they_come_in():
-    one, other = Register(), Register()
-    first = one.say("k", b"1", 60 * SECOND, 1, 0)
-    second = other.say("k", b"2", 60 * SECOND, 2, 0)
-    for entries in ((first, second), (second, first)):
-        both = Register()
-        for entry in entries:
-            both.take(entry, SECOND)
-        assert both.values("k") == {"": b"2"}
-    one.take(second, 0), other.take(first, 0)
-    assert one.digest == other.digest != 0
-    lifted = one.say("k", b"", 60 * SECOND, 1, SECOND)
-    other.take(lifted, SECOND)
-    assert not other.values("k") and one.digest == other.digest
-    assert not other.take(second, SECOND)  # an old word brings nothing back
-
-
-def test_a_word_ends_by_itself_and_the_table_is_bounded_and_was_full():
-    one = Register()
-    one.say("k", b"1", 10 * SECOND, 1, 0)
-    one.settle(10 * SECOND - FADING)
-    assert one.digest == 0 and one.values("k")
-    one.settle(10 * SECOND)
-    assert not one.values("k") and not one.words
-    for number in range(2 * MOST):
-        one.take(Entry(f"k{number}", b"v", 1, 1, 60_000), 0)
-    assert len(one.words) == MOST and one.refused == MOST
-    assert (
-        one.say("x" * 161, b"", SECOND, 1, 0) is None
-        and one.say("x", b"v" * 321, SECOND, 1, 0) is None
-    )
-    for page in one.pages(900, 16, 0):
-        assert 1 <= len(page) <= 16
-
-
-def test_words_go_with_pings_and_whole_tables_to_whoever_has_missed_them():
-    a, b = members("a", 7001), members("b", 7002, [("127.0.0.1", 7001)])
-    for now in range(0, 2 * SECOND, SECOND // 10):
-        a.tick(now), b.tick(now)
-        pass_on(a, b, now=now)
-    a.register.say("k", b"1", 60 * SECOND, a.card.id, now)
-    a.register.news.clear()  # all that was sent of it got lost
-    for now in range(2 * SECOND, 4 * SECOND, SECOND // 10):
-        a.tick(now), b.tick(now)
-        pass_on(a, b, now=now)
-    assert b.register.values("k") == {"": b"1"}
-    assert (
-        57_000 <= b.register.words["k"].entry.left <= 60_000
-        and b.register.words["k"].until <= 62 * SECOND
-    )
-    assert a.members[b.card.id].register == a.register.digest and MS
-
-
 def test_a_limit_is_set_for_all_and_who_did_not_confirm_is_named(tmp_path):
     limits = {"all": {"kind": "rate", "amount": 30, "homes": ["m0", "m1", "m2"]}}
 
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -76,7 +76,7 @@
         it.pleas,
     ],
     messages.Datagram: lambda it: [*READERS[messages.Plainly](it), it.talks],
-    registry.Entry: lambda it: [it.key, it.value, it.version, it.by, it.left],
+    registry.RegistryEntry: lambda it: [it.key, it.value, it.version, it.origin, it.remaining_ms],
     Report: lambda it: [
         it.applied,
         it.content,
@@ -406,7 +406,7 @@
 def test_marks_keep_their_digests():
     limit = leases.Limit("all", leases.RATE, 10_000, ("m1", "m2"), 5)
     window = leases.Limit("day", leases.COUNT, 700, ("m1", "m2"), 0, 9 * SECOND, "day/UTC", 3)
-    entry = registry.Entry("limit/all", b"{}", 7, 99, 1_000)
+    entry = registry.RegistryEntry("limit/all", b"{}", 7, 99, 1_000)
     found = [
         messages.member_id("m1", 0xABC),
         messages.pool_mark("web"),
@@ -417,7 +417,7 @@
         window.mark,
         window.epoch(),
         allocation.key_of("tenant-a"),
-        registry.mark_of(entry),
+        registry.digest_part(entry),
         state_machine.hash_of(b"file"),
         state_machine.chained(b"before", (1, 2, "who", "what", "why", True, "text")).hex(),
         consensus_service.stamp_of(
@@ -908,7 +908,7 @@
     found = membership.Members(card, [("10.0.0.1", 7001)], SEAL, membership.Times(), Chance(), 0)
     found.carry(7, b"ways")
     found.wall = 1_700_000_000 * SECOND
-    found.register.say("limit/all", b"{}", 60 * SECOND, card.id, 0)
+    found.registry.put("limit/all", b"{}", 60 * SECOND, card.id, 0)
     return found
 
 
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -21,7 +21,7 @@
 
 from whinpier import log
 from whinpier.fleet.membership.membership import MS, UNHEARD
-from whinpier.fleet.registry import LONGEST
+from whinpier.fleet.registry import MAX_LIFETIME_MS
 from whinpier.fleet.spec import CALLERS
 
 if TYPE_CHECKING:
@@ -213,9 +213,9 @@
     def say(self, asked: ControlRequest) -> Any:
         """An operator's word to the whole fleet."""
         kind, _, name = asked.name.partition("/")
-        if not 1_000 <= asked.life_ms <= LONGEST:
+        if not 1_000 <= asked.life_ms <= MAX_LIFETIME_MS:
             raise Refused(
-                f"life_ms: {asked.life_ms} is not between 1,000 and {LONGEST}; what is to stay "
+                f"life_ms: {asked.life_ms} is not between 1,000 and {MAX_LIFETIME_MS}; what is to stay "
                 "belongs into the files"
             )
         self.check(kind, name, asked.value)
--- a/whinpier/fleet/membership/membership.py
+++ b/whinpier/fleet/membership/membership.py
@@ -53,7 +53,7 @@
     Unread,
     Word,
 )
-from whinpier.fleet.registry import Entry, Register
+from whinpier.fleet.registry import Registry, RegistryEntry
 from whinpier.policy.decaying_sum import SECOND
 
 MS = SECOND // 1000
@@ -252,7 +252,7 @@
         self.heard_deals: list[tuple[int, Deal]] = []  # from whom, for whoever hosts this
         self.heard_pleas: list[tuple[int, Plea]] = []  # the same
         self.heard_talks: list[tuple[int, Talk]] = []  # the same
-        self.register = Register()
+        self.registry = Registry()
         self.wall = 0  # the wall clock less this one's; 0: it tells none
         self.heard_walls: list[
             tuple[int, int, int, int]
@@ -384,7 +384,7 @@
         ids: list[int] | None = None,
         introduce: bool = False,
         deals: list[Deal] | None = None,
-        pages: list[Entry] | None = None,
+        pages: list[RegistryEntry] | None = None,
         pleas: list[Plea] | None = None,
         talks: list[Talk] | None = None,
     ) -> None:
@@ -405,8 +405,8 @@
             map(messages.size_of, talks or ())
         )
         said, entries = [], list(pages or ())
-        if to is not None and kind in (PING, ACK) and self.register.news:
-            entries = self.register.fill(room, len(self.members), self.now)
+        if to is not None and kind in (PING, ACK) and self.registry.pending:
+            entries = self.registry.collect_updates(room, len(self.members), self.now)
             room -= sum(map(messages.size_of, entries))
         if self.says and kind in (PING, ACK):
             marks = list(self.says)
@@ -436,7 +436,7 @@
             ids,
             deals,
             self.now + self.wall if self.wall else 0,
-            self.register.digest,
+            self.registry.digest,
             entries,
             pleas or [],
         )
@@ -695,8 +695,8 @@
         if datagram.digest != self.digest:
             self.differ(member)
         member.register = datagram.register
-        if datagram.register != self.register.digest and self.register.due(self.now):
-            self.tell_register(member)
+        if datagram.register != self.registry.digest and self.registry.start_full_sync(self.now):
+            self.send_full_registry(member)
 
     def stranger(self, datagram: Datagram, probe: Probe | None, source: Address) -> Member | None:
         """One that is not known has to answer a ping of this one's own before anything it says counts."""
@@ -823,7 +823,7 @@
         self.heard_pleas += [(sender.id, plea) for plea in datagram.pleas]
         self.heard_talks += [(sender.id, talk) for talk in datagram.talks]
         for entry in datagram.entries:
-            self.register.take(entry, self.now)
+            self.registry.merge(entry, self.now)
         if datagram.count < sender.high:
             # Guards against an older demand that stands in for a newer one, as datagrams pass each
             # other.
@@ -1119,10 +1119,10 @@
             self.exchange_at = self.now + int(self.random() * apart / 2)
             self.tell_all(member, True)
 
-    def tell_register(self, member: Member) -> None:
+    def send_full_registry(self, member: Member) -> None:
         """Tell a member all that operators have said."""
         size = messages.LARGEST - messages.EMPTY_SIZE - 100
-        for page in self.register.pages(size, messages.MOST_ENTRIES, self.now):
+        for page in self.registry.pages(size, messages.MOST_ENTRIES, self.now):
             self.send(EXCHANGE, member.card.address, member, pages=page)
 
     def tell_all(self, member: Member, answer: bool) -> None:
@@ -1247,7 +1247,7 @@
         """Once a second: what has lasted long enough goes."""
         self.at(self.now + SECOND, self.sweep)
         self.knocks = KNOCKS
-        self.register.settle(self.now)
+        self.registry.expire(self.now)
         for member in list(self.members.values()):
             reckon = self.times.reckon if member.unheard else min(self.times.reckon, TOMB // 10)
             if member.state == LOST and self.now - member.since >= reckon:
--- a/whinpier/fleet/messages.py
+++ b/whinpier/fleet/messages.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from whinpier.fleet.registry import Entry
+from whinpier.fleet.registry import RegistryEntry
 
 MAGIC, FORM = b"wB", 1
 BUILD = "0.1.0"  # as which this build is known to the others
@@ -202,7 +202,7 @@
     deals: Annotated[list[Deal], Meta(max_length=MOST_DEALS)] = []
     wall: Id = 0  # the sender's wall clock, in nanoseconds since the epoch; 0: it tells none
     register: Id = 0  # digest of what operators said, as the sender holds it
-    entries: Annotated[list[Entry], Meta(max_length=MOST_ENTRIES)] = []
+    entries: Annotated[list[RegistryEntry], Meta(max_length=MOST_ENTRIES)] = []
     pleas: Annotated[list[Plea], Meta(max_length=MOST_PLEAS)] = []
 
 
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -124,7 +124,7 @@
         self.called_at = 0
         self.second, self.opened = 0, 0
         self.seen_changes = -1
-        self.seen_register = 0
+        self.seen_registry_changes = 0
         self.amounts: dict[str, float] = {}  # of limits, as operators have said them for a while
         self.watchers: list[Callable[[dict[str, Any]], None]] = []
         self.by_mark: dict[int, str] = {}
@@ -398,8 +398,8 @@
         if self.members.changes != self.seen_changes:
             self.seen_changes = self.members.changes
             self.count(self.loop.clock())
-        if self.members.register.changes != self.seen_register:
-            self.seen_register = self.members.register.changes
+        if self.members.registry.change_count != self.seen_registry_changes:
+            self.seen_registry_changes = self.members.registry.change_count
             self.heed()
         self.schedule()
 
@@ -437,7 +437,7 @@
     def say(self, key: str, value: dict[str, Any], life: int) -> bool:
         """One word to the whole fleet; without a value it lifts what was said. Whether there was room."""
         data = msgspec.json.encode(value) if value else b""
-        said = self.members.register.say(key, data, life, self.members.card.id, self.loop.clock())
+        said = self.members.registry.put(key, data, life, self.members.card.id, self.loop.clock())
         if said is not None:
             log.info("registry_entry_changed", key=key, **value)
             self.members.tell_all_now(self.loop.clock())
@@ -447,24 +447,24 @@
     def heed(self) -> None:
         """Go by what operators say now."""
         amounts = {}
-        for name, value in self.members.register.values("limit/").items():
+        for name, value in self.members.registry.values_with_prefix("limit/").items():
             try:
                 amounts[name] = float(msgspec.json.decode(value)["amount"])
             except (msgspec.DecodeError, KeyError, TypeError, ValueError):
                 log.warning("registry_entry_invalid", key=f"limit/{name}")
-        words = self.members.register.words
+        entries = self.members.registry.entries
         closed = {
-            (kind, name): words[f"{kind}/{name}"].until
+            (kind, name): entries[f"{kind}/{name}"].expires_at
             for kind in ("route", "tenant")
-            for name in self.members.register.values(kind + "/")
+            for name in self.members.registry.values_with_prefix(kind + "/")
         }
         if closed != self.gates.closed:
             self.gates.closed = closed
             self.attach()
         if self.watching:
             self.watching.by_hand = {
-                tuple(name.partition("/")[::2]): words["rest/" + name].until
-                for name in self.members.register.values("rest/")
+                tuple(name.partition("/")[::2]): entries["rest/" + name].expires_at
+                for name in self.members.registry.values_with_prefix("rest/")
             }
         if amounts != self.amounts:
             self.amounts = amounts
@@ -483,12 +483,15 @@
 
     def register(self) -> dict[str, Any]:
         """What operators have said, and who of those who are there holds it."""
-        now, register = self.loop.clock(), self.members.register
+        now = self.loop.clock()
+        registry = self.members.registry
         rows = []
-        for key, word in register.words.items():
+        for key, stored in registry.entries.items():
             try:
                 value = (
-                    msgspec.json.decode(word.entry.value) if word.entry.value else {"lifted": True}
+                    msgspec.json.decode(stored.entry.value)
+                    if stored.entry.value
+                    else {"lifted": True}
                 )
             except msgspec.DecodeError:
                 value = {}
@@ -496,8 +499,8 @@
                 {
                     "key": key,
                     **(value if isinstance(value, dict) else {}),
-                    "at": self.members.name_of(word.entry.by),
-                    "left_ms": (word.until - now) // MS,
+                    "at": self.members.name_of(stored.entry.origin),
+                    "left_ms": (stored.expires_at - now) // MS,
                 }
             )
         return {
@@ -506,7 +509,7 @@
                 {
                     "name": one.card.name,
                     "run": f"{one.card.run:x}",
-                    "holds": one.register == register.digest,
+                    "holds": one.register == registry.digest,
                     "limits": one.card.limits == self.shares.epoch or not self.shares.tables,
                 }
                 for one in self.members.members.values()
