--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -18,7 +18,7 @@
 from whinpier.fleet.quotas.calendar_quota import MOST_GRANTED, Calendar, Units
 from whinpier.fleet.quotas.fair_share import WORD, Nearly, aged, fill
 from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, Limit
-from whinpier.fleet.state_store import Keeper
+from whinpier.fleet.state_store import StateStore
 from whinpier.model_checking.count_mutants import FAULTS
 from whinpier.model_checking.count_scenarios import WALKS, WHOLE, found
 from whinpier.model_checking.counts import Wishful
@@ -169,40 +169,40 @@
 def test_notes_outlive_the_process_torn_ones_do_not_count_and_a_changed_file_is_refused(tmp_path):
     path = str(tmp_path / "state")
 
-    async def story(keeper, *those):
+    async def story(store, *those):
         for notes in those:
-            await keeper.write(notes, lambda: None, lambda: None)
+            await store.write(notes, lambda: None, lambda: None)
 
-    keeper = Keeper(path)
-    assert keeper.open() == {}
+    store = StateStore(path)
+    assert store.open() == {}
     anyio.run(
         story,
-        keeper,
+        store,
         {("begun",): (7,)},
         {("window", 1, 0, 60): (10, -1, 3)},
         {("window", 1, 0, 60): (10, -1, 8)},
     )
-    assert keeper.stamp == 3
+    assert store.sequence == 3
     with pytest.raises(Torn, match="another process"):
-        Keeper(path).open()
-    keeper.journal.close()
+        StateStore(path).open()
+    store.journal.close()
     whole = (tmp_path / "state").read_bytes()
     for cut in range(len(whole)):
         (tmp_path / "state").write_bytes(whole[:cut])
-        again = Keeper(path)
+        again = StateStore(path)
         live = again.open()
         assert live.get(("window", 1, 0, 60), (10, -1, 3)) in ((10, -1, 3), (10, -1, 8))
         again.journal.close()
     (tmp_path / "state").write_bytes(whole[:30] + b"\0" + whole[31:])
     with pytest.raises(Torn, match="move it away"):
-        Keeper(path).open()
+        StateStore(path).open()
 
 
 def test_a_full_disk_keeps_what_is_not_written_from_being_used_and_a_well_one_lets_it(
     tmp_path, monkeypatch
 ):
-    keeper, one = Keeper(str(tmp_path / "state")), units(amount=30, homes=("a",), lasting=True)
-    keeper.open()
+    store, one = StateStore(str(tmp_path / "state")), units(amount=30, homes=("a",), lasting=True)
+    store.open()
     write = os.pwrite
 
     def full(*_):
@@ -210,7 +210,7 @@
 
     async def flush():
         said, notes = one.take_notes()
-        await keeper.write(
+        await store.write(
             {("window", *note[:3]): note[3:] for note in notes},
             lambda: one.written(said, notes),
             lambda: one.not_written(notes),
@@ -219,12 +219,12 @@
     assert not one.take(0) and one.notes
     monkeypatch.setattr(os, "pwrite", full)
     anyio.run(flush)
-    assert keeper.fault and not one.take(1) and len(one.notes) == 1
+    assert store.last_error and not one.take(1) and len(one.notes) == 1
     monkeypatch.setattr(os, "pwrite", write)
     anyio.run(flush)
-    assert not keeper.fault and one.take(2)
-    keeper.journal.close()
-    again = Keeper(str(tmp_path / "state"))
+    assert not store.last_error and one.take(2)
+    store.journal.close()
+    again = StateStore(str(tmp_path / "state"))
     (row,) = again.open().values()
     assert row[2] >= 8  # written ahead as used: what a kill loses
     again.journal.close()
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -614,14 +614,14 @@
 
 
 def store_of(path):
-    store = state_store.Keeper(str(path))
+    store = state_store.StateStore(str(path))
     store.open()
     store.journal.close()
     return store
 
 
 def store_values(store):
-    return plain(store.live), store.stamp
+    return plain(store.live), store.sequence
 
 
 def test_a_state_store_is_read_as_it_was(tmp_path):
@@ -634,7 +634,7 @@
 
 def test_a_state_store_is_written_as_it_was(tmp_path):
     async def write():
-        store = state_store.Keeper(str(tmp_path / "state"))
+        store = state_store.StateStore(str(tmp_path / "state"))
         store.open()
         for batch in natural(KEPT["store_batches"]):
             pairs = {tuple(key): tuple(value) for key, value in batch}
@@ -649,7 +649,7 @@
 
 def test_a_state_store_is_compacted_as_it_was(tmp_path):
     async def compact():
-        store = state_store.Keeper(str(tmp_path / "state"))
+        store = state_store.StateStore(str(tmp_path / "state"))
         (tmp_path / "state").write_bytes(file_of("store"))
         store.open()
         await store.compact()
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -46,7 +46,7 @@
 from whinpier.fleet.quotas.fair_share import Nearly
 from whinpier.fleet.quotas.leases import TURN
 from whinpier.fleet.spec import FleetSpec
-from whinpier.fleet.state_store import Batch, Keeper
+from whinpier.fleet.state_store import Batch, Records, StateStore
 from whinpier.policy.decaying_sum import SECOND
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
     def __init__(self, life: Life, spec: FleetSpec, sock: socket.socket) -> None:
         self.life, self.spec, self.sock, self.loop = life, spec, sock, life.loop
         self.now = self.loop.clock()
-        self.first_notes: dict[tuple[Any, ...], tuple[Any, ...]] = {}
+        self.first_notes: Records = {}
         self.begun_stamp = 0  # notes that the state file had ever held when this run began
         self.stamps: dict[
             str, tuple[int, int]
@@ -91,7 +91,7 @@
         )
         recalled, kept = self.recalled()
         self.clocks = Clocks(time.time_ns() - self.now)
-        self.keeper = Keeper(spec.state) if spec.state else None
+        self.state_store = StateStore(spec.state) if spec.state else None
         notes, since, sinces = self.taken_up()
         self.shares = Shares(
             spec.name,
@@ -100,7 +100,7 @@
             chance,
             self.clocks.between,
             kept,
-            self.keeper is not None,
+            self.state_store is not None,
             notes,
             since,
             sinces,
@@ -138,18 +138,18 @@
 
     def taken_up(self) -> tuple[list[Note], int, dict[int, int]]:
         """What the state file holds of windows, and since when it has known of all. Raises Torn."""
-        if self.keeper is None:
+        if self.state_store is None:
             return [], NEVER, {}
-        self.keeper.batches = self.to_write
-        live = self.keeper.open()
+        self.state_store.collect_batches = self.to_write
+        live = self.state_store.open()
         begun = live.get((BEGUN,), (NEVER,))
         log.info(
             "state_store_loaded",
-            file=self.keeper.journal.path,
+            file=self.state_store.journal.path,
             notes=len(live),
-            stamp=self.keeper.stamp,
+            stamp=self.state_store.sequence,
         )
-        self.begun_stamp = self.keeper.stamp
+        self.begun_stamp = self.state_store.sequence
         return (
             [(*key[1:], *value) for key, value in live.items() if key[0] == WINDOW],
             begun[0],
@@ -161,12 +161,12 @@
         first, self.first_notes = self.first_notes, {}
         found: list[Batch] = []
         if first:
-            found.append((first, lambda: None, lambda: self.first_notes.update(first)))
+            found.append(Batch(first, lambda: None, lambda: self.first_notes.update(first)))
         for part in self.shares.units():
             if part.notes:
                 said, notes = part.take_notes()
                 found.append(
-                    (
+                    Batch(
                         {(WINDOW, *note[:3]): note[3:] for note in notes},
                         partial(self.written, part, said, notes),
                         partial(part.not_written, notes),
@@ -228,8 +228,8 @@
         if self.spec.recall:
             self.loop.spawn(self.remember, lambda: None)
         self.loop.at(self.loop.clock() + COUNT, self, self.recount)
-        if self.keeper:
-            self.loop.spawn(self.keeper.run, lambda: None)
+        if self.state_store:
+            self.loop.spawn(self.state_store.run, lambda: None)
         self.loop.enter(self, self.deal)
         if self.agreed:
             self.agreed.start()
@@ -547,13 +547,13 @@
         self.gates.turn(now, self.life.pools.values())
         if self.watching:
             self.watching.turn(now)
-        if self.keeper:
+        if self.state_store:
             if self.first_notes or any(part.notes for part in shares.units()):
-                self.keeper.wake()
-            self.members.carry(STAMP, self.keeper.stamp.to_bytes(8, "big"))
+                self.state_store.wake()
+            self.members.carry(STAMP, self.state_store.sequence.to_bytes(8, "big"))
             if now >= self.forget_at:
                 over, self.forget_at = self.shares.over(now), now + FORGET
-                self.keeper.forget(lambda key: key[0] == WINDOW and over(key[1], key[3]))
+                self.state_store.discard(lambda key: key[0] == WINDOW and over(key[1], key[3]))
         self.send_deals()
 
     def look_at_clocks(self, now: int) -> None:
@@ -585,7 +585,7 @@
         apart = {one.card.name for one in heard if one.card.limits != shares.epoch}
         since, silent = shares.since, {one.card.name for one in others if one.unheard}
         agreed = shares.look(now, there, apart, silent, self.clocks.voices)
-        if self.keeper and shares.since != since:
+        if self.state_store and shares.since != since:
             # From here on the file knows of all that is used; what was before it does not say.
             self.first_notes[BEGUN,] = (shares.since,)
         if agreed:
@@ -633,17 +633,17 @@
 
     def told_old(self, deal: Deal, sender: int) -> None:
         """Another knows that this process's last run had written more than its state file holds."""
-        if self.keeper is None or deal.nonce <= self.begun_stamp:
+        if self.state_store is None or deal.nonce <= self.begun_stamp:
             return
         log.warning(
             "state_store_stale",
-            file=self.keeper.journal.path,
+            file=self.state_store.journal.path,
             notes=self.begun_stamp,
             known=deal.nonce,
             by=self.members.name_of(sender),
         )
         self.begun_stamp = deal.nonce
-        self.keeper.stamp = max(self.keeper.stamp, deal.nonce)
+        self.state_store.sequence = max(self.state_store.sequence, deal.nonce)
         self.shares.void(self.loop.clock())
         self.first_notes[BEGUN,] = (self.shares.since,)
 
--- a/whinpier/fleet/state_store.py
+++ b/whinpier/fleet/state_store.py
@@ -1,14 +1,17 @@
-"""Owns the fleet's state file: what has to be on the disk before it may be acted on.
+"""State store: what has to be on the disk before the fleet's part of this process may act on it.
 
-Notes of a durable file, by key; written beside the loop, the newest of each key at once, and
-compacted. Must never say that something is on the disk before it is, or hold more notes than there
-are keys.
+Owns the state file, a journal of records by key. Records are written beside the event loop, in
+batches, and the file is compacted to the newest record of each key.
+
+Invariants: nothing is reported as written before it is on the disk, and no more than one record a
+key is kept in memory. What keys and values mean is up to the users of the store.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple, TypeAlias
 
 import anyio
 
@@ -17,38 +20,66 @@
 from whinpier.storage.append_log import Journal, Torn, framed
 
 MAGIC = b"whinpier bank state 1\n"
-LEAST = 1 << 16  # bytes below which a file is not compacted
-LIVE = 4  # times what is live that it may hold
-AGAIN = SECOND // 2  # until what could not be written is tried again
-BATCH = SECOND // 200  # that notes wait for others, so that one write does for all
+COMPACTION_MIN_SIZE = 1 << 16  # bytes; a smaller file is never compacted
+COMPACTION_RATIO = 4  # the file may hold this many times what is live
+TYPICAL_RECORD_SIZE = 64  # bytes; an estimate, for the size of what is live
+RETRY_DELAY = SECOND // 2  # until a failed write is tried again
+BATCH_DELAY = SECOND // 200  # that records wait for others, so that one write does for all
+
+# Whatever msgpack can hold: the store looks into neither.
+RecordKey: TypeAlias = tuple[Any, ...]
+RecordValue: TypeAlias = tuple[Any, ...]
+Records: TypeAlias = dict[RecordKey, RecordValue]
+
+
+class StoredRecord(NamedTuple):
+    """A record as the file holds it; the order of the fields is the file's format."""
+
+    key: RecordKey
+    value: RecordValue
+    sequence: int  # of the batch that it was written with
+
+
+@dataclass(frozen=True, slots=True)
+class Batch:
+    """Records to be written at once, and whom to tell how it went."""
+
+    records: Records
+    on_written: Callable[[], None]
+    on_failed: Callable[[], None]
+
 
-Batch = tuple[dict[tuple[Any, ...], tuple[Any, ...]], Callable[[], None], Callable[[], None]]
+def _no_batches() -> Iterable[Batch]:
+    """Stand in for the source of batches until the owner of the store sets its own."""
+    return ()
 
 
-class Keeper:
+class StateStore:
     """The state file of this process."""
 
     def __init__(self, path: str) -> None:
+        """Name the file; `open` reads and locks it."""
         self.journal = Journal(path, MAGIC)
-        self.live: dict[
-            tuple[Any, ...], tuple[Any, ...]
-        ] = {}  # the newest note of each key, as on the disk
-        self.fault = ""
-        self.stamp = 0  # notes that were ever written to it
-        self.batches: Callable[[], Iterable[Batch]] = lambda: ()  # what there is to write now
-        self.came = anyio.Event()
-
-    def open(self) -> dict[tuple[Any, ...], tuple[Any, ...]]:
-        """What it holds. Raises Torn where it can't be used."""
-        for note in self.journal.open():
+        self.live: Records = {}  # the newest record of each key, as on the disk
+        self.last_error = ""  # why the last write failed; empty after a good one
+        # Number of the last batch that was ever written to the file. Its owner may raise it where
+        # other members know of a later one, which a stale copy of the file has lost.
+        self.sequence = 0
+        self.collect_batches: Callable[[], Iterable[Batch]] = _no_batches
+        self._wakeup = anyio.Event()
+
+    def open(self) -> Records:
+        """Read and lock the file, and return its live records. Raises Torn where it can't be used."""
+        for content in self.journal.open():
             try:
-                key, value, stamp = note
+                key, value, sequence = content
                 self.live[tuple(key)] = tuple(value)
-                self.stamp = int(stamp)
+                self.sequence = int(sequence)
             except (TypeError, ValueError):
+                path = self.journal.path
                 self.journal.close()
                 raise Torn(
-                    f"{self.journal.path}: a note of another build; move it away to begin without"
+                    f"{path}: a note of another build; move it away to begin without"
                 ) from None
         if self.journal.cut:
             log.warning(
@@ -60,55 +91,66 @@
         return self.live
 
     def wake(self) -> None:
-        """There is something to write."""
-        self.came.set()
+        """Tell the store that there are records to write."""
+        self._wakeup.set()
 
     async def run(self) -> None:
+        """Write batches as they come, until cancelled; then close the file."""
         try:
             while True:
-                await self.came.wait()
-                await anyio.sleep((AGAIN if self.fault else BATCH) / SECOND)
-                self.came = anyio.Event()
-                for batch in list(self.batches()):
-                    await self.write(*batch)
-                if not self.fault and self.journal.size > LEAST + LIVE * 64 * len(self.live):
+                await self._wakeup.wait()
+                delay = RETRY_DELAY if self.last_error else BATCH_DELAY
+                await anyio.sleep(delay / SECOND)
+                # Renewed before the batches are collected: what comes later wakes the store again.
+                self._wakeup = anyio.Event()
+                for batch in list(self.collect_batches()):
+                    await self.write(batch.records, batch.on_written, batch.on_failed)
+                if not self.last_error and self._is_compaction_due():
                     await self.compact()
         finally:
             self.journal.close()
 
     async def write(
-        self,
-        notes: dict[tuple[Any, ...], tuple[Any, ...]],
-        done: Callable[[], None],
-        failed: Callable[[], None],
+        self, records: Records, on_written: Callable[[], None], on_failed: Callable[[], None]
     ) -> None:
-        """Some notes at once; each stands for itself."""
-        stamp = self.stamp + 1
-        data = b"".join(framed((key, value, stamp)) for key, value in notes.items())
+        """Append records to the file at once, then call back; each record stands for itself."""
+        sequence = self.sequence + 1
+        data = b"".join(
+            framed(StoredRecord(key, value, sequence)) for key, value in records.items()
+        )
         try:
             await anyio.to_thread.run_sync(self.journal.append, data)
-        except OSError as fault:
-            if not self.fault:
-                log.warning("state_store_failed", file=self.journal.path, fault=fault)
-            self.fault = str(fault)
-            failed()
-            self.came.set()
+        except OSError as error:
+            self._on_write_failed(error)
+            on_failed()
+            self.wake()
             return
-        if self.fault:
+        if self.last_error:
             log.info("state_store_recovered", file=self.journal.path)
-            self.fault = ""
-        self.stamp = stamp
-        self.live |= notes
-        done()
+            self.last_error = ""
+        self.sequence = sequence
+        self.live |= records
+        on_written()
+
+    def _on_write_failed(self, error: OSError) -> None:
+        """Remember why a write failed, and log the first failure of a row of them."""
+        if not self.last_error:
+            log.warning("state_store_failed", file=self.journal.path, fault=error)
+        self.last_error = str(error)
+
+    def _is_compaction_due(self) -> bool:
+        """Tell whether the file holds far more than what is live."""
+        live_size = TYPICAL_RECORD_SIZE * len(self.live)
+        return self.journal.size > COMPACTION_MIN_SIZE + COMPACTION_RATIO * live_size
 
     async def compact(self) -> None:
-        """Only the newest of each key, in a new file."""
-        notes = [(key, value, self.stamp) for key, value in self.live.items()]
+        """Put a new file with only the newest record of each key in place of the old one."""
+        records = [StoredRecord(key, value, self.sequence) for key, value in self.live.items()]
         try:
-            await anyio.to_thread.run_sync(self.journal.rewrite, notes)
-        except OSError as fault:
-            log.warning("state_store_failed", file=self.journal.path, fault=fault)
+            await anyio.to_thread.run_sync(self.journal.rewrite, records)
+        except OSError as error:
+            log.warning("state_store_failed", file=self.journal.path, fault=error)
 
-    def forget(self, over: Callable[[tuple[Any, ...]], bool]) -> None:
-        """Keys that are over go with the next compaction."""
-        self.live = {key: value for key, value in self.live.items() if not over(key)}
+    def discard(self, is_over: Callable[[RecordKey], bool]) -> None:
+        """Drop records whose keys are over; the file loses them with the next compaction."""
+        self.live = {key: value for key, value in self.live.items() if not is_over(key)}
