--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -46,7 +46,7 @@
 from whinpier.fleet.quotas.fair_share import Nearly
 from whinpier.fleet.quotas.leases import TURN
 from whinpier.fleet.spec import FleetSpec
-from whinpier.fleet.state_store import Batch, Keeper
+from whinpier.fleet.state_store import Batch, Records, StateStore
 from whinpier.policy.decaying_sum import SECOND
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
     def __init__(self, life: Life, spec: FleetSpec, sock: socket.socket) -> None:
         self.life, self.spec, self.sock, self.loop = life, spec, sock, life.loop
         self.now = self.loop.clock()
-        self.first_notes: dict[tuple[Any, ...], tuple[Any, ...]] = {}
+        self.first_notes: Records = {}
         self.begun_stamp = 0  # notes that the state file had ever held when this run began
         self.stamps: dict[
             str, tuple[int, int]
@@ -91,7 +91,7 @@
         )
         recalled, kept = self.recalled()
         self.clocks = Clocks(time.time_ns() - self.now)
-        self.keeper = Keeper(spec.state) if spec.state else None
+        self.state_store = StateStore(spec.state) if spec.state else None
         notes, since, sinces = self.taken_up()
         self.shares = Shares(
             spec.name,
@@ -100,7 +100,7 @@
             chance,
             self.clocks.between,
             kept,
-            self.keeper is not None,
+            self.state_store is not None,
             notes,
             since,
             sinces,
@@ -124,7 +124,7 @@
         self.called_at = 0
         self.second, self.opened = 0, 0
         self.seen_changes = -1
-        self.seen_register = 0
+        self.seen_registry_changes = 0
         self.amounts: dict[str, float] = {}  # of limits, as operators have said them for a while
         self.watchers: list[Callable[[dict[str, Any]], None]] = []
         self.by_mark: dict[int, str] = {}
@@ -137,22 +137,19 @@
             sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
 
     def taken_up(self) -> tuple[list[Note], int, dict[int, int]]:
-        """What the state file holds of windows, and since when it has known of all.
-
-        Raises AppendLogError.
-        """
-        if self.keeper is None:
+        """What the state file holds of windows, and since when it has known of all. Raises AppendLogError."""
+        if self.state_store is None:
             return [], NEVER, {}
-        self.keeper.batches = self.to_write
-        live = self.keeper.open()
+        self.state_store.collect_batches = self.to_write
+        live = self.state_store.open()
         begun = live.get((BEGUN,), (NEVER,))
         log.info(
             "state_store_loaded",
-            file=self.keeper.journal.path,
+            file=self.state_store.journal.path,
             notes=len(live),
-            stamp=self.keeper.stamp,
+            stamp=self.state_store.sequence,
         )
-        self.begun_stamp = self.keeper.stamp
+        self.begun_stamp = self.state_store.sequence
         return (
             [(*key[1:], *value) for key, value in live.items() if key[0] == WINDOW],
             begun[0],
@@ -164,12 +161,12 @@
         first, self.first_notes = self.first_notes, {}
         found: list[Batch] = []
         if first:
-            found.append((first, lambda: None, lambda: self.first_notes.update(first)))
+            found.append(Batch(first, lambda: None, lambda: self.first_notes.update(first)))
         for part in self.shares.units():
             if part.notes:
                 said, notes = part.take_notes()
                 found.append(
-                    (
+                    Batch(
                         {(WINDOW, *note[:3]): note[3:] for note in notes},
                         partial(self.written, part, said, notes),
                         partial(part.not_written, notes),
@@ -231,8 +228,8 @@
         if self.spec.recall:
             self.loop.spawn(self.remember, lambda: None)
         self.loop.at(self.loop.clock() + COUNT, self, self.recount)
-        if self.keeper:
-            self.loop.spawn(self.keeper.run, lambda: None)
+        if self.state_store:
+            self.loop.spawn(self.state_store.run, lambda: None)
         self.loop.enter(self, self.deal)
         if self.agreed:
             self.agreed.start()
@@ -401,8 +398,8 @@
         if self.members.changes != self.seen_changes:
             self.seen_changes = self.members.changes
             self.count(self.loop.clock())
-        if self.members.register.changes != self.seen_register:
-            self.seen_register = self.members.register.changes
+        if self.members.registry.change_count != self.seen_registry_changes:
+            self.seen_registry_changes = self.members.registry.change_count
             self.heed()
         self.schedule()
 
@@ -440,7 +437,7 @@
     def say(self, key: str, value: dict[str, Any], life: int) -> bool:
         """One word to the whole fleet; without a value it lifts what was said. Whether there was room."""
         data = msgspec.json.encode(value) if value else b""
-        said = self.members.register.say(key, data, life, self.members.card.id, self.loop.clock())
+        said = self.members.registry.put(key, data, life, self.members.card.id, self.loop.clock())
         if said is not None:
             log.info("registry_entry_changed", key=key, **value)
             self.members.tell_all_now(self.loop.clock())
@@ -450,24 +447,24 @@
     def heed(self) -> None:
         """Go by what operators say now."""
         amounts = {}
-        for name, value in self.members.register.values("limit/").items():
+        for name, value in self.members.registry.values_with_prefix("limit/").items():
             try:
                 amounts[name] = float(msgspec.json.decode(value)["amount"])
             except (msgspec.DecodeError, KeyError, TypeError, ValueError):
                 log.warning("registry_entry_invalid", key=f"limit/{name}")
-        words = self.members.register.words
+        entries = self.members.registry.entries
         closed = {
-            (kind, name): words[f"{kind}/{name}"].until
+            (kind, name): entries[f"{kind}/{name}"].expires_at
             for kind in ("route", "tenant")
-            for name in self.members.register.values(kind + "/")
+            for name in self.members.registry.values_with_prefix(kind + "/")
         }
         if closed != self.gates.closed:
             self.gates.closed = closed
             self.attach()
         if self.watching:
             self.watching.by_hand = {
-                tuple(name.partition("/")[::2]): words["rest/" + name].until
-                for name in self.members.register.values("rest/")
+                tuple(name.partition("/")[::2]): entries["rest/" + name].expires_at
+                for name in self.members.registry.values_with_prefix("rest/")
             }
         if amounts != self.amounts:
             self.amounts = amounts
@@ -486,12 +483,15 @@
 
     def register(self) -> dict[str, Any]:
         """What operators have said, and who of those who are there holds it."""
-        now, register = self.loop.clock(), self.members.register
+        now = self.loop.clock()
+        registry = self.members.registry
         rows = []
-        for key, word in register.words.items():
+        for key, stored in registry.entries.items():
             try:
                 value = (
-                    msgspec.json.decode(word.entry.value) if word.entry.value else {"lifted": True}
+                    msgspec.json.decode(stored.entry.value)
+                    if stored.entry.value
+                    else {"lifted": True}
                 )
             except msgspec.DecodeError:
                 value = {}
@@ -499,8 +499,8 @@
                 {
                     "key": key,
                     **(value if isinstance(value, dict) else {}),
-                    "at": self.members.name_of(word.entry.by),
-                    "left_ms": (word.until - now) // MS,
+                    "at": self.members.name_of(stored.entry.origin),
+                    "left_ms": (stored.expires_at - now) // MS,
                 }
             )
         return {
@@ -509,7 +509,7 @@
                 {
                     "name": one.card.name,
                     "run": f"{one.card.run:x}",
-                    "holds": one.register == register.digest,
+                    "holds": one.register == registry.digest,
                     "limits": one.card.limits == self.shares.epoch or not self.shares.tables,
                 }
                 for one in self.members.members.values()
@@ -547,13 +547,13 @@
         self.gates.turn(now, self.life.pools.values())
         if self.watching:
             self.watching.turn(now)
-        if self.keeper:
+        if self.state_store:
             if self.first_notes or any(part.notes for part in shares.units()):
-                self.keeper.wake()
-            self.members.carry(STAMP, self.keeper.stamp.to_bytes(8, "big"))
+                self.state_store.wake()
+            self.members.carry(STAMP, self.state_store.sequence.to_bytes(8, "big"))
             if now >= self.forget_at:
                 over, self.forget_at = self.shares.over(now), now + FORGET
-                self.keeper.forget(lambda key: key[0] == WINDOW and over(key[1], key[3]))
+                self.state_store.discard(lambda key: key[0] == WINDOW and over(key[1], key[3]))
         self.send_deals()
 
     def look_at_clocks(self, now: int) -> None:
@@ -585,7 +585,7 @@
         apart = {one.card.name for one in heard if one.card.limits != shares.epoch}
         since, silent = shares.since, {one.card.name for one in others if one.unheard}
         agreed = shares.look(now, there, apart, silent, self.clocks.voices)
-        if self.keeper and shares.since != since:
+        if self.state_store and shares.since != since:
             # From here on the file knows of all that is used; what was before it does not say.
             self.first_notes[BEGUN,] = (shares.since,)
         if agreed:
@@ -633,17 +633,17 @@
 
     def told_old(self, deal: Deal, sender: int) -> None:
         """Another knows that this process's last run had written more than its state file holds."""
-        if self.keeper is None or deal.nonce <= self.begun_stamp:
+        if self.state_store is None or deal.nonce <= self.begun_stamp:
             return
         log.warning(
             "state_store_stale",
-            file=self.keeper.journal.path,
+            file=self.state_store.journal.path,
             notes=self.begun_stamp,
             known=deal.nonce,
             by=self.members.name_of(sender),
         )
         self.begun_stamp = deal.nonce
-        self.keeper.stamp = max(self.keeper.stamp, deal.nonce)
+        self.state_store.sequence = max(self.state_store.sequence, deal.nonce)
         self.shares.void(self.loop.clock())
         self.first_notes[BEGUN,] = (self.shares.since,)
 
