--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from benchmarks.common import Report, main
-from whinpier.fleet.outliers.ejection import Court
+from whinpier.fleet.outliers.ejection import EjectionCoordinator
 from whinpier.model_checking import ejection_scenarios
 from whinpier.model_checking.ejection import FAULTS
 from whinpier.testbed import files
@@ -314,12 +314,14 @@
 
 
 def _whole(index: int) -> tuple[int, int, str]:
-    result = ejection_scenarios.WHOLE[index].gone_through(Court)
+    result = ejection_scenarios.WHOLE[index].gone_through(EjectionCoordinator)
     return result.states, result.steps, result.broken
 
 
 def _walked(given: tuple[int, int, int]) -> tuple[int, str]:
-    result = ejection_scenarios.WALKS[given[0]].gone_through(Court, given[1], given[2])
+    result = ejection_scenarios.WALKS[given[0]].gone_through(
+        EjectionCoordinator, given[1], given[2]
+    )
     return result.steps, result.broken
 
 
--- a/tests/fleet/test_outlier_ejection.py
+++ b/tests/fleet/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Stories of verdicts: who is convicted by whom, for how long, and that never more rests than may."""
+"""Outlier ejection: what is ejected, by whose votes, for how long, and never more than may be."""
 
 import time
 from random import Random
@@ -11,7 +11,13 @@
 from whinpier.config import operator
 from whinpier.config.model import ConfigFault
 from whinpier.fleet.messages import EVIDENCE, HEARING, REST, VOTE, VOTE_FOR, Plea
-from whinpier.fleet.outliers.ejection import CAP, MOST_HEARINGS, SLACK, Court, Rules
+from whinpier.fleet.outliers.config import EjectionConfig
+from whinpier.fleet.outliers.detector import MAX_LATENCY_RATIO
+from whinpier.fleet.outliers.ejection import (
+    LEASE_MARGIN,
+    MAX_OBSERVATION_ROUNDS,
+    EjectionCoordinator,
+)
 from whinpier.model_checking.ejection import FAULTS
 from whinpier.model_checking.ejection_scenarios import SLOW, WALKS, WHOLE, found
 from whinpier.model_checking.explore import every, replay
@@ -29,15 +35,15 @@
 # Orders.
 
 
-def test_every_order_of_a_small_world_lets_no_more_rest():
+def test_every_order_of_a_small_scenario_ejects_no_more_than_allowed():
     for days in WHOLE:
-        result = every(days.make(Court), 5)
+        result = every(days.make(EjectionCoordinator), 5)
         assert result.deepest == 5 and not result.broken, (days.what, result)
 
 
 @pytest.mark.parametrize("days", WALKS, ids=lambda days: days.what)
-def test_walks_at_random_let_no_more_rest(days):
-    assert not days.gone_through(Court, steps=60_000).broken
+def test_random_walks_eject_no_more_than_allowed(days):
+    assert not days.gone_through(EjectionCoordinator, steps=60_000).broken
 
 
 @pytest.mark.parametrize("name", sorted(set(FAULTS) - SLOW))
@@ -46,167 +52,203 @@
     assert broken and replay(days.make(FAULTS[name]), path) == broken
 
 
-# Who is convicted.
+# What is ejected.
 
 
-def courts(count=6, upstreams=10, **rules):
-    found = [Court(Rules(**rules), number + 1, 0, Random(number)) for number in range(count)]
-    for court in found:
-        court.listed(POOL, {key: 0 for key in range(20, 20 + upstreams)})
+def make_coordinators(count=6, upstreams=10, **config):
+    found = [
+        EjectionCoordinator(EjectionConfig(**config), number + 1, 0, Random(number))
+        for number in range(count)
+    ]
+    for coordinator in found:
+        coordinator.update_endpoints(POOL, {key: 0 for key in range(20, 20 + upstreams)})
     return found
 
 
-def answers(court, key, ratio, count, now):
+def answers(coordinator, key, ratio, count, now):
     for number in range(count):
-        court.sent(POOL, key, number, now)
-        court.came(POOL, key, number, ratio, now)
+        coordinator.on_attempt_started(POOL, key, number, now)
+        coordinator.on_attempt_finished(POOL, key, number, ratio, now)
 
 
-def pass_on(those, now, but=()):
+def pass_on(coordinators, now, but=()):
     """Deliver all that is out, at once, until all is quiet; `but` hear and say nothing."""
     for _ in range(10):
         sent = [
-            (court.own, to, plea)
-            for court in those
-            for to, plea in court.out
-            if court.own not in but
+            (coordinator.own_id, to, plea)
+            for coordinator in coordinators
+            for to, plea in coordinator.out
+            if coordinator.own_id not in but
         ]
-        for court in those:
-            court.out = []
+        for coordinator in coordinators:
+            coordinator.out = []
         for sender, to, plea in sent:
-            for court in those:
-                if court.own not in but and (to == court.own or not to and court.own != sender):
-                    court.hear(plea, sender, USUAL, now)
-
-
-def turn(those, now, but=(), members=None):
-    for court in those:
-        if court.own not in but:
-            court.turn(now, lambda pool: USUAL, lambda pool: (members or len(those), len(those)))
-    pass_on(those, now, but)
+            for coordinator in coordinators:
+                if coordinator.own_id not in but and (
+                    to == coordinator.own_id or not to and coordinator.own_id != sender
+                ):
+                    coordinator.on_message(plea, sender, USUAL, now)
+
+
+def turn(coordinators, now, but=(), members=None):
+    for coordinator in coordinators:
+        if coordinator.own_id not in but:
+            coordinator.on_timer(
+                now,
+                lambda pool: USUAL,
+                lambda pool: (members or len(coordinators), len(coordinators)),
+            )
+    pass_on(coordinators, now, but)
 
 
-def play(those, seconds, start=0, **more):
+def play(coordinators, seconds, start=0, **more):
     for step in range(int(seconds * 10)):
-        turn(those, start + step * SECOND // 10, **more)
+        turn(coordinators, start + step * SECOND // 10, **more)
     return start + int(seconds * SECOND)
 
 
-def rest(those, key):
-    return [court.own for court in those if (POOL, key) in court.rests]
+def rest(coordinators, key):
+    return [
+        coordinator.own_id
+        for coordinator in coordinators
+        if (POOL, key) in coordinator.ejected_until
+    ]
 
 
-def good(those, now, upstreams=range(20, 30)):
-    for court in those:
+def good(coordinators, now, upstreams=range(20, 30)):
+    for coordinator in coordinators:
         for key in upstreams:
-            answers(court, key, 1.0, 1, now)
-
-
-def test_what_most_saw_slow_rests_at_all_till_its_term_and_comes_back_a_little_at_a_time():
-    those = courts(term=4 * SECOND, life=3 * SECOND, back=2 * SECOND)
-    good(those, 0)
-    for court in those[:4]:
-        answers(court, 23, 9.0, 2, 0)
-    now = play(those, 0.6)
-    assert rest(those, 23) == [1, 2, 3, 4, 5, 6] and not rest(those, 24)
-    now = play(those, 3.0, now)
-    assert len(rest(those, 23)) == 6  # kept up
-    now = play(those, 4.0, now)
-    assert not rest(those, 23)
-    at = {court.returns.get((POOL, 23)) for court in those}
+            answers(coordinator, key, 1.0, 1, now)
+
+
+def test_what_most_observed_slow_is_ejected_by_all_for_its_term_and_returns_a_little_at_a_time():
+    coordinators = make_coordinators(
+        base_ejection_ns=4 * SECOND, lease_ns=3 * SECOND, return_spread_ns=2 * SECOND
+    )
+    good(coordinators, 0)
+    for coordinator in coordinators[:4]:
+        answers(coordinator, 23, 9.0, 2, 0)
+    now = play(coordinators, 0.6)
+    assert rest(coordinators, 23) == [1, 2, 3, 4, 5, 6] and not rest(coordinators, 24)
+    now = play(coordinators, 3.0, now)
+    assert len(rest(coordinators, 23)) == 6  # kept up
+    now = play(coordinators, 4.0, now)
+    assert not rest(coordinators, 23)
+    at = {coordinator.returning_at.get((POOL, 23)) for coordinator in coordinators}
     assert len(at - {None}) > 1 or not any(
-        court.returns for court in those
+        coordinator.returning_at for coordinator in coordinators
     )  # each at a moment of its own
-    play(those, 2.5, now)
-    assert not any(court.returns for court in those)
-    assert {court.strikes[POOL, 23][0] for court in those} == {1}
+    play(coordinators, 2.5, now)
+    assert not any(coordinator.returning_at for coordinator in coordinators)
+    assert {coordinator.ejection_counts[POOL, 23][0] for coordinator in coordinators} == {1}
 
 
-def test_one_that_fails_again_rests_for_longer():
-    those = courts(term=2 * SECOND, life=2 * SECOND, back=0)
+def test_an_upstream_that_fails_again_is_ejected_for_longer():
+    coordinators = make_coordinators(
+        base_ejection_ns=2 * SECOND, lease_ns=2 * SECOND, return_spread_ns=0
+    )
     terms = []
     now = 0
     for _ in range(3):
-        good(those, now)
-        for court in those[:4]:
-            answers(court, 23, 9.0, 2, now)
-        begun = now = play(those, 0.6, now)
-        assert rest(those, 23)
-        while rest(those, 23):
-            now = play(those, 0.1, now)
+        good(coordinators, now)
+        for coordinator in coordinators[:4]:
+            answers(coordinator, 23, 9.0, 2, now)
+        begun = now = play(coordinators, 0.6, now)
+        assert rest(coordinators, 23)
+        while rest(coordinators, 23):
+            now = play(coordinators, 0.1, now)
         terms.append((now - begun) / SECOND)
     assert terms[0] < terms[1] < terms[2] and terms[2] > 7.0
 
 
-def test_one_member_with_bad_ways_takes_nothing_from_the_others_and_a_lying_one_convicts_nobody():
-    those = courts()
-    good(those, 0)
+def test_one_member_with_a_bad_network_ejects_nothing_and_a_lying_one_reaches_no_quorum():
+    coordinators = make_coordinators()
+    good(coordinators, 0)
     for key in range(20, 26):
-        answers(those[0], key, CAP, 3, 0)
-    play(those, 2.0)
-    assert not any(court.rests for court in those) and those[0].counts["hearings"]
-    words = [(3.0, CAP, True), *[(3.0, 1.0, True)] * 5]
-    assert not those[0].convicts(words) and not those[0].convicts([(1000.0, CAP, True), *words[1:]])
-    assert not those[0].convicts([(3.0, CAP, False)] * 6)  # none of them stands well
-    assert those[0].convicts([(3.0, CAP, True)] * 3 + [(3.0, 1.0, True)] * 3)
-
-
-def test_what_all_see_slow_is_nobodys_fault():
-    those = courts()
-    for court in those:
+        answers(coordinators[0], key, MAX_LATENCY_RATIO, 3, 0)
+    play(coordinators, 2.0)
+    assert (
+        not any(coordinator.ejected_until for coordinator in coordinators)
+        and coordinators[0].counts["hearings"]
+    )
+    observations = [(3.0, MAX_LATENCY_RATIO, True), *[(3.0, 1.0, True)] * 5]
+    assert not coordinators[0].reaches_quorum(observations) and not coordinators[0].reaches_quorum(
+        [(1000.0, MAX_LATENCY_RATIO, True), *observations[1:]]
+    )
+    assert not coordinators[0].reaches_quorum(
+        [(3.0, MAX_LATENCY_RATIO, False)] * 6
+    )  # none of them is in good standing
+    assert coordinators[0].reaches_quorum(
+        [(3.0, MAX_LATENCY_RATIO, True)] * 3 + [(3.0, 1.0, True)] * 3
+    )
+
+
+def test_what_all_members_observe_slow_is_not_ejected():
+    coordinators = make_coordinators()
+    for coordinator in coordinators:
         for key in range(20, 30):
-            answers(court, key, 8.0, 2, 0)
-    play(those, 2.0)
-    assert not any(court.rests for court in those)
-    assert all(len(court.hearings) <= MOST_HEARINGS for court in those)
+            answers(coordinator, key, 8.0, 2, 0)
+    play(coordinators, 2.0)
+    assert not any(coordinator.ejected_until for coordinator in coordinators)
+    assert all(
+        len(coordinator.observation_rounds) <= MAX_OBSERVATION_ROUNDS
+        for coordinator in coordinators
+    )
 
 
-def test_one_that_answers_nothing_at_all_is_found_by_what_is_out():
-    those = courts()
+def test_an_upstream_that_never_answers_is_found_by_its_outstanding_attempts():
+    coordinators = make_coordinators()
     for step in range(20):
         now = step * SECOND // 10
-        for court in those:
+        for coordinator in coordinators:
             for key in range(20, 30):
                 if key == 25:
-                    court.sent(POOL, key, step, now)
+                    coordinator.on_attempt_started(POOL, key, step, now)
                 else:
-                    answers(court, key, 1.0, 1, now)
-        turn(those, now)
-    assert len(rest(those, 25)) == 6 and not rest(those, 24)
-
-
-def test_in_a_part_that_is_not_most_of_the_fleet_nothing_new_rests_and_what_rests_ends():
-    those = courts(life=3 * SECOND)
-    good(those, 0)
-    for court in those:
-        answers(court, 23, 9.0, 2, 0)
-    now = play(those, 0.6)
-    assert len(rest(those, 23)) == 6
+                    answers(coordinator, key, 1.0, 1, now)
+        turn(coordinators, now)
+    assert len(rest(coordinators, 25)) == 6 and not rest(coordinators, 24)
+
+
+def test_a_partition_without_a_majority_ejects_nothing_new_and_its_ejections_end():
+    coordinators = make_coordinators(lease_ns=3 * SECOND)
+    good(coordinators, 0)
+    for coordinator in coordinators:
+        answers(coordinator, 23, 9.0, 2, 0)
+    now = play(coordinators, 0.6)
+    assert len(rest(coordinators, 23)) == 6
     cut = (4, 5, 6)  # half: neither part has most
-    good(those, now)
-    for court in those:
-        answers(court, 27, 9.0, 2, now)
-    half = [court for court in those if court.own not in cut]
+    good(coordinators, now)
+    for coordinator in coordinators:
+        answers(coordinator, 27, 9.0, 2, now)
+    half = [coordinator for coordinator in coordinators if coordinator.own_id not in cut]
     for step in range(45):
-        for part in (half, [court for court in those if court.own in cut]):
+        for part in (
+            half,
+            [coordinator for coordinator in coordinators if coordinator.own_id in cut],
+        ):
             turn(part, now + step * SECOND // 10, members=6)
-    assert not any(court.rests for court in those)
+    assert not any(coordinator.ejected_until for coordinator in coordinators)
 
 
-def test_never_more_than_the_part_rests_and_a_new_list_lets_go_of_what_is_gone():
-    those = courts(count=5, part=0.2, term=60 * SECOND)
-    good(those, 0)
-    for court in those:
+def test_never_more_than_the_fraction_is_ejected_and_a_new_list_ends_what_is_gone():
+    coordinators = make_coordinators(
+        count=5, max_ejected_fraction=0.2, base_ejection_ns=60 * SECOND
+    )
+    good(coordinators, 0)
+    for coordinator in coordinators:
         for key in (21, 22, 23):
-            answers(court, key, 9.0, 2, 0)
-    now = play(those, 1.5)
-    resting = [key for key in (21, 22, 23) if rest(those, key)]
-    assert len(resting) == 2 and sum(court.counts["no_slot"] for court in those)
-    for court in those:
-        court.listed(POOL, {key: 0 for key in range(20, 30) if key not in resting})
-    assert not any(court.rests or court.returns for court in those)
-    play(those, 1.0, now)
-    assert not any(court.cases for court in those)
+            answers(coordinator, key, 9.0, 2, 0)
+    now = play(coordinators, 1.5)
+    resting = [key for key in (21, 22, 23) if rest(coordinators, key)]
+    assert len(resting) == 2 and sum(coordinator.counts["no_slot"] for coordinator in coordinators)
+    for coordinator in coordinators:
+        coordinator.update_endpoints(POOL, {key: 0 for key in range(20, 30) if key not in resting})
+    assert not any(
+        coordinator.ejected_until or coordinator.returning_at for coordinator in coordinators
+    )
+    play(coordinators, 1.0, now)
+    assert not any(coordinator.proposals for coordinator in coordinators)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -222,34 +264,36 @@
     )
 )
 def test_no_message_raises_or_fills_a_table(messages):
-    one = courts(1)[0]
+    coordinator = make_coordinators(1)[0]
     for number, (kind, key, first, second, third, sender) in enumerate(messages):
-        one.hear(
+        coordinator.on_message(
             Plea(kind, POOL, 20 + key % 12, number, first, second, third),
             sender,
             USUAL,
             number * MS,
         )
-        one.turn(number * MS, lambda pool: USUAL, lambda pool: (5, 5))
-    assert len(one.given) <= 4 and not one.rests
+        coordinator.on_timer(number * MS, lambda pool: USUAL, lambda pool: (5, 5))
+    assert len(coordinator.granted_votes) <= 4 and not coordinator.ejected_until
 
 
-def test_old_words_and_those_of_another_round_do_nothing():
-    judge, voter = courts(2)
-    voter.hear(Plea(VOTE_FOR, POOL, 23, 5, 0), 1, USUAL, 0)
+def test_late_messages_and_messages_of_another_round_do_nothing():
+    proposer, voter = make_coordinators(2)
+    voter.on_message(Plea(VOTE_FOR, POOL, 23, 5, 0), 1, USUAL, 0)
     assert voter.out[-1][1].kind == VOTE and voter.out[-1][1].one == 1
-    voter.hear(Plea(REST, POOL, 23, 4, 0, 1), 1, USUAL, 0)  # another round
-    voter.hear(Plea(REST, POOL, 23, 5, 0, 1), 3, USUAL, 0)  # another judge
-    assert not voter.rests
-    voter.hear(Plea(REST, POOL, 23, 5, 2 * SECOND, 1), 1, USUAL, SECOND)
-    assert voter.rests[POOL, 23] == Rules().life - 2 * SECOND
-    judge.hear(Plea(VOTE, POOL, 23, 9, 1), 2, USUAL, 0)
-    judge.hear(Plea(EVIDENCE, POOL, 23, 9, 900, 900, 1), 2, USUAL, 0)
-    judge.hear(Plea(HEARING, 99, 23, 9), 2, USUAL, 0)
-    assert not judge.cases and not judge.hearings
-    fresh = Court(Rules(), 9, 0, Random(1), Rules().life + SLACK)
-    fresh.listed(POOL, {key: 0 for key in range(20, 30)})
-    fresh.hear(Plea(VOTE_FOR, POOL, 23, 5, 0), 1, USUAL, Rules().life)
+    voter.on_message(Plea(REST, POOL, 23, 4, 0, 1), 1, USUAL, 0)  # another round
+    voter.on_message(Plea(REST, POOL, 23, 5, 0, 1), 3, USUAL, 0)  # another proposer
+    assert not voter.ejected_until
+    voter.on_message(Plea(REST, POOL, 23, 5, 2 * SECOND, 1), 1, USUAL, SECOND)
+    assert voter.ejected_until[POOL, 23] == EjectionConfig().lease_ns - 2 * SECOND
+    proposer.on_message(Plea(VOTE, POOL, 23, 9, 1), 2, USUAL, 0)
+    proposer.on_message(Plea(EVIDENCE, POOL, 23, 9, 900, 900, 1), 2, USUAL, 0)
+    proposer.on_message(Plea(HEARING, 99, 23, 9), 2, USUAL, 0)
+    assert not proposer.proposals and not proposer.observation_rounds
+    fresh = EjectionCoordinator(
+        EjectionConfig(), 9, 0, Random(1), EjectionConfig().lease_ns + LEASE_MARGIN
+    )
+    fresh.update_endpoints(POOL, {key: 0 for key in range(20, 30)})
+    fresh.on_message(Plea(VOTE_FOR, POOL, 23, 5, 0), 1, USUAL, EjectionConfig().lease_ns)
     assert fresh.out[-1][1].one == 0  # what its last run voted for may still hold
 
 
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -17,7 +17,8 @@
 from whinpier.fleet.consensus import node as agreement
 from whinpier.fleet.consensus import service as consensus_service
 from whinpier.fleet.membership import membership
-from whinpier.fleet.outliers import ejection
+from whinpier.fleet.outliers.config import EjectionConfig
+from whinpier.fleet.outliers.ejection import EjectionCoordinator
 from whinpier.fleet.quotas import allocation, calendar_quota, fair_share, leases
 from whinpier.fleet.rollouts import state_machine
 from whinpier.fleet.rollouts.controller import Report
@@ -867,33 +868,33 @@
 
 
 def ejection_run():
-    """A hearing, its evidence, a case with votes, and the rest that follows."""
-    rules = ejection.Rules(0.5, 1, 3.0, 6 * SECOND)
-    judge, voting = (ejection.Court(rules, own, 0, Chance()) for own in (1, 2))
-    for court in (judge, voting):
-        court.listed(9, {41: 5, 42: 5, 43: 5, 44: 6})
+    """An observation round, its replies, a proposal with votes, and the ejection that follows."""
+    config = EjectionConfig(0.5, 1, 3.0, 6 * SECOND)
+    proposer, voting = (EjectionCoordinator(config, own, 0, Chance()) for own in (1, 2))
+    for coordinator in (proposer, voting):
+        coordinator.update_endpoints(9, {41: 5, 42: 5, 43: 5, 44: 6})
     for key, ratio in [(41, 9.5), (42, 1.0), (43, 1.0)]:
-        voting.sent(9, key, 1, 0)
-        voting.came(9, key, 1, ratio, 0)
+        voting.on_attempt_started(9, key, 1, 0)
+        voting.on_attempt_finished(9, key, 1, ratio, 0)
     sent = []
 
     def settle():
-        for _ in rounds(lambda: judge.out or voting.out):
-            for court, own, other in [(judge, 1, voting), (voting, 2, judge)]:
-                found, court.out = court.out, []
+        for _ in rounds(lambda: proposer.out or voting.out):
+            for coordinator, own, other in [(proposer, 1, voting), (voting, 2, proposer)]:
+                found, coordinator.out = coordinator.out, []
                 for to, message in found:
                     sent.append([own, to, plain(message), encoded(message).hex()])
-                    other.hear(message, own, SECOND / 1_000, 0)
+                    other.on_message(message, own, SECOND / 1_000, 0)
 
-    judge.suspect(9, 41, 0)
-    judge.ask(judge.hearings[9, 41], 0)
+    proposer.suspect(9, 41, 0)
+    proposer.request_observations(proposer.observation_rounds[9, 41], 0)
     settle()
-    assert judge.hearings[9, 41].words == {2: (1.0, 9.5, True)}
-    assert judge.open_case(9, 41, 0)
+    assert proposer.observation_rounds[9, 41].observations == {2: (1.0, 9.5, True)}
+    assert proposer.propose_ejection(9, 41, 0)
     settle()
-    judge.turn(0, lambda pool: SECOND / 1_000, lambda pool: (2, 2))
+    proposer.on_timer(0, lambda pool: SECOND / 1_000, lambda pool: (2, 2))
     settle()
-    assert (9, 41) in voting.rests and voting.given[9, 5, 0].judge == 1
+    assert (9, 41) in voting.ejected_until and voting.granted_votes[9, 5, 0].proposer == 1
     return sent
 
 
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -23,7 +23,8 @@
 import pytest
 
 from whinpier.fleet.consensus.node import Agreement
-from whinpier.fleet.outliers.ejection import Court, Rules
+from whinpier.fleet.outliers.config import EjectionConfig
+from whinpier.fleet.outliers.ejection import EjectionCoordinator
 from whinpier.fleet.quotas.calendar_quota import LEAST_AHEAD
 from whinpier.fleet.rollouts.state_machine import DRAIN, Drain, Said, encode
 from whinpier.model_checking import (
@@ -823,42 +824,57 @@
 
 def day_of_verdicts(seed):
     world = seeded(Voting)
-    return walked(lambda: world(5, 3, 20, 12, 2_000, 3, 40, make=Court), seed, 5_000, 500)
+    return walked(
+        lambda: world(5, 3, 20, 12, 2_000, 3, 40, make=EjectionCoordinator), seed, 5_000, 500
+    )
 
 
 def day_of_hearings(seed):
     """Six members see answers of ten upstreams, some slow, hear each other and vote what rests."""
     journal, chance, pool, usual = Journal(), Random(seed), 7, 1e7
-    rules = Rules(term=6 * SECOND, life=3 * SECOND, back=2 * SECOND)
-    courts = [Court(rules, own, 0, Random(seed + own)) for own in range(1, 7)]
+    config = EjectionConfig(
+        base_ejection_ns=6 * SECOND, lease_ns=3 * SECOND, return_spread_ns=2 * SECOND
+    )
+    coordinators = [EjectionCoordinator(config, own, 0, Random(seed + own)) for own in range(1, 7)]
     upstreams, slow = range(20, 30), set()
-    for court in courts:
-        court.listed(pool, {key: 0 for key in upstreams})
+    for coordinator in coordinators:
+        coordinator.update_endpoints(pool, {key: 0 for key in upstreams})
     for step in range(600):
         now = step * SECOND // 10
         if step % 40 == 0:
             slow = {chance.choice(upstreams)} if chance.random() < 0.8 else set()
-        for court in courts:
+        for coordinator in coordinators:
             for number in range(3):
                 key = chance.choice(upstreams)
                 ratio = 9.0 * chance.random() if key in slow else 0.5 + chance.random()
-                court.sent(pool, key, 3 * step + number, now)
-                court.came(pool, key, 3 * step + number, ratio, now)
+                coordinator.on_attempt_started(pool, key, 3 * step + number, now)
+                coordinator.on_attempt_finished(pool, key, 3 * step + number, ratio, now)
                 journal.count(answers=1)
-            court.turn(now, lambda pool: usual, lambda pool: (len(courts), len(courts)))
+            coordinator.on_timer(
+                now, lambda pool: usual, lambda pool: (len(coordinators), len(coordinators))
+            )
         for _ in range(10):
-            messages = [(court.own, to, plea) for court in courts for to, plea in court.out]
-            for court in courts:
-                court.out = []
+            messages = [
+                (coordinator.own_id, to, plea)
+                for coordinator in coordinators
+                for to, plea in coordinator.out
+            ]
+            for coordinator in coordinators:
+                coordinator.out = []
             for sender, to, plea in messages:
                 journal.note(1, now, sender, to, msgspec.msgpack.encode(plea))
                 journal.count(messages=1)
-                for court in courts:
-                    if court.own == to or not to and court.own != sender and chance.random() < 0.95:
-                        court.hear(plea, sender, usual, now)
-        for court in courts:
-            for rest, until in court.rests.items():
-                journal.note(2, now, court.own, rest[1], until)
+                for coordinator in coordinators:
+                    if (
+                        coordinator.own_id == to
+                        or not to
+                        and coordinator.own_id != sender
+                        and chance.random() < 0.95
+                    ):
+                        coordinator.on_message(plea, sender, usual, now)
+        for coordinator in coordinators:
+            for rest, until in coordinator.ejected_until.items():
+                journal.note(2, now, coordinator.own_id, rest[1], until)
                 journal.count(rests=1)
     return journal.result()
 
@@ -903,7 +919,7 @@
     "agreement": lambda: day_of_agreement(44),
     "explored limits": lambda: explored(quota_scenarios, Wishing, SHARE_FAULTS, 5),
     "explored windows": lambda: explored(count_scenarios, Wishful, COUNT_FAULTS, 4),
-    "explored verdicts": lambda: explored(ejection_scenarios, Court, VOTE_FAULTS, 4),
+    "explored verdicts": lambda: explored(ejection_scenarios, EjectionCoordinator, VOTE_FAULTS, 4),
     "explored agreement": lambda: explored(consensus_scenarios, Agreement, RECORD_FAULTS, 3),
 }
 
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -16,7 +16,7 @@
 from whinpier.fleet import messages
 from whinpier.fleet.consensus.node import MOST_VOTERS
 from whinpier.fleet.membership.membership import MS, Times
-from whinpier.fleet.outliers.ejection import Rules
+from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.quotas.allocation import Said
 from whinpier.fleet.quotas.calendar_quota import Calendar
 from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SPAN, Limit
@@ -231,7 +231,7 @@
     return int(amount)
 
 
-def verdicts(table: VerdictsTable | None) -> Rules | None:
+def verdicts(table: VerdictsTable | None) -> EjectionConfig | None:
     if table is None:
         return None
     spans = {
@@ -242,7 +242,15 @@
         raise ConfigFault("bank.verdicts.most_term: is shorter than term")
     if spans["life"] < 2 * SECOND:
         raise ConfigFault("bank.verdicts.life: is shorter than 2s; votes need some time to come")
-    return Rules(table.part, table.witnesses, table.slow, **spans)
+    return EjectionConfig(
+        max_ejected_fraction=table.part,
+        min_observers=table.witnesses,
+        min_latency_ratio=table.slow,
+        lease_ns=spans["life"],
+        base_ejection_ns=spans["term"],
+        max_ejection_ns=spans["most_term"],
+        return_spread_ns=spans["back"],
+    )
 
 
 def agreement(table: AgreementTable | None) -> AgreementSpec | None:
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -177,7 +177,7 @@
         if asked.ask == "figures":
             return link.figures()
         if asked.ask == "verdicts":
-            return link.watching.rows() if link.watching else []
+            return link.outlier_monitor.rows() if link.outlier_monitor else []
         if asked.ask == "limits":
             return link.limits()
         if asked.ask == "begin":
@@ -238,7 +238,7 @@
                 raise Refused(f"{name!r} is no route of this file")
         elif kind == "rest":
             pool, _, host = name.partition("/")
-            if link.watching is None:
+            if link.outlier_monitor is None:
                 raise Refused("bank.verdicts is not in this file, so that nobody votes")
             if pool not in link.life.pools or host not in link.life.pools[pool].held:
                 raise Refused(f"{host!r} is no upstream of a pool {pool!r}")
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -39,7 +39,7 @@
     Seal,
     pool_mark,
 )
-from whinpier.fleet.outliers.monitor import Watching
+from whinpier.fleet.outliers.monitor import OutlierMonitor
 from whinpier.fleet.quotas.allocation import NEVER, Kept, Said, Shares
 from whinpier.fleet.quotas.calendar_quota import Note, Units
 from whinpier.fleet.quotas.enforcement import Gates
@@ -106,14 +106,16 @@
             sinces,
         )
         self.gates = Gates(self.shares, self.loop)
-        self.watching: Watching | None = None
+        self.outlier_monitor: OutlierMonitor | None = None
         card = msgspec.structs.replace(card, limits=self.shares.epoch if self.shares.tables else 0)
         self.members = Members(
             card, spec.seeds, Seal(spec.keys), spec.times, chance, self.now, recalled=recalled
         )
         self.counting = Counting(self.members, spec.pools)
         if spec.verdicts:
-            self.watching = Watching(spec.verdicts, self.members, self.loop, chance, self.say_event)
+            self.outlier_monitor = OutlierMonitor(
+                spec.verdicts, self.members, self.loop, chance, self.say_event
+            )
         self.agreed: Agreed | None = None
         self.shared = True  # whether others count this one among those who share the pools
         if spec.agreement:
@@ -210,8 +212,8 @@
             if name not in self.spec.pools:
                 pool.alone()
         self.gates.put(self.life.pools.values(), self.spec.limits)
-        if self.watching:
-            self.watching.put(self.life.pools.values(), self.spec.pools)
+        if self.outlier_monitor:
+            self.outlier_monitor.update_pools(self.life.pools.values(), self.spec.pools)
         # Before the first request: until it knows better, as many as the file lets it expect.
         self.count(self.now)
 
@@ -378,8 +380,8 @@
         if self.members.heard_pleas:
             pleas, self.members.heard_pleas = self.members.heard_pleas, []
             for sender, plea in pleas:
-                if self.watching:
-                    self.watching.hear(sender, plea)
+                if self.outlier_monitor:
+                    self.outlier_monitor.on_message(sender, plea)
             self.send_deals()
         if self.members.heard_deals:
             deals, self.members.heard_deals = self.members.heard_deals, []
@@ -461,8 +463,8 @@
         if closed != self.gates.closed:
             self.gates.closed = closed
             self.attach()
-        if self.watching:
-            self.watching.by_hand = {
+        if self.outlier_monitor:
+            self.outlier_monitor.operator_ejections = {
                 tuple(name.partition("/")[::2]): words["rest/" + name].until
                 for name in self.members.register.values("rest/")
             }
@@ -527,7 +529,7 @@
 
     def deal(self) -> None:
         """Look what is needed of each limit, and whether all go by one division of it."""
-        self.dealing = bool(self.spec.limits or self.watching)
+        self.dealing = bool(self.spec.limits or self.outlier_monitor)
         if not self.dealing:
             return
         now = self.now = self.loop.clock()
@@ -542,8 +544,8 @@
         shares.turn(now, lambda limit: [by_name[home] for home in limit.homes if home in by_name])
         self.tell_nearly(now, others)
         self.gates.turn(now, self.life.pools.values())
-        if self.watching:
-            self.watching.turn(now)
+        if self.outlier_monitor:
+            self.outlier_monitor.on_timer(now)
         if self.keeper:
             if self.first_notes or any(part.notes for part in shares.units()):
                 self.keeper.wake()
@@ -605,7 +607,8 @@
             self.members.tell_all_now(now)
 
     def send_deals(self) -> None:
-        deals, pleas = self.shares.take_out(), self.watching.take_out() if self.watching else []
+        deals = self.shares.take_out()
+        pleas = self.outlier_monitor.take_messages() if self.outlier_monitor else []
         if deals or pleas:
             self.members.send_deals(deals, self.loop.clock(), pleas)
             self.pass_on()
--- a/whinpier/fleet/spec.py
+++ b/whinpier/fleet/spec.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, fields, replace
 
 from whinpier.fleet.membership.membership import Address, Times
-from whinpier.fleet.outliers.ejection import Rules
+from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.quotas.allocation import Said
 from whinpier.fleet.rollouts.state_machine import Rule
 from whinpier.policy.decaying_sum import SECOND
@@ -53,7 +53,7 @@
     times: Times = Times()
     pools: tuple[str, ...] = ()  # that are shared by as many as the fleet says
     limits: tuple[Said, ...] = ()
-    verdicts: Rules | None = None  # None: nothing rests by what the fleet says
+    verdicts: EjectionConfig | None = None  # None: nothing rests by what the fleet says
     agreement: AgreementSpec | None = None  # None: nothing is agreed
 
     @property
--- a/whinpier/model_checking/ejection.py
+++ b/whinpier/model_checking/ejection.py
@@ -1,22 +1,37 @@
-"""The world of slots that upstreams rest in: judges, votes, leases; messages in any order, crashes,
-pauses.
+"""The scenarios of ejection slots: proposers, votes, leases; messages in any order, crashes, pauses.
 
-Time goes by in steps of a quarter of a verdict's life. A member that is simply not called has
+Time goes by in steps of a quarter of a slot's lease. A member that is simply not called has
 paused. What is known of the world and not to any member: whatever rests anywhere at one moment.
 """
 
 from __future__ import annotations
 
 from collections.abc import Hashable
+from dataclasses import replace
 from typing import Any
 
-from whinpier.fleet.messages import VOTE_FOR, Plea
-from whinpier.fleet.outliers.ejection import SLACK, Court, Given, Rules
+from whinpier.fleet.messages import Plea
+from whinpier.fleet.outliers.config import EjectionConfig
+from whinpier.fleet.outliers.ejection import LEASE_MARGIN, EjectionCoordinator
+from whinpier.fleet.outliers.messages import EjectionNotice, VoteReply, VoteRequest
+from whinpier.fleet.outliers.model import (
+    EjectionProposal,
+    EjectionSlot,
+    GrantedVote,
+    MemberCounts,
+    UpstreamKey,
+)
 from whinpier.model_checking.network import Named, Network
 from whinpier.policy.decaying_sum import SECOND
 
 STEP = SECOND
-RULES = Rules(part=0.2, life=4 * STEP, term=400 * STEP, most_term=400 * STEP, back=0)
+CONFIG = EjectionConfig(
+    max_ejected_fraction=0.2,
+    lease_ns=4 * STEP,
+    base_ejection_ns=400 * STEP,
+    max_ejection_ns=400 * STEP,
+    return_spread_ns=0,
+)
 POOL = 1
 NAMES = ("hearing", "evidence", "asks for votes", "vote", "rests")
 
@@ -34,7 +49,7 @@
         crashes: int = 1,
         copies: int = 1,
         zones: int = 0,
-        make: type[Court] = Court,
+        make: type[EjectionCoordinator] = EjectionCoordinator,
         wishes: tuple[tuple[int, int], ...] = (),
     ) -> None:
         """`wishes`: which member may want which of the upstreams to rest; none: each any."""
@@ -46,18 +61,20 @@
         self.wishes = {(place, tried[number]) for place, number in wishes} or {
             (place, key) for place in range(members) for key in tried
         }
-        self.courts: list[Court] = [self.started(place, 0) for place in range(members)]
+        self.coordinators: list[EjectionCoordinator] = [
+            self.started(place, 0) for place in range(members)
+        ]
 
     def party(self, place: int) -> Any:
-        return self.courts[place]
+        return self.coordinators[place]
 
-    def started(self, place: int, fence: int) -> Court:
-        court = self.make(RULES, self.runs[place], self.now, self.chance(), fence)
-        court.listed(POOL, dict(self.keys))
-        return court
+    def started(self, place: int, fence: int) -> EjectionCoordinator:
+        coordinator = self.make(CONFIG, self.runs[place], self.now, self.chance(), fence)
+        coordinator.update_endpoints(POOL, dict(self.keys))
+        return coordinator
 
     def deliver(self, place: int, message: Plea, sender: int) -> None:
-        self.courts[place].hear(message, sender, 1e7, self.now)
+        self.coordinators[place].on_message(message, sender, 1e7, self.now)
 
     def describe(self, message: Plea) -> str:
         return f"{NAMES[message.kind]} {message.key}/{message.one}"
@@ -72,11 +89,11 @@
 
     def steps(self) -> list[tuple[str, Hashable]]:
         found: list[tuple[str, Hashable]] = []
-        for place, court in enumerate(self.courts):
+        for place, coordinator in enumerate(self.coordinators):
             for who, key in sorted(self.wishes):
                 if (
                     who == place
-                    and (POOL, key) not in court.cases
+                    and (POOL, key) not in coordinator.proposals
                     and len(self.network) < self.messages
                 ):
                     found.append((f"m{place} wants {key} to rest", ("want", place, key)))
@@ -87,19 +104,21 @@
         return found + self.usual_steps()
 
     def do_want(self, place: int, key: int) -> None:
-        self.courts[place].open_case(POOL, key, self.now)
+        self.coordinators[place].propose_ejection(POOL, key, self.now)
         self.send(place)
 
     def do_turn(self, place: int) -> None:
-        court = self.courts[place]
-        court.turn(self.now, lambda pool: 1e7, lambda pool: (self.count, self.count))
-        court.events = []
+        coordinator = self.coordinators[place]
+        coordinator.on_timer(
+            self.now, lambda pool: 1e7, lambda pool: MemberCounts(self.count, self.count)
+        )
+        coordinator.events = []
         self.send(place)
 
     def do_crash(self, place: int) -> None:
         self.crashes -= 1
         self.runs[place] += 100
-        self.courts[place] = self.started(place, RULES.life + SLACK)
+        self.coordinators[place] = self.started(place, CONFIG.lease_ns + LEASE_MARGIN)
 
     def do_time(self) -> None:
         self.left -= 1
@@ -108,60 +127,62 @@
     def broken(self) -> str:
         rest = {
             known[1]
-            for court in self.courts
-            for known, until in court.rests.items()
+            for coordinator in self.coordinators
+            for known, until in coordinator.ejected_until.items()
             if until > self.now
         }
-        most = int(RULES.part * len(self.keys))
+        most = int(CONFIG.max_ejected_fraction * len(self.keys))
         if len(rest) > most:
             return f"{len(rest)} rest where {most} may"
         for zone in set(self.keys.values()) - {0}:
             size = sum(at == zone for at in self.keys.values())
-            if sum(self.keys[key] == zone for key in rest) > int(RULES.part * size):
+            if sum(self.keys[key] == zone for key in rest) > int(
+                CONFIG.max_ejected_fraction * size
+            ):
                 return f"too many of zone {zone} rest"
         return ""
 
     def mark(self) -> Hashable:
         name = Named()
-        courts = tuple(
+        coordinators = tuple(
             (
-                max(0, court.fenced_till - self.now),
+                max(0, coordinator.fenced_until - self.now),
                 tuple(
                     sorted(
                         (
                             slot,
-                            given.key,
-                            given.until - self.now,
-                            given.at - self.now,
-                            name(given.nonce),
-                            given.judge,
+                            granted.key,
+                            granted.expires_at - self.now,
+                            granted.granted_at - self.now,
+                            name(granted.nonce),
+                            granted.proposer,
                         )
-                        for slot, given in court.given.items()
-                        if given.until > self.now
+                        for slot, granted in coordinator.granted_votes.items()
+                        if granted.expires_at > self.now
                     )
                 ),
                 tuple(
                     sorted(
                         (
                             known[1],
-                            case.slot,
-                            case.asked - self.now,
-                            name(case.nonce),
-                            case.holds,
-                            tuple(sorted(case.votes.items())),
+                            proposal.slot,
+                            proposal.requested_at - self.now,
+                            name(proposal.nonce),
+                            proposal.has_quorum,
+                            tuple(sorted(proposal.vote_delays.items())),
                         )
-                        for known, case in court.cases.items()
+                        for known, proposal in coordinator.proposals.items()
                     )
                 ),
                 tuple(
                     sorted(
                         (known[1], until - self.now)
-                        for known, until in court.rests.items()
+                        for known, until in coordinator.ejected_until.items()
                         if until > self.now
                     )
                 ),
             )
-            for court in self.courts
+            for coordinator in self.coordinators
         )
         network = tuple(
             sorted(
@@ -169,158 +190,172 @@
                 for sender, to, plea in self.network
             )
         )
-        return courts, network, tuple(self.runs), self.left, self.crashes, self.copies
+        return coordinators, network, tuple(self.runs), self.left, self.crashes, self.copies
 
 
 # Faults, put in one by one.
 
 
-class VotesForTwo(Court):
-    def vote(self, plea: Plea, judge: int, now: int) -> bool:
-        self.given = {slot: given for slot, given in self.given.items() if given.key == plea.key}
-        return super().vote(plea, judge, now)
+class VotesForTwo(EjectionCoordinator):
+    def grant_vote(self, request: VoteRequest, proposer: int, now: int) -> bool:
+        self.granted_votes = {
+            slot: granted
+            for slot, granted in self.granted_votes.items()
+            if granted.key == request.upstream.key
+        }
+        return super().grant_vote(request, proposer, now)
 
 
-class VotesForTooShort(Court):
-    def vote(self, plea: Plea, judge: int, now: int) -> bool:
-        good = super().vote(plea, judge, now)
-        for given in self.given.values():
-            given.until = min(given.until, now + self.rules.life // 2) if good else given.until
+class VotesForTooShort(EjectionCoordinator):
+    def grant_vote(self, request: VoteRequest, proposer: int, now: int) -> bool:
+        good = super().grant_vote(request, proposer, now)
+        for granted in self.granted_votes.values():
+            if good:
+                soon = now + self.config.lease_ns // 2
+                granted.expires_at = min(granted.expires_at, soon)
         return good
 
 
-class CountsFromItsVote(Court):
-    def told_to_rest(self, plea: Plea, judge: int, now: int) -> None:
-        super().told_to_rest(
-            Plea(plea.kind, plea.pool, plea.key, plea.nonce, 0, plea.two), judge, now
-        )
+class CountsFromItsVote(EjectionCoordinator):
+    def on_ejection_notice(self, notice: EjectionNotice, proposer: int, now: int) -> None:
+        super().on_ejection_notice(replace(notice, vote_delay_ns=0), proposer, now)
 
 
-class CountsFromTheWord(Court):
-    def told_to_rest(self, plea: Plea, judge: int, now: int) -> None:
-        for given in self.given.values():
-            if given.nonce == plea.nonce:
-                given.at = now
-        super().told_to_rest(plea, judge, now)
+class CountsFromTheWord(EjectionCoordinator):
+    def on_ejection_notice(self, notice: EjectionNotice, proposer: int, now: int) -> None:
+        for granted in self.granted_votes.values():
+            if granted.nonce == notice.nonce:
+                granted.granted_at = now
+        super().on_ejection_notice(notice, proposer, now)
 
 
-class RestsWithoutItsVote(Court):
-    def told_to_rest(self, plea: Plea, judge: int, now: int) -> None:
-        self.rest((plea.pool, plea.key), now + self.rules.life - plea.one, judge, plea.two)
+class RestsWithoutItsVote(EjectionCoordinator):
+    def on_ejection_notice(self, notice: EjectionNotice, proposer: int, now: int) -> None:
+        until = now + self.config.lease_ns - notice.vote_delay_ns
+        self.eject(notice.upstream, until, proposer, notice.ejection_count)
 
 
-class RestsByAnyRound(Court):
-    """The word of an earlier round counts from the vote of a later one, and what it took then."""
+class RestsByAnyRound(EjectionCoordinator):
+    """A notice of an earlier round counts from the vote of a later one, and what it took then."""
 
-    def told_to_rest(self, plea: Plea, judge: int, now: int) -> None:
+    def on_ejection_notice(self, notice: EjectionNotice, proposer: int, now: int) -> None:
         nonce = next(
-            (given.nonce for given in self.given.values() if given.key == plea.key), plea.nonce
-        )
-        super().told_to_rest(
-            Plea(plea.kind, plea.pool, plea.key, nonce, plea.one, plea.two), judge, now
+            (
+                granted.nonce
+                for granted in self.granted_votes.values()
+                if granted.key == notice.upstream.key
+            ),
+            notice.nonce,
         )
+        super().on_ejection_notice(replace(notice, nonce=nonce), proposer, now)
 
 
-class OneVoteIsEnough(Court):
-    def go_on(self, case: Any, now: int, members: int) -> None:
-        super().go_on(case, now, 1 if case.votes else members)
+class OneVoteIsEnough(EjectionCoordinator):
+    def advance_proposal(self, proposal: EjectionProposal, now: int, members: int) -> None:
+        super().advance_proposal(proposal, now, 1 if proposal.vote_delays else members)
 
 
-class HalfIsEnough(Court):
-    def go_on(self, case: Any, now: int, members: int) -> None:
-        super().go_on(case, now, members - 1)
+class HalfIsEnough(EjectionCoordinator):
+    def advance_proposal(self, proposal: EjectionProposal, now: int, members: int) -> None:
+        super().advance_proposal(proposal, now, members - 1)
 
 
-class CountsRefusals(Court):
-    def hear(self, plea: Plea, sender: int, usual: float, now: int) -> None:
-        if plea.kind == 3:
-            plea = Plea(plea.kind, plea.pool, plea.key, plea.nonce, 1)
-        super().hear(plea, sender, usual, now)
+class CountsRefusals(EjectionCoordinator):
+    def on_vote_reply(self, reply: VoteReply, sender: int, now: int) -> None:
+        super().on_vote_reply(replace(reply, is_granted=True), sender, now)
 
 
-class CountsVotesOfBefore(Court):
-    def hear(self, plea: Plea, sender: int, usual: float, now: int) -> None:
-        case = self.cases.get((plea.pool, plea.key))
-        if plea.kind == 3 and case is not None:
-            plea = Plea(plea.kind, plea.pool, plea.key, case.nonce, plea.one)
-        super().hear(plea, sender, usual, now)
+class CountsVotesOfBefore(EjectionCoordinator):
+    def on_vote_reply(self, reply: VoteReply, sender: int, now: int) -> None:
+        proposal = self.proposals.get(reply.upstream)
+        if proposal is not None:
+            reply = replace(reply, nonce=proposal.nonce)
+        super().on_vote_reply(reply, sender, now)
 
 
-class CountsAVoteAgain(Court):
-    """One member's vote that comes twice is two."""
+class CountsAVoteAgain(EjectionCoordinator):
+    """One member's vote that arrives twice is two."""
 
-    def hear(self, plea: Plea, sender: int, usual: float, now: int) -> None:
-        case = self.cases.get((plea.pool, plea.key))
-        if plea.kind == 3 and plea.one and case is not None and sender in case.votes:
+    def on_vote_reply(self, reply: VoteReply, sender: int, now: int) -> None:
+        proposal = self.proposals.get(reply.upstream)
+        if reply.is_granted and proposal is not None and sender in proposal.vote_delays:
             sender += 50_000
-        super().hear(plea, sender, usual, now)
+        super().on_vote_reply(reply, sender, now)
 
 
-class KeepsVotesOverRounds(Court):
+class KeepsVotesOverRounds(EjectionCoordinator):
     """A new round begins with the votes of the last."""
 
-    def ask_votes(self, case: Any, now: int) -> None:
-        votes = {voter: 0 for voter in case.votes}
-        super().ask_votes(case, now)
-        case.votes |= votes
+    def request_votes(self, proposal: EjectionProposal, now: int) -> None:
+        votes = dict.fromkeys(proposal.vote_delays, 0)
+        super().request_votes(proposal, now)
+        proposal.vote_delays |= votes
 
 
-class StartsWithoutAFence(Court):
+class StartsWithoutAFence(EjectionCoordinator):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.fenced_till = given[2]
+        self.fenced_until = given[2]
 
 
-class GoesOnResting(Court):
-    def rest(self, known: tuple[int, int], until: int, judge: int, strikes: int) -> None:
-        super().rest(known, until + self.rules.life, judge, strikes)
+class GoesOnResting(EjectionCoordinator):
+    def eject(self, upstream: UpstreamKey, until: int, proposer: int, ejection_count: int) -> None:
+        super().eject(upstream, until + self.config.lease_ns, proposer, ejection_count)
 
 
-class TakesAnySlot(Court):
-    def slots(self, pool: int, zone: int = 0) -> int:
-        return 2 if not zone else super().slots(pool, zone)
+class TakesAnySlot(EjectionCoordinator):
+    def slot_count(self, pool: int, zone: int = 0) -> int:
+        return 2 if not zone else super().slot_count(pool, zone)
 
 
-class ForgetsTheZone(Court):
-    def vote(self, plea: Plea, judge: int, now: int) -> bool:
-        return super().vote(Plea(VOTE_FOR, plea.pool, plea.key, plea.nonce, plea.one), judge, now)
+class ForgetsTheZone(EjectionCoordinator):
+    def grant_vote(self, request: VoteRequest, proposer: int, now: int) -> bool:
+        return super().grant_vote(replace(request, zone=0, zone_slot=0), proposer, now)
 
-    def free(self, pool: int, zone: int, key: int, now: int) -> int | None:
-        return super().free(pool, zone, key, now) if not zone else 0
+    def find_free_slot(self, pool: int, zone: int, key: int, now: int) -> int | None:
+        return super().find_free_slot(pool, zone, key, now) if not zone else 0
 
 
-class RenewsWithoutVotes(Court):
-    def ask_votes(self, case: Any, now: int) -> None:
-        super().ask_votes(case, now)
-        if case.holds:
-            self.rest((case.pool, case.key), now + self.rules.life, self.own, case.strikes)
+class RenewsWithoutVotes(EjectionCoordinator):
+    def request_votes(self, proposal: EjectionProposal, now: int) -> None:
+        super().request_votes(proposal, now)
+        if proposal.has_quorum:
+            until = now + self.config.lease_ns
+            self.eject(proposal.upstream, until, self.own_id, proposal.ejection_count)
 
 
-class ReleasesWithTheTerm(Court):
-    """A voter is free again when its judge has ended, though others still rest by it."""
+class ReleasesWithTheTerm(EjectionCoordinator):
+    """A voter is free again when its proposer has ended, though others still eject by it."""
 
-    def lift(self, known: tuple[int, int], now: int) -> None:
-        super().lift(known, now)
-        self.given = {slot: given for slot, given in self.given.items() if given.key != known[1]}
+    def end_ejection(self, upstream: UpstreamKey, now: int) -> None:
+        super().end_ejection(upstream, now)
+        self.granted_votes = {
+            slot: granted
+            for slot, granted in self.granted_votes.items()
+            if granted.key != upstream.key
+        }
 
 
-class VotesAnew(Court):
+class VotesAnew(EjectionCoordinator):
     """A vote is dated back to the first round, so that it ends too soon."""
 
-    def vote(self, plea: Plea, judge: int, now: int) -> bool:
-        first = {
-            slot: given.until
-            for slot, given in self.given.items()
-            if given.key == plea.key and given.until > now
+    def grant_vote(self, request: VoteRequest, proposer: int, now: int) -> bool:
+        key = request.upstream.key
+        first: dict[EjectionSlot, int] = {
+            slot: granted.expires_at
+            for slot, granted in self.granted_votes.items()
+            if granted.key == key and granted.expires_at > now
         }
-        good = super().vote(plea, judge, now)
-        for slot, until in first.items():
-            if slot in self.given:
-                self.given[slot] = Given(plea.key, until, now, plea.nonce, judge)
+        good = super().grant_vote(request, proposer, now)
+        for slot, expires_at in first.items():
+            if slot in self.granted_votes:
+                self.granted_votes[slot] = GrantedVote(
+                    key, expires_at, now, request.nonce, proposer
+                )
         return good
 
 
-FAULTS: dict[str, type[Court]] = {
+FAULTS: dict[str, type[EjectionCoordinator]] = {
     fault.__name__: fault
     for fault in (
         VotesForTwo,
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -34,14 +34,14 @@
 START = SECOND  # to be told the list before the one that was known must do
 
 
-class Witness(Protocol):
-    """Whoever watches how upstreams answer."""
+class AttemptObserver(Protocol):
+    """Observes how upstreams answer."""
 
-    def sent(self, sent: Sent) -> None:
-        """An attempt has gone out."""
+    def on_attempt_started(self, sent: Sent) -> None:
+        """Note an attempt that was sent."""
 
-    def came(self, sent: Sent) -> None:
-        """It has its outcome."""
+    def on_attempt_finished(self, sent: Sent) -> None:
+        """Note an attempt that has its outcome."""
 
 
 class Passed(Protocol):
@@ -205,7 +205,7 @@
         self.through: tuple[Passed, ...] = ()  # what the request at the door was given
         self.closed: Gate | None = None  # that was last met closed
         self.met: Callable[[Peer], None] | None = None  # called with each upstream that is new
-        self.witness: Witness | None = None
+        self.attempt_observer: AttemptObserver | None = None
         self.rested: set[str] = set()  # upstreams that get nothing new, whatever the list says
         self.drained: frozenset[str] = frozenset()  # the same, over restarts of theirs
         self.judge: Callable[[PendingRequest, str], None] | None = None  # told of each final answer
@@ -294,8 +294,8 @@
                 gate.give(self.now, False)
         else:
             sent.gates = given
-        if self.witness:
-            self.witness.sent(sent)
+        if self.attempt_observer:
+            self.attempt_observer.on_attempt_started(sent)
         if stop_at and stop_at < request.ends:
             self.loop.at(stop_at, self, self.stop_waiting, sent, Outcome.TIMED_OUT)
         return sent
@@ -477,8 +477,8 @@
         self, sent: Sent, outcome: Outcome, answer: Any, load: dict[str, float] | None
     ) -> None:
         sent.outcome, sent.took = outcome, self.now - sent.sent
-        if self.witness:
-            self.witness.came(sent)
+        if self.attempt_observer:
+            self.attempt_observer.on_attempt_finished(sent)
         request = sent.request
         assert isinstance(request, PendingRequest)
         self.counts["came_back_" + outcome.replace(" ", "_")] += 1
--- a/whinpier/testbed/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -27,7 +27,7 @@
     from whinpier.fleet.outliers import monitor
     from whinpier.model_checking.ejection import FAULTS
 
-    swapped(monitor, "Court", FAULTS[name])
+    swapped(monitor, "EjectionCoordinator", FAULTS[name])
 
 
 def share_fault(name: str) -> None:
