--- a/tests/fleet/test_outlier_ejection.py
+++ b/tests/fleet/test_outlier_ejection.py
@@ -169,7 +169,7 @@
     play(coordinators, 2.0)
     assert (
         not any(coordinator.ejected_until for coordinator in coordinators)
-        and coordinators[0].counts["hearings"]
+        and coordinators[0].counts["observation_rounds"]
     )
     observations = [(3.0, MAX_LATENCY_RATIO, True), *[(3.0, 1.0, True)] * 5]
     assert not coordinators[0].reaches_quorum(observations) and not coordinators[0].reaches_quorum(
--- a/whinpier/fleet/outliers/ejection.py
+++ b/whinpier/fleet/outliers/ejection.py
@@ -126,7 +126,7 @@
             or self.deferred_until.get(upstream, 0) > now
         ):
             return
-        self.counts["hearings"] += 1
+        self.counts["observation_rounds"] += 1
         self.observation_rounds[upstream] = ObservationRound(upstream, now)
 
     def request_observations(self, observation_round: ObservationRound, now: int) -> None:
@@ -399,7 +399,7 @@
         self.ejected_until[upstream] = until
         self.returning_at.pop(upstream, None)
         if is_new:
-            self.counts["rests"] += 1
+            self.counts["ejections"] += 1
             about = {"by": proposer, "times": ejection_count}
             self.events.append(Event("ejection_started", upstream._asdict() | about))
 
