--- a/whinpier/fleet/outliers/ejection.py
+++ b/whinpier/fleet/outliers/ejection.py
@@ -236,7 +236,6 @@
         proposal.requested_at = now
         proposal.nonce = self.new_nonce()
         proposal.vote_delays = {}
-        proposal.refused = 0
         request = VoteRequest(
             proposal.upstream, proposal.nonce, proposal.slot, proposal.zone, proposal.zone_slot
         )
@@ -355,12 +354,8 @@
     def on_vote_reply(self, reply: VoteReply, sender: int, now: int) -> None:
         """Count a vote, if it belongs to the last request."""
         proposal = self.proposals.get(reply.upstream)
-        if proposal is None or reply.nonce != proposal.nonce:
-            return
-        if reply.is_granted:
+        if proposal is not None and reply.nonce == proposal.nonce and reply.is_granted:
             proposal.vote_delays[sender] = now - proposal.requested_at
-        else:
-            proposal.refused += 1
 
     def on_ejection_notice(self, notice: EjectionNotice, proposer: int, now: int) -> None:
         """Eject an upstream for as long as this member's own vote lets it."""
--- a/whinpier/fleet/outliers/messages.py
+++ b/whinpier/fleet/outliers/messages.py
@@ -101,7 +101,7 @@
 
 
 def decode(packed: Plea) -> EjectionMessage | None:
-    """Read a message; None where a later build sent a kind that this one doesn't know."""
+    """Read a message; None: its kind is unknown here."""
     upstream = UpstreamKey(packed.pool, packed.key)
     match packed.kind:
         case messages.HEARING:
--- a/whinpier/fleet/outliers/model.py
+++ b/whinpier/fleet/outliers/model.py
@@ -81,7 +81,6 @@
     nonce: int = 0
     vote_delays: dict[int, int] = field(default_factory=dict)  # by voter, in ns
     has_quorum: bool = False
-    refused: int = 0
 
 
 @dataclass(slots=True)
