--- a/tests/fleet/test_rollouts.py
+++ b/tests/fleet/test_rollouts.py
@@ -10,9 +10,8 @@
 from hypothesis import strategies as st
 
 from whinpier.fleet.messages import Line
-from whinpier.fleet.rollouts import state_machine as r
-from whinpier.fleet.rollouts.controller import Conduct, Report, Seat, chosen, split
-from whinpier.fleet.rollouts.state_machine import (
+from whinpier.fleet.rollouts import commands, model
+from whinpier.fleet.rollouts.commands import (
     BACK,
     CONFIRMED,
     DRAIN,
@@ -38,15 +37,14 @@
     Observed,
     Plan,
     Put,
-    Record,
     Release,
     Rule,
     Rules,
     Said,
     Seen,
-    checked,
-    hash_of,
 )
+from whinpier.fleet.rollouts.controller import Conduct, Report, Seat, chosen, split
+from whinpier.fleet.rollouts.state_machine import Record, checked, hash_of
 from whinpier.policy.decaying_sum import SECOND
 
 
@@ -60,7 +58,7 @@
 
     def line(self, kind, form):
         self.at += 1
-        self.record.apply(self.at, Line(1, kind, r.encode(form)))
+        self.record.apply(self.at, Line(1, kind, commands.encode(form)))
         return self.at
 
     def say(self, kind, form, *given, based=-1, who="ann", identity=0):
@@ -159,7 +157,7 @@
     assert book.say(DRAIN, Drain, "m1", identity=5) == (True, "permit 1")
     book.say(UNDRAIN, Drain, "m1")
     assert book.say(DRAIN, Drain, "m1", identity=5) == (True, "permit 1")
-    assert book.record.whole.drains["b/m1"].state == r.UNDRAINING
+    assert book.record.whole.drains["b/m1"].state == model.UNDRAINING
 
 
 def test_the_second_of_two_operators_hears_what_changed_and_who_did_it():
@@ -178,9 +176,9 @@
     book.say(DRAIN, Drain, "m1")
     assert book.say(DRAIN, Drain, "m1")[1] == "m1 is draining already, since 1 by ann"
     book.see(Seen(CONFIRMED, "b/m1", 9))
-    assert book.record.whole.drains["b/m1"].state == r.DRAINING
+    assert book.record.whole.drains["b/m1"].state == model.DRAINING
     book.see(Seen(CONFIRMED, "b/m1", 1))
-    assert book.record.whole.drains["b/m1"].state == r.DONE
+    assert book.record.whole.drains["b/m1"].state == model.DONE
     book.say(UNDRAIN, Drain, "m1")
     assert book.say(UNDRAIN, Drain, "m1")[1] == "it is on its way back already"
     assert book.say(UNDRAIN, Drain, "m2")[1] == "m2 is not drained"
@@ -222,7 +220,7 @@
             book.say(HALT if which % 2 else RESUME, About)
         elif step == "r" and not book.on:
             book.release(content, 1 + which, names=names)
-        elif step == "r" and book.on.phase == r.GATED:
+        elif step == "r" and book.on.phase == model.GATED:
             book.line(GATE, Judged(book.on.number, book.on.wave, which > 1, "slow"))
         else:
             book.say(UNDO, About)
@@ -231,7 +229,7 @@
         again = Record()
         again.thaw(book.record.freeze())
         assert again.whole == book.record.whole and checked(book.record.whole.history)
-    assert len(book.record.whole.history) <= r.MOST_HISTORY
+    assert len(book.record.whole.history) <= commands.MOST_HISTORY
 
 
 # Releases.
@@ -243,14 +241,14 @@
     number = book.release(content, 1)
     assert book.out() == ["m0"] and book.record.orders("m0").content == content
     book.switch("m0")
-    assert book.on.phase == r.GATED and book.record.orders("m1").content == ""
+    assert book.on.phase == model.GATED and book.record.orders("m1").content == ""
     book.line(GATE, Judged(number, 0, True))
     assert book.out() == ["m1", "m2"]  # the third waits for a permit
     book.switch("m1")
     assert book.out() == ["m2", "m3"]
     book.switch("m2", "m3")
     book.line(GATE, Judged(number, 0, True))  # of a wave that is over
-    assert book.on.phase == r.GATED
+    assert book.on.phase == model.GATED
     book.line(GATE, Judged(number, 1, True))
     whole = book.record.whole
     assert book.on is None and whole.good == content and not whole.told and not whole.outs
@@ -265,14 +263,14 @@
         book.switch("m1")
         book.line(GATE, Judged(number, 0, False, "on time 0.5, the rest 1"))
         if hold:
-            assert book.on.phase == r.HALTED and book.record.orders("m1").content
+            assert book.on.phase == model.HALTED and book.record.orders("m1").content
             assert book.say(UNDO, About)[0]
-        assert book.on.phase == r.UNDOING and book.out() == ["m1"]  # the last first
+        assert book.on.phase == model.UNDOING and book.out() == ["m1"]  # the last first
         book.switch("m1")
         assert book.out() == ["m0"]
         book.switch("m0")
         closed = book.record.whole.closed[-1]
-        assert closed.phase == r.UNDONE and not book.record.whole.told and not book.out()
+        assert closed.phase == model.UNDONE and not book.record.whole.told and not book.out()
         assert {book.record.orders(f"m{n}").content for n in range(4)} == {""}
 
 
@@ -281,22 +279,22 @@
     book.release(book.file(b"pools = 1"), 2)
     outs = book.record.whole.outs
     book.see(Seen(FAILED, "b/m1", outs["b/m1"].number, "refuses the file: pools"))
-    assert book.on.phase == r.UNDOING and "m1: refuses the file" in book.on.reason
+    assert book.on.phase == model.UNDOING and "m1: refuses the file" in book.on.reason
     assert {book.record.orders(name).content for name in ("m0", "m1")} == {""}
     book.switch("m0")
     book.see(Seen(FAILED, "b/m1", book.record.whole.outs["b/m1"].number, "did not come back"))
     closed = book.record.whole.closed[-1]
-    assert closed.phase == r.UNDONE and closed.failed == {"m1": "did not come back"}
+    assert closed.phase == model.UNDONE and closed.failed == {"m1": "did not come back"}
 
 
 def test_too_many_lost_halt_a_release_and_those_that_are_out_go_back():
     book = Book(Rule("all", "balancers", 2))
     book.release(book.file(b"pools = 1"), 2)
     book.see(Seen(LOST, "b/m9"))
-    assert book.on.phase == r.UNDOING and "too many are out" in book.on.reason
+    assert book.on.phase == model.UNDOING and "too many are out" in book.on.reason
     book.switch("m0")
     book.switch("m1")
-    assert book.record.whole.closed[-1].phase == r.UNDONE
+    assert book.record.whole.closed[-1].phase == model.UNDONE
 
 
 def test_who_is_lost_when_its_turn_comes_is_named_and_takes_it_up_later():
@@ -310,7 +308,7 @@
     book.switch("m1", "m3")
     book.line(GATE, Judged(number, 1, True))
     closed = book.record.whole.closed[-1]
-    assert closed.phase == r.RELEASED and closed.failed == {"m2": "was lost when its turn came"}
+    assert closed.phase == model.RELEASED and closed.failed == {"m2": "was lost when its turn came"}
     assert book.record.orders("m2").content == content
 
 
@@ -329,7 +327,7 @@
     book.switch("m3")
     book.switch("m1")
     book.switch("m0")
-    assert book.record.whole.closed[-1].phase == r.UNDONE and book.out() == ["m2"]
+    assert book.record.whole.closed[-1].phase == model.UNDONE and book.out() == ["m2"]
 
 
 def test_who_has_traffic_is_the_canary():
@@ -346,19 +344,19 @@
     assert book.say(HALT, About) == (False, "no release is on")
     number = book.release(book.file(b"pools = 1"), 2)
     book.say(HALT, About, who="bob")
-    assert book.on.phase == r.HALTED and book.on.reason == "halted by bob"
+    assert book.on.phase == model.HALTED and book.on.reason == "halted by bob"
     book.switch("m0")  # it was told before
     assert book.out() == [] and book.say(RESUME, About)[0] and book.out() == ["m1"]
     book.switch("m1")
     book.line(GATE, Judged(number, 0, False, "slow"))
     book.say(HALT, About)
     book.switch("m1")
-    assert book.on.phase == r.HALTED and book.out() == []
+    assert book.on.phase == model.HALTED and book.out() == []
     assert book.say(UNDO, About) == (False, f"release {number} is being undone")
     book.say(RESUME, About)
     assert book.out() == ["m0"]
     book.switch("m0")
-    assert book.record.whole.closed[-1].phase == r.UNDONE
+    assert book.record.whole.closed[-1].phase == model.UNDONE
 
 
 def test_a_release_that_is_over_is_undone_to_what_was_good_before():
@@ -374,7 +372,7 @@
     assert book.record.whole.good == contents[0] and not book.record.whole.told
     assert book.say(UNDO, About)[0]
     book.switch("m0", "m1", "m2", "m3")
-    assert book.record.whole.good == "" and book.record.whole.closed[-1].phase == r.UNDONE
+    assert book.record.whole.good == "" and book.record.whole.closed[-1].phase == model.UNDONE
     assert book.say(UNDO, About) == (False, "no release is left that could be undone")
 
 
@@ -389,16 +387,18 @@
 
 def test_tables_are_bounded_and_a_line_of_a_later_build_is_passed_over():
     book = Book(Rule("all", "balancers", 4_000))
-    for number in range(r.MOST_DRAINS + 2):
+    for number in range(commands.MOST_DRAINS + 2):
         book.say(DRAIN, Drain, f"m{number}")
-    assert len(book.record.whole.drains) == r.MOST_DRAINS
-    assert len(book.record.whole.history) == r.MOST_HISTORY and checked(book.record.whole.history)
-    for number in range(r.MOST_RESULTS + 10):
+    assert len(book.record.whole.drains) == commands.MOST_DRAINS
+    assert len(book.record.whole.history) == commands.MOST_HISTORY and checked(
+        book.record.whole.history
+    )
+    for number in range(commands.MOST_RESULTS + 10):
         book.say(UNDRAIN, Drain, "nobody")
-    assert len(book.record.whole.results) == r.MOST_RESULTS
-    for number in range(2 * r.MOST_CONTENTS):
+    assert len(book.record.whole.results) == commands.MOST_RESULTS
+    for number in range(2 * commands.MOST_CONTENTS):
         book.file(b"pools = %d" % number)
-    assert len(book.record.whole.contents) <= r.MOST_CONTENTS
+    assert len(book.record.whole.contents) <= commands.MOST_CONTENTS
     before = book.record.freeze()
     for line in (
         Line(1, 60, b"x"),
@@ -454,15 +454,15 @@
     book.say(DRAIN, Drain, "m1")
     told(conduct, there, 1)
     put(book, conduct.turn(1, there, book.record))
-    assert book.record.whole.drains["b/m1"].state == r.DRAINING
+    assert book.record.whole.drains["b/m1"].state == model.DRAINING
     conduct.report(
         "m1", 77, Report(99, ready=False, draining=True, drained=True), 2
     )  # an earlier run of it
     put(book, conduct.turn(2, there, book.record))
-    assert book.record.whole.drains["b/m1"].state == r.DRAINING
+    assert book.record.whole.drains["b/m1"].state == model.DRAINING
     conduct.report("m1", 11, Report(99, ready=False, draining=True, drained=True), 3)
     put(book, conduct.turn(3, there, book.record))
-    assert book.record.whole.drains["b/m1"].state == r.DONE
+    assert book.record.whole.drains["b/m1"].state == model.DONE
 
 
 def test_an_upstream_is_drained_once_each_has_said_so_and_who_is_only_unheard_is_named():
@@ -473,10 +473,10 @@
     put(book, conduct.turn(1, there, book.record))
     put(book, conduct.turn(2 * SECOND, there, book.record))
     drain = book.record.whole.drains["u/t/s1"]
-    assert drain.state == r.DRAINING and drain.left == "m2 is not heard, and may go on sending"
+    assert drain.state == model.DRAINING and drain.left == "m2 is not heard, and may go on sending"
     gone = seats("m0", "m1", "m2", gone=("m2",))  # refused, or said goodbye: it sends nothing
     put(book, conduct.turn(3 * SECOND, gone, book.record))
-    assert book.record.whole.drains["u/t/s1"].state == r.DONE
+    assert book.record.whole.drains["u/t/s1"].state == model.DONE
 
 
 def test_who_goes_or_is_lost_counts_as_out_is_back_by_its_new_run_and_is_written_off_late():
@@ -511,7 +511,7 @@
             runs = hash_of(b"pools = 1") if name == first else ""
             conduct.report(name, seat.id, Report(99, runs, ready=True, memory=memory, **counts), at)
         put(book, conduct.turn(at, there, book.record))
-        if book.on is None or book.on.phase != r.GATED or book.on.wave:
+        if book.on is None or book.on.phase != model.GATED or book.on.wave:
             return at / SECOND, number
     return None, number
 
@@ -596,5 +596,5 @@
         if book.on is None:
             break
     closed = book.record.whole.closed[-1]
-    assert closed.phase == (r.UNDONE if bad else r.RELEASED) and not book.out()
+    assert closed.phase == (model.UNDONE if bad else model.RELEASED) and not book.out()
     assert {book.record.orders(name).content for name in names} == ({""} if bad else {content})
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -19,7 +19,7 @@
 from whinpier.fleet.membership import membership
 from whinpier.fleet.outliers import ejection
 from whinpier.fleet.quotas import allocation, calendar_quota, fair_share, leases
-from whinpier.fleet.rollouts import state_machine
+from whinpier.fleet.rollouts import commands, model, state_machine
 from whinpier.fleet.rollouts.controller import Report
 from whinpier.storage.append_log import Journal, Torn, framed, notes
 
@@ -94,14 +94,14 @@
         it.memory,
     ],
     allocation.Kept: lambda it: [it.epoch, it.home, it.homes, it.span],
-    state_machine.Said: lambda it: [it.id, it.who, it.why, it.wall, it.based],
-    state_machine.Rule: lambda it: [it.name, it.of, it.out, it.pool, it.zone],
-    state_machine.Rules: lambda it: [it.said, it.rules],
-    state_machine.Drain: lambda it: [it.said, it.name, it.pool, it.zone],
-    state_machine.Seen: lambda it: [it.what, it.key, it.number, it.text],
-    state_machine.Observed: lambda it: [it.id, it.seen],
-    state_machine.Put: lambda it: [it.content, it.at, it.size, it.data],
-    state_machine.Gate: lambda it: [
+    commands.Said: lambda it: [it.id, it.who, it.why, it.wall, it.based],
+    commands.Rule: lambda it: [it.name, it.of, it.out, it.pool, it.zone],
+    commands.Rules: lambda it: [it.said, it.rules],
+    commands.Drain: lambda it: [it.said, it.name, it.pool, it.zone],
+    commands.Seen: lambda it: [it.what, it.key, it.number, it.text],
+    commands.Observed: lambda it: [it.id, it.seen],
+    commands.Put: lambda it: [it.content, it.at, it.size, it.data],
+    commands.Gate: lambda it: [
         it.window_ms,
         it.on_time,
         it.errors,
@@ -111,7 +111,7 @@
         it.back_ms,
         it.hold,
     ],
-    state_machine.Release: lambda it: [
+    commands.Release: lambda it: [
         it.said,
         it.content,
         it.build,
@@ -120,11 +120,11 @@
         it.gate,
         it.before,
     ],
-    state_machine.Plan: lambda it: [it.number, it.wave, it.names, it.zones, it.last],
-    state_machine.Judged: lambda it: [it.number, it.wave, it.good, it.text],
-    state_machine.About: lambda it: [it.said, it.name],
-    state_machine.Out: lambda it: [it.number, it.line, it.why, it.zone, it.pool],
-    state_machine.Drained: lambda it: [
+    commands.Plan: lambda it: [it.number, it.wave, it.names, it.zones, it.last],
+    commands.Judged: lambda it: [it.number, it.wave, it.good, it.text],
+    commands.About: lambda it: [it.said, it.name],
+    model.Out: lambda it: [it.number, it.line, it.why, it.zone, it.pool],
+    model.Drained: lambda it: [
         it.number,
         it.state,
         it.who,
@@ -133,7 +133,7 @@
         it.changed,
         it.left,
     ],
-    state_machine.Rollout: lambda it: [
+    model.Rollout: lambda it: [
         it.number,
         it.given,
         it.phase,
@@ -148,7 +148,7 @@
         it.undoing,
         it.good,
     ],
-    state_machine.Item: lambda it: [
+    model.Item: lambda it: [
         it.number,
         it.wall,
         it.who,
@@ -158,7 +158,7 @@
         it.text,
         it.chain,
     ],
-    state_machine.Whole: lambda it: [
+    model.Whole: lambda it: [
         it.revision,
         it.rules,
         it.outs,
@@ -191,20 +191,20 @@
     ],
 }
 # Which typed message a kept group holds, and which log entry kind carries which.
-TYPES = {"datagram": messages.Datagram, "report": Report, "snapshot": state_machine.Whole}
+TYPES = {"datagram": messages.Datagram, "report": Report, "snapshot": model.Whole}
 ENTRY_KINDS = {
-    2: (state_machine.RULES, state_machine.Rules),
-    3: (state_machine.DRAIN, state_machine.Drain),
-    4: (state_machine.UNDRAIN, state_machine.Drain),
-    5: (state_machine.OBSERVED, state_machine.Observed),
-    6: (state_machine.PUT, state_machine.Put),
-    7: (state_machine.RELEASE, state_machine.Release),
-    8: (state_machine.PLAN, state_machine.Plan),
-    9: (state_machine.GATE, state_machine.Judged),
-    10: (state_machine.HALT, state_machine.About),
-    11: (state_machine.RESUME, state_machine.About),
-    12: (state_machine.UNDO, state_machine.About),
-    13: (state_machine.STRUCK, state_machine.About),
+    2: (commands.RULES, commands.Rules),
+    3: (commands.DRAIN, commands.Drain),
+    4: (commands.UNDRAIN, commands.Drain),
+    5: (commands.OBSERVED, commands.Observed),
+    6: (commands.PUT, commands.Put),
+    7: (commands.RELEASE, commands.Release),
+    8: (commands.PLAN, commands.Plan),
+    9: (commands.GATE, commands.Judged),
+    10: (commands.HALT, commands.About),
+    11: (commands.RESUME, commands.About),
+    12: (commands.UNDO, commands.About),
+    13: (commands.STRUCK, commands.About),
 }
 
 
@@ -336,30 +336,30 @@
     "log_entry_of_the_log_itself": ([agreement.NOTHING, agreement.VOTERS], 0),
     "log_entry": (
         [
-            state_machine.RULES,
-            state_machine.DRAIN,
-            state_machine.UNDRAIN,
-            state_machine.OBSERVED,
-            state_machine.PUT,
-            state_machine.RELEASE,
-            state_machine.PLAN,
-            state_machine.GATE,
-            state_machine.HALT,
-            state_machine.RESUME,
-            state_machine.UNDO,
-            state_machine.STRUCK,
+            commands.RULES,
+            commands.DRAIN,
+            commands.UNDRAIN,
+            commands.OBSERVED,
+            commands.PUT,
+            commands.RELEASE,
+            commands.PLAN,
+            commands.GATE,
+            commands.HALT,
+            commands.RESUME,
+            commands.UNDO,
+            commands.STRUCK,
         ],
         2,
     ),
     "observation": (
         [
-            state_machine.LOST,
-            state_machine.BACK,
-            state_machine.CONFIRMED,
-            state_machine.SWITCHED,
-            state_machine.FAILED,
-            state_machine.WRITTEN_OFF,
-            state_machine.LEFT,
+            commands.LOST,
+            commands.BACK,
+            commands.CONFIRMED,
+            commands.SWITCHED,
+            commands.FAILED,
+            commands.WRITTEN_OFF,
+            commands.LEFT,
         ],
         0,
     ),
@@ -374,24 +374,24 @@
 def test_words_in_snapshots_and_states_keep_their_spelling():
     assert messages.STATES == ("here", "leaving", "suspect", "lost", "left", "replaced")
     assert messages.WHY == ("said", "silent", "refused", "renamed", "struck")
-    assert (state_machine.BALANCERS, state_machine.UPSTREAMS, state_machine.BANK) == (
+    assert (commands.BALANCERS, commands.UPSTREAMS, model.BANK) == (
         "balancers",
         "upstreams",
         "bank",
     )
-    assert (state_machine.DRAINING, state_machine.DONE, state_machine.UNDRAINING) == (
+    assert (model.DRAINING, model.DONE, model.UNDRAINING) == (
         "draining",
         "done",
         "undraining",
     )
     assert (
-        state_machine.PLANNING,
-        state_machine.WAVES,
-        state_machine.GATED,
-        state_machine.HALTED,
-        state_machine.UNDOING,
-        state_machine.UNDONE,
-        state_machine.RELEASED,
+        model.PLANNING,
+        model.WAVES,
+        model.GATED,
+        model.HALTED,
+        model.UNDOING,
+        model.UNDONE,
+        model.RELEASED,
     ) == ("planning", "waves", "gate", "halted", "undoing", "undone", "released")
     assert (leases.RATE, leases.IN_FLIGHT, leases.COUNT, leases.CONNECTIONS) == (
         "rate",
@@ -400,7 +400,7 @@
         "connections",
     )
     assert (service.BEGUN, service.WINDOW) == ("begun", "window")
-    assert state_machine.key_of("m1") == "b/m1" and state_machine.key_of("u1", "web") == "u/web/u1"
+    assert model.key_of("m1") == "b/m1" and model.key_of("u1", "web") == "u/web/u1"
 
 
 def test_marks_keep_their_digests():
@@ -515,14 +515,14 @@
 def test_a_log_entry_is_read_and_written_as_it_was(kind, data, values):
     number, type_ = ENTRY_KINDS[kind]
     data = bytes.fromhex(data)
-    assert number == kind and state_machine.FORMS[kind] is type_
+    assert number == kind and commands.FORMS[kind] is type_
     assert plain(decoded(type_, data)) == values
-    assert state_machine.encode(typed(type_, values)) == data
+    assert commands.encode(typed(type_, values)) == data
 
 
 def test_log_entries_of_every_kind_are_kept():
     assert {row[0] for row in KEPT["entries"].values()} == set(ENTRY_KINDS)
-    assert len(state_machine.FORMS) == len(ENTRY_KINDS)
+    assert len(commands.FORMS) == len(ENTRY_KINDS)
 
 
 @pytest.mark.parametrize("entries, data, values", kept("snapshots"))
@@ -540,7 +540,7 @@
     machine = state_machine.Record()
     machine.thaw(data)
     assert plain(machine.whole) == values and machine.freeze() == data
-    assert encoded(typed(state_machine.Whole, values)) == data
+    assert encoded(typed(model.Whole, values)) == data
     assert state_machine.checked(machine.whole.history)
 
 
@@ -795,7 +795,7 @@
     other = next(node for node in nodes.values() if node is not leader and node.name != "d")
     third = next(name for name in "abc" if name not in (leader.name, other.name))
     data = bytes.fromhex(KEPT["entries"]["drain of an upstream"][1])
-    other.say(leader.name, messages.FORWARD, lines=[messages.Line(0, state_machine.DRAIN, data)])
+    other.say(leader.name, messages.FORWARD, lines=[messages.Line(0, commands.DRAIN, data)])
     cluster.settle()
     other.ask_read(77)
     cluster.settle()
@@ -803,7 +803,7 @@
     cluster.run(2 * SECOND)
     cluster.cut_off = {third, "d"}
     for number in range(3):
-        leader.command(state_machine.HALT, bytes.fromhex(KEPT["halts"][number]))
+        leader.command(commands.HALT, bytes.fromhex(KEPT["halts"][number]))
     cluster.settle()
     for node in (leader, other):
         node.kept = 1
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -25,7 +25,7 @@
 from whinpier.fleet.consensus.node import Agreement
 from whinpier.fleet.outliers.ejection import Court, Rules
 from whinpier.fleet.quotas.calendar_quota import LEAST_AHEAD
-from whinpier.fleet.rollouts.state_machine import DRAIN, Drain, Said, encode
+from whinpier.fleet.rollouts.commands import DRAIN, Drain, Said, encode
 from whinpier.model_checking import (
     consensus_scenarios,
     count_scenarios,
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -20,7 +20,7 @@
 from whinpier.fleet.quotas.allocation import Said
 from whinpier.fleet.quotas.calendar_quota import Calendar
 from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SPAN, Limit
-from whinpier.fleet.rollouts.state_machine import BALANCERS, MOST_RULES, Rule
+from whinpier.fleet.rollouts.commands import BALANCERS, MOST_RULES, Rule
 from whinpier.fleet.spec import AgreementSpec, FleetSpec
 from whinpier.policy.decaying_sum import SECOND
 
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -27,16 +27,10 @@
 from whinpier.fleet.consensus import node as raft
 from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, compacted, replayed, unpack
 from whinpier.fleet.messages import FORWARD, HERE, RECORD_NEWS, REPORT, STALE, SUSPECT, Line, Talk
+from whinpier.fleet.rollouts.commands import RULES, Rules, Said, encode
 from whinpier.fleet.rollouts.controller import Conduct, Report, Seat
-from whinpier.fleet.rollouts.state_machine import (
-    RULES,
-    Orders,
-    Record,
-    Rules,
-    Said,
-    encode,
-    hash_of,
-)
+from whinpier.fleet.rollouts.model import Orders
+from whinpier.fleet.rollouts.state_machine import Record, hash_of
 from whinpier.fleet.spec import RELEASED, AgreementSpec
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -13,9 +13,8 @@
 
 from whinpier.fleet.consensus.node import LEADER
 from whinpier.fleet.messages import MOST_LINE
-from whinpier.fleet.rollouts import state_machine as agreed_on
-from whinpier.fleet.rollouts.controller import worded
-from whinpier.fleet.rollouts.state_machine import (
+from whinpier.fleet.rollouts import model
+from whinpier.fleet.rollouts.commands import (
     DRAIN,
     FORMS,
     HALT,
@@ -30,18 +29,16 @@
     About,
     Drain,
     Gate,
-    Item,
     Put,
     Release,
-    Rollout,
     Rule,
     Rules,
     Said,
-    checked,
     encode,
-    hash_of,
-    shown,
 )
+from whinpier.fleet.rollouts.controller import worded
+from whinpier.fleet.rollouts.model import Item, Rollout, shown
+from whinpier.fleet.rollouts.state_machine import checked, hash_of
 
 if TYPE_CHECKING:
     from whinpier.fleet.consensus.service import Agreed
@@ -313,7 +310,7 @@
     rows = []
     for key, drain in whole.drains.items():
         left = drain.left
-        if conduct and drain.state == agreed_on.DRAINING:
+        if conduct and drain.state == model.DRAINING:
             left = worded(conduct.unconfirmed(key, drain, seats))
         rows.append(
             {
--- a/whinpier/fleet/rollouts/controller.py
+++ b/whinpier/fleet/rollouts/controller.py
@@ -15,33 +15,35 @@
 
 from msgspec import Meta, Struct
 
-from whinpier.fleet.rollouts.state_machine import (
+from whinpier.fleet.rollouts.commands import (
     BACK,
     CONFIRMED,
-    DRAINING,
     FAILED,
     GATE,
-    GATED,
     LEFT,
     LOST,
     OBSERVED,
     PLAN,
-    PLANNING,
     SWITCHED,
-    UNDRAINING,
     WRITTEN_OFF,
-    Drained,
     Judged,
     Observed,
     Plan,
-    Record,
     Release,
-    Rollout,
     Seen,
     encode,
+)
+from whinpier.fleet.rollouts.model import (
+    DRAINING,
+    GATED,
+    PLANNING,
+    UNDRAINING,
+    Drained,
+    Rollout,
     key_of,
     shown,
 )
+from whinpier.fleet.rollouts.state_machine import Record
 from whinpier.policy.decaying_sum import SECOND
 
 MS = SECOND // 1000
--- a/whinpier/fleet/spec.py
+++ b/whinpier/fleet/spec.py
@@ -7,7 +7,7 @@
 from whinpier.fleet.membership.membership import Address, Times
 from whinpier.fleet.outliers.ejection import Rules
 from whinpier.fleet.quotas.allocation import Said
-from whinpier.fleet.rollouts.state_machine import Rule
+from whinpier.fleet.rollouts.commands import Rule
 from whinpier.policy.decaying_sum import SECOND
 
 RELEASED = "released.toml"  # the file's name in the folder of what is agreed
--- a/whinpier/simulation/consensus.py
+++ b/whinpier/simulation/consensus.py
@@ -16,16 +16,8 @@
 from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, unpack
 from whinpier.fleet.membership.membership import Address
 from whinpier.fleet.messages import RECORD_NEWS
-from whinpier.fleet.rollouts.state_machine import (
-    DRAIN,
-    RULES,
-    Drain,
-    Record,
-    Rule,
-    Rules,
-    Said,
-    encode,
-)
+from whinpier.fleet.rollouts.commands import DRAIN, RULES, Drain, Rule, Rules, Said, encode
+from whinpier.fleet.rollouts.state_machine import Record
 from whinpier.simulation.clock import MS, SECOND
 from whinpier.simulation.fleet import Fleet, Node
 from whinpier.testbed.faults import Fault, Schedule
