--- a/tests/test_forms_kept.py
+++ b/tests/test_forms_kept.py
@@ -9,7 +9,7 @@
 from whinpier.fleet import messages
 from whinpier.fleet.consensus.node import replayed
 from whinpier.fleet.messages import DEALS, LEND, VOTE, Line, Plainly, Seal, Unread, pool_mark
-from whinpier.fleet.rollouts.state_machine import Record
+from whinpier.fleet.rollouts.state_machine import RolloutStateMachine
 from whinpier.storage.append_log import notes
 
 KEY = Seal((b"0123456789abcdef",))
@@ -66,12 +66,12 @@
     magic = b"whinpier bank record 1\n"
     copy = replayed(note for _, note in notes("record", magic + base64.b85decode(RECORD), magic))
     assert (copy.record, copy.disk, copy.term, len(copy.lines)) == (256, 7, 3, 4)
-    record, whole = Record(), Record()
+    record, restored = RolloutStateMachine(), RolloutStateMachine()
     for index, line in enumerate(copy.lines[1:], 2):
         record.apply(index, line)
-    whole.thaw(base64.b85decode(WHOLE))
-    assert record.whole == whole.whole and not record.unread
-    assert list(whole.whole.outs) == ["b/m1"] and whole.whole.lost == {"m2": "a"}
+    restored.restore(base64.b85decode(WHOLE))
+    assert record.state == restored.state and not record.undecodable_entries
+    assert list(restored.state.permits) == ["b/m1"] and restored.state.lost == {"m2": "a"}
 
 
 def test_a_state_file_of_windows_is_read():
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -19,8 +19,11 @@
 from whinpier.fleet.membership import membership
 from whinpier.fleet.outliers import ejection
 from whinpier.fleet.quotas import allocation, calendar_quota, fair_share, leases
-from whinpier.fleet.rollouts import commands, model, state_machine
-from whinpier.fleet.rollouts.controller import Report
+from whinpier.fleet.rollouts import commands, model
+from whinpier.fleet.rollouts.history import compute_digest, is_intact
+from whinpier.fleet.rollouts.model import MemberReport
+from whinpier.fleet.rollouts.release_files import hash_file
+from whinpier.fleet.rollouts.state_machine import RolloutStateMachine
 from whinpier.storage.append_log import Journal, Torn, framed, notes
 
 DATA = Path(__file__).parent / "data" / "kept"
@@ -77,106 +80,112 @@
     ],
     messages.Datagram: lambda it: [*READERS[messages.Plainly](it), it.talks],
     registry.Entry: lambda it: [it.key, it.value, it.version, it.by, it.left],
-    Report: lambda it: [
-        it.applied,
-        it.content,
+    MemberReport: lambda it: [
+        it.applied_index,
+        it.content_hash,
         it.build,
-        it.ready,
-        it.draining,
-        it.drained,
-        it.refused,
-        it.fault,
-        it.clean,
-        it.ended,
+        it.is_ready,
+        it.is_draining,
+        it.is_drained,
+        it.refused_content,
+        it.refusal,
+        it.idle_drains,
+        it.completed,
         it.on_time,
-        it.scrapped,
-        it.turned_back,
-        it.memory,
+        it.failed,
+        it.rejected,
+        it.memory_bytes,
     ],
     allocation.Kept: lambda it: [it.epoch, it.home, it.homes, it.span],
-    commands.Said: lambda it: [it.id, it.who, it.why, it.wall, it.based],
-    commands.Rule: lambda it: [it.name, it.of, it.out, it.pool, it.zone],
-    commands.Rules: lambda it: [it.said, it.rules],
-    commands.Drain: lambda it: [it.said, it.name, it.pool, it.zone],
-    commands.Seen: lambda it: [it.what, it.key, it.number, it.text],
-    commands.Observed: lambda it: [it.id, it.seen],
-    commands.Put: lambda it: [it.content, it.at, it.size, it.data],
-    commands.Gate: lambda it: [
+    commands.CommandHeader: lambda it: [
+        it.id,
+        it.operator,
+        it.reason,
+        it.wall_ms,
+        it.base_revision,
+    ],
+    commands.BudgetRule: lambda it: [it.name, it.target, it.max_out, it.pool, it.zone],
+    commands.SetBudget: lambda it: [it.header, it.rules],
+    commands.DrainCommand: lambda it: [it.header, it.name, it.pool, it.zone],
+    commands.Observation: lambda it: [it.kind, it.key, it.number, it.text],
+    commands.Observations: lambda it: [it.id, it.items],
+    commands.FileChunk: lambda it: [it.content_hash, it.offset, it.file_size, it.data],
+    commands.AnalysisSettings: lambda it: [
         it.window_ms,
-        it.on_time,
-        it.errors,
-        it.turned_back,
-        it.memory,
-        it.least,
-        it.back_ms,
-        it.hold,
+        it.max_on_time_drop,
+        it.max_error_increase,
+        it.max_rejected_increase,
+        it.max_memory_ratio,
+        it.min_requests,
+        it.return_timeout_ms,
+        it.hold_on_failure,
     ],
-    commands.Release: lambda it: [
-        it.said,
-        it.content,
+    commands.ReleaseCommand: lambda it: [
+        it.header,
+        it.content_hash,
         it.build,
         it.selector,
         it.waves,
-        it.gate,
-        it.before,
+        it.analysis,
+        it.previous_build,
     ],
-    commands.Plan: lambda it: [it.number, it.wave, it.names, it.zones, it.last],
-    commands.Judged: lambda it: [it.number, it.wave, it.good, it.text],
-    commands.About: lambda it: [it.said, it.name],
-    model.Out: lambda it: [it.number, it.line, it.why, it.zone, it.pool],
-    model.Drained: lambda it: [
-        it.number,
-        it.state,
-        it.who,
-        it.why,
-        it.wall,
-        it.changed,
-        it.left,
+    commands.WavePlan: lambda it: [it.release_number, it.wave, it.names, it.zones, it.is_last],
+    commands.AnalysisResult: lambda it: [it.release_number, it.wave, it.passed, it.text],
+    commands.NamedCommand: lambda it: [it.header, it.name],
+    model.Permit: lambda it: [it.number, it.entry_index, it.purpose, it.zone, it.pool],
+    model.Drain: lambda it: [
+        it.permit_number,
+        it.phase,
+        it.operator,
+        it.reason,
+        it.wall_ms,
+        it.changed_index,
+        it.pending,
     ],
     model.Rollout: lambda it: [
         it.number,
-        it.given,
+        it.command,
         it.phase,
         it.waves,
-        it.wave,
-        it.todo,
-        it.met,
+        it.current_wave,
+        it.pending,
+        it.updated,
         it.zones,
-        it.before,
+        it.previous,
         it.failed,
         it.reason,
-        it.undoing,
-        it.good,
+        it.is_rollback,
+        it.previous_default,
     ],
-    model.Item: lambda it: [
-        it.number,
-        it.wall,
-        it.who,
-        it.what,
-        it.why,
-        it.good,
+    model.HistoryEntry: lambda it: [
+        it.index,
+        it.wall_ms,
+        it.actor,
+        it.action,
+        it.reason,
+        it.succeeded,
         it.text,
-        it.chain,
+        it.digest,
     ],
-    model.Whole: lambda it: [
+    model.ReplicatedState: lambda it: [
         it.revision,
         it.rules,
-        it.outs,
+        it.permits,
         it.lost,
-        it.gone,
+        it.written_off,
         it.drains,
-        it.contents,
-        it.sizes,
-        it.good,
-        it.good_build,
-        it.told,
-        it.told_build,
-        it.permits,
-        it.release,
-        it.closed,
+        it.file_chunks,
+        it.file_sizes,
+        it.default_content,
+        it.default_build,
+        it.assigned_content,
+        it.assigned_build,
+        it.permits_granted,
+        it.rollout,
+        it.closed_rollouts,
         it.history,
         it.results,
-        it.applied,
+        it.last_applied,
     ],
     agreement.Copy: lambda it: [
         it.record,
@@ -191,20 +200,20 @@
     ],
 }
 # Which typed message a kept group holds, and which log entry kind carries which.
-TYPES = {"datagram": messages.Datagram, "report": Report, "snapshot": model.Whole}
+TYPES = {"datagram": messages.Datagram, "report": MemberReport, "snapshot": model.ReplicatedState}
 ENTRY_KINDS = {
-    2: (commands.RULES, commands.Rules),
-    3: (commands.DRAIN, commands.Drain),
-    4: (commands.UNDRAIN, commands.Drain),
-    5: (commands.OBSERVED, commands.Observed),
-    6: (commands.PUT, commands.Put),
-    7: (commands.RELEASE, commands.Release),
-    8: (commands.PLAN, commands.Plan),
-    9: (commands.GATE, commands.Judged),
-    10: (commands.HALT, commands.About),
-    11: (commands.RESUME, commands.About),
-    12: (commands.UNDO, commands.About),
-    13: (commands.STRUCK, commands.About),
+    2: (commands.EntryKind.SET_BUDGET, commands.SetBudget),
+    3: (commands.EntryKind.DRAIN, commands.DrainCommand),
+    4: (commands.EntryKind.UNDRAIN, commands.DrainCommand),
+    5: (commands.EntryKind.OBSERVATIONS, commands.Observations),
+    6: (commands.EntryKind.FILE_CHUNK, commands.FileChunk),
+    7: (commands.EntryKind.RELEASE, commands.ReleaseCommand),
+    8: (commands.EntryKind.WAVE_PLAN, commands.WavePlan),
+    9: (commands.EntryKind.ANALYSIS_RESULT, commands.AnalysisResult),
+    10: (commands.EntryKind.HALT, commands.NamedCommand),
+    11: (commands.EntryKind.RESUME, commands.NamedCommand),
+    12: (commands.EntryKind.ROLL_BACK, commands.NamedCommand),
+    13: (commands.EntryKind.WRITE_OFF, commands.NamedCommand),
 }
 
 
@@ -251,7 +260,7 @@
 
 def applied(entries):
     """What log entries, from the first on, come to."""
-    machine = state_machine.Record()
+    machine = RolloutStateMachine()
     for index, (kind, data) in enumerate(entries, 1):
         machine.apply(index, messages.Line(1, kind, data))
     return machine
@@ -336,30 +345,30 @@
     "log_entry_of_the_log_itself": ([agreement.NOTHING, agreement.VOTERS], 0),
     "log_entry": (
         [
-            commands.RULES,
-            commands.DRAIN,
-            commands.UNDRAIN,
-            commands.OBSERVED,
-            commands.PUT,
-            commands.RELEASE,
-            commands.PLAN,
-            commands.GATE,
-            commands.HALT,
-            commands.RESUME,
-            commands.UNDO,
-            commands.STRUCK,
+            commands.EntryKind.SET_BUDGET,
+            commands.EntryKind.DRAIN,
+            commands.EntryKind.UNDRAIN,
+            commands.EntryKind.OBSERVATIONS,
+            commands.EntryKind.FILE_CHUNK,
+            commands.EntryKind.RELEASE,
+            commands.EntryKind.WAVE_PLAN,
+            commands.EntryKind.ANALYSIS_RESULT,
+            commands.EntryKind.HALT,
+            commands.EntryKind.RESUME,
+            commands.EntryKind.ROLL_BACK,
+            commands.EntryKind.WRITE_OFF,
         ],
         2,
     ),
     "observation": (
         [
-            commands.LOST,
-            commands.BACK,
-            commands.CONFIRMED,
-            commands.SWITCHED,
-            commands.FAILED,
-            commands.WRITTEN_OFF,
-            commands.LEFT,
+            commands.ObservationKind.LOST,
+            commands.ObservationKind.RETURNED,
+            commands.ObservationKind.DRAIN_CONFIRMED,
+            commands.ObservationKind.SWITCHED,
+            commands.ObservationKind.FAILED,
+            commands.ObservationKind.WRITTEN_OFF,
+            commands.ObservationKind.DRAIN_PENDING,
         ],
         0,
     ),
@@ -374,24 +383,28 @@
 def test_words_in_snapshots_and_states_keep_their_spelling():
     assert messages.STATES == ("here", "leaving", "suspect", "lost", "left", "replaced")
     assert messages.WHY == ("said", "silent", "refused", "renamed", "struck")
-    assert (commands.BALANCERS, commands.UPSTREAMS, model.BANK) == (
+    assert (
+        commands.BudgetTarget.BALANCERS,
+        commands.BudgetTarget.UPSTREAMS,
+        model.FLEET_ACTOR,
+    ) == (
         "balancers",
         "upstreams",
         "bank",
     )
-    assert (model.DRAINING, model.DONE, model.UNDRAINING) == (
+    assert (model.DrainPhase.DRAINING, model.DrainPhase.DRAINED, model.DrainPhase.UNDRAINING) == (
         "draining",
         "done",
         "undraining",
     )
     assert (
-        model.PLANNING,
-        model.WAVES,
-        model.GATED,
-        model.HALTED,
-        model.UNDOING,
-        model.UNDONE,
-        model.RELEASED,
+        model.RolloutPhase.PLANNING,
+        model.RolloutPhase.UPDATING,
+        model.RolloutPhase.ANALYZING,
+        model.RolloutPhase.HALTED,
+        model.RolloutPhase.ROLLING_BACK,
+        model.RolloutPhase.ROLLED_BACK,
+        model.RolloutPhase.RELEASED,
     ) == ("planning", "waves", "gate", "halted", "undoing", "undone", "released")
     assert (leases.RATE, leases.IN_FLIGHT, leases.COUNT, leases.CONNECTIONS) == (
         "rate",
@@ -400,7 +413,7 @@
         "connections",
     )
     assert (service.BEGUN, service.WINDOW) == ("begun", "window")
-    assert model.key_of("m1") == "b/m1" and model.key_of("u1", "web") == "u/web/u1"
+    assert model.make_key("m1") == "b/m1" and model.make_key("u1", "web") == "u/web/u1"
 
 
 def test_marks_keep_their_digests():
@@ -418,8 +431,8 @@
         window.epoch(),
         allocation.key_of("tenant-a"),
         registry.mark_of(entry),
-        state_machine.hash_of(b"file"),
-        state_machine.chained(b"before", (1, 2, "who", "what", "why", True, "text")).hex(),
+        hash_file(b"file"),
+        compute_digest(b"before", (1, 2, "who", "what", "why", True, "text")).hex(),
         consensus_service.stamp_of(
             agreement.Copy(256, 7, 3, 8, 20, 2, 20, b"", [messages.Line(3, 0)])
         ),
@@ -484,8 +497,8 @@
 @pytest.mark.parametrize("data, values", kept("reports"))
 def test_a_report_inside_a_consensus_message_is_read_and_written_as_it_was(data, values):
     data = bytes.fromhex(data)
-    assert plain(decoded(Report, data)) == values
-    assert encoded(typed(Report, values)) == data
+    assert plain(decoded(MemberReport, data)) == values
+    assert encoded(typed(MemberReport, values)) == data
 
 
 # Payloads announced under a mark.
@@ -515,33 +528,33 @@
 def test_a_log_entry_is_read_and_written_as_it_was(kind, data, values):
     number, type_ = ENTRY_KINDS[kind]
     data = bytes.fromhex(data)
-    assert number == kind and commands.FORMS[kind] is type_
+    assert number == kind and commands.ENTRY_TYPES[kind] is type_
     assert plain(decoded(type_, data)) == values
     assert commands.encode(typed(type_, values)) == data
 
 
 def test_log_entries_of_every_kind_are_kept():
     assert {row[0] for row in KEPT["entries"].values()} == set(ENTRY_KINDS)
-    assert len(commands.FORMS) == len(ENTRY_KINDS)
+    assert len(commands.ENTRY_TYPES) == len(ENTRY_KINDS)
 
 
 @pytest.mark.parametrize("entries, data, values", kept("snapshots"))
 def test_log_entries_come_to_the_kept_snapshot(entries, data, values):
     data = bytes.fromhex(data)
     machine = applied([(kind, bytes.fromhex(one)) for kind, one in entries])
-    assert machine.unread == 0
-    assert plain(machine.whole) == values
-    assert machine.freeze() == data
+    assert machine.undecodable_entries == 0
+    assert plain(machine.state) == values
+    assert machine.snapshot() == data
 
 
 @pytest.mark.parametrize("entries, data, values", kept("snapshots"))
 def test_a_snapshot_is_read_and_written_as_it_was(entries, data, values):
     data = bytes.fromhex(data)
-    machine = state_machine.Record()
-    machine.thaw(data)
-    assert plain(machine.whole) == values and machine.freeze() == data
-    assert encoded(typed(model.Whole, values)) == data
-    assert state_machine.checked(machine.whole.history)
+    machine = RolloutStateMachine()
+    machine.restore(data)
+    assert plain(machine.state) == values and machine.snapshot() == data
+    assert encoded(typed(model.ReplicatedState, values)) == data
+    assert is_intact(machine.state.history)
 
 
 # The replicated log on disk.
@@ -581,13 +594,13 @@
 
 def test_the_state_of_a_log_file_is_taken_up():
     found = log_of(file_of("log"))
-    raft = agreement.Agreement("a", found, state_machine.Record(), 0, Chance(), agreement.Pace())
+    raft = agreement.Agreement("a", found, RolloutStateMachine(), 0, Chance(), agreement.Pace())
     applied_to, term, (since, voters), inner = msgspec.msgpack.decode(found.state)
     assert [applied_to, term, since, voters] == [14, 2, 1, {"a": 11, "b": 12, "c": 13}]
     assert inner.hex() == KEPT["snapshots"]["files, gates and drains"][1]
     assert (raft.commit, raft.last, raft.config) == (14, 16, {"a": 11, "b": 12})
     assert plain(raft.copy()) == KEPT["log"]
-    assert raft.machine.whole.applied == 14
+    assert raft.machine.state.last_applied == 14
 
 
 @pytest.mark.parametrize("cut", [1, 7, 14])
@@ -750,7 +763,7 @@
 def voter(name, disk):
     copy = agreement.Copy(disk=disk)
     return agreement.Agreement(
-        name, copy, state_machine.Record(), 0, Chance(disk / 100), agreement.Pace()
+        name, copy, RolloutStateMachine(), 0, Chance(disk / 100), agreement.Pace()
     )
 
 
@@ -795,7 +808,9 @@
     other = next(node for node in nodes.values() if node is not leader and node.name != "d")
     third = next(name for name in "abc" if name not in (leader.name, other.name))
     data = bytes.fromhex(KEPT["entries"]["drain of an upstream"][1])
-    other.say(leader.name, messages.FORWARD, lines=[messages.Line(0, commands.DRAIN, data)])
+    other.say(
+        leader.name, messages.FORWARD, lines=[messages.Line(0, commands.EntryKind.DRAIN, data)]
+    )
     cluster.settle()
     other.ask_read(77)
     cluster.settle()
@@ -803,7 +818,7 @@
     cluster.run(2 * SECOND)
     cluster.cut_off = {third, "d"}
     for number in range(3):
-        leader.command(commands.HALT, bytes.fromhex(KEPT["halts"][number]))
+        leader.command(commands.EntryKind.HALT, bytes.fromhex(KEPT["halts"][number]))
     cluster.settle()
     for node in (leader, other):
         node.kept = 1
@@ -834,7 +849,7 @@
     assert {row[2][0] for row in cluster.sent} == set(range(14))
     assert first_of_each(cluster.sent) == KEPT["consensus_run"]
     assert len({node.commit for node in cluster.nodes.values()}) == 1
-    assert {encoded(node.machine.whole).hex() for node in cluster.nodes.values()} == {
+    assert {encoded(node.machine.state).hex() for node in cluster.nodes.values()} == {
         KEPT["consensus_end"]
     }
 
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -25,7 +25,7 @@
 from whinpier.fleet.consensus.node import Agreement
 from whinpier.fleet.outliers.ejection import Court, Rules
 from whinpier.fleet.quotas.calendar_quota import LEAST_AHEAD
-from whinpier.fleet.rollouts.commands import DRAIN, Drain, Said, encode
+from whinpier.fleet.rollouts.commands import CommandHeader, DrainCommand, EntryKind, encode
 from whinpier.model_checking import (
     consensus_scenarios,
     count_scenarios,
@@ -759,8 +759,8 @@
     for number, at in enumerate((18.0, 20.0, 20.5, 27.0, 36.0, 40.0)):
         fleet.until(at)
         leader = fleet.leader()
-        data = encode(Drain(Said(100 + number, "seeded", "w" * 20), f"n{number}"))
-        leader.agreement.command(DRAIN, data)
+        data = encode(DrainCommand(CommandHeader(100 + number, "seeded", "w" * 20), f"n{number}"))
+        leader.agreement.command(EntryKind.DRAIN, data)
         leader.pass_on()
     fleet.until(45.0)
     for node in fleet.record_nodes():
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -20,7 +20,7 @@
 from whinpier.fleet.quotas.allocation import Said
 from whinpier.fleet.quotas.calendar_quota import Calendar
 from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SPAN, Limit
-from whinpier.fleet.rollouts.commands import BALANCERS, MOST_RULES, Rule
+from whinpier.fleet.rollouts.commands import MAX_RULES, BudgetRule, BudgetTarget
 from whinpier.fleet.spec import AgreementSpec, FleetSpec
 from whinpier.policy.decaying_sum import SECOND
 
@@ -255,13 +255,15 @@
         named(one, f"{at}.voters[{index}]")
     if not table.folder.startswith("/") or "\0" in table.folder:
         raise ConfigFault(f"{at}.folder: {table.folder!r} is no whole path")
-    if len(table.permits) > MOST_RULES:
-        raise ConfigFault(f"{at}.permits: {len(table.permits)} of them; {MOST_RULES} at most")
+    if len(table.permits) > MAX_RULES:
+        raise ConfigFault(f"{at}.permits: {len(table.permits)} of them; {MAX_RULES} at most")
     rules = []
     for key, rule in table.permits.items():
-        if rule.pool and rule.of == BALANCERS:
+        if rule.pool and rule.of == BudgetTarget.BALANCERS.value:
             raise ConfigFault(f"{at}.permits.{key}.pool: balancers are of no pool")
-        rules.append(Rule(named(key, f"{at}.permits"), rule.of, rule.out, rule.pool, rule.zone))
+        rules.append(
+            BudgetRule(named(key, f"{at}.permits"), rule.of, rule.out, rule.pool, rule.zone)
+        )
     spans = {
         key: duration(getattr(table, key), f"{at}.{key}", SECOND // 10)
         for key in ("wait", "write_off", "cut_off")
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -145,13 +145,13 @@
     def apply(self, index: int, line: Line) -> None:
         """One more line is agreed."""
 
-    def freeze(self) -> bytes:
+    def snapshot(self) -> bytes:
         """All of it, from which another can go on."""
 
-    def thaw(self, data: bytes) -> None:
+    def restore(self, data: bytes) -> None:
         """Go on from what another has frozen; empty: from the beginning."""
 
-    def knows(self, data: bytes) -> bool:
+    def has_applied(self, data: bytes) -> bool:
         """Whether this command was applied already."""
 
 
@@ -611,7 +611,7 @@
                 self.applied,
                 self.term_at(self.applied),
                 known[-1] if known else (0, {}),
-                self.machine.freeze(),
+                self.machine.snapshot(),
             )
         )
         start_term = self.term_at(start)
@@ -624,7 +624,7 @@
         """Take up what another's lines came to; the last of them, and its term."""
         index, term, (since, config), inner = unpack(state)
         self.configs = [(since, config)]
-        self.machine.thaw(inner)
+        self.machine.restore(inner)
         return index, term
 
     # Voters, commands, reads.
@@ -675,7 +675,7 @@
         """A command of a member; whether this one leads and has room for it."""
         if self.role != LEADER or self.last - self.commit >= MOST_OPEN or len(data) > MOST_LINE:
             return False
-        if not self.machine.knows(data) and not any(
+        if not self.machine.has_applied(data) and not any(
             line.data == data for line in self.lines[self.commit - self.start :]
         ):
             self.append(kind, data)
@@ -774,7 +774,7 @@
         self.role, self.leader, self.matched = FOLLOWER, "", 0
         self.proof = self.note(WHO, record, self.disk)
         if fresh:
-            self.machine.thaw(b"")
+            self.machine.restore(b"")
 
     def fetch(self) -> None:
         """Ask one that is ahead for what is missing here."""
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -2,7 +2,7 @@
 reports.
 
 Hands time, talks and word of the disk to `agreement`, what is agreed to pools and the process,
-commands of operators to whoever leads; asks `conduct` while this one leads. Must never decide
+commands of operators to whoever leads; asks `controller` while this one leads. Must never decide
 anything, act on what is not agreed, wait for a disk or a member on the request path, or call done
 what the record does not.
 """
@@ -27,10 +27,11 @@
 from whinpier.fleet.consensus import node as raft
 from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, compacted, replayed, unpack
 from whinpier.fleet.messages import FORWARD, HERE, RECORD_NEWS, REPORT, STALE, SUSPECT, Line, Talk
-from whinpier.fleet.rollouts.commands import RULES, Rules, Said, encode
-from whinpier.fleet.rollouts.controller import Conduct, Report, Seat
-from whinpier.fleet.rollouts.model import Orders
-from whinpier.fleet.rollouts.state_machine import Record, hash_of
+from whinpier.fleet.rollouts.commands import CommandHeader, EntryKind, SetBudget, encode
+from whinpier.fleet.rollouts.controller import RolloutController
+from whinpier.fleet.rollouts.model import MemberOrders, MemberReport, MemberView
+from whinpier.fleet.rollouts.release_files import hash_file
+from whinpier.fleet.rollouts.state_machine import RolloutStateMachine
 from whinpier.fleet.spec import RELEASED, AgreementSpec
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome
@@ -98,7 +99,7 @@
         self.file = Path(spec.folder) / RELEASED
         copy = self.opened()
         self.stamp = self.begun_stamp = stamp_of(copy)  # how much this disk has promised
-        self.record = Record()
+        self.record = RolloutStateMachine()
         pace = raft.Pace()
         self.agreement = Agreement(
             link.spec.name,
@@ -119,7 +120,7 @@
             str, tuple[int, int]
         ] = {}  # by name: which disk a member has, of which record
         self.heard_any = False
-        self.conduct: Conduct | None = None
+        self.controller: RolloutController | None = None
         self.asks: list[Asked] = []
         self.reads: dict[int, int] = {}  # by nonce: up to which line; 0: not known yet
         self.seen_changes, self.seen_commit = -1, -1
@@ -133,7 +134,7 @@
         self.refused: str | None = None  # one that it does not take
         self.first_build: str | None = None
         self.ended = self.on_time = self.scrapped = self.turned_back = 0
-        self.reported, self.reported_at = Report(), self.now - TELL
+        self.reported, self.reported_at = MemberReport(), self.now - TELL
         self.current, self.called_at, self.drained = False, 0, False
         self.life.aside = True  # till it has learned what it is to do
         self.names: dict[str, int] = {}
@@ -271,13 +272,13 @@
         self.agreement.hear(talk, name, now)
 
     def reported_by(self, name: str, sender: int, talk: Talk, now: int) -> None:
-        if self.conduct is None:
+        if self.controller is None:
             return
         try:
-            report: Report = msgspec.msgpack.decode(talk.data, type=Report)
+            report: MemberReport = msgspec.msgpack.decode(talk.data, type=MemberReport)
         except (msgspec.DecodeError, ValueError):
             return
-        self.conduct.report(name, sender, report, now)
+        self.controller.on_report(name, sender, report, now)
 
     def told_stale(self, talk: Talk) -> None:
         """Another knows that this disk has promised more than its file knew when this run began."""
@@ -286,7 +287,7 @@
             return
         log.warning("consensus_log_stale", disk=f"{agreement.disk:x}", known=talk.one)
         noted, synced, waiting = agreement.noted, agreement.synced, agreement.notes
-        self.record.thaw(b"")
+        self.record.restore(b"")
         self.agreement = Agreement(
             self.link.spec.name,
             Copy(),
@@ -375,21 +376,21 @@
     def turn(self) -> None:
         """Once in a while: begin a record, lead, report, ask again."""
         now = self.now = self.loop.clock()
-        whole = self.record.whole
-        busy = bool(whole.release or whole.drains or self.asks)
+        state = self.record.state
+        busy = bool(state.rollout or state.drains or self.asks)
         self.loop.at(now + (BUSY if busy else TURN), self, self.turn)
         self.link.members.carry(RECORD_NEWS, self.agreement.news(self.stamp))
         self.look_whether_current(now)
         self.begin()
         if self.agreement.role == LEADER:
-            if self.conduct is None:
-                self.conduct = Conduct(now, self.spec.write_off)
-                self.conduct.known = {
-                    name: seat.zone for name, seat in self.seats().items() if seat.here
+            if self.controller is None:
+                self.controller = RolloutController(now, self.spec.write_off)
+                self.controller.known_zones = {
+                    name: seat.zone for name, seat in self.seats().items() if seat.is_present
                 }
             self.lead(now)
         else:
-            self.conduct = None
+            self.controller = None
         self.report()
         self.ask_again(now)
         self.watch_the_release(now)
@@ -425,19 +426,23 @@
             if name not in there or record or not disk:
                 return
             disks[name] = disk
-        said = Said(
+        said = CommandHeader(
             self.chance.getrandbits(62) | 1, self.link.spec.name, "as its file has it", wall_ms()
         )
         number = (self.chance.getrandbits(40) | 1) * raft.GENERATIONS
-        agreement.begin(number, disks, [(RULES, encode(Rules(said, list(self.spec.permits))))])
+        agreement.begin(
+            number,
+            disks,
+            [(EntryKind.SET_BUDGET, encode(SetBudget(said, list(self.spec.permits))))],
+        )
         log.info("consensus_bootstrapped", record=f"{number:x}", voters=",".join(disks))
 
     def lead(self, now: int) -> None:
-        assert self.conduct
-        self.conduct.report(
+        assert self.controller
+        self.controller.on_report(
             self.link.spec.name, self.link.members.card.id, weighed(self.own_report()), now
         )
-        for kind, data in self.conduct.turn(now, self.seats(), self.record):
+        for kind, data in self.controller.reconcile(now, self.seats(), self.record):
             self.agreement.command(kind, data)
         self.mend_voters()
 
@@ -462,52 +467,52 @@
             self.tell("consensus_voters_changed", voters=",".join(config))
         return fault
 
-    def seats(self) -> dict[str, Seat]:
+    def seats(self) -> dict[str, MemberView]:
         """Who is there, as this process sees it."""
         members, own = self.link.members, self.link.members.card
-        found = {own.name: Seat(own.name, own.id, own.zone, not self.life.stopping)}
+        found = {own.name: MemberView(own.name, own.id, own.zone, not self.life.stopping)}
         for one in members.members.values():
             name = one.card.name
             here = one.state in (HERE, SUSPECT)
-            if name not in found or here and not found[name].here:
-                found[name] = Seat(name, one.id, one.card.zone, here, one.unheard)
+            if name not in found or here and not found[name].is_present:
+                found[name] = MemberView(name, one.id, one.card.zone, here, one.unheard)
         return found
 
     # What this process does and reports.
 
     @property
-    def orders(self) -> Orders:
-        return self.record.orders(self.link.spec.name)
+    def orders(self) -> MemberOrders:
+        return self.record.orders_for(self.link.spec.name)
 
     def obey(self) -> None:
         """Do what is agreed, as far as it is this process's."""
         orders = self.orders
-        self.life.aside = orders.drained or not self.current
-        if self.current and orders.drained != self.drained:
-            self.drained = orders.drained
+        self.life.aside = orders.is_drained or not self.current
+        if self.current and orders.is_drained != self.drained:
+            self.drained = orders.is_drained
             self.tell(
                 "drain_started" if self.drained else "drain_finished",
-                revision=self.record.whole.revision,
+                revision=self.record.state.revision,
             )
             self.link.share(not self.drained)
         for pool in self.life.pools.values():
-            pool.drain(frozenset(self.record.upstreams(pool.name)))
-        if self.avoid is not None and orders.content != self.avoid:
+            pool.drain(frozenset(self.record.drained_upstreams(pool.name)))
+        if self.avoid is not None and orders.content_hash != self.avoid:
             self.avoid = None
-        if self.refused is not None and orders.content != self.refused:
+        if self.refused is not None and orders.content_hash != self.refused:
             self.refused, self.refusal = None, ""
-        wanted = orders.content
+        wanted = orders.content_hash
         if (
             self.current
             and not self.switching
             and wanted not in (self.running, self.avoid, self.refused)
         ):
-            data = self.record.content(wanted) if wanted else b""
+            data = self.record.read_file(wanted) if wanted else b""
             if data is not None:
                 self.begin_switch(wanted, data)
         self.obey_build(orders)
 
-    def obey_build(self, orders: Orders) -> None:
+    def obey_build(self, orders: MemberOrders) -> None:
         """End for another build: whoever keeps this process up starts that one."""
         if not self.current:
             return
@@ -554,7 +559,7 @@
         self.switching = False
         if self.life.spec.revision != spec.revision:
             self.refuse(wanted, "could not be applied")
-            held = self.record.content(self.before) if self.before else None
+            held = self.record.read_file(self.before) if self.before else None
             await anyio.to_thread.run_sync(self.put_file, file_of(self.before, held or b""))
         else:
             self.running, self.switched_at = wanted, self.loop.clock()
@@ -591,26 +596,26 @@
                 "release_rolled_back", content=self.running, position=self.link.members.position
             )
             self.avoid, self.switched_at = self.running, 0
-            data = self.record.content(self.before) if self.before else b""
+            data = self.record.read_file(self.before) if self.before else b""
             self.begin_switch(self.before, data or b"")
 
-    def own_report(self) -> Report:
+    def own_report(self) -> MemberReport:
         life, orders = self.life, self.orders
         idle = not life.out() and not any(front.has_pending_responses() for front in life.fronts)
         clean: list[int] = []
         for pool in life.pools.values():
             clean += [
                 number
-                for host, number in self.record.upstreams(pool.name).items()
+                for host, number in self.record.drained_upstreams(pool.name).items()
                 if not pool.out_at(host)
             ]
-        return Report(
+        return MemberReport(
             self.agreement.commit,
             self.running,
             self.spec.build,
             life.ready(),
-            orders.drained,
-            orders.drained and life.aside and idle,
+            orders.is_drained,
+            orders.is_drained and life.aside and idle,
             self.refused or "",
             self.refusal,
             tuple(clean[:64]),
@@ -622,11 +627,11 @@
 
     def report(self) -> None:
         """Tell the leader how this process stands, when something is new, and now and then."""
-        agreement, now, whole = self.agreement, self.loop.clock(), self.record.whole
+        agreement, now, state = self.agreement, self.loop.clock(), self.record.state
         if not agreement.leader or agreement.leader == agreement.name or not agreement.record:
             return
         report = self.own_report()
-        wait = TELL_BUSY if whole.release or whole.drains else TELL
+        wait = TELL_BUSY if state.rollout or state.drains else TELL
         if stands(report) == stands(self.reported) and now - self.reported_at < wait:
             return
         self.reported, self.reported_at = report, now
@@ -679,18 +684,18 @@
 
     def standing(self) -> dict[str, Any]:
         """How the record stands, for people."""
-        agreement, whole = self.agreement, self.record.whole
+        agreement, state = self.agreement, self.record.state
         return {
             "record": f"{agreement.record:x}",
             "role": raft.ROLES[agreement.role],
             "leader": agreement.leader,
             "term": agreement.term,
             "line": agreement.commit,
-            "revision": whole.revision,
+            "revision": state.revision,
             "voters": sorted(agreement.config),
             "votes": agreement.votes_here,
             "disk": self.fault or "well",
-            "digest": hash_of(self.record.freeze()),
+            "digest": hash_file(self.record.snapshot()),
             "runs": self.running,
             "build": self.spec.build,
             "current": self.current,
@@ -706,22 +711,22 @@
     return copy.term << 32 | min(2 * last + bool(copy.voted), 2**32 - 1)
 
 
-def stands(report: Report) -> tuple[Any, ...]:
+def stands(report: MemberReport) -> tuple[Any, ...]:
     """What of a report the leader is told at once where it changes."""
     return (
-        report.applied,
-        report.content,
+        report.applied_index,
+        report.content_hash,
         report.build,
-        report.ready,
-        report.drained,
-        report.refused,
-        report.clean,
+        report.is_ready,
+        report.is_drained,
+        report.refused_content,
+        report.idle_drains,
     )
 
 
-def weighed(report: Report) -> Report:
+def weighed(report: MemberReport) -> MemberReport:
     """A report that goes out, with what the process holds now: that is read only for it."""
-    return msgspec.structs.replace(report, memory=memory())
+    return msgspec.structs.replace(report, memory_bytes=memory())
 
 
 def wall_ms() -> int:
@@ -748,7 +753,7 @@
 def deflated(text: bytes) -> tuple[str, bytes]:
     """A file as it goes into the record, and its name there."""
     data = zlib.compress(text, 9)
-    return hash_of(data), data
+    return hash_file(data), data
 
 
 def pieces(data: bytes) -> Iterator[dict[str, str | int]]:
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -13,45 +13,49 @@
 
 from whinpier.fleet.consensus.node import LEADER
 from whinpier.fleet.messages import MOST_LINE
-from whinpier.fleet.rollouts import model
 from whinpier.fleet.rollouts.commands import (
-    DRAIN,
-    FORMS,
-    HALT,
-    MOST_TEXT,
-    PUT,
-    RELEASE,
-    RESUME,
-    RULES,
-    STRUCK,
-    UNDO,
-    UNDRAIN,
-    About,
-    Drain,
-    Gate,
-    Put,
-    Release,
-    Rule,
-    Rules,
-    Said,
+    ENTRY_TYPES,
+    MAX_TEXT,
+    AnalysisSettings,
+    BudgetRule,
+    CommandHeader,
+    DrainCommand,
+    EntryKind,
+    FileChunk,
+    NamedCommand,
+    ReleaseCommand,
+    SetBudget,
     encode,
 )
-from whinpier.fleet.rollouts.controller import worded
-from whinpier.fleet.rollouts.model import Item, Rollout, shown
-from whinpier.fleet.rollouts.state_machine import checked, hash_of
+from whinpier.fleet.rollouts.controller import describe_pending
+from whinpier.fleet.rollouts.disruption_budget import find_unavailable, rule_applies
+from whinpier.fleet.rollouts.history import is_intact
+from whinpier.fleet.rollouts.model import DrainPhase, HistoryEntry, Rollout, display_name
+from whinpier.fleet.rollouts.release_files import hash_file
 
 if TYPE_CHECKING:
     from whinpier.fleet.consensus.service import Agreed
 
 KINDS = {
-    "drain": DRAIN,
-    "undrain": UNDRAIN,
-    "release": RELEASE,
-    "halt": HALT,
-    "resume": RESUME,
-    "undo": UNDO,
-    "permits": RULES,
-    "strike": STRUCK,
+    "drain": EntryKind.DRAIN,
+    "undrain": EntryKind.UNDRAIN,
+    "release": EntryKind.RELEASE,
+    "halt": EntryKind.HALT,
+    "resume": EntryKind.RESUME,
+    "undo": EntryKind.ROLL_BACK,
+    "permits": EntryKind.SET_BUDGET,
+    "strike": EntryKind.WRITE_OFF,
+}
+
+# The settings of an analysis, as callers name them.
+ANALYSIS_FIELDS = {
+    "window_ms": "window_ms",
+    "on_time": "max_on_time_drop",
+    "errors": "max_error_increase",
+    "turned_back": "max_rejected_increase",
+    "memory": "max_memory_ratio",
+    "least": "min_requests",
+    "back_ms": "return_timeout_ms",
 }
 
 
@@ -70,10 +74,10 @@
     if ask == "put":
         return put(agreed, name, value)
     if ask == "has":
-        return {"whole": agreed.record.content(name) is not None}
+        return {"whole": agreed.record.read_file(name) is not None}
     if ask == "history":
-        history = agreed.record.whole.history
-        return {"checked": checked(history), "items": [row_of(item) for item in history]}
+        history = agreed.record.state.history
+        return {"checked": is_intact(history), "items": [row_of(item) for item in history]}
     if ask == "file":
         return file(agreed, name)
     if ask == "permits":
@@ -81,7 +85,7 @@
     if ask == "read":
         nonce = number(name)
         agreed.read(nonce)
-        return {"read": agreed.is_read(nonce), "revision": agreed.record.whole.revision}
+        return {"read": agreed.is_read(nonce), "revision": agreed.record.state.revision}
     if ask == "voters":
         return voters(agreed, name, value)
     if agreed.agreement.record == 0:
@@ -99,7 +103,7 @@
 # What is said.
 
 
-def said(value: dict[str, Any]) -> Said:
+def said(value: dict[str, Any]) -> CommandHeader:
     return msgspec.convert(
         {
             "id": value.get("id"),
@@ -121,10 +125,12 @@
     wall: int = 0
     based: int = -1
 
-    def made(self) -> Said:
+    def made(self) -> CommandHeader:
         if not 0 < self.id < 2**62:
             raise Fault("id: is not between 1 and 2**62")
-        return Said(self.id, self.who[:MOST_TEXT], self.why[:MOST_TEXT], self.wall, self.based)
+        return CommandHeader(
+            self.id, self.who[:MAX_TEXT], self.why[:MAX_TEXT], self.wall, self.based
+        )
 
 
 def command(agreed: Agreed, what: str, value: dict[str, Any]) -> Any:
@@ -135,7 +141,7 @@
     try:
         given = made(agreed, kind, value, said(value))
         data = encode(given)
-        msgspec.msgpack.decode(data, type=FORMS[kind])
+        msgspec.msgpack.decode(data, type=ENTRY_TYPES[kind])
     except (
         msgspec.ValidationError,
         msgspec.DecodeError,
@@ -148,28 +154,30 @@
         raise Fault(f"{what}: {len(data)} bytes, {MOST_LINE} at most; name fewer, or say less")
     if not agreed.agreement.record:
         raise Fault("there is no record yet: its voters have not all met")
-    identity = given.said.id
+    identity = given.header.id
     if value.get("dry"):
-        good, text = agreed.record.tried(agreed.record.whole.applied + 1, kind, data)
-        return {"id": identity, "dry": True, "good": good, "text": text}
-    if not agreed.ask(kind, data, lambda: identity in agreed.record.whole.results):
+        result = agreed.record.dry_run(agreed.record.state.last_applied + 1, kind, data)
+        return {"id": identity, "dry": True, "good": result.succeeded, "text": result.text}
+    if not agreed.ask(kind, data, lambda: identity in agreed.record.state.results):
         raise Fault("too many commands are on their way; ask again")
     return {"id": identity, "leader": agreed.agreement.leader}
 
 
-def made(agreed: Agreed, kind: int, value: dict[str, Any], who: Said) -> Any:
+def made(agreed: Agreed, kind: int, value: dict[str, Any], who: CommandHeader) -> Any:
     """A command's form, with what this process knows of whom it names."""
-    if kind in (DRAIN, UNDRAIN):
+    if kind in (EntryKind.DRAIN, EntryKind.UNDRAIN):
         return drain(agreed, str(value.get("name", "")), str(value.get("pool", "")), who)
-    if kind == RULES:
-        return Rules(who, [rule(text) for text in str(value.get("rules", "")).split(";") if text])
-    if kind == RELEASE:
-        gate = Gate(
-            **{key: value[key] for key in Gate.__struct_fields__ if key in value and key != "hold"},
-            hold=bool(value.get("hold", 0)),
+    if kind == EntryKind.SET_BUDGET:
+        return SetBudget(
+            who, [rule(text) for text in str(value.get("rules", "")).split(";") if text]
+        )
+    if kind == EntryKind.RELEASE:
+        gate = AnalysisSettings(
+            **{field: value[key] for key, field in ANALYSIS_FIELDS.items() if key in value},
+            hold_on_failure=bool(value.get("hold", 0)),
         )
         waves = [wave for wave in str(value.get("waves", "")).split(",") if wave]
-        return Release(
+        return ReleaseCommand(
             who,
             str(value.get("content", "")),
             str(value.get("build", "")),
@@ -178,35 +186,35 @@
             gate,
             agreed.spec.build,
         )
-    return About(who, str(value.get("name", "")))
+    return NamedCommand(who, str(value.get("name", "")))
 
 
-def rule(text: str) -> Rule:
+def rule(text: str) -> BudgetRule:
     """NAME|balancers|OUT|POOL|ZONE. Raises ValueError."""
     name, of, out, pool, zone = (text.split("|") + ["", ""])[:5]
-    return Rule(name, of, int(out), pool, zone)
+    return BudgetRule(name, of, int(out), pool, zone)
 
 
-def drain(agreed: Agreed, name: str, pool: str, who: Said) -> Drain:
+def drain(agreed: Agreed, name: str, pool: str, who: CommandHeader) -> DrainCommand:
     if pool:
         known = agreed.life.pools.get(pool)
         if known is None:
             raise Fault(f"{pool!r} is no pool of this process")
         peer = known.held.get(name)
-        if peer is None and f"u/{pool}/{name}" not in agreed.record.whole.drains:
+        if peer is None and f"u/{pool}/{name}" not in agreed.record.state.drains:
             raise Fault(f"{name!r} is no upstream of pool {pool}")
         names = known.spec.zones
         zone = names[peer.zone] if peer and peer.zone < len(names) else ""
-        return Drain(who, name, pool, zone)
+        return DrainCommand(who, name, pool, zone)
     seats = agreed.seats()
-    if name not in seats and f"b/{name}" not in agreed.record.whole.drains:
+    if name not in seats and f"b/{name}" not in agreed.record.state.drains:
         raise Fault(f"{name!r} is no member that is known here")
-    return Drain(who, name, "", seats[name].zone if name in seats else "")
+    return DrainCommand(who, name, "", seats[name].zone if name in seats else "")
 
 
 def outcome(agreed: Agreed, name: str) -> Any:
     """What became of a command, by its id."""
-    result = agreed.record.whole.results.get(number(name))
+    result = agreed.record.state.results.get(number(name))
     if result is None:
         return {"known": False, "leader": agreed.agreement.leader}
     return {"known": True, "line": result[0], "good": result[1], "text": result[2]}
@@ -216,18 +224,18 @@
     """A piece of a file, in base 64, on its way into the record."""
     try:
         data = base64.b64decode(str(value["data"]), validate=True)
-        piece = Put(name, int(value["at"]), int(value["size"]), data)
+        piece = FileChunk(name, int(value["at"]), int(value["size"]), data)
         line = encode(piece)
-        msgspec.msgpack.decode(line, type=Put)
+        msgspec.msgpack.decode(line, type=FileChunk)
     except (KeyError, ValueError, msgspec.ValidationError) as fault:
         raise Fault(f"put: {fault}") from None
 
     def there() -> bool:
-        return piece.at in agreed.record.whole.contents.get(name, {})
+        return piece.offset in agreed.record.state.file_chunks.get(name, {})
 
-    if not there() and not agreed.ask(PUT, line, there):
+    if not there() and not agreed.ask(EntryKind.FILE_CHUNK, line, there):
         raise Fault("too many pieces are on their way; ask again")
-    return {"put": piece.at}
+    return {"put": piece.offset}
 
 
 def voters(agreed: Agreed, name: str, value: dict[str, Any]) -> Any:
@@ -269,68 +277,68 @@
 # What is shown.
 
 
-def row_of(item: Item) -> dict[str, Any]:
+def row_of(item: HistoryEntry) -> dict[str, Any]:
     return {
-        "line": item.number,
-        "wall": item.wall,
-        "who": item.who,
-        "what": item.what,
-        "why": item.why,
-        "good": item.good,
+        "line": item.index,
+        "wall": item.wall_ms,
+        "who": item.actor,
+        "what": item.action,
+        "why": item.reason,
+        "good": item.succeeded,
         "text": item.text,
-        "chain": item.chain.hex(),
+        "chain": item.digest.hex(),
     }
 
 
 def release_row(release: Rollout) -> dict[str, Any]:
-    given = release.given
+    command = release.command
     return {
         "number": release.number,
-        "what": given.content or given.build,
-        "parent": release.good,
-        "selector": given.selector,
+        "what": command.version,
+        "parent": release.previous_default,
+        "selector": command.selector,
         "phase": release.phase,
         "reason": release.reason,
-        "wave": release.wave + 1,
+        "wave": release.current_wave + 1,
         "waves": [len(wave) for wave in release.waves],
-        "runs": sorted(release.met),
-        "waiting": list(release.todo),
+        "runs": sorted(release.updated),
+        "waiting": list(release.pending),
         "failed": dict(release.failed),
-        "undoing": release.undoing,
-        "who": given.said.who,
-        "why": given.said.why,
-        "wall": given.said.wall,
+        "undoing": release.is_rollback,
+        "who": command.header.operator,
+        "why": command.header.reason,
+        "wall": command.header.wall_ms,
     }
 
 
 def status(agreed: Agreed) -> Any:
     """All that is agreed and not done, as this process knows it."""
-    whole, conduct = agreed.record.whole, agreed.conduct
-    seats = agreed.seats() if conduct else {}
+    state, controller = agreed.record.state, agreed.controller
+    seats = agreed.seats() if controller else {}
     rows = []
-    for key, drain in whole.drains.items():
-        left = drain.left
-        if conduct and drain.state == model.DRAINING:
-            left = worded(conduct.unconfirmed(key, drain, seats))
+    for key, drain in state.drains.items():
+        left = drain.pending
+        if controller and drain.phase == DrainPhase.DRAINING:
+            left = describe_pending(controller.find_unconfirmed(key, drain, seats))
         rows.append(
             {
-                "name": shown(key),
+                "name": display_name(key),
                 "of": "balancers" if key.startswith("b/") else "upstreams",
-                "state": drain.state,
-                "permit": drain.number,
-                "who": drain.who,
-                "why": drain.why,
-                "wall": drain.wall,
+                "state": drain.phase,
+                "permit": drain.permit_number,
+                "who": drain.operator,
+                "why": drain.reason,
+                "wall": drain.wall_ms,
                 "left": left,
             }
         )
     return agreed.standing() | {
         "drains": rows,
-        "release": release_row(whole.release) if whole.release else None,
-        "closed": [release_row(one) for one in whole.closed],
-        "good": whole.good,
-        "good_build": whole.good_build,
-        "lost": sorted(whole.lost),
+        "release": release_row(state.rollout) if state.rollout else None,
+        "closed": [release_row(one) for one in state.closed_rollouts],
+        "good": state.default_content,
+        "good_build": state.default_build,
+        "lost": sorted(state.lost),
         "on_their_way": len(agreed.asks),
     }
 
@@ -338,30 +346,30 @@
 def permits(agreed: Agreed) -> Any:
     """Who may be out, and who is."""
     record = agreed.record
-    outside = record.outside()
+    outside = find_unavailable(record.state)
     rules = [
         {
             "name": rule.name,
-            "of": rule.of,
+            "of": rule.target,
             "pool": rule.pool,
             "zone": rule.zone,
-            "may": rule.out,
+            "may": rule.max_out,
             "out": sorted(
-                shown(key)
-                for key, (zone, pool) in outside.items()
-                if record.holds(rule, key, zone, pool)
+                display_name(key)
+                for key, location in outside.items()
+                if rule_applies(rule, location)
             ),
         }
-        for rule in record.whole.rules
+        for rule in record.state.rules
     ]
     outs = [
-        {"name": shown(key), "why": out.why, "permit": out.number}
-        for key, out in record.whole.outs.items()
+        {"name": display_name(key), "why": permit.purpose, "permit": permit.number}
+        for key, permit in record.state.permits.items()
     ]
     outs += [
         {"name": name, "why": "lost", "permit": 0}
-        for name in record.whole.lost
-        if f"b/{name}" not in record.whole.outs
+        for name in record.state.lost
+        if f"b/{name}" not in record.state.permits
     ]
     return {"rules": rules, "out": outs}
 
@@ -370,8 +378,8 @@
     """A released file: by its name, or the one that is good."""
     from whinpier.fleet.consensus.service import inflated
 
-    name = name or agreed.record.whole.good
-    data = agreed.record.content(name) if name else None
+    name = name or agreed.record.state.default_content
+    data = agreed.record.read_file(name) if name else None
     if data is None:
         raise Fault(f"the record holds no file {name!r}" if name else "nothing was released yet")
-    return {"name": hash_of(data), "text": inflated(data).decode("utf-8", "replace")}
+    return {"name": hash_file(data), "text": inflated(data).decode("utf-8", "replace")}
--- a/whinpier/fleet/rollouts/commands.py
+++ b/whinpier/fleet/rollouts/commands.py
@@ -1,166 +1,237 @@
-"""The typed commands and observations that log entries carry, and their codec."""
+"""The typed contents of the log entries that drive drains and releases, and their codec.
+
+Owns what an entry of each kind holds and within which bounds. Invariants: the numbers of kinds and
+the order of fields are on the wire and on disk, so they are only ever added to; an entry that does
+not decode changes nothing anywhere.
+"""
 
 from __future__ import annotations
 
-from typing import Annotated, Any
+from enum import IntEnum, StrEnum
+from typing import Annotated, Any, TypeAlias
 
 import msgspec
 from msgspec import Meta, Struct
 
-# Kinds of lines; the first two are the record's own.
-RULES, DRAIN, UNDRAIN, OBSERVED, PUT, RELEASE, PLAN, GATE, HALT, RESUME, UNDO, STRUCK = range(2, 14)
-SAID = {
-    RULES: "permits",
-    DRAIN: "drain",
-    UNDRAIN: "undrain",
-    RELEASE: "release",
-    HALT: "halt",
-    RESUME: "resume",
-    UNDO: "undo",
-    STRUCK: "strike",
-}  # what operators say
-BALANCERS, UPSTREAMS = "balancers", "upstreams"
-# What a leader has seen. LOST: without asking. BACK: it serves again. CONFIRMED: a drain is done.
-# SWITCHED: it runs what it was told to. FAILED: it refuses, or did not come back. WRITTEN_OFF: lost
-# for so long that it is reckoned with no more. LEFT: who has not confirmed a drain yet, for people.
-LOST, BACK, CONFIRMED, SWITCHED, FAILED, WRITTEN_OFF, LEFT = range(7)
-MOST_RULES, MOST_DRAINS, MOST_MEMBERS = 64, 256, 4_096
-MOST_CONTENT, MOST_PIECE = 96 << 10, 600  # bytes of a release's file, compressed; of one line of it
-MOST_CONTENTS = 8  # files that are held: older ones that nobody is told to run go
-MOST_HISTORY, MOST_RESULTS = 256, 512
-MOST_GONE = 512
-MOST_TEXT = 200
-CLOSED = 8  # releases that are over and still shown
-
-Text = Annotated[str, Meta(max_length=MOST_TEXT)]
-Name = Annotated[str, Meta(max_length=160)]
-
-
-class Said(Struct, frozen=True, array_like=True):
-    """What every operator's command has: an id by which it counts once, who, why, when, what it
-    rests on.
-    """
+MAX_RULES = 64
+MAX_DRAINS = 256
+MAX_MEMBERS = 4_096
+MAX_FILE_BYTES = 96 << 10  # of a released file, compressed
+MAX_CHUNK_BYTES = 600  # of a released file in one entry
+MAX_FILES = 8  # files that are held: older ones that nobody is assigned to are dropped
+MAX_HISTORY = 256
+MAX_RESULTS = 512
+MAX_WRITTEN_OFF = 512
+MAX_TEXT = 200
+MAX_CLOSED_ROLLOUTS = 8  # rollouts that are over and still shown
+MAX_WAVES = 16
+MAX_NAMES_PER_ENTRY = 64
+
+Text: TypeAlias = Annotated[str, Meta(max_length=MAX_TEXT)]
+Name: TypeAlias = Annotated[str, Meta(max_length=160)]
+
+
+class EntryKind(IntEnum):
+    """Kinds of log entries; 0 and 1 are the consensus module's own."""
+
+    SET_BUDGET = 2
+    DRAIN = 3
+    UNDRAIN = 4
+    OBSERVATIONS = 5
+    FILE_CHUNK = 6
+    RELEASE = 7
+    WAVE_PLAN = 8
+    ANALYSIS_RESULT = 9
+    HALT = 10
+    RESUME = 11
+    ROLL_BACK = 12
+    WRITE_OFF = 13
+
+
+# The words by which operators give commands, on the control socket and in the history.
+COMMAND_WORDS: dict[int, str] = {
+    EntryKind.SET_BUDGET: "permits",
+    EntryKind.DRAIN: "drain",
+    EntryKind.UNDRAIN: "undrain",
+    EntryKind.RELEASE: "release",
+    EntryKind.HALT: "halt",
+    EntryKind.RESUME: "resume",
+    EntryKind.ROLL_BACK: "undo",
+    EntryKind.WRITE_OFF: "strike",
+}
+
+
+class BudgetTarget(StrEnum):
+    """What a rule of the disruption budget counts."""
+
+    BALANCERS = "balancers"
+    UPSTREAMS = "upstreams"
+
+
+class ObservationKind(IntEnum):
+    """What a leader observes of a member or an upstream."""
+
+    LOST = 0  # it failed without a permit
+    RETURNED = 1  # it serves again
+    DRAIN_CONFIRMED = 2
+    SWITCHED = 3  # it runs what it was assigned
+    FAILED = 4  # it refuses what it was assigned, or did not come back
+    WRITTEN_OFF = 5  # lost for so long that it no longer counts
+    DRAIN_PENDING = 6  # who has not confirmed a drain yet, for people to read
+
+
+class CommandHeader(Struct, frozen=True, array_like=True):
+    """Identify an operator's command, which takes effect once for each id."""
 
     id: Annotated[int, Meta(ge=1)]
-    who: Text
-    why: Text = ""
-    wall: int = 0  # ms since the epoch, for people
-    based: int = -1  # the revision that its operator had seen; -1: whatever it is
+    operator: Text
+    reason: Text = ""
+    wall_ms: int = 0  # since the epoch, for people to read
+    base_revision: int = -1  # the revision that its operator had seen; -1: any
 
 
-class Rule(Struct, frozen=True, array_like=True):
-    """How many may be out at once of what a scope names."""
+class BudgetRule(Struct, frozen=True, array_like=True):
+    """Bound how many of a scope may be out at once."""
 
     name: Name
-    of: str  # BALANCERS or UPSTREAMS
-    out: Annotated[int, Meta(ge=0, le=MOST_MEMBERS)]
+    target: str  # a BudgetTarget; other text is refused where the command is applied
+    max_out: Annotated[int, Meta(ge=0, le=MAX_MEMBERS)]
     pool: Name = ""  # of upstreams; empty: any
     zone: Name = ""  # empty: any
 
 
-class Rules(Struct, frozen=True, array_like=True):
-    said: Said
-    rules: Annotated[list[Rule], Meta(max_length=MOST_RULES)]
+class SetBudget(Struct, frozen=True, array_like=True):
+    """Replace all rules of the disruption budget."""
+
+    header: CommandHeader
+    rules: Annotated[list[BudgetRule], Meta(max_length=MAX_RULES)]
 
 
-class Drain(Struct, frozen=True, array_like=True):
-    """Let a balancer, or an upstream of a pool, get nothing new until it is undrained; or undrain it."""
+class DrainCommand(Struct, frozen=True, array_like=True):
+    """Drain or undrain a balancer, or an upstream of a pool."""
 
-    said: Said
-    name: Name  # a balancer's, an upstream's
+    header: CommandHeader
+    name: Name
     pool: Name = ""  # empty: a balancer
     zone: Name = ""
 
 
-class Seen(Struct, frozen=True, array_like=True):
-    """One thing that the leader has seen of a member or an upstream."""
+class Observation(Struct, frozen=True, array_like=True):
+    """Report one thing that the leader observed of a member or an upstream."""
 
-    what: Annotated[int, Meta(ge=LOST, le=LEFT)]
+    kind: ObservationKind
     key: Name
-    number: int = 0  # of the permit or drain that is meant
-    text: Text = ""  # a zone; why it failed
+    number: int = 0  # of the permit that is meant
+    text: Text = ""  # a zone, or why it failed
+
 
+class Observations(Struct, frozen=True, array_like=True):
+    """Carry what the leader observed since its last entry."""
 
-class Observed(Struct, frozen=True, array_like=True):
     id: int
-    seen: Annotated[list[Seen], Meta(max_length=64)]
+    items: Annotated[list[Observation], Meta(max_length=64)]
 
 
-class Put(Struct, frozen=True, array_like=True):
-    """A piece of a release's file."""
+class FileChunk(Struct, frozen=True, array_like=True):
+    """Carry a part of a released file."""
 
-    content: Name  # its hash
-    at: Annotated[int, Meta(ge=0, le=MOST_CONTENT)]
-    size: Annotated[int, Meta(ge=1, le=MOST_CONTENT)]
-    data: Annotated[bytes, Meta(max_length=MOST_PIECE)]
+    content_hash: Name
+    offset: Annotated[int, Meta(ge=0, le=MAX_FILE_BYTES)]
+    file_size: Annotated[int, Meta(ge=1, le=MAX_FILE_BYTES)]
+    data: Annotated[bytes, Meta(max_length=MAX_CHUNK_BYTES)]
 
 
-class Gate(Struct, frozen=True, array_like=True):
-    """What has to hold between two waves, measured beside the rest of the fleet in the same seconds."""
+class AnalysisSettings(Struct, frozen=True, array_like=True):
+    """Say by how much a released wave may be worse than the rest of the fleet."""
 
     window_ms: Annotated[int, Meta(ge=200, le=3_600_000)] = 3_000
-    on_time: float = 0.05  # by how much less may be on time
-    errors: float = 0.02  # and more failed
-    turned_back: float = 0.05  # and more rejected
-    memory: float = 1.5  # times what the rest holds
-    least: int = 20  # requests, without which there is nothing to judge by
-    back_ms: int = 20_000  # for a member to come back
-    hold: bool = False  # what fails is held where it is, and not undone
+    max_on_time_drop: float = 0.05  # as parts of all requests, like the next two
+    max_error_increase: float = 0.02
+    max_rejected_increase: float = 0.05
+    max_memory_ratio: float = 1.5
+    min_requests: int = 20  # fewer give nothing to judge by
+    return_timeout_ms: int = 20_000  # for a member to come back
+    hold_on_failure: bool = False  # halt a failed rollout where it is instead of rolling it back
 
 
-class Release(Struct, frozen=True, array_like=True):
-    """A file's content or a build, to whom, in which waves."""
+class ReleaseCommand(Struct, frozen=True, array_like=True):
+    """Release a file or a build to selected members in waves."""
 
-    said: Said
-    content: Name = ""  # a file by its hash; empty: a build
+    header: CommandHeader
+    content_hash: Name = ""  # of a file; empty: a build
     build: Name = ""
     selector: Name = "all"  # all, zone=Z, or names with commas between
-    waves: Annotated[
-        list[str], Meta(max_length=16)
-    ] = []  # numbers, or parts of all as 25%; then the rest
-    gate: Gate = Gate()
-    before: Name = ""  # the build that its operator's process is
+    # Numbers of members, or percentages such as 25%; the last wave has who is left.
+    waves: Annotated[list[str], Meta(max_length=MAX_WAVES)] = msgspec.field(default_factory=list)
+    analysis: AnalysisSettings = AnalysisSettings()
+    previous_build: Name = ""  # of the process that its operator spoke to
+
+    @property
+    def version(self) -> str:
+        """Return what members are to run: the hash of a file, or a build."""
+        return self.content_hash or self.build
 
 
-class Plan(Struct, frozen=True, array_like=True):
-    """Who is in which wave of a release; the last says so."""
+class WavePlan(Struct, frozen=True, array_like=True):
+    """Assign members to a wave of a rollout."""
 
-    number: int
-    wave: Annotated[int, Meta(ge=0, le=16)]
-    names: Annotated[list[Name], Meta(max_length=64)]
-    zones: Annotated[list[Name], Meta(max_length=64)]  # of each of them
-    last: bool = False
+    release_number: int
+    wave: Annotated[int, Meta(ge=0, le=MAX_WAVES)]
+    names: Annotated[list[Name], Meta(max_length=MAX_NAMES_PER_ENTRY)]
+    zones: Annotated[list[Name], Meta(max_length=MAX_NAMES_PER_ENTRY)]  # one for each name
+    is_last: bool = False
 
 
-class Judged(Struct, frozen=True, array_like=True):
-    """How a gate was found."""
+class AnalysisResult(Struct, frozen=True, array_like=True):
+    """Say whether the analysis of a wave passed."""
 
-    number: int
+    release_number: int
     wave: int
-    good: bool
+    passed: bool
     text: Text = ""
 
 
-class About(Struct, frozen=True, array_like=True):
-    """Halt, resume or undo the release that is on; undo one that is over; strike a member."""
+class NamedCommand(Struct, frozen=True, array_like=True):
+    """Halt, resume or roll back the active rollout, or write off the member of that name."""
 
-    said: Said
+    header: CommandHeader
     name: Name = ""
 
 
-FORMS: dict[int, type[Struct]] = {
-    RULES: Rules,
-    DRAIN: Drain,
-    UNDRAIN: Drain,
-    OBSERVED: Observed,
-    PUT: Put,
-    RELEASE: Release,
-    PLAN: Plan,
-    GATE: Judged,
-    HALT: About,
-    RESUME: About,
-    UNDO: About,
-    STRUCK: About,
+ENTRY_TYPES: dict[int, type[Struct]] = {
+    EntryKind.SET_BUDGET: SetBudget,
+    EntryKind.DRAIN: DrainCommand,
+    EntryKind.UNDRAIN: DrainCommand,
+    EntryKind.OBSERVATIONS: Observations,
+    EntryKind.FILE_CHUNK: FileChunk,
+    EntryKind.RELEASE: ReleaseCommand,
+    EntryKind.WAVE_PLAN: WavePlan,
+    EntryKind.ANALYSIS_RESULT: AnalysisResult,
+    EntryKind.HALT: NamedCommand,
+    EntryKind.RESUME: NamedCommand,
+    EntryKind.ROLL_BACK: NamedCommand,
+    EntryKind.WRITE_OFF: NamedCommand,
 }
+
 encode = msgspec.msgpack.Encoder().encode
-_decoders: dict[int, Any] = {kind: msgspec.msgpack.Decoder(form) for kind, form in FORMS.items()}
+_decoders: dict[int, Any] = {
+    kind: msgspec.msgpack.Decoder(entry_type) for kind, entry_type in ENTRY_TYPES.items()
+}
+
+
+class EntryDecodeError(ValueError):
+    """The contents of a log entry are unknown to this build, or malformed."""
+
+
+def decode(kind: int, data: bytes) -> Any:
+    """Decode the contents of a log entry.
+
+    Raises EntryDecodeError.
+    """
+    decoder = _decoders.get(kind)
+    if decoder is None:
+        raise EntryDecodeError(f"unknown kind of log entry: {kind}")
+    try:
+        return decoder.decode(data)
+    except (msgspec.DecodeError, ValueError) as error:
+        raise EntryDecodeError(f"malformed log entry of kind {kind}: {error}") from error
--- a/whinpier/fleet/spec.py
+++ b/whinpier/fleet/spec.py
@@ -7,7 +7,7 @@
 from whinpier.fleet.membership.membership import Address, Times
 from whinpier.fleet.outliers.ejection import Rules
 from whinpier.fleet.quotas.allocation import Said
-from whinpier.fleet.rollouts.commands import Rule
+from whinpier.fleet.rollouts.commands import BudgetRule
 from whinpier.policy.decaying_sum import SECOND
 
 RELEASED = "released.toml"  # the file's name in the folder of what is agreed
@@ -30,7 +30,7 @@
 
     voters: tuple[str, ...]  # who votes where a record begins; the first begins it
     folder: str  # where the record and the released file lie
-    permits: tuple[Rule, ...] = ()  # how many may be out, where a record begins
+    permits: tuple[BudgetRule, ...] = ()  # how many may be out, where a record begins
     wait: int = 5 * SECOND  # for the record, till it serves by what it has
     write_off: int = 600 * SECOND  # after which one that is lost is reckoned with no more
     cut_off: int = 15 * SECOND  # after a release that cuts this process off it takes it back itself
--- a/whinpier/model_checking/consensus.py
+++ b/whinpier/model_checking/consensus.py
@@ -60,13 +60,13 @@
     def apply(self, index: int, line: Line) -> None:
         self.all.append((index, line.data))
 
-    def freeze(self) -> bytes:
+    def snapshot(self) -> bytes:
         return pack(self.all)
 
-    def thaw(self, data: bytes) -> None:
+    def restore(self, data: bytes) -> None:
         self.all = [(index, bytes(one)) for index, one in unpack(data)] if data else []
 
-    def knows(self, data: bytes) -> bool:
+    def has_applied(self, data: bytes) -> bool:
         return any(one == data for _, one in self.all)
 
 
--- a/whinpier/simulation/consensus.py
+++ b/whinpier/simulation/consensus.py
@@ -16,8 +16,15 @@
 from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, unpack
 from whinpier.fleet.membership.membership import Address
 from whinpier.fleet.messages import RECORD_NEWS
-from whinpier.fleet.rollouts.commands import DRAIN, RULES, Drain, Rule, Rules, Said, encode
-from whinpier.fleet.rollouts.state_machine import Record
+from whinpier.fleet.rollouts.commands import (
+    BudgetRule,
+    CommandHeader,
+    DrainCommand,
+    EntryKind,
+    SetBudget,
+    encode,
+)
+from whinpier.fleet.rollouts.state_machine import RolloutStateMachine
 from whinpier.simulation.clock import MS, SECOND
 from whinpier.simulation.fleet import Fleet, Node
 from whinpier.testbed.faults import Fault, Schedule
@@ -38,7 +45,7 @@
         address: Address,
         recalled: list[Address] | None,
     ) -> None:
-        self.record_fleet, self.machine = fleet, Record()
+        self.record_fleet, self.machine = fleet, RolloutStateMachine()
         chance = Random(f"record/{fleet.schedule.seed}/{name}")
         self.agreement = Agreement(
             name, Copy(disk=chance.getrandbits(62) | 1), self.machine, fleet.clock.now, chance
@@ -71,8 +78,8 @@
             if record or not disk:
                 return
             disks[name] = disk
-        rules = Rules(Said(1, "model"), [Rule("all", "balancers", 9)])
-        self.agreement.begin(raft.GENERATIONS, disks, [(RULES, encode(rules))])
+        rules = SetBudget(CommandHeader(1, "model"), [BudgetRule("all", "balancers", 9)])
+        self.agreement.begin(raft.GENERATIONS, disks, [(EntryKind.SET_BUDGET, encode(rules))])
 
     def pass_on(self) -> None:
         agreement, now = self.agreement, self.fleet.clock.now
@@ -151,9 +158,11 @@
     )
     begun, size = fleet.clock.now, 0
     for number in range(60):
-        data = encode(Drain(Said(100 + number, "model", "w" * 200), "n" * 100 + str(number)))
+        data = encode(
+            DrainCommand(CommandHeader(100 + number, "model", "w" * 200), "n" * 100 + str(number))
+        )
         size = len(data)
-        leader.agreement.command(DRAIN, data)
+        leader.agreement.command(EntryKind.DRAIN, data)
         leader.pass_on()
         if number == 0:
             first = leader.agreement.last
--- a/whinpier/testbed/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -40,16 +40,16 @@
 
 def permits_without_end() -> None:
     """No rule holds anybody back."""
-    from whinpier.fleet.rollouts.state_machine import Record
+    from whinpier.fleet.rollouts import disruption_budget
 
-    Record.over = lambda self, key="", zone="", pool="": ""  # type: ignore[method-assign]
+    disruption_budget.find_violation = lambda state, key="", zone="", pool="": ""
 
 
 def done_at_once() -> None:
     """A drain is called done before anybody has confirmed it."""
-    from whinpier.fleet.rollouts.controller import Conduct
+    from whinpier.fleet.rollouts.controller import RolloutController
 
-    Conduct.unconfirmed = lambda self, key, drain, seats: {}  # type: ignore[method-assign]
+    RolloutController.find_unconfirmed = lambda self, key, drain, views: {}  # type: ignore[method-assign]
 
 
 def drains_nothing() -> None:
