--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -337,7 +337,7 @@
     try:
         for line in process.stderr:
             lines.append(line)
-            if "event=endpoints_updated" in line or len(lines) > 5000:
+            if "event=listening" in line or len(lines) > 5000:
                 break
         inodes = {os.readlink(one) for one in Path(f"/proc/{process.pid}/fd").iterdir()}
     finally:
