--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -563,12 +563,12 @@
     parts = [table.one for table in shares.tables.values()]
     now, requests = 10 * SECOND, 20_000
     for part in parts:
-        part.enter(now, now)
+        part.acquire(now, now)
     begun = time.perf_counter()
     for step in range(requests):
         now += 10_000
         for part in parts:
-            part.enter(now, now + SECOND)
+            part.acquire(now, now + SECOND)
     each = (time.perf_counter() - begun) / requests
     report.say(f"     ten limits: {each * 1e6:.1f} us a task")
     report.bound("ten limits, of the 800 us that a task takes of a core", each / 800e-6, most=0.02)
@@ -581,7 +581,7 @@
         begun = time.perf_counter()
         for _ in range(requests):
             now += 100_000
-            table.named(names[int(chance.random() * tenants)]).enter(now, now + SECOND)
+            table.named(names[int(chance.random() * tenants)]).acquire(now, now + SECOND)
         found[tenants] = (time.perf_counter() - begun) / requests
         report.say(
             f"     {tenants} tenants: {found[tenants] * 1e6:.1f} us a task, {len(table.parts)} parts, "
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -12,8 +12,8 @@
 from random import Random
 
 from benchmarks.common import Report, main
-from whinpier.routing import normal
-from whinpier.routing.table import Missed, Route, RouteQuery, Table, scan
+from whinpier.routing import normalization
+from whinpier.routing.table import NoRoute, Route, RouteQuery, RoutingTable, find_by_scan
 
 SIZES = (10, 1_000, 10_000)
 PER_HOST = 10
@@ -51,13 +51,17 @@
     return found
 
 
-def timed(asked: list[tuple[str, str, str]], table: Table, rounds: int) -> float:
+def timed(asked: list[tuple[str, str, str]], table: RoutingTable, rounds: int) -> float:
     """Microseconds of a look-up, names put in their one form and all; the least of some rounds."""
     best = float("inf")
     for _ in range(rounds):
         begun = time.perf_counter_ns()
         for method, host, path in asked:
-            table.find(RouteQuery(method, normal.host(host), normal.path(path)))
+            table.find(
+                RouteQuery(
+                    method, normalization.normalize_host(host), normalization.normalize_path(path)
+                )
+            )
         best = min(best, (time.perf_counter_ns() - begun) / len(asked) / 1000)
     return best
 
@@ -71,19 +75,21 @@
         chance = Random(given.seed)
         found = routes(count)
         begun = time.perf_counter()
-        table = Table(found)
+        table = RoutingTable(found)
         built = 1000 * (time.perf_counter() - begun)
         asked = questions(count, number, chance)
         costs[count] = timed(asked, table, rounds)
         few = [
-            RouteQuery(method, normal.host(host), normal.path(path))
+            RouteQuery(
+                method, normalization.normalize_host(host), normalization.normalize_path(path)
+            )
             for method, host, path in asked[:50]
         ]
         begun = time.perf_counter()
-        scanned = [scan(found, one) for one in few]
+        scanned = [find_by_scan(found, one) for one in few]
         plain = 1e6 * (time.perf_counter() - begun) / len(few)
         differ = sum(
-            (None if isinstance(got := table.find(one), Missed) else got) is not other
+            (None if isinstance(got := table.find(one), NoRoute) else got) is not other
             for one, other in zip(few, scanned)
         )
         report.say(
--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -118,7 +118,7 @@
                 for place, to, deal in sent:
                     those["abc"[to]].deal(deal, place, now)
     assert 0.95 * 90 <= passed <= 90
-    assert 0.3 * SECOND < those["a"].wait(now) < 1.2 * SECOND
+    assert 0.3 * SECOND < those["a"].retry_after(now) < 1.2 * SECOND
     assert those["a"].take(60 * SECOND)
 
 
@@ -355,8 +355,8 @@
     for step in range(40):
         flight.turn(step * SECOND // 10, {}, 1)
         passed += sum(flight.take(step * SECOND // 10) for _ in range(9))
-    assert passed == flight.used == 3 and flight.wait(0)
-    flight.give(0)
+    assert passed == flight.used == 3 and flight.retry_after(0)
+    flight.release(0)
     assert flight.take(5 * SECOND)
     window = Nearly(Limit("x", COUNT, 50, ()), MINUTES, 0, lambda now: (now, now))
     passed = 0
@@ -364,7 +364,7 @@
         now = step * SECOND // 10
         window.turn(now, {}, 1)
         passed += window.take(now)
-    assert passed == 100 and window.wait(now) <= 2 * SECOND
+    assert passed == 100 and window.retry_after(now) <= 2 * SECOND
 
 
 # Processes.
--- a/tests/fleet/test_outlier_monitor.py
+++ b/tests/fleet/test_outlier_monitor.py
@@ -30,14 +30,14 @@
 class FakePool:
     def __init__(self, name, hosts):
         self.name = name
-        self.listings = 1
-        self.held = {host: SimpleNamespace(host=host, started=1, zone=0) for host in hosts}
+        self.list_changes = 1
+        self.endpoints = {host: SimpleNamespace(host=host, started=1, zone=0) for host in hosts}
         request_class = SimpleNamespace(known=SimpleNamespace(usual=USUAL_NS))
         self.spec = SimpleNamespace(zones=(), request_classes=[request_class])
         self.attempt_observer = None
         self.ejected = Counter()
 
-    def rest(self, host, on):
+    def set_ejected(self, host, on):
         self.ejected[host] = int(on)
 
 
@@ -77,7 +77,7 @@
     monitor.operator_ejections = {("web", "s-3"): monitor.loop.now + 600 * SECOND}
     play(monitor, 2 * SECOND)
     assert pool.ejected == {"s-3": 1}
-    key = f"{upstream_key(pool.held['s-3']):08x}"
+    key = f"{upstream_key(pool.endpoints['s-3']):08x}"
     assert told == [
         (
             "ejection_started",
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -139,9 +139,9 @@
 def test_what_never_ran_is_given_back_and_a_rejection_says_a_true_time():
     one = Share(rate(10, 1, ("a",)), "a", 0, Random(1), 0)
     assert not one.take(0) and one.take(SECOND // 10)
-    one.give(SECOND // 10, ran=False)
+    one.release(SECOND // 10, ran=False)
     assert one.take(SECOND // 10) and not one.take(SECOND // 10)
-    wait = one.wait(SECOND // 10)
+    wait = one.retry_after(SECOND // 10)
     assert SECOND // 20 <= wait <= SECOND // 4
     assert one.take(SECOND // 10 + wait) and one.level < TASK
 
@@ -212,16 +212,16 @@
     one = division("a", old)
     one.look(TURN, {"b", "c"}, set(), set())
     start = SPAN + SLACK
-    taken = [one.tables["x"].one.enter(start, start + SECOND) for _ in range(10)]
+    taken = [one.tables["x"].one.acquire(start, start + SECOND) for _ in range(10)]
     assert all(taken)
     one.follow([Said(new, ("t",))], start)
     assert (
         home(one) == 1
         and not one.tell(start)
-        and one.tables["x"].one.enter(start, start + SECOND) is None
+        and one.tables["x"].one.acquire(start, start + SECOND) is None
     )
     for passed in taken[:9]:
-        passed.give(start)
+        passed.release(start)
     assert one.tell(start) and one.look(start, {"b", "c"}, set(), set())
 
 
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -95,7 +95,7 @@
     try:
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(scripted.client.run)
-            scripted.client.follow(True)
+            scripted.client.set_watching(True)
             yield scripted
             task_group.cancel_scope.cancel()
     finally:
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -25,7 +25,7 @@
 from whinpier.http.upstream_connection import Link
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Effect, Outcome
-from whinpier.runtime.process import Life
+from whinpier.runtime.process import Process
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 FULL = b"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
@@ -87,9 +87,9 @@
         self.given["limits"]["sockets"] = sockets
         self.given["settings"]["limits"] |= limits
         spec = self.spec()
-        self.life = Life(spec, Http1(), lambda: spec, kept_till_restart)
-        self.pool = self.life.pools["all"]
-        self.door, self.welcomed = self.life.fronts[0], 0
+        self.process = Process(spec, Http1(), lambda: spec, kept_till_restart)
+        self.pool = self.process.pools["all"]
+        self.door, self.welcomed = self.process.frontends[0], 0
         self.welcome, self.door.welcome = self.door.welcome, self.counted
 
     def counted(self, listener):
@@ -152,7 +152,7 @@
     stage.pool.counts.clear()
     try:
         async with anyio.create_task_group() as task_group:
-            task_group.start_soon(stage.life.serve, [stage.listener])
+            task_group.start_soon(stage.process.serve, [stage.listener])
             await stage.turns()
             yield stage
             task_group.cancel_scope.cancel()
@@ -171,7 +171,7 @@
         leave(client)  # all of this has come before the balancer looks
         await stage.until(lambda: stage.welcomed and not stage.door.clients)
         await stage.turns()
-        assert stage.begun() == 0 and stage.pool.out == 0
+        assert stage.begun() == 0 and stage.pool.in_flight == 0
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
@@ -179,9 +179,11 @@
     async with staged(2, cancelling=False) as stage:
         client = stage.client(request())
         await stage.until(lambda: stage.begun() == 1)
-        at = next(number for number, peer in enumerate(stage.pool.held.values()) if peer.out())
+        at = next(
+            number for number, peer in enumerate(stage.pool.endpoints.values()) if peer.in_flight()
+        )
         upstream, _ = await stage.met(at)
-        link = next(iter(list(stage.pool.held.values())[at].links))
+        link = next(iter(list(stage.pool.endpoints.values())[at].links))
         upstream.sendall(FULL)
         leave(client)
         link.came()  # the answer is read first, the client's leaving waits
@@ -202,12 +204,12 @@
 
     monkeypatch.setattr(Link, "run", late)
     async with staged(cancelling=cancelling) as stage:
-        server = stage.pool.held["s-0"]
+        server = stage.pool.endpoints["s-0"]
         client = stage.client(request())
         await stage.until(lambda: server.waiting)
         client.close()
         await stage.until(lambda: stage.pool.counts["clients_left"] == 1)
-        assert not server.waiting and stage.pool.on_wire() == 0
+        assert not server.waiting and stage.pool.count_in_flight() == 0
         up.set()  # the connection comes up, for nobody
         await stage.until(lambda: server.idle)
         await stage.turns()
@@ -231,9 +233,9 @@
     async with staged(2) as stage:
         client = stage.client(request())
         await stage.until(lambda: stage.begun() == 1)
-        peers = list(stage.pool.held.values())
-        at = next(number for number, peer in enumerate(peers) if peer.out())
-        peers[at].moved(
+        peers = list(stage.pool.endpoints.values())
+        at = next(number for number, peer in enumerate(peers) if peer.in_flight())
+        peers[at].set_address(
             peers[1 - at].address
         )  # as the list says; the connection to the old address comes up
         up.set()
@@ -259,23 +261,23 @@
         await stage.until(lambda: any(client.reading for client in stage.door.clients))
         client.close()
         await stage.until(lambda: not stage.door.clients)
-        assert stage.begun() == 0 and stage.pool.part.request_bytes.used == 0
+        assert stage.begun() == 0 and stage.pool.budget.request_bytes.used == 0
 
 
 async def test_who_leaves_while_held_for_room_is_not_sent_when_there_is():
     async with staged() as stage:
-        server = stage.pool.held["s-0"]
+        server = stage.pool.endpoints["s-0"]
         server.spare = 0  # no room, as a limit at the upstream has it
         client = stage.client(request())
-        await stage.until(lambda: stage.pool.choice.entry.waiting())
+        await stage.until(lambda: stage.pool.policy.entry.waiting())
         client.close()
         server.spare = 10
-        stage.pool.loop.enter(
-            stage.pool, stage.pool.choice.entry.release
+        stage.pool.loop.dispatch(
+            stage.pool, stage.pool.policy.entry.release
         )  # before its leaving is read
         await stage.until(lambda: stage.pool.counts["clients_left"] == 1)
         await stage.turns()
-        assert stage.begun() == 0 and stage.pool.choice.split.total == 0
+        assert stage.begun() == 0 and stage.pool.policy.split.total == 0
 
 
 # Told to stop.
@@ -283,7 +285,7 @@
 
 async def ended(stage):
     with anyio.fail_after(LIMIT):
-        while not stage.life.loop.task_group.cancel_scope.cancel_called:
+        while not stage.process.loop.task_group.cancel_scope.cancel_called:
             await anyio.sleep(0.01)
 
 
@@ -294,10 +296,10 @@
         await stage.until(
             lambda: len([client for client in stage.door.clients if client.reading]) == 1
         )
-        stage.life.stop()
+        stage.process.stop()
         await stage.turns()
-        await stage.life.configure()
-        stage.life.stop()
+        await stage.process.reload()
+        stage.process.stop()
         upstream.sendall(GOOD)
         assert (await stage.read(out, b"done")).startswith(b"HTTP/1.1 200")
         await stage.read(upstream, b"{}")  # the one behind it goes on too
@@ -317,7 +319,7 @@
         upstream, _ = await stage.met()
         upstream.sendall(GOOD)
         await stage.read(client, b"done")
-        stage.life.closing = True
+        stage.process.closing = True
         client.sendall(request() + request())  # the second is read behind the last answer
         answer = await stage.read(client, b"never")
         assert answer.startswith(b"HTTP/1.1 503") and answer.count(b"HTTP/1.1") == 1
@@ -331,11 +333,11 @@
     async with staged() as stage:
         client = stage.client(request(remaining=30))
         await stage.met()
-        stage.life.stop()
+        stage.process.stop()
         await stage.turns()
-        stage.life.stop_by = stage.life.loop.clock() + SECOND // 5  # soon
-        for pending in list(stage.life.ids.values()):
-            stage.pool.shorten(pending, stage.life.stop_by)
+        stage.process.stop_deadline = stage.process.loop.clock() + SECOND // 5  # soon
+        for pending in list(stage.process.ids.values()):
+            stage.pool.shorten_deadline(pending, stage.process.stop_deadline)
         assert (await stage.read(client, b"\n")).startswith(b"HTTP/1.1 502")
         client.close()
         await ended(stage)
@@ -347,7 +349,7 @@
 async def test_idle_clients_that_fill_the_descriptors_leave_room_for_discovery_and_for_who_asks():
     async with staged(sockets=64) as stage:
         idle = [stage.client() for _ in range(80)]
-        await stage.until(lambda: len(stage.door.clients) >= stage.life.budget.most_clients)
+        await stage.until(lambda: len(stage.door.clients) >= stage.process.budget.max_clients)
         for _ in range(2):  # it is asked again, though it says nothing
             with anyio.fail_after(LIMIT):
                 await anyio.wait_readable(stage.nobody)
@@ -399,7 +401,7 @@
     async with staged() as stage:
         client, upstream, inner = await rested(stage)
         client.sendall(request())
-        inner.sweep(stage.life.loop.clock())  # it has come, and is not read
+        inner.sweep(stage.process.loop.clock())  # it has come, and is not read
         await stage.read(upstream, b"{}")
         upstream.sendall(GOOD)
         assert (await stage.read(client, b"done")).startswith(b"HTTP/1.1 200")
@@ -408,14 +410,14 @@
 async def test_a_request_that_arrives_after_the_shutdown_is_not_sent_on_and_resets_nothing_at_once():
     async with staged() as stage:
         client, upstream, inner = await rested(stage)
-        inner.sweep(stage.life.loop.clock())
+        inner.sweep(stage.process.loop.clock())
         assert await stage.read(client, b"never") == b""
         client.sendall(request())
         await stage.turns()
         assert not inner.closed and client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         assert stage.begun() == 1
         inner.since -= LINGER + 1
-        inner.sweep(stage.life.loop.clock())
+        inner.sweep(stage.process.loop.clock())
         assert inner.closed and stage.begun() == 1
 
 
@@ -425,9 +427,9 @@
             request() + b"POST"
         )  # a close over what is unread would reset the connection
         upstream, _ = await stage.met()
-        stage.life.closing = True
+        stage.process.closing = True
         upstream.sendall(GOOD)
-        await stage.until(lambda: not stage.pool.out)
+        await stage.until(lambda: not stage.pool.in_flight)
         assert stage.door.has_pending_responses()
         assert (await stage.read(client, b"never")).endswith(b"done")
         client.close()
@@ -454,7 +456,9 @@
     async with staged(2) as stage:
         client = stage.client(request())
         await stage.until(lambda: stage.begun() == 1)
-        at = next(number for number, peer in enumerate(stage.pool.held.values()) if peer.out())
+        at = next(
+            number for number, peer in enumerate(stage.pool.endpoints.values()) if peer.in_flight()
+        )
         upstream, _ = await stage.met(at)
         upstream.sendall(part)
         await stage.turns()
@@ -469,7 +473,7 @@
 ):
     async with staged() as stage:
         client, upstream, _ = await rested(stage)
-        server = stage.pool.held["s-0"]
+        server = stage.pool.endpoints["s-0"]
         with anyio.fail_after(LIMIT):
             while not server.idle:
                 await anyio.sleep(0.001)
@@ -513,7 +517,7 @@
             await stage.read(client, b"done")
             client.sendall(request())
             assert (await stage.read(upstream, b"{}")).startswith(b"POST /charge")
-        assert stage.pool.part.links.used == 1
+        assert stage.pool.budget.connections.used == 1
 
 
 # One revision of the settings.
@@ -524,14 +528,16 @@
     for given in stage.given["settings"]["workloads"]:
         if given["name"] == lane:
             given |= request_class
-    stage.life.follow(stage.spec())
+    stage.process.apply_platform_settings(stage.spec())
 
 
 async def test_a_request_keeps_the_settings_it_came_with_and_one_behind_it_has_the_new_ones():
     async with staged(2, cancelling=True) as stage:
         client = stage.client(request("settle") + request("settle"))
         await stage.until(lambda: stage.begun() == 1)
-        at = next(number for number, peer in enumerate(stage.pool.held.values()) if peer.out())
+        at = next(
+            number for number, peer in enumerate(stage.pool.endpoints.values()) if peer.in_flight()
+        )
         upstream, _ = await stage.met(at)
         stage.given["settings"]["limits"]["max_hand_offs"] = 1
         reloaded(stage, "settle", window_us=1000, patience_us=900_000)
@@ -541,7 +547,7 @@
         again.sendall(GOOD)
         assert (await stage.read(client, b"done")).startswith(b"HTTP/1.1 200")
         await stage.until(lambda: stage.begun() == 3)
-        links = [link for peer in stage.pool.held.values() for link in peer.links]
+        links = [link for peer in stage.pool.endpoints.values() for link in peer.links]
         await stage.until(lambda: any(link.sending for link in links))
         link = next(link for link in links if link.sending)
         pending = link.sending.request
@@ -558,7 +564,9 @@
     async with staged(2) as stage:
         client = stage.client(request("charge"))
         await stage.until(lambda: stage.begun() == 1)
-        at = next(number for number, peer in enumerate(stage.pool.held.values()) if peer.out())
+        at = next(
+            number for number, peer in enumerate(stage.pool.endpoints.values()) if peer.in_flight()
+        )
         upstream, _ = await stage.met(at)
         reloaded(stage, "charge", semantics=after, window_us=9_000_000)
         reset(upstream)
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -28,7 +28,7 @@
 from whinpier.http.transport import Http1
 from whinpier.http.upstream_connection import Sending
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.runtime.process import Life
+from whinpier.runtime.process import Process
 from whinpier.testbed.process import free
 
 pytestmark = pytest.mark.xdist_group("sockets")
@@ -651,14 +651,14 @@
         assert deployment.process.wait(LIMIT) == 0 and time.monotonic() - began < 2
 
 
-def life(spec):
+def new_process(spec):
     """A balancer that runs in the test itself."""
-    return Life(spec, Http1(), lambda: spec, kept_till_restart)
+    return Process(spec, Http1(), lambda: spec, kept_till_restart)
 
 
-def held(life):
+def held(process):
     """Its one pool."""
-    return life.pools["all"]
+    return process.pools["all"]
 
 
 @contextmanager
@@ -681,7 +681,7 @@
 
     async def story(config, listener):
         async with anyio.create_task_group() as task_group:
-            task_group.start_soon(life(config).serve, [listener])
+            task_group.start_soon(new_process(config).serve, [listener])
             async with await anyio.connect_tcp(*config.listen[0]) as client:
                 gc.disable()
                 try:
@@ -707,7 +707,7 @@
     banks = [Upstream(lambda request: next(ways)(request)) for _ in range(3)]
 
     async def story(config, listener):
-        balancer, pictures = life(config), []
+        balancer, pictures = new_process(config), []
         pool = held(balancer)
 
         async def client(number):
@@ -718,8 +718,10 @@
                 await stream.send(f"{request}Content-Length: 2\r\n\r\n{{}}".encode())
                 if number % 5:  # each fifth leaves at once
                     await stream.receive()
-            split = pool.choice.split
-            pictures.append((sum(seen.out for seen in split.ready), split.total, pool.on_wire()))
+            split = pool.policy.split
+            pictures.append(
+                (sum(seen.out for seen in split.ready), split.total, pool.count_in_flight())
+            )
 
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(balancer.serve, [listener])
@@ -729,13 +731,19 @@
                 async with anyio.create_task_group() as clients:
                     for number in range(40):
                         clients.start_soon(client, number)
-                while balancer.ids or balancer.fronts[0].clients or pool.choice.split.total:
+                while balancer.ids or balancer.frontends[0].clients or pool.policy.split.total:
                     await anyio.sleep(0.01)
             assert all(seen == total == sockets for seen, total, sockets in pictures)
-            assert (pool.out, len(balancer.fronts[0].strangers)) == (0, 0)
-            part = pool.part
-            assert (part.requests.used, part.bodies.used, part.request_bytes.used) == (0, 0, 0)
-            assert pool.on_wire() == 0 and all(seen.out == 0 for seen in pool.choice.split.ready)
+            assert (pool.in_flight, len(balancer.frontends[0].strangers)) == (0, 0)
+            budget = pool.budget
+            assert (budget.requests.used, budget.bodies.used, budget.request_bytes.used) == (
+                0,
+                0,
+                0,
+            )
+            assert pool.count_in_flight() == 0 and all(
+                seen.out == 0 for seen in pool.policy.split.ready
+            )
             task_group.cancel_scope.cancel()
 
     with inside(tmp_path, *banks) as (config, listener):
@@ -743,37 +751,37 @@
 
 
 def test_a_late_loop_ends_requests_sooner_and_rejects_a_part_of_what_comes_while_it_is_far_behind():
-    whole = life(read({"BALANCER_CONFIG": "example/config.json"}))
+    whole = new_process(read({"BALANCER_CONFIG": "example/config.json"}))
     balancer, pool = whole.loop, held(whole)
 
     def turned_back():
-        return whole.fronts[0].no_room(pool) or pool.part.requests.give()
+        return whole.frontends[0].rejects(pool) or pool.budget.requests.release()
 
-    at, at_ease = balancer.clock(), balancer.margin()
+    at, at_ease = balancer.clock(), balancer.deadline_margin()
     balancer.clock = lambda: at
-    balancer.behind(SECOND // 25)
-    assert balancer.margin() == at_ease + 2 * SECOND // 25 and not turned_back()
+    balancer.record_lag(SECOND // 25)
+    assert balancer.deadline_margin() == at_ease + 2 * SECOND // 25 and not turned_back()
     for _ in range(100):
         at += SECOND // 5
-        balancer.behind(SECOND)
+        balancer.record_lag(SECOND)
     part = sum(bool(turned_back()) for _ in range(1000))
     assert (
-        balancer.margin() < SECOND // 2 and 800 < part < 1000
+        balancer.deadline_margin() < SECOND // 2 and 800 < part < 1000
     )  # never all: those come again at once
     for _ in range(100):
         at += SECOND // 5
-        balancer.behind(0)
+        balancer.record_lag(0)
     at += 5 * SECOND
-    balancer.behind(0)
-    assert balancer.margin() == at_ease and not any(turned_back() for _ in range(100))
+    balancer.record_lag(0)
+    assert balancer.deadline_margin() == at_ease and not any(turned_back() for _ in range(100))
 
 
 def test_a_decision_that_fails_costs_its_request_and_no_more(tmp_path, monkeypatch):
     monkeypatch.setattr(log, "invariant", lambda holds, what: None)  # as in release builds
 
     async def story(config, listener):
-        balancer = life(config)
-        held(balancer).choice.arrive = lambda request: 1 / 0
+        balancer = new_process(config)
+        held(balancer).policy.arrive = lambda request: 1 / 0
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(balancer.serve, [listener])
             async with await anyio.connect_tcp(*config.listen[0]) as client:
--- a/tests/kept_control_stage.py
+++ b/tests/kept_control_stage.py
@@ -18,7 +18,7 @@
 from whinpier.fleet.messages import HERE, LOST, SILENT, SUSPECT, Card, Word, pool_mark
 from whinpier.fleet.service import Link
 from whinpier.http.transport import Http1
-from whinpier.runtime.process import Life
+from whinpier.runtime.process import Process
 from whinpier.testbed import files
 
 DATA = Path(__file__).parent / "data" / "kept"
@@ -129,15 +129,15 @@
         patch.setattr(link_module, "Random", Seeded)
         patch.setattr(agreed_module, "Random", Seeded)
         spec = spec_of(folder, **fleet)
-        self.life = Life(spec, Http1(), lambda: spec, operator.changes)
-        self.life.loop.requests = SimpleNamespace(start_soon=lambda *given: None)
-        for pool in self.life.pools.values():
+        self.process = Process(spec, Http1(), lambda: spec, operator.changes)
+        self.process.loop.requests = SimpleNamespace(start_soon=lambda *given: None)
+        for pool in self.process.pools.values():
             pool.start()
-        self.link = self.life.fleet = Link(self.life, spec.fleet, Datagrams())
-        self.link.loop.at(self.link.loop.clock(), self.link, self.link.deal)
+        self.link = self.process.fleet = Link(self.process, spec.fleet, Datagrams())
+        self.link.loop.call_at(self.link.loop.clock(), self.link, self.link.deal)
         if self.link.agreed:
             self.link.agreed.judge_pools()
-            self.link.loop.at(self.link.loop.clock(), self.link.agreed, self.link.agreed.turn)
+            self.link.loop.call_at(self.link.loop.clock(), self.link.agreed, self.link.agreed.turn)
         self.link.schedule()
         self.control = Control(self.link)
 
@@ -155,7 +155,7 @@
         while loop.timers and loop.timers[0][0] <= START + end:
             at, _, host, call, given = heapq.heappop(loop.timers)
             self.clock.passed = max(self.clock.passed, at - START)
-            loop.enter(host, call, *given)
+            loop.dispatch(host, call, *given)
             self.write()
         self.clock.passed = end
 
@@ -164,7 +164,7 @@
         agreed = self.link.agreed
         while agreed and agreed.agreement.notes:
             anyio.run(agreed.write_once)
-            self.link.loop.enter(agreed, agreed.pass_on)
+            self.link.loop.dispatch(agreed, agreed.pass_on)
 
     def ask(self, line, after=lambda: None):
         """All lines that are answered, as they come."""
--- a/tests/radius/test_radius.py
+++ b/tests/radius/test_radius.py
@@ -30,7 +30,7 @@
 from whinpier.radius.identifiers import EACH, Idents
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.response_cache import MAGIC, MOST, State, StateSpec
-from whinpier.radius.server import Front
+from whinpier.radius.server import Frontend
 from whinpier.radius.spec import ClientSpec, RouteSpec
 from whinpier.radius.stream_server import Datagrams
 from whinpier.storage.append_log import AppendLogError, read_records
@@ -378,11 +378,11 @@
     asked = wire.parse(
         wire.sealed(Packet(4, 1, attributes=[(40, b"\0\0\0\1"), *states]), SECRET, True)
     )
-    data = Front.answer_to(asked, SECRET, way, [(25, bytes(253))] * 9)
+    data = Frontend.answer_to(asked, SECRET, way, [(25, bytes(253))] * 9)
     reply = wire.parse(data)
     wire.check_answer(reply, data, asked, SECRET, True)
     assert [pair for pair in reply.attributes if pair[0] != 80] == states
-    small = wire.parse(Front.answer_to(asked, SECRET, way, [(25, b"c")]))
+    small = wire.parse(Frontend.answer_to(asked, SECRET, way, [(25, b"c")]))
     assert (25, b"c") in small.attributes
 
 
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -6,15 +6,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from whinpier.routing import normal
-from whinpier.routing.table import Missed, Route, RouteFault, RouteQuery, Table, scan
+from whinpier.routing import normalization
+from whinpier.routing.table import (
+    NoRoute,
+    Route,
+    RouteError,
+    RouteQuery,
+    RoutingTable,
+    find_by_scan,
+)
 
 
 def found(routes, **asked):
-    route = Table(routes).find(
+    route = RoutingTable(routes).find(
         RouteQuery(**{"method": "GET", "host": "a.b.c", "path": "/x"} | asked)
     )
-    return route.reason if isinstance(route, Missed) else route.name
+    return route.reason if isinstance(route, NoRoute) else route.name
 
 
 @pytest.mark.parametrize(
@@ -30,7 +37,7 @@
     ],
 )
 def test_a_host_has_one_form(text, host):
-    assert normal.host(text) == host
+    assert normalization.normalize_host(text) == host
 
 
 @pytest.mark.parametrize(
@@ -57,8 +64,8 @@
     ],
 )
 def test_a_host_that_can_be_read_two_ways_is_refused(text):
-    with pytest.raises(normal.Unclear):
-        normal.host(text)
+    with pytest.raises(normalization.AmbiguousNameError):
+        normalization.normalize_host(text)
 
 
 @pytest.mark.parametrize(
@@ -77,7 +84,7 @@
     ],
 )
 def test_a_path_has_one_form(text, path):
-    assert normal.path(text) == path and normal.path(path) == path
+    assert normalization.normalize_path(text) == path and normalization.normalize_path(path) == path
 
 
 @pytest.mark.parametrize(
@@ -111,8 +118,8 @@
     ],
 )
 def test_a_path_that_can_be_read_two_ways_is_refused(text):
-    with pytest.raises(normal.Unclear):
-        normal.path(text)
+    with pytest.raises(normalization.AmbiguousNameError):
+        normalization.normalize_path(text)
 
 
 @pytest.mark.parametrize(
@@ -193,13 +200,13 @@
     ],
 )
 def test_routes_that_are_ambiguous_or_take_nothing_are_faults_that_name_them(routes):
-    with pytest.raises(RouteFault) as fault:
-        Table(routes)
+    with pytest.raises(RouteError) as fault:
+        RoutingTable(routes)
     assert set(fault.value.routes) == {route.name for route in routes}
 
 
 def test_routes_that_cannot_take_the_same_request_are_no_fault():
-    Table(
+    RoutingTable(
         [
             Route("a", headers={"x-a": "1"}),
             Route("b", headers={"x-a": "2"}),
@@ -254,23 +261,23 @@
             one.request_class,
         )
         try:
-            Table([*kept, one])
+            RoutingTable([*kept, one])
             kept.append(one)
-        except RouteFault:
+        except RouteError:
             pass
-    table = Table(kept)
+    table = RoutingTable(kept)
     for question in questions:
         got = table.find(question)
-        assert (None if isinstance(got, Missed) else got) is scan(kept, question)
+        assert (None if isinstance(got, NoRoute) else got) is find_by_scan(kept, question)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.text(alphabet="/.%2eE5cCfF0a;\\ab", max_size=12).map(lambda text: "/" + text))
 def test_a_path_that_passes_stays_itself_and_hides_nothing(text):
     try:
-        path = normal.path(text)
-    except normal.Unclear:
+        path = normalization.normalize_path(text)
+    except normalization.AmbiguousNameError:
         return
-    assert normal.path(path) == path
+    assert normalization.normalize_path(path) == path
     assert not {".", ".."} & {part.partition(";")[0] for part in path.split("/")}
     assert "//" not in path and "\\" not in path and "%2F" not in path.upper()
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -14,7 +14,7 @@
 from whinpier.config.model import Limits
 from whinpier.policy.decaying_sum import SECOND, Turn
 from whinpier.policy.model import RequestClass, Upstream, UpstreamState
-from whinpier.runtime.resource_budget import Budget, Part
+from whinpier.runtime.resource_budget import Budget, PoolBudget
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
 from whinpier.testbed.process import Balancer, free_address
@@ -316,27 +316,30 @@
 
 
 def parts(budget, *limits):
-    return [Part(budget, limit) for limit in limits]
+    return [PoolBudget(budget, limit) for limit in limits]
 
 
 def test_a_pool_always_gets_its_part_and_what_is_unused_is_lent_but_for_a_quarter():
     budget = Budget(1024, 64 << 20)
-    budget.clients = budget.most_clients
+    budget.clients = budget.max_clients
     first, second = parts(budget, Limits(0.5), Limits(0.5))
-    whole, half = budget.links.capacity, first.links.guaranteed
+    whole, half = budget.connections.capacity, first.connections.guaranteed
     lent = 0
-    while first.links.take():
+    while first.connections.acquire():
         lent += 1
-    assert lent == whole - int(0.25 * half) and first.links.borrowed() == lent - half
+    assert lent == whole - int(0.25 * half) and first.connections.borrowed() == lent - half
     taken = 0
-    while second.links.take():
+    while second.connections.acquire():
         taken += 1
     assert taken == whole - lent  # the quarter at once, the rest as it falls free
-    assert budget.called_back(first) and not budget.called_back(second)
+    assert budget.is_recalled(first) and not budget.is_recalled(second)
     for _ in range(lent - half):
-        first.links.give()
-        assert second.links.take() and not first.links.take()
-    assert not first.links.borrowed() and (first.links.used, second.links.used) == (
+        first.connections.release()
+        assert second.connections.acquire() and not first.connections.acquire()
+    assert not first.connections.borrowed() and (
+        first.connections.used,
+        second.connections.used,
+    ) == (
         half,
         whole - half,
     )
@@ -345,13 +348,13 @@
 def test_a_pool_keeps_to_its_own_limit_and_one_that_ends_gives_its_part_back():
     budget = Budget(1024, 64 << 20)
     first, second = parts(budget, Limits(0.5, requests=7), Limits(0.5))
-    assert [first.requests.take() for _ in range(8)] == [True] * 7 + [False]
-    second.end()
-    assert budget.requests.kept == first.requests.kept() and budget.parts == [first]
+    assert [first.requests.acquire() for _ in range(8)] == [True] * 7 + [False]
+    second.close()
+    assert budget.requests.reserved == first.requests.reserved() and budget.pools == [first]
     for _ in range(7):
-        first.requests.give()
-    first.end()
-    assert budget.requests.kept == budget.requests.used == 0 and not budget.requests.held
+        first.requests.release()
+    first.close()
+    assert budget.requests.reserved == budget.requests.used == 0 and not budget.requests.shares
 
 
 def test_when_the_core_is_full_who_uses_more_than_its_part_is_rejected_first():
@@ -360,14 +363,14 @@
     now = SECOND
     for turn in range(20):
         now += SECOND // 10
-        small.spent.add(now, 1e6)
-        large.spent.add(now, 9e6)
-        budget.judge(now, SECOND // 5)
-    assert small.shed == 0.0 and large.shed > 0.9
+        small.cpu_time.add(now, 1e6)
+        large.cpu_time.add(now, 9e6)
+        budget.update_shedding(now, SECOND // 5)
+    assert small.shed_ratio == 0.0 and large.shed_ratio > 0.9
     for turn in range(100):
         now += SECOND // 10
-        budget.judge(now, 0)
-    assert large.shed == 0.0
+        budget.update_shedding(now, 0)
+    assert large.shed_ratio == 0.0
 
 
 def test_what_goes_to_a_cold_upstream_counts_over_all_pools_that_list_it():
--- a/tests/test_kept_http.py
+++ b/tests/test_kept_http.py
@@ -19,7 +19,7 @@
 from whinpier.config import operator, platform
 from whinpier.config.model import kept_till_restart
 from whinpier.http.transport import Http1
-from whinpier.runtime.process import Life
+from whinpier.runtime.process import Process
 
 KEPT = Path("tests/data/kept").resolve()
 LATER = 3_000_000_000  # nanoseconds: after the time that half a request may take
@@ -43,35 +43,35 @@
     return operator.read(str(path))
 
 
-def new_life(spec):
-    return Life(spec, Http1(), lambda: spec, kept_till_restart)
+def new_process(spec):
+    return Process(spec, Http1(), lambda: spec, kept_till_restart)
 
 
-def clients_of(life):
-    return list(life.fronts[0].clients)
+def clients_of(process):
+    return list(process.frontends[0].clients)
 
 
-def requests_of(life):
-    return [client.request for client in clients_of(life) if client.request]
+def requests_of(process):
+    return [client.request for client in clients_of(process) if client.request]
 
 
-def reject(life, wait):
+def reject(process, wait):
     """The final response to the one request that is out: try again after `wait`."""
-    requests_of(life)[0].respond_rejected(wait)
+    requests_of(process)[0].respond_rejected(wait)
 
 
-def fail(life):
-    requests_of(life)[0].respond_failed()
+def fail(process):
+    requests_of(process)[0].respond_failed()
 
 
-def sweep(life):
+def sweep(process):
     """As if time had passed."""
-    for client in clients_of(life):
-        client.sweep(life.loop.clock() + LATER)
+    for client in clients_of(process):
+        client.sweep(process.loop.clock() + LATER)
 
 
-def half_read(life):
-    return any(client.reading for client in clients_of(life))
+def half_read(process):
+    return any(client.reading for client in clients_of(process))
 
 
 # Helpers.
@@ -134,7 +134,7 @@
             assert tomllib.loads(text)
             (folder / "operator.toml").write_text(text)
             spec = read_operator(folder / "operator.toml")
-        self.life = new_life(spec)
+        self.process = new_process(spec)
 
     def client(self, data):
         sock = socket.create_connection(self.listener.getsockname(), LIMIT)
@@ -206,7 +206,7 @@
     stage = Stage(folder, kind, listed, seq)
     try:
         async with anyio.create_task_group() as requests:
-            requests.start_soon(stage.life.serve, [stage.listener])
+            requests.start_soon(stage.process.serve, [stage.listener])
             yield stage
             requests.cancel_scope.cancel()
     finally:
@@ -306,15 +306,15 @@
 async def test_a_rejected_request_is_told_a_wait_that_is_known(tmp_path, wait, header):
     async with staged(tmp_path) as stage:
         client = stage.client(POST.encode())
-        await stage.until(lambda: requests_of(stage.life))
-        reject(stage.life, wait)
+        await stage.until(lambda: requests_of(stage.process))
+        reject(stage.process, wait)
         assert await stage.message(client) == REJECTED % header
 
 
 async def test_a_request_too_many_is_rejected_for_a_quarter_of_its_agreed_time(tmp_path):
     async with staged(tmp_path, "operator") as stage:
         stage.client(post("/any", host="a.example").encode())
-        await stage.until(lambda: requests_of(stage.life))
+        await stage.until(lambda: requests_of(stage.process))
         client = stage.client(post("/any", host="a.example").replace("t1", "t2").encode())
         assert await stage.message(client) == REJECTED % b"retry-after: 0.200\r\n"
 
@@ -323,8 +323,8 @@
     said = b"HTTP/1.1 502 Bad Gateway\r\ncontent-length: 14\r\n\r\nnot fulfilled\n"
     async with staged(tmp_path) as stage:
         client = stage.client(POST.encode())
-        await stage.until(lambda: requests_of(stage.life))
-        fail(stage.life)
+        await stage.until(lambda: requests_of(stage.process))
+        fail(stage.process)
         assert await stage.message(client) == said
     async with staged(tmp_path) as stage:
         _, found, asked = await stage.exchange(POST.encode(), response("500 x", b"no"))
@@ -334,7 +334,7 @@
 async def test_an_id_that_another_request_has_is_refused_with_the_kept_bytes(tmp_path):
     async with staged(tmp_path) as stage:
         stage.client(POST.encode())
-        await stage.until(lambda: requests_of(stage.life))
+        await stage.until(lambda: requests_of(stage.process))
         assert await stage.message(stage.client(POST.encode())) == (
             b"HTTP/1.1 409 Conflict\r\ncontent-length: 34\r\nconnection: close\r\n\r\n"
             b"an X-Txn that another request has\n"
@@ -344,8 +344,8 @@
 async def test_half_a_request_is_answered_in_time_with_the_kept_bytes(tmp_path):
     async with staged(tmp_path) as stage:
         client = stage.client(HEAD.encode())
-        await stage.until(lambda: half_read(stage.life))
-        sweep(stage.life)
+        await stage.until(lambda: half_read(stage.process))
+        sweep(stage.process)
         assert await stage.message(client) == (
             b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 15\r\nconnection: close\r\n\r\n"
             b"half a request\n"
--- a/tests/test_kept_radius.py
+++ b/tests/test_kept_radius.py
@@ -22,11 +22,11 @@
 from whinpier.radius.client import delayed
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.response_cache import State, StateSpec
-from whinpier.radius.server import Front
+from whinpier.radius.server import Frontend
 from whinpier.radius.spec import ClientSpec
 from whinpier.radius.stream_server import Datagrams
 from whinpier.radius.transport import WithRadius
-from whinpier.runtime.process import Life
+from whinpier.runtime.process import Process
 from whinpier.storage.append_log import AppendLogError
 
 KEPT = Path("tests/data/kept").resolve()
@@ -71,7 +71,9 @@
 
 def front_response(data, signed, attributes):
     client = ClientSpec("c", (), (SECRET,), signed)
-    return Front.answer_to(packet.parse(data), SECRET, Datagrams(None, SOURCE, client), attributes)
+    return Frontend.answer_to(
+        packet.parse(data), SECRET, Datagrams(None, SOURCE, client), attributes
+    )
 
 
 def fault_of(call, *given):
@@ -144,13 +146,13 @@
     state.close()
 
 
-def new_life(path, datagrams):
+def new_process(path, datagrams):
     spec = operator.read(str(path))
-    return Life(spec, WithRadius([datagrams], []), lambda: spec, operator.changes)
+    return Process(spec, WithRadius([datagrams], []), lambda: spec, operator.changes)
 
 
-def is_ready(life):
-    return life.ready()
+def is_ready(process):
+    return process.ready()
 
 
 # Packets.
@@ -330,14 +332,14 @@
             text = text.replace(mark, "%s:%d" % one.getsockname())
         text = "\n".join(line for line in text.splitlines() if "acct-2" not in line)
         (tmp_path / "operator.toml").write_text(text)
-        life = new_life(tmp_path / "operator.toml", front)
+        process = new_process(tmp_path / "operator.toml", front)
         own, theirs = b"only-for-a-trial-too", b"only-for-a-trial"
         given = [(40, b"\0\0\0\1"), (44, b"session"), (33, b"one"), (41, b"\0\0\0\5"), (33, b"two")]
         body = b"".join(attribute(*pair) for pair in given)
         async with anyio.create_task_group() as requests:
-            requests.start_soon(life.serve, [listener])
+            requests.start_soon(process.serve, [listener])
             with anyio.fail_after(LIMIT):
-                while not is_ready(life):
+                while not is_ready(process):
                     await anyio.sleep(0)
             asked = sealed_by_hand(4, 77, body, own, True)
             client.sendto(asked, front.getsockname())
--- a/whinpier/__main__.py
+++ b/whinpier/__main__.py
@@ -17,7 +17,7 @@
 from whinpier import log
 from whinpier.config.model import Address, ConfigFault, Spec, kept_till_restart
 from whinpier.policy.policy import Choice  # noqa: F401 (imported here for its place in the order)
-from whinpier.runtime.process import Life
+from whinpier.runtime.process import Process
 from whinpier.config.platform import read
 from whinpier.http.transport import Http1
 # isort: on
@@ -25,8 +25,8 @@
 BACKLOG = 1024
 
 
-async def run(listeners: list[socket.socket], life: Life) -> None:
-    await life.serve(listeners)
+async def run(listeners: list[socket.socket], process: Process) -> None:
+    await process.serve(listeners)
 
 
 def bound(kind: socket.SocketKind, address: Address) -> socket.socket:
@@ -74,7 +74,7 @@
 
             wire = WithRadius(datagrams, further)
         try:
-            life = Life(spec, wire, reread, changed)
+            process = Process(spec, wire, reread, changed)
         except ConfigFault as fault:
             log.warning("configuration_rejected", fault=fault)
             return 2
@@ -82,14 +82,14 @@
             from whinpier.fleet import bootstrap as fleet  # only where a file has it
 
             try:
-                life.fleet = fleet.start(life, datagrams)
+                process.fleet = fleet.start(process, datagrams)
             except OSError as fault:
                 log.warning("listen_failed", address="bank.listen", fault=fault)
                 return 1
             except ConfigFault as fault:
                 log.warning("configuration_rejected", fault=fault)
                 return 2
-        anyio.run(run, streams, life)
+        anyio.run(run, streams, process)
     finally:
         for sock in (*streams, *datagrams, *further):
             sock.close()
--- a/whinpier/cli/main.py
+++ b/whinpier/cli/main.py
@@ -128,8 +128,8 @@
     file: Path, host: str, path: str, method: str, headers: tuple[str, ...], as_json: bool
 ) -> None:
     """Say which route of FILE takes a request, and why. Exits with 1 where none does."""
-    from whinpier.routing import normal
-    from whinpier.routing.table import Missed, RouteQuery
+    from whinpier.routing import normalization
+    from whinpier.routing.table import NoRoute, RouteQuery
 
     spec, given = read(file), {}
     for header in headers:
@@ -142,19 +142,19 @@
         # No host at all is none that a route could name.
         asked = RouteQuery(
             method.upper(),
-            normal.host(host or "none.invalid"),
-            normal.path(path.partition("?")[0]),
+            normalization.normalize_host(host or "none.invalid"),
+            normalization.normalize_path(path.partition("?")[0]),
             given,
             given.get("x-lane", ""),
         )
-    except normal.Unclear as unclear:
+    except normalization.AmbiguousNameError as unclear:
         fail(f"refused with 400: can be read two ways: {unclear}", 1)
     found = spec.table.find(asked)
     tried = [
         {"route": one.name, "why": missing and f"{missing} does not fit" or "all conditions hold"}
         for one, missing in spec.table.explain(asked)
     ]
-    if isinstance(found, Missed):
+    if isinstance(found, NoRoute):
         status = 405 if found.methods else 404
         answer: dict[str, Any] = {
             "route": None,
@@ -174,14 +174,14 @@
         }
     if as_json:
         click.echo(json.dumps(answer, indent=1))
-    elif isinstance(found, Missed):
+    elif isinstance(found, NoRoute):
         click.echo(f"no route: answered {answer['status']}, {found.reason} not known")
     else:
         click.echo(f"{found.name}: pool {answer['pool']}, workload {answer['workload']}")
     if not as_json:
         for one in tried:
             click.echo(f"  {one['route']}: {one['why']}")
-    sys.exit(1 if isinstance(found, Missed) else 0)
+    sys.exit(1 if isinstance(found, NoRoute) else 0)
 
 
 @config.command()
--- a/whinpier/config/model.py
+++ b/whinpier/config/model.py
@@ -13,7 +13,7 @@
 from whinpier.policy.model import RequestClass, UpstreamState
 
 if TYPE_CHECKING:
-    from whinpier.routing.table import Table
+    from whinpier.routing.table import RoutingTable
 
 Address = tuple[str, int]
 STATES = {
@@ -186,7 +186,7 @@
     sockets: int
     memory: int  # bytes
     pools: dict[str, PoolSpec]
-    table: Table | None = None  # of the operator's routes; None on the platform
+    table: RoutingTable | None = None  # of the operator's routes; None on the platform
     beside: dict[str, Beside] = field(default_factory=dict)  # by the protocol's name
     up: bytes = b"/up"  # where a front asks whether this balancer is ready
     isolate: bool = True  # whether pools have guaranteed parts
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -46,8 +46,8 @@
     kept_till_restart,
 )
 from whinpier.policy import model
-from whinpier.routing.table import Route, RouteFault, Table
-from whinpier.runtime.resource_budget import DOOR, MOST_DOOR, spare
+from whinpier.routing.table import Route, RouteError, RoutingTable
+from whinpier.runtime.resource_budget import DOOR, MOST_DOOR, reserved_descriptors
 from whinpier.storage.bounded_files import read_bounded
 
 MOST_POOLS, MOST_ROUTES = 256, 20_000  # what is still checked within a second or two
@@ -445,8 +445,8 @@
         route(value, f"routes[{index}]", pools, usual) for index, value in enumerate(table.routes)
     ]
     try:
-        compiled = Table(routes)
-    except RouteFault as fault:
+        compiled = RoutingTable(routes)
+    except RouteError as fault:
         raise ConfigFault(
             f"{', '.join(f'routes.{name}' for name in fault.routes)}: {fault}"
         ) from None
@@ -474,7 +474,7 @@
 
 def check_room(spec: Spec) -> None:
     """Whether the descriptors come to something for each pool."""
-    left = spec.sockets - spare(spec) - min(spec.sockets // DOOR, MOST_DOOR)
+    left = spec.sockets - reserved_descriptors(spec) - min(spec.sockets // DOOR, MOST_DOOR)
     need = LEAST * len(spec.pools)
     if left < need:
         raise ConfigFault(
--- a/whinpier/fleet/bootstrap.py
+++ b/whinpier/fleet/bootstrap.py
@@ -6,13 +6,13 @@
 
 from whinpier.fleet.service import Link
 from whinpier.fleet.spec import FleetSpec
-from whinpier.runtime.process import Life
+from whinpier.runtime.process import Process
 
 
-def start(life: Life, sockets: list[socket.socket]) -> Link:
+def start(process: Process, sockets: list[socket.socket]) -> Link:
     """The link, on a socket that is closed with the others. Raises OSError if its address can't be had."""
-    assert isinstance(life.spec.fleet, FleetSpec)
+    assert isinstance(process.spec.fleet, FleetSpec)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
     sockets.append(sock)
-    sock.bind(life.spec.fleet.listen)
-    return Link(life, life.spec.fleet, sock)
+    sock.bind(process.spec.fleet.listen)
+    return Link(process, process.spec.fleet, sock)
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -90,7 +90,7 @@
     """This process's part in the record."""
 
     def __init__(self, link: Link, spec: AgreementSpec) -> None:
-        self.link, self.spec, self.loop, self.life = link, spec, link.loop, link.life
+        self.link, self.spec, self.loop, self.process = link, spec, link.loop, link.process
         self.now = self.begun = self.loop.clock()
         self.chance = Random(
             Random().getrandbits(64)
@@ -136,7 +136,7 @@
         self.ended = self.on_time = self.scrapped = self.turned_back = 0
         self.reported, self.reported_at = MemberReport(), self.now - TELL
         self.current, self.called_at, self.drained = False, 0, False
-        self.life.aside = True  # till it has learned what it is to do
+        self.process.out_of_rotation = True  # till it has learned what it is to do
         self.names: dict[str, int] = {}
         self.names_at = -1
 
@@ -192,7 +192,7 @@
                 while self.agreement.notes:
                     if not await self.write_once():
                         await anyio.sleep(AGAIN)
-                    self.loop.enter(self, self.pass_on)
+                    self.loop.dispatch(self, self.pass_on)
         finally:
             self.journal.close()
 
@@ -227,7 +227,7 @@
     def start(self) -> None:
         self.judge_pools()
         self.loop.spawn(self.write, lambda: None)
-        self.loop.at(self.now, self, self.turn)
+        self.loop.call_at(self.now, self, self.turn)
         self.pass_on()
 
     def follow(self) -> None:
@@ -236,8 +236,8 @@
         self.obey()
 
     def judge_pools(self) -> None:
-        for pool in self.life.pools.values():
-            pool.judge = self.judge
+        for pool in self.process.pools.values():
+            pool.on_request_finished = self.judge
 
     def leave(self) -> None:
         self.agreement.retire()
@@ -363,7 +363,7 @@
         due = self.agreement.due()
         if not self.called_at or due < self.called_at:
             self.called_at = due
-            self.loop.at(due, self, self.tick, due)
+            self.loop.call_at(due, self, self.tick, due)
 
     def tick(self, due: int) -> None:
         if due == self.called_at:
@@ -378,7 +378,7 @@
         now = self.now = self.loop.clock()
         state = self.record.state
         busy = bool(state.rollout or state.drains or self.asks)
-        self.loop.at(now + (BUSY if busy else TURN), self, self.turn)
+        self.loop.call_at(now + (BUSY if busy else TURN), self, self.turn)
         self.link.members.carry(RECORD_NEWS, self.agreement.news(self.stamp))
         self.look_whether_current(now)
         self.begin()
@@ -470,7 +470,7 @@
     def seats(self) -> dict[str, MemberView]:
         """Who is there, as this process sees it."""
         members, own = self.link.members, self.link.members.card
-        found = {own.name: MemberView(own.name, own.id, own.zone, not self.life.stopping)}
+        found = {own.name: MemberView(own.name, own.id, own.zone, not self.process.stopping)}
         for one in members.members.values():
             name = one.card.name
             here = one.state in (HERE, SUSPECT)
@@ -487,7 +487,7 @@
     def obey(self) -> None:
         """Do what is agreed, as far as it is this process's."""
         orders = self.orders
-        self.life.aside = orders.is_drained or not self.current
+        self.process.out_of_rotation = orders.is_drained or not self.current
         if self.current and orders.is_drained != self.drained:
             self.drained = orders.is_drained
             self.tell(
@@ -495,8 +495,8 @@
                 revision=self.record.state.revision,
             )
             self.link.share(not self.drained)
-        for pool in self.life.pools.values():
-            pool.drain(frozenset(self.record.drained_upstreams(pool.name)))
+        for pool in self.process.pools.values():
+            pool.set_drained(frozenset(self.record.drained_upstreams(pool.name)))
         if self.avoid is not None and orders.content_hash != self.avoid:
             self.avoid = None
         if self.refused is not None and orders.content_hash != self.refused:
@@ -520,9 +520,9 @@
             # Guards against ending for a build that whoever starts this process does not have.
             self.first_build = orders.build
         known = orders.build in ("", self.spec.build, self.first_build)
-        if not known and not self.life.stopping:
+        if not known and not self.process.stopping:
             self.tell("release_finished", build=self.spec.build, wanted=orders.build)
-            self.life.stop()
+            self.process.stop()
         if orders.build == self.spec.build:
             self.first_build = orders.build
 
@@ -541,12 +541,12 @@
         """Go on by another released file: all of it, or none."""
         try:
             text = file_of(wanted, data)
-            reader = cast(Reader, self.life.reread)
+            reader = cast(Reader, self.process.read_config)
             spec = await anyio.to_thread.run_sync(reader.check, text)
         except (ConfigFault, ValueError, zlib.error) as fault:
             self.refuse(wanted, fault)
             self.tell("release_refused", content=wanted, fault=self.refusal)
-            self.loop.enter(self, self.report)
+            self.loop.dispatch(self, self.report)
             return
         try:
             await anyio.to_thread.run_sync(self.put_file, text)
@@ -555,16 +555,16 @@
             log.warning("release_file_failed", file=self.file, fault=fault)
             return
         self.before = self.running
-        await self.life.configure()
+        await self.process.reload()
         self.switching = False
-        if self.life.spec.revision != spec.revision:
+        if self.process.spec.revision != spec.revision:
             self.refuse(wanted, "could not be applied")
             held = self.record.read_file(self.before) if self.before else None
             await anyio.to_thread.run_sync(self.put_file, file_of(self.before, held or b""))
         else:
             self.running, self.switched_at = wanted, self.loop.clock()
             self.tell("release_applied", content=wanted or "own", before=self.before or "own")
-        self.loop.enter(self, self.after_switch)
+        self.loop.dispatch(self, self.after_switch)
 
     def after_switch(self) -> None:
         self.obey()
@@ -600,22 +600,24 @@
             self.begin_switch(self.before, data or b"")
 
     def own_report(self) -> MemberReport:
-        life, orders = self.life, self.orders
-        idle = not life.out() and not any(front.has_pending_responses() for front in life.fronts)
+        process, orders = self.process, self.orders
+        idle = not process.in_flight() and not any(
+            front.has_pending_responses() for front in process.frontends
+        )
         clean: list[int] = []
-        for pool in life.pools.values():
+        for pool in process.pools.values():
             clean += [
                 number
                 for host, number in self.record.drained_upstreams(pool.name).items()
-                if not pool.out_at(host)
+                if not pool.in_flight_at(host)
             ]
         return MemberReport(
             self.agreement.commit,
             self.running,
             self.spec.build,
-            life.ready(),
+            process.ready(),
             orders.is_drained,
-            orders.is_drained and life.aside and idle,
+            orders.is_drained and process.out_of_rotation and idle,
             self.refused or "",
             self.refusal,
             tuple(clean[:64]),
@@ -699,7 +701,7 @@
             "runs": self.running,
             "build": self.spec.build,
             "current": self.current,
-            "aside": self.life.aside,
+            "aside": self.process.out_of_rotation,
         }
 
 
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -197,10 +197,10 @@
 
 def drain(agreed: Agreed, name: str, pool: str, who: CommandHeader) -> DrainCommand:
     if pool:
-        known = agreed.life.pools.get(pool)
+        known = agreed.process.pools.get(pool)
         if known is None:
             raise Fault(f"{pool!r} is no pool of this process")
-        peer = known.held.get(name)
+        peer = known.endpoints.get(name)
         if peer is None and f"u/{pool}/{name}" not in agreed.record.state.drains:
             raise Fault(f"{name!r} is no upstream of pool {pool}")
         names = known.spec.zones
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -233,14 +233,14 @@
             if value and not (isinstance(amount, (int, float)) and 0 < amount <= 1e9):
                 raise Refused(f"amount: {amount!r} is none")
         elif kind == "route":
-            table = link.life.spec.table
+            table = link.process.spec.table
             if table is None or name not in {route.name for route in table.routes}:
                 raise Refused(f"{name!r} is no route of this file")
         elif kind == "rest":
             pool, _, host = name.partition("/")
             if link.outlier_monitor is None:
                 raise Refused("bank.verdicts is not in this file, so that nobody votes")
-            if pool not in link.life.pools or host not in link.life.pools[pool].held:
+            if pool not in link.process.pools or host not in link.process.pools[pool].endpoints:
                 raise Refused(f"{host!r} is no upstream of a pool {pool!r}")
         elif kind != "tenant" or not name:
             raise Refused(f"{kind}/{name}: nothing of this kind is said to the bank")
--- a/whinpier/fleet/outliers/monitor.py
+++ b/whinpier/fleet/outliers/monitor.py
@@ -20,10 +20,10 @@
 from whinpier.fleet.outliers.model import Event, MemberCounts, UpstreamKey
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome
-from whinpier.runtime.pool import Peer, Pool, Sent
+from whinpier.runtime.pool import Endpoint, Pool, PoolAttempt
 
 if TYPE_CHECKING:
-    from whinpier.runtime.event_loop import Loop
+    from whinpier.runtime.event_loop import EventLoop
 
 FAILURES = frozenset((Outcome.FAILED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMED_OUT))
 NOT_OBSERVED = -1.0  # in the place of a latency ratio: the attempt says nothing of the upstream
@@ -40,7 +40,7 @@
     SUSPECTED = "heard"
 
 
-def upstream_key(endpoint: Peer) -> int:
+def upstream_key(endpoint: Endpoint) -> int:
     """Return the key of one run of an upstream, the same at every member."""
     text = f"{endpoint.host}/{endpoint.started}".encode()
     digest = hashlib.blake2b(text, digest_size=KEY_SIZE, person=b"upstream").digest()
@@ -50,7 +50,7 @@
 class PoolObserver:
     """Observes the attempts of one pool for the coordinator."""
 
-    def __init__(self, coordinator: EjectionCoordinator, pool: Pool, loop: Loop) -> None:
+    def __init__(self, coordinator: EjectionCoordinator, pool: Pool, loop: EventLoop) -> None:
         """Start with no endpoints; `update_endpoints` reads them."""
         self.coordinator = coordinator
         self.pool = pool
@@ -62,17 +62,18 @@
 
     def update_endpoints(self) -> None:
         """Tell the coordinator the pool's endpoints, if they have changed."""
-        if self.endpoints_version == self.pool.listings:
+        if self.endpoints_version == self.pool.list_changes:
             return
-        self.endpoints_version = self.pool.listings
-        self.keys = {host: upstream_key(endpoint) for host, endpoint in self.pool.held.items()}
+        self.endpoints_version = self.pool.list_changes
+        self.keys = {host: upstream_key(endpoint) for host, endpoint in self.pool.endpoints.items()}
         self.hosts = {key: host for host, key in self.keys.items()}
         zones = {
-            self.keys[host]: self.zone_mark(endpoint) for host, endpoint in self.pool.held.items()
+            self.keys[host]: self.zone_mark(endpoint)
+            for host, endpoint in self.pool.endpoints.items()
         }
         self.coordinator.update_endpoints(self.mark, zones)
 
-    def zone_mark(self, endpoint: Peer) -> int:
+    def zone_mark(self, endpoint: Endpoint) -> int:
         """Return the fleet's number for an upstream's zone; 0: it is in none."""
         names = self.pool.spec.zones
         return pool_mark("zone/" + names[endpoint.zone]) if endpoint.zone < len(names) else 0
@@ -82,21 +83,21 @@
         known = [request_class.known.usual for request_class in self.pool.spec.request_classes]
         return float(max(known))
 
-    def on_attempt_started(self, sent: Sent) -> None:
+    def on_attempt_started(self, sent: PoolAttempt) -> None:
         """Note an attempt that was sent."""
-        key = self.keys.get(sent.peer.host)
+        key = self.keys.get(sent.endpoint.host)
         if key is not None:
             self.coordinator.on_attempt_started(self.mark, key, id(sent), self.loop.clock())
 
-    def on_attempt_finished(self, sent: Sent) -> None:
+    def on_attempt_finished(self, sent: PoolAttempt) -> None:
         """Note an attempt that has its outcome."""
-        key = self.keys.get(sent.peer.host)
+        key = self.keys.get(sent.endpoint.host)
         if key is None:
             return
         ratio = self.latency_ratio(sent)
         self.coordinator.on_attempt_finished(self.mark, key, id(sent), ratio, self.loop.clock())
 
-    def latency_ratio(self, sent: Sent) -> float:
+    def latency_ratio(self, sent: PoolAttempt) -> float:
         """Return how late an attempt ended; a failure is as bad as the latest answer."""
         if sent.outcome in FAILURES:
             return MAX_LATENCY_RATIO
@@ -115,7 +116,7 @@
         self,
         config: EjectionConfig,
         members: Members,
-        loop: Loop,
+        loop: EventLoop,
         chance: Any,
         tell: Callable[[str, dict[str, Any]], None],
     ) -> None:
@@ -231,7 +232,7 @@
         observer = self.observers.get(event.fields["pool"])
         host = observer.hosts.get(event.fields["key"], "") if observer else ""
         if observer and host and event.name in ("ejection_started", "ejection_returning"):
-            observer.pool.rest(host, event.name == "ejection_started")
+            observer.pool.set_ejected(host, event.name == "ejection_started")
         fields = dict(event.fields)
         if "by" in fields:
             fields["by"] = self.members.name_of(fields["by"])
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -86,7 +86,7 @@
     def left(self) -> int:
         return max(0, self.own - self.used)
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         """A request that was counted here is over: what never ran gives back what it took."""
         self.used -= not ran
 
@@ -97,9 +97,9 @@
 
     slots: list[Slot]
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         for slot in self.slots:
-            slot.give(now, ran)
+            slot.release(now, ran)
 
 
 @dataclass(slots=True)
@@ -269,13 +269,13 @@
             slot.asked = most
             self.write(slot)
 
-    def enter(self, now: int, ends: int = 0) -> Slot | Both | None:
+    def acquire(self, now: int, ends: int = 0) -> Slot | Both | None:
         """The same; what gives back, if the request never runs."""
         if not self.take(now, ends):
             return None
         return self.slots[0] if len(self.slots) == 1 else Both(self.slots)
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         """When one that was rejected may come again, as far as that is known here."""
         if self.asks or any(slot.left for slot in self.slots):
             return SECOND // 4  # on its way from another member, or to the disk
--- a/whinpier/fleet/quotas/enforcement.py
+++ b/whinpier/fleet/quotas/enforcement.py
@@ -13,10 +13,10 @@
 from whinpier.fleet.quotas.allocation import Said, Shares, Table
 from whinpier.fleet.quotas.leases import CONNECTIONS, Share
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.runtime.pool import Gate, Passed, Peer, Pool, hashed
+from whinpier.runtime.pool import Endpoint, Limiter, Permit, Pool, stable_hash
 
 if TYPE_CHECKING:
-    from whinpier.runtime.event_loop import Loop
+    from whinpier.runtime.event_loop import EventLoop
 
 MOST_TICKETS = (
     65_536  # of requests that tenants' limits have counted, remembered to know their repeats
@@ -30,7 +30,7 @@
 
     def __init__(self, gates: Gates, those: list[Said]) -> None:
         self.gates = gates
-        self.plain: list[tuple[frozenset[str], Gate]] = []  # by which routes (empty: any)
+        self.plain: list[tuple[frozenset[str], Limiter]] = []  # by which routes (empty: any)
         self.tenants: list[tuple[frozenset[str], Table]] = []
         for said in those:
             routes = frozenset(said.routes)
@@ -41,7 +41,7 @@
             else:
                 self.plain.append((routes, gates.shares.tables[said.limit.name].one))
 
-    def everywhere(self) -> tuple[Gate, ...]:
+    def everywhere(self) -> tuple[Limiter, ...]:
         """Those that every request passes."""
         return tuple(gate for routes, gate in self.plain if not routes)
 
@@ -49,7 +49,7 @@
         """Whether route or tenant matter."""
         return bool(self.tenants or self.gates.closed) or any(routes for routes, _ in self.plain)
 
-    def of(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> list[Gate]:
+    def of(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> list[Limiter]:
         """What one request passes beside that; `again`: its client says that it asked for it before."""
         if shut := self.gates.shut(route, tenant):
             return [shut]
@@ -57,7 +57,7 @@
         those = [table for routes, table in self.tenants if not routes or route in routes]
         if those:
             name = tenant.decode("latin-1") or NOBODY
-            once = Once(self.gates, hashed(tenant + b"\0" + ticket)) if ticket else None
+            once = Once(self.gates, stable_hash(tenant + b"\0" + ticket)) if ticket else None
             if once and again and once.counted():
                 return found
             found += [table.named(name) for table in those]
@@ -72,10 +72,10 @@
     def __init__(self, until: int) -> None:
         self.until = until
 
-    def enter(self, now: int, ends: int) -> Passed | None:
+    def acquire(self, now: int, ends: int) -> Permit | None:
         return None
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         return max(SECOND // 100, self.until - now)
 
 
@@ -88,25 +88,25 @@
     def counted(self) -> bool:
         return self.tickets.get(self.key, 0) > self.clock()
 
-    def enter(self, now: int, ends: int) -> Passed:
+    def acquire(self, now: int, ends: int) -> Permit:
         self.tickets.pop(self.key, None)
         self.tickets[self.key] = now + REMEMBERED
         while len(self.tickets) > MOST_TICKETS:
             del self.tickets[next(iter(self.tickets))]
         return self
 
-    def give(self, now: int, ran: bool) -> None:
+    def release(self, now: int, ran: bool) -> None:
         if not ran:  # it was given back, so that its repeat counts
             self.tickets.pop(self.key, None)
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         return 0
 
 
 class Gates:
     """All limits of the process, at its pools."""
 
-    def __init__(self, shares: Shares, loop: Loop) -> None:
+    def __init__(self, shares: Shares, loop: EventLoop) -> None:
         self.shares, self.loop = shares, loop
         self.tickets: dict[int, int] = {}  # hashed: until when
         self.at_upstreams: dict[str, list[Table]] = {}  # by pool
@@ -120,13 +120,16 @@
         for pool in pools:
             own = [said for said in listed if pool.name in said.pools]
             door = Door(self, [said for said in own if said.each != "upstream"])
-            pool.gates, pool.further = door.everywhere(), door.of if door.asks() else None
+            pool.limiters, pool.request_limiters = (
+                door.everywhere(),
+                door.of if door.asks() else None,
+            )
             tables = [
                 self.shares.tables[said.limit.name] for said in own if said.each == "upstream"
             ]
             self.at_upstreams[pool.name] = tables
-            pool.met = self.meeter(tables) if tables else None
-            for peer in pool.peers():
+            pool.on_endpoint_added = self.meeter(tables) if tables else None
+            for peer in pool.all_endpoints():
                 self.meet(peer, tables)
 
     def shut(self, route: str, tenant: bytes) -> Shut | None:
@@ -141,28 +144,28 @@
 
     # Upstreams.
 
-    def meeter(self, tables: list[Table]) -> Callable[[Peer], None]:
+    def meeter(self, tables: list[Table]) -> Callable[[Endpoint], None]:
         return lambda peer: self.meet(peer, tables)
 
-    def meet(self, peer: Peer, tables: list[Table]) -> None:
+    def meet(self, peer: Endpoint, tables: list[Table]) -> None:
         """An upstream is there, or its limits are others."""
-        peer.passes = tuple(
+        peer.limiters = tuple(
             Narrow(peer, table.named(peer.host))  # type: ignore[arg-type]
             for table in tables
             if table.said.limit.kind != CONNECTIONS
         )
         parts = [table.named(peer.host) for table in tables if table.said.limit.kind == CONNECTIONS]
-        peer.most_links = min((part.home for part in parts), default=None)
+        peer.max_connections = min((part.home for part in parts), default=None)
         self.settle(peer, self.loop.clock())
 
-    def settle(self, peer: Peer, now: int) -> None:
+    def settle(self, peer: Endpoint, now: int) -> None:
         """How many more it may be sent just now."""
         spare = float("inf")
-        for narrow in peer.passes:
+        for narrow in peer.limiters:
             assert isinstance(narrow, Narrow)
             spare = min(spare, narrow.spare(now))
-        if peer.most_links is not None:
-            spare = min(spare, peer.most_links - peer.out())
+        if peer.max_connections is not None:
+            spare = min(spare, peer.max_connections - peer.in_flight())
         peer.spare = spare
 
     def turn(self, now: int, pools: Iterable[Pool]) -> None:
@@ -175,16 +178,16 @@
                     peer.host
                     for pool in listed
                     if table in self.at_upstreams.get(pool.name, ())
-                    for peer in pool.peers()
+                    for peer in pool.all_endpoints()
                 }
         for pool in listed:
             for table in self.at_upstreams.get(pool.name, ()):
                 if table.said.limit.kind == CONNECTIONS:
-                    for peer in pool.peers():
-                        peer.most_links = table.named(peer.host).home
-            for peer in pool.peers() if self.at_upstreams.get(pool.name) else ():
+                    for peer in pool.all_endpoints():
+                        peer.max_connections = table.named(peer.host).home
+            for peer in pool.all_endpoints() if self.at_upstreams.get(pool.name) else ():
                 if peer.spare <= 0 and peer.seen is not None and peer.seen.share > 0.0:
-                    for narrow in peer.passes:
+                    for narrow in peer.limiters:
                         assert isinstance(narrow, Narrow)
                         narrow.lacking()
                 self.settle(peer, now)
@@ -193,7 +196,7 @@
 class Narrow:
     """A limit at one upstream: requests in flight, from all members together."""
 
-    def __init__(self, peer: Peer, part: Share) -> None:
+    def __init__(self, peer: Endpoint, part: Share) -> None:
         self.peer, self.part = peer, part
 
     def spare(self, now: int) -> int:
@@ -202,18 +205,18 @@
         )
         return self.part.lasting(now, now + timeout) - self.part.used
 
-    def enter(self, now: int, ends: int) -> Passed | None:
+    def acquire(self, now: int, ends: int) -> Permit | None:
         if not self.part.take(now, ends):
             return None
         self.peer.spare -= 1
         return self
 
-    def give(self, now: int, ran: bool) -> None:
-        self.part.give(now, ran)
+    def release(self, now: int, ran: bool) -> None:
+        self.part.release(now, ran)
         self.peer.spare += 1
 
-    def wait(self, now: int) -> int:
-        return self.part.wait(now)
+    def retry_after(self, now: int) -> int:
+        return self.part.retry_after(now)
 
     def lacking(self) -> None:
         """More would be sent there if it might."""
--- a/whinpier/fleet/quotas/fair_share.py
+++ b/whinpier/fleet/quotas/fair_share.py
@@ -125,11 +125,11 @@
             self.refusals += 1
         return good
 
-    def enter(self, now: int, ends: int = 0) -> Nearly | None:
+    def acquire(self, now: int, ends: int = 0) -> Nearly | None:
         """The same; what gives back once the request is over."""
         return self if self.take(now, ends) else None
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         if self.limit.kind == IN_FLIGHT:
             self.used -= 1
         elif not ran and self.limit.kind == RATE:
@@ -137,7 +137,7 @@
         elif not ran:
             self.spent = max(0, self.spent - 1)
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         if self.limit.kind == COUNT and self.left() <= 0:
             return max(SECOND // 10, self.window_end - now)
         if self.limit.kind == RATE and self.part:
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -215,7 +215,7 @@
             self.sure_till = min(changes, default=now + SPAN)
         return self.sure
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         """A request is over; of a rate, what never ran gives back what it took."""
         if self.limit.kind == IN_FLIGHT:
             self.used -= 1
@@ -224,11 +224,11 @@
             self.settle(now)
             self.level = min(self.level + TASK, self.cap)
 
-    def enter(self, now: int, ends: int = 0) -> Share | None:
+    def acquire(self, now: int, ends: int = 0) -> Share | None:
         """The same; what gives back once the request is over."""
         return self if self.take(now, ends) else None
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         """When one that was rejected may come again, as far as that is known here."""
         if self.limit.kind == IN_FLIGHT:
             return SECOND // 4
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -52,7 +52,7 @@
 if TYPE_CHECKING:
     from whinpier.fleet.consensus.service import Agreed
     from whinpier.runtime.pool import Pool
-    from whinpier.runtime.process import Life
+    from whinpier.runtime.process import Process
 
 IP_RECVERR, MSG_ERRQUEUE = 11, 0x2000  # Linux: errors come with the address they are about
 AT_ONCE = 64  # datagrams read in one go, before others have their turn
@@ -69,15 +69,15 @@
 class Link:
     """This process as a member of the fleet."""
 
-    def __init__(self, life: Life, spec: FleetSpec, sock: socket.socket) -> None:
-        self.life, self.spec, self.sock, self.loop = life, spec, sock, life.loop
+    def __init__(self, process: Process, spec: FleetSpec, sock: socket.socket) -> None:
+        self.process, self.spec, self.sock, self.loop = process, spec, sock, process.loop
         self.now = self.loop.clock()
         self.first_notes: Records = {}
         self.begun_stamp = 0  # notes that the state file had ever held when this run began
         self.stamps: dict[
             str, tuple[int, int]
         ] = {}  # of the others' files, by name: whose run, how many
-        chance = Random(life.chance.getrandbits(64))
+        chance = Random(process.seed_source.getrandbits(64))
         build = spec.agreement.build if spec.agreement else BUILD
         card = Card(
             spec.name,
@@ -86,7 +86,7 @@
             *spec.advertise,
             build,
             spec.zone,
-            life.spec.revision,
+            process.spec.revision,
             tuple(pool_mark(name) for name in spec.pools),
         )
         recalled, kept = self.recalled()
@@ -207,13 +207,13 @@
         """Connect the pools that the fleet shares."""
         self.by_mark = {pool_mark(name): name for name in self.spec.pools}
         self.nearly_marks = {one.limit.mark: one for one in self.shares.nearly.values()}
-        for name, pool in self.life.pools.items():
-            pool.speaks = self.speaker(name) if name in self.spec.pools else None
+        for name, pool in self.process.pools.items():
+            pool.broadcast = self.speaker(name) if name in self.spec.pools else None
             if name not in self.spec.pools:
-                pool.alone()
-        self.gates.put(self.life.pools.values(), self.spec.limits)
+                pool.clear_fleet_size()
+        self.gates.put(self.process.pools.values(), self.spec.limits)
         if self.outlier_monitor:
-            self.outlier_monitor.update_pools(self.life.pools.values(), self.spec.pools)
+            self.outlier_monitor.update_pools(self.process.pools.values(), self.spec.pools)
         # Before the first request: until it knows better, as many as the file lets it expect.
         self.count(self.now)
 
@@ -229,15 +229,15 @@
             self.loop.spawn(self.control.run, lambda: None)
         if self.spec.recall:
             self.loop.spawn(self.remember, lambda: None)
-        self.loop.at(self.loop.clock() + COUNT, self, self.recount)
+        self.loop.call_at(self.loop.clock() + COUNT, self, self.recount)
         if self.state_store:
             self.loop.spawn(self.state_store.run, lambda: None)
-        self.loop.enter(self, self.deal)
+        self.loop.dispatch(self, self.deal)
         if self.agreed:
             self.agreed.start()
         self.schedule()
 
-    def follow(self, spec: FleetSpec) -> None:
+    def reconfigure(self, spec: FleetSpec) -> None:
         """Go on by a new file."""
         keys, self.spec = spec.differs(self.spec), spec
         self.counting.follow(spec.pools)
@@ -250,13 +250,13 @@
             Seal(spec.keys),
             spec.times,
             zone=spec.zone,
-            revision=self.life.spec.revision,
+            revision=self.process.spec.revision,
             pools=self.marks(),
         )
         if keys:
             log.info("fleet_configuration_changed", keys=",".join(keys))
         if not self.dealing:
-            self.loop.enter(self, self.deal)
+            self.loop.dispatch(self, self.deal)
         self.pass_on()
         if self.agreed:
             self.agreed.follow()
@@ -313,7 +313,7 @@
             except OSError:
                 continue  # what the error queue tells with its address
             if self.wanted(source):
-                self.loop.enter(self, self.received, data, source)
+                self.loop.dispatch(self, self.received, data, source)
         self.read_errors()
 
     def wanted(self, source: Address) -> bool:
@@ -337,7 +337,7 @@
             for level, kind, data in extra:
                 if (level, kind) == (socket.IPPROTO_IP, IP_RECVERR) and len(data) >= 4:
                     if int.from_bytes(data[:4], sys.byteorder) == errno.ECONNREFUSED:
-                        self.loop.enter(self, self.refused, (address[0], address[1]))
+                        self.loop.dispatch(self, self.refused, (address[0], address[1]))
 
     def received(self, data: bytes, source: Address) -> None:
         self.members.receive(data, source, self.now)
@@ -357,7 +357,7 @@
         due = self.members.due()
         if not self.called_at or due < self.called_at:
             self.called_at = due
-            self.loop.at(due, self, self.tick, due)
+            self.loop.call_at(due, self, self.tick, due)
 
     def pass_on(self) -> None:
         """Send what is to be sent, say what has happened, tell pools what others tell."""
@@ -536,7 +536,7 @@
         if not self.dealing:
             return
         now = self.now = self.loop.clock()
-        self.loop.at(now + TURN, self, self.deal)
+        self.loop.call_at(now + TURN, self, self.deal)
         members, shares = self.members, self.shares
         others = [one for one in members.members.values() if one.kind != GONE]
         self.look_at_clocks(now)
@@ -546,7 +546,7 @@
         by_name = {one.card.name: one.id for one in others if one.connected}
         shares.turn(now, lambda limit: [by_name[home] for home in limit.homes if home in by_name])
         self.tell_nearly(now, others)
-        self.gates.turn(now, self.life.pools.values())
+        self.gates.turn(now, self.process.pools.values())
         if self.outlier_monitor:
             self.outlier_monitor.on_timer(now)
         if self.state_store:
@@ -666,25 +666,25 @@
             return
         name = self.by_mark.get(mark)
         counted = self.counting.pools.get(name) if name else None
-        pool = self.life.pools.get(name) if name else None
+        pool = self.process.pools.get(name) if name else None
         if counted is None or pool is None or (number := counted.ids.get(member)) is None:
             return
         if len(self.said) > 4 * self.members.most:
             self.said.clear()
         if self.said.get((member, mark)) != contents:
             self.said[member, mark] = contents
-            pool.hears(number, contents)
+            pool.receive_peer_message(number, contents)
 
     def recount(self) -> None:
-        self.loop.at(self.now + COUNT, self, self.recount)
+        self.loop.call_at(self.now + COUNT, self, self.recount)
         self.count(self.now)
 
     def count(self, now: int) -> None:
         """Tell pools how many share them, and which this one is."""
         for counted in self.counting.update(now):
-            pool: Pool | None = self.life.pools.get(counted.name)
+            pool: Pool | None = self.process.pools.get(counted.name)
             if pool is not None:
-                pool.shared(counted.balancers, counted.number)
+                pool.set_fleet_size(counted.balancers, counted.number)
                 self.said.clear()  # by other numbers now
                 log.info(
                     "pool_fleet_size_changed",
--- a/whinpier/http/buffers.py
+++ b/whinpier/http/buffers.py
@@ -16,8 +16,8 @@
 import h11
 
 from whinpier import log
-from whinpier.runtime.event_loop import Loop
-from whinpier.runtime.resource_budget import Part
+from whinpier.runtime.event_loop import EventLoop
+from whinpier.runtime.resource_budget import PoolBudget
 
 SIZE = 64 * 1024  # the largest body in one read; a body and its head seldom come in more than two
 KEPT = 8  # a read ends before the next begins: more than one is in use only where reads nest
@@ -144,7 +144,7 @@
     it can.
     """
 
-    loop: Loop
+    loop: EventLoop
     sock: socket.socket
     left: memoryview  # of what is written, what the socket has not taken yet
     closed: bool
@@ -156,7 +156,7 @@
     def close(self) -> None:
         raise NotImplementedError
 
-    def pays(self) -> Part | None:
+    def pays(self) -> PoolBudget | None:
         """Whose part of the CPU what it does counts for."""
         return None
 
@@ -172,7 +172,7 @@
         begun = perf_counter_ns()
         self.came()
         if part := self.pays():
-            part.spent.add(self.loop.now, perf_counter_ns() - begun)
+            part.cpu_time.add(self.loop.now, perf_counter_ns() - begun)
 
     def came(self) -> None:
         try:
--- a/whinpier/http/client_connection.py
+++ b/whinpier/http/client_connection.py
@@ -21,8 +21,8 @@
 from whinpier.http.upstream_connection import BODILESS, BODY, HOP, Answer, Http
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import RequestClass
-from whinpier.runtime.pool import hashed
-from whinpier.runtime.resource_budget import Part
+from whinpier.runtime.pool import stable_hash
+from whinpier.runtime.resource_budget import PoolBudget
 
 if TYPE_CHECKING:
     from whinpier.http.listener import Door
@@ -51,7 +51,7 @@
         self, client: Client, request_class: RequestClass, came: int, ends: int, txn: bytes
     ) -> None:
         super().__init__(client.loop.next_id(), request_class, came, ends)
-        self.client, self.id_given, self.body = client, txn, b"".join(client.parts)
+        self.client, self.client_id, self.body = client, txn, b"".join(client.parts)
         head = [b"%s %s HTTP/1.1\r\n" % (client.method, client.target)]
         head += [b"%s: %s\r\n" % pair for pair in client.headers if pair[0] not in HOP]
         if client.method != b"GET":
@@ -95,16 +95,16 @@
         )  # since when it is here, is idle, is read, is answered for good
         self.request: HttpRequest | None = None
         self.to: tuple[Target, RequestClass] | None = None  # where what is asked for goes
-        self.member: Part | None = None  # of the pool it asked last
+        self.member: PoolBudget | None = None  # of the pool it asked last
         self.lost: BadRequest | None = None  # why it goes nowhere
-        self.paid: Part | None = None  # whose bodies its own counts among
+        self.paid: PoolBudget | None = None  # whose bodies its own counts among
         self.left = memoryview(b"")
         self.reading, self.begun, self.last, self.closed = False, False, False, False
         self.flooded = False  # what comes behind a request that is worked on is read no longer
         self.plain = False  # what is asked for did not need the parser
 
-    def pays(self) -> Part | None:
-        return self.to[0].pool.part if self.to else None
+    def pays(self) -> PoolBudget | None:
+        return self.to[0].pool.budget if self.to else None
 
     def read(self) -> None:
         data = self.received()
@@ -154,14 +154,14 @@
                 self.to = self.door.router.route(
                     self.method, self.target, self.fields, self.headers
                 )
-                if (part := self.to[0].pool.part) is not self.member:
+                if (part := self.to[0].pool.budget) is not self.member:
                     self.join(part)
             except BadRequest as bad:
                 if bad.last:
                     raise
                 self.lost = bad  # its client may go on asking, if the rest of this is here already
 
-    def join(self, part: Part | None) -> None:
+    def join(self, part: PoolBudget | None) -> None:
         """It counts among the clients of the pool that it asked last."""
         if self.member:
             self.member.clients -= 1
@@ -175,8 +175,8 @@
         if self.size + len(data) > BODY:
             raise BadRequest(413, "body too large")
         if self.paid is None and self.to:
-            self.paid = self.to[0].pool.part
-        if self.paid is None or not self.paid.request_bytes.take(len(data)):
+            self.paid = self.to[0].pool.budget
+        if self.paid is None or not self.paid.request_bytes.acquire(len(data)):
             raise BadRequest(503, "too many bodies at once")
         self.size += len(data)
         self.parts.append(data)
@@ -237,11 +237,11 @@
             log.counters["request_expired"] += 1
             self.answer(504, b"too late\n")
             return
-        if pool.further is None:
-            full = self.door.no_room(pool)
+        if pool.request_limiters is None:
+            full = self.door.rejects(pool)
         else:  # limits by route or tenant: only then is it looked who it is
             target, fields = self.to[0], self.fields
-            full = self.door.no_room(
+            full = self.door.rejects(
                 pool,
                 target.route,
                 fields.get(target.fields.tenant, b""),
@@ -253,12 +253,12 @@
             self.answer(
                 503,
                 b"turned back\n",
-                retry_after(pool.wait or request.request_class.latency_objective // 4),
+                retry_after(pool.retry_after or request.request_class.latency_objective // 4),
             )
-            pool.wait = 0
+            pool.retry_after = 0
             return
         self.request = request
-        pool.take(request, pool.through)
+        pool.accept(request, pool.granted_permits)
 
     def read_request(self, target: Target, request_class: RequestClass) -> HttpRequest:
         """The request that a request stands for, with all that its headers say of it."""
@@ -284,11 +284,11 @@
                 raise BadRequest(400, f"no {fields.remaining.decode().title()} that can be read")
             timeout = min(int(float(given) * SECOND), timeout)
         came = self.loop.clock()
-        request = HttpRequest(self, request_class, came, door.life.ends(came, timeout), txn)
+        request = HttpRequest(self, request_class, came, door.process.deadline(came, timeout), txn)
         query = self.target.partition(b"?")[2]
         key = parse_qs(query).get(fields.query_key, [b""])[0] if query else b""
         key = key or headers.get(fields.key, b"")
-        request.key = hashed(key) if key else 0
+        request.key = stable_hash(key) if key else 0
         request.tenant = target.pool.tenants.get(headers.get(fields.tenant, b""), 0)
         request.repeat = headers.get(fields.repeat) == b"1"
         return request
@@ -329,14 +329,14 @@
             self.parser.receive_data(ahead) if ahead else None
         self.plain = False
         if ahead:
-            self.loop.enter(
+            self.loop.dispatch(
                 self.loop, self.parse
             )  # it came ahead of its turn; from outside any decision
 
     def release(self) -> None:
         """Its body counts no longer."""
         if self.paid:
-            self.paid.request_bytes.give(self.size)
+            self.paid.request_bytes.release(self.size)
         self.parts, self.size, self.paid = [], 0, None
 
     def put(self, data: bytes) -> None:
@@ -409,5 +409,5 @@
         self.hang_up()
         if request := self.request:
             self.request = None
-            request.pool.client_left(request)
-        self.door.roomier()
+            request.pool.on_client_disconnected(request)
+        self.door.on_descriptor_freed()
--- a/whinpier/http/discovery.py
+++ b/whinpier/http/discovery.py
@@ -81,7 +81,7 @@
         self.wait = FIRST
         self.sock: socket.socket | None = None
 
-    def follow(self, on: bool) -> None:
+    def set_watching(self, on: bool) -> None:
         self.following = on
         self.wake() if on else self.hang_up()
 
@@ -96,17 +96,17 @@
         if self.sock:
             anyio.notify_closing(self.sock)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Follow the list at another address; what is known stays until that one has told its whole list."""
         # Guards against changes missed between the two: numbers of one need not be those of the
         # other.
         self.address, self.seq, self.wait = address, None, FIRST
         self.hang_up()
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Follow it no longer, for good."""
         self.ended = True
-        self.follow(False)
+        self.set_watching(False)
         self.wake()
 
     async def run(self) -> None:
--- a/whinpier/http/listener.py
+++ b/whinpier/http/listener.py
@@ -18,8 +18,8 @@
 from whinpier.http.platform_routes import Router
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.runtime.pool import Pool
-from whinpier.runtime.process import SWEEP, Life
-from whinpier.runtime.resource_budget import Part
+from whinpier.runtime.process import SWEEP_INTERVAL, Process
+from whinpier.runtime.resource_budget import PoolBudget
 
 AT_ONCE = 32  # clients taken in before others have their turn: some 3 ms
 UNUSED = SECOND // 10  # a connection idle for less may be about to be used again
@@ -29,29 +29,34 @@
 class Door:
     """All clients of the process that speak HTTP/1.1."""
 
-    def __init__(self, life: Life, router: Router) -> None:
-        self.life, self.loop, self.budget, self.router = life, life.loop, life.budget, router
-        self.ids, self.up = life.ids, life.spec.up
+    def __init__(self, process: Process, router: Router) -> None:
+        self.process, self.loop, self.budget, self.router = (
+            process,
+            process.loop,
+            process.budget,
+            router,
+        )
+        self.ids, self.up = process.ids, process.spec.up
         self.clients: set[Client] = set()
         self.strangers: dict[
             Client, None
         ] = {}  # those that have asked for nothing yet, the oldest first
         self.space = anyio.Event()
-        self.budget.let_go = self.let_go
-        self.roomier = self.budget.roomier = self.make_known
+        self.budget.close_unused_client = self.close_unused_client
+        self.on_descriptor_freed = self.budget.on_descriptor_freed = self.make_known
 
     @property
     def closing(self) -> bool:
-        return self.life.closing
+        return self.process.closing
 
     def ready(self) -> bool:
-        return self.life.ready()
+        return self.process.ready()
 
-    def crowded(self, part: Part | None = None) -> bool:
+    def crowded(self, part: PoolBudget | None = None) -> bool:
         """Whether clients (of a pool) had better not keep their connections."""
-        return self.budget.crowded(len(self.clients) - len(self.strangers), part)
+        return self.budget.is_crowded(len(self.clients) - len(self.strangers), part)
 
-    def no_room(
+    def rejects(
         self,
         pool: Pool,
         route: str = "",
@@ -61,10 +66,10 @@
     ) -> bool:
         """Whether a request is rejected at the door; if not it counts among its pool's from now on."""
         budget = self.budget
-        usual = budget.connections - budget.most_clients
-        if len(self.clients) > budget.most_clients and budget.requests.used >= usual:
+        usual = budget.total_connections - budget.max_clients
+        if len(self.clients) > budget.max_clients and budget.requests.used >= usual:
             return True
-        return self.life.no_room(pool, route, tenant, ticket, again)
+        return self.process.rejects(pool, route, tenant, ticket, again)
 
     def gone(self, client: Client) -> None:
         if client in self.clients:
@@ -75,7 +80,7 @@
     def make_known(self) -> None:
         self.space.set()
 
-    def let_go(self) -> None:
+    def close_unused_client(self) -> None:
         """Close a client that is not in use: one that has had its last answer, has asked
         nothing, or is idle.
 
@@ -92,7 +97,7 @@
 
     def longest_idle(self, since: int) -> Iterator[Client]:
         """Clients that have asked before and are idle since then or longer; sorted once one is wanted."""
-        within = self.budget.within
+        within = self.budget.is_within_share
         yield from sorted(
             (
                 client
@@ -105,12 +110,15 @@
     def welcome(self, listener: socket.socket) -> bool:
         """Take one client in. One too many is only rejected: what waits unseen is lost in time."""
         budget = self.budget
-        if len(self.clients) >= budget.most_clients:
-            self.let_go()
-        budget.make_room()
+        if len(self.clients) >= budget.max_clients:
+            self.close_unused_client()
+        budget.ensure_capacity()
         # Guards against clients without end where few connections to upstreams are open, so that
         # the whole never seems full.
-        most = min(budget.most_clients, budget.connections - budget.links.used) + budget.door
+        most = (
+            min(budget.max_clients, budget.total_connections - budget.connections.used)
+            + budget.rejection_reserve
+        )
         if len(self.clients) >= most:
             return False
         sock, _ = listener.accept()
@@ -120,7 +128,7 @@
         self.clients.add(client)
         budget.clients += 1
         self.strangers[client] = None
-        client.watch(len(budget.parts) > 1)
+        client.watch(len(budget.pools) > 1)
         return True
 
     async def accept(self, listener: socket.socket) -> None:
@@ -137,7 +145,9 @@
                     await anyio.sleep(0)
                     continue
                 log.warning(
-                    "descriptors_used_up", clients=len(self.clients), links=self.budget.links.used
+                    "descriptors_used_up",
+                    clients=len(self.clients),
+                    links=self.budget.connections.used,
                 )
                 self.space = anyio.Event()
                 with anyio.move_on_after(0.1):
@@ -155,19 +165,19 @@
             self.loop.task_group.start_soon(self.accept, listener)
             log.info("listening", address="%s:%d" % listener.getsockname(), debug=__debug__)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Every wait has an end."""
         now = self.loop.clock()
         for client in list(self.clients):
             client.sweep(now)
-        longest = self.longest_idle(now - SWEEP)
+        longest = self.longest_idle(now - SWEEP_INTERVAL)
         while self.crowded() and (idle := next(longest, None)):
             if idle.read_last():
                 idle.close()
 
     # The end.
 
-    def anyone(self) -> bool:
+    def has_clients(self) -> bool:
         return bool(self.clients)
 
     def close_idle(self) -> None:
@@ -180,5 +190,5 @@
         """Whether an answer is not written whole or may be on its way, or a request has begun to come."""
         return any(client.left or client.reading or client.last for client in self.clients)
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         return {"clients": len(self.clients)}
--- a/whinpier/http/operator_routes.py
+++ b/whinpier/http/operator_routes.py
@@ -11,8 +11,8 @@
 from whinpier import log
 from whinpier.http.platform_routes import BadRequest, Headers, Target
 from whinpier.policy.model import RequestClass
-from whinpier.routing import normal
-from whinpier.routing.table import Missed, RouteQuery, Table
+from whinpier.routing import normalization
+from whinpier.routing.table import NoRoute, RouteQuery, RoutingTable
 from whinpier.runtime.pool import Pool
 
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))  # whose answers end as they say
@@ -21,7 +21,7 @@
 class Routed:
     """The operator's way: a table of routes. What matches none is answered at once."""
 
-    def __init__(self, table: Table, pools: Mapping[str, Pool]) -> None:
+    def __init__(self, table: RoutingTable, pools: Mapping[str, Pool]) -> None:
         self.table, self.targets = table, dict[str, Target]()
         # What routes look at; no other header is decoded for them.
         looked_at = {"host", "x-lane", *(name for route in table.routes for name in route.headers)}
@@ -52,12 +52,12 @@
             host, path = found.get("host", ""), target.partition(b"?")[0].decode("ascii")
             if not path.startswith("/"):
                 host, path = self.absolute(host, path)
-            host, path = normal.host(host), normal.path(path)
-        except (normal.Unclear, UnicodeDecodeError) as unclear:
+            host, path = normalization.normalize_host(host), normalization.normalize_path(path)
+        except (normalization.AmbiguousNameError, UnicodeDecodeError) as unclear:
             raise BadRequest(400, f"can be read two ways: {unclear}") from None
         asked = RouteQuery(method.decode(), host, path, found, found.get("x-lane", ""))
         route = self.table.find(asked)
-        if isinstance(route, Missed):
+        if isinstance(route, NoRoute):
             log.counters["no_route"] += 1
             if route.methods:
                 allow = ", ".join(sorted(route.methods)).encode()
@@ -80,8 +80,10 @@
         """Host and path of a target in absolute form, which has to name the host that `Host` names."""
         scheme, mark, rest = target.partition("://")
         if not mark or scheme.lower() not in ("http", "https"):
-            raise normal.Unclear("a target that is neither a path nor a URL")
+            raise normalization.AmbiguousNameError("a target that is neither a path nor a URL")
         named, slash, path = rest.partition("/")
-        if "@" in named or normal.host(named) != normal.host(host):
-            raise normal.Unclear("a target that names another host than Host")
+        if "@" in named or normalization.normalize_host(named) != normalization.normalize_host(
+            host
+        ):
+            raise normalization.AmbiguousNameError("a target that names another host than Host")
         return host, slash + path or "/"
--- a/whinpier/http/transport.py
+++ b/whinpier/http/transport.py
@@ -9,34 +9,36 @@
 from whinpier.http.listener import Door
 from whinpier.http.platform_routes import Lanes, Router
 from whinpier.http.upstream_connection import Server
-from whinpier.runtime.pool import Peer, Pool, Watch
-from whinpier.runtime.process import Front, Life
+from whinpier.runtime.pool import Endpoint, EndpointWatch, Pool
+from whinpier.runtime.process import Frontend, Process
 
 
 class Http1:
     """HTTP/1.1 on both sides."""
 
-    def fronts(self, life: Life) -> list[Front]:
-        return [Door(life, self.router(life))]
+    def create_frontends(self, process: Process) -> list[Frontend]:
+        return [Door(process, self.router(process))]
 
-    def reroute(self, fronts: list[Front], life: Life) -> None:
+    def update_routes(self, frontends: list[Frontend], process: Process) -> None:
         """Follow the routes that now hold; what has its pool already goes on there."""
-        front = fronts[0]
-        assert isinstance(front, Door)
-        front.router, front.up = self.router(life), life.spec.up
+        frontend = frontends[0]
+        assert isinstance(frontend, Door)
+        frontend.router, frontend.up = self.router(process), process.spec.up
 
     @staticmethod
-    def router(life: Life) -> Router:
-        if life.spec.table is None:
-            return Lanes(next(iter(life.pools.values())))
+    def router(process: Process) -> Router:
+        if process.spec.table is None:
+            return Lanes(next(iter(process.pools.values())))
         from whinpier.http.operator_routes import Routed  # only where there is an operator's file
 
-        return Routed(life.spec.table, life.pools)
+        return Routed(process.spec.table, process.pools)
 
-    def peer(self, pool: Pool, entry: Entry, number: int) -> Peer:
+    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint:
         return Server(pool, entry.host, number, entry.state, entry.started, entry.dial)
 
-    def watch(self, pool: Pool) -> Watch:
+    def create_watch(self, pool: Pool) -> EndpointWatch:
         assert pool.spec.discovery
-        chance = pool.choice.split.random
-        return Discovery(pool.spec.discovery, pool.spec.seq, pool.told, chance, pool.tag)
+        chance = pool.policy.split.random
+        return Discovery(
+            pool.spec.discovery, pool.spec.seq, pool.update_endpoints, chance, pool.log_fields
+        )
--- a/whinpier/http/upstream_connection.py
+++ b/whinpier/http/upstream_connection.py
@@ -21,8 +21,8 @@
 from whinpier.http import buffers
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome, UpstreamState
-from whinpier.runtime.pool import Peer, PendingRequest, Pool, Sent
-from whinpier.runtime.resource_budget import Part
+from whinpier.runtime.pool import Endpoint, PendingRequest, Pool, PoolAttempt
+from whinpier.runtime.resource_budget import PoolBudget
 from whinpier.settings import COLUMNS
 
 BODY = 64 * 1024  # the largest body, by the protocol
@@ -99,7 +99,7 @@
     body: bytes
 
 
-class Sending(Sent):
+class Sending(PoolAttempt):
     """An attempt on its way."""
 
     def __init__(self, request: Http, server: Server, now: int) -> None:
@@ -108,7 +108,7 @@
         self.link: Link | None = None
 
 
-class Server(Peer):
+class Server(Endpoint):
     """An upstream with its connections."""
 
     def __init__(
@@ -127,30 +127,30 @@
         self.waiting: deque[Sending] = deque()  # attempts that wait for a connection
         self.opening, self.resting = 0, 0
 
-    def hand(self, request: PendingRequest) -> Sent:
+    def start_attempt(self, request: PendingRequest) -> PoolAttempt:
         assert isinstance(request, Http)
         sending = Sending(request, self, self.pool.now)
         request.attempts.append(sending)
         self.send(sending)
         return sending
 
-    def stop(self, sent: Sent) -> None:
+    def abandon(self, sent: PoolAttempt) -> None:
         assert isinstance(sent, Sending)
         if sent.link:
             sent.link.give_up()
         elif sent in self.waiting:
             self.waiting.remove(sent)
 
-    def unsent(self, sent: Sent) -> bool:
+    def is_unsent(self, sent: PoolAttempt) -> bool:
         return sent in self.waiting
 
-    def unused(self) -> Iterator[tuple[int, Callable[[], None]]]:
+    def idle_connections(self) -> Iterator[tuple[int, Callable[[], None]]]:
         return ((link.since, link.close) for link in self.idle)
 
-    def out(self) -> int:
+    def in_flight(self) -> int:
         return sum(link.sending is not None for link in self.links) + len(self.waiting)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         for link in [link for link in self.idle if link.since < self.oldest()]:
             link.close()
 
@@ -172,14 +172,14 @@
 
     def open(self) -> bool:
         """Begin a new connection, if there is a descriptor for it."""
-        if self.most_links is not None and len(self.links) >= self.most_links:
+        if self.max_connections is not None and len(self.links) >= self.max_connections:
             return False
         try:
-            if not self.pool.house.budget.link(self.pool.part):
+            if not self.pool.context.budget.acquire_connection(self.pool.budget):
                 return False
             link = Link(self)
         except OSError as fault:  # the system's own limit, met before ours
-            self.pool.part.links.give()
+            self.pool.budget.connections.release()
             log.warning("socket_unavailable", fault=fault)
             return False
         self.opening += 1
@@ -189,12 +189,12 @@
 
     def free(self, link: Link) -> None:
         """A connection can take an attempt."""
-        many = self.most_links is not None and len(self.links) > self.most_links
+        many = self.max_connections is not None and len(self.links) > self.max_connections
         if (
             self.state != UpstreamState.READY
             or link.address != self.address
             or many
-            or (not self.waiting and self.pool.house.budget.called_back(self.pool.part))
+            or (not self.waiting and self.pool.context.budget.is_recalled(self.pool.budget))
         ):
             link.close()
             self.lacking()  # what waited for it waits for nothing now, where the upstream has moved
@@ -209,7 +209,7 @@
         if len(self.waiting) > self.opening + self.resting:
             self.pool.settle(self.waiting.popleft(), Outcome.CONNECT_FAILED)
 
-    def moved(self, dial: Address) -> None:
+    def set_address(self, dial: Address) -> None:
         if dial != self.address:
             self.address = dial
             self.close_idle()
@@ -222,7 +222,7 @@
         for link in list(self.idle):
             link.close()
 
-    def retire(self) -> None:
+    def drain(self) -> None:
         """It is to get nothing new: what still waits to be sent is not sent, and idle connections go."""
         self.close_idle()
         while self.waiting:
@@ -248,18 +248,20 @@
         self.since, self.moved, self.up, self.closed = 0, 0, False, False
         self.resting = False  # it has carried an answer just now
 
-    def pays(self) -> Part:
-        return self.pool.part
+    def pays(self) -> PoolBudget:
+        return self.pool.budget
 
     async def run(self) -> None:
         """Connect; what comes from then on is read as it comes."""
         try:
-            self.loop.at(self.loop.clock() + self.pool.spec.connect_limit, self.loop, self.late)
+            self.loop.call_at(
+                self.loop.clock() + self.pool.spec.connect_limit, self.loop, self.late
+            )
             if self.sock.connect_ex(self.address) in (0, errno.EINPROGRESS):
                 await anyio.wait_writable(self.sock)
                 if not self.closed and not self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                     self.up, self.server.opening = True, self.server.opening - 1
-                    self.watch(len(self.pool.house.budget.parts) > 1)
+                    self.watch(len(self.pool.context.budget.pools) > 1)
                     self.server.free(self)
                     return
         except (OSError, anyio.ClosedResourceError):
@@ -278,7 +280,7 @@
         """Carry nothing for a moment, in which a second answer would come."""
         self.resting = True
         self.server.resting += 1
-        self.loop.at(self.loop.clock() + REST, self.loop, self.rested)
+        self.loop.call_at(self.loop.clock() + REST, self.loop, self.rested)
 
     def rested(self) -> None:
         if self.resting:
@@ -325,7 +327,7 @@
         if self.sending is sending and begun:
             first, self.moved = not self.moved, self.loop.clock()
             if first:
-                self.loop.at(
+                self.loop.call_at(
                     self.moved + self.pool.spec.connect_limit, self.loop, self.stuck, sending
                 )
 
@@ -336,7 +338,7 @@
         self.read()  # a late loop may not have come to it
         ends = self.moved + self.pool.spec.connect_limit
         if self.sending is sending and ends > self.loop.clock():
-            self.loop.at(ends, self.loop, self.stuck, sending)
+            self.loop.call_at(ends, self.loop, self.stuck, sending)
         elif self.sending is sending:
             self.spoilt("an answer that does not end")
 
@@ -382,7 +384,7 @@
                 raise h11.RemoteProtocolError("too many interim answers")
         elif isinstance(event, h11.Data):
             answer.size += len(event.data)
-            if answer.size > ANSWER or not self.pool.part.bodies.take(len(event.data)):
+            if answer.size > ANSWER or not self.pool.budget.bodies.acquire(len(event.data)):
                 answer.size -= len(event.data)
                 raise h11.RemoteProtocolError("body too large")
             answer.parts.append(bytes(event.data))
@@ -422,7 +424,7 @@
         sending, self.sending = self.sending, None
         if sending:
             if self.answer.size:
-                self.pool.part.bodies.give(self.answer.size)
+                self.pool.budget.bodies.release(self.answer.size)
             sending.link = None
         return sending
 
@@ -432,7 +434,7 @@
             return
         self.closed = True
         self.server.links.discard(self)
-        self.pool.part.links.give()
+        self.pool.budget.connections.release()
         if self in self.server.idle:
             self.server.idle.remove(self)
         self.hang_up()
@@ -445,7 +447,7 @@
             self.server.lacking()
         if sending := self.part():
             self.pool.settle(sending, Outcome.CONNECT_FAILED if self.left else Outcome.RESET)
-        self.pool.house.budget.roomier()
+        self.pool.context.budget.on_descriptor_freed()
 
     def give_up(self) -> None:
         """Close without an outcome: whoever gives up tells it."""
--- a/whinpier/model_checking/count_mutants.py
+++ b/whinpier/model_checking/count_mutants.py
@@ -131,10 +131,10 @@
 class GivesBackInAnyWindow(Wishful):
     """What never ran is counted off in the window that is on by then."""
 
-    def enter(self, now: int, ends: int = 0) -> Any:
+    def acquire(self, now: int, ends: int = 0) -> Any:
         return self if self.take(now, ends) else None
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         self.slots[-1].used = max(0, self.slots[-1].used - 1)
 
 
--- a/whinpier/model_checking/counts.py
+++ b/whinpier/model_checking/counts.py
@@ -108,14 +108,14 @@
         return found + self.usual_steps()
 
     def do_take(self, place: int) -> None:
-        if (given := self.parts[place].enter(self.now)) is not None:
+        if (given := self.parts[place].acquire(self.now)) is not None:
             self.passed[self.window()] += 1
             self.out[place].append((self.window(), given))
 
     def do_back(self, place: int) -> None:
         window, given = self.out[place].pop(0)
         self.passed[window] -= 1
-        given.give(self.now, False)
+        given.release(self.now, False)
 
     def do_wish(self, place: int, wish: int) -> None:
         self.parts[place].wish = wish
--- a/whinpier/model_checking/quotas.py
+++ b/whinpier/model_checking/quotas.py
@@ -95,7 +95,7 @@
 
     def do_end(self, place: int) -> None:
         self.requests[place].remove(min(self.requests[place]))
-        self.shares[place].give(self.now)
+        self.shares[place].release(self.now)
 
     def do_wish(self, place: int, wish: int) -> None:
         self.shares[place].wish = wish
@@ -118,7 +118,7 @@
         for place, requests in enumerate(self.requests):
             for ends in [ends for ends in requests if ends <= self.now]:
                 requests.remove(ends)
-                self.shares[place].give(self.now)
+                self.shares[place].release(self.now)
         self.orphans = [ends for ends in self.orphans if ends > self.now]
 
     def broken(self) -> str:
--- a/whinpier/radius/client.py
+++ b/whinpier/radius/client.py
@@ -21,7 +21,7 @@
 from whinpier.radius.identifiers import Idents
 from whinpier.radius.packet import BadPacket, Packet
 from whinpier.radius.spec import ServerSpec
-from whinpier.runtime.pool import Peer, PendingRequest, Pool, Sent
+from whinpier.runtime.pool import Endpoint, PendingRequest, Pool, PoolAttempt
 
 AT_ONCE = 64  # datagrams read before others have their turn
 BUFFER = 1 << 20  # bytes that the system keeps of what has come: some thousand answers
@@ -34,7 +34,7 @@
     packet: Packet
 
 
-class Sending(Sent):
+class Sending(PoolAttempt):
     """An attempt with its packet as it was sent."""
 
     def __init__(self, request: Record, peer: Server, now: int, slot: tuple[int, int]) -> None:
@@ -47,7 +47,7 @@
         self.state = urandom(8)  # its Proxy-State, which nobody else's can be
 
 
-class Server(Peer):
+class Server(Endpoint):
     """One RADIUS server."""
 
     def __init__(self, pool: Pool, entry: Entry, number: int, spec: ServerSpec) -> None:
@@ -58,7 +58,7 @@
         self.sockets: dict[int, socket.socket] = {}
         self.waiting: dict[tuple[int, int], Sending] = {}
 
-    def hand(self, request: PendingRequest) -> Sent:
+    def start_attempt(self, request: PendingRequest) -> PoolAttempt:
         assert isinstance(request, Record)
         now = self.pool.now
         slot = self.idents.take(now)
@@ -100,7 +100,7 @@
         """Whether there is a socket of this number; each holds a descriptor of the pool's part."""
         if number in self.sockets:
             return True
-        if not self.pool.house.budget.link(self.pool.part):
+        if not self.pool.context.budget.acquire_connection(self.pool.budget):
             return False
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
@@ -109,7 +109,7 @@
             # Connected: what comes from another address is dropped by the system.
             sock.connect(self.address)
         except OSError as fault:
-            self.pool.part.links.give()
+            self.pool.budget.connections.release()
             log.warning("socket_unavailable", fault=fault)
             return False
         self.sockets[number] = sock
@@ -138,9 +138,9 @@
             wait = int(
                 self.spec.retransmit
                 * 2 ** (sending.tries - 1)
-                * (0.9 + 0.2 * self.pool.choice.split.random())
+                * (0.9 + 0.2 * self.pool.policy.split.random())
             )
-            self.loop.at(self.loop.clock() + wait, self.loop, self.transmit, sending)
+            self.loop.call_at(self.loop.clock() + wait, self.loop, self.transmit, sending)
 
     def came(self, number: int) -> None:
         for _ in range(AT_ONCE):
@@ -183,17 +183,17 @@
             del self.waiting[sending.slot]
             self.idents.give(*sending.slot, answered, self.loop.clock())
             if self.state != UpstreamState.READY:
-                self.retire()  # it finished what it had
+                self.drain()  # it finished what it had
 
-    def stop(self, sent: Sent) -> None:
+    def abandon(self, sent: PoolAttempt) -> None:
         assert isinstance(sent, Sending)
         self.release(sent, False)
 
-    def configured(self) -> None:
+    def on_configuration_changed(self) -> None:
         if isinstance(self.pool.spec.server, ServerSpec):
             self.spec = self.pool.spec.server
 
-    def moved(self, dial: Address) -> None:
+    def set_address(self, dial: Address) -> None:
         if dial != self.address:
             self.address = dial
             self.close()
@@ -203,14 +203,14 @@
         for sock in self.sockets.values():
             asyncio.get_running_loop().remove_reader(sock)
             sock.close()
-            self.pool.part.links.give()
+            self.pool.budget.connections.release()
         self.sockets.clear()
 
-    def retire(self) -> None:
+    def drain(self) -> None:
         if not self.waiting:
             self.close()
 
-    def out(self) -> int:
+    def in_flight(self) -> int:
         return len(self.waiting)
 
 
--- a/whinpier/radius/server.py
+++ b/whinpier/radius/server.py
@@ -25,10 +25,10 @@
 from whinpier.radius.response_cache import State
 from whinpier.radius.spec import ClientSpec, RadiusSpec
 from whinpier.radius.stream_server import Datagrams, Streams, Way
-from whinpier.runtime.pool import hashed
+from whinpier.runtime.pool import stable_hash
 
 if TYPE_CHECKING:
-    from whinpier.runtime.process import Life
+    from whinpier.runtime.process import Process
 
 STRANGERS = 200  # packets a second from unknown addresses that are counted one by one
 
@@ -44,7 +44,7 @@
         request_class: RequestClass,
         came: int,
         ends: int,
-        front: Front,
+        front: Frontend,
         packet: Packet,
         entry: deduplication.Entry[RadiusRequest],
         client: ClientSpec,
@@ -54,7 +54,7 @@
         super().__init__(number, request_class, came, ends)
         self.client, self.secret, self.way = client, secret, way
         self.front, self.packet, self.entry = front, packet, entry
-        self.id_given = b""
+        self.client_id = b""
         self.over = False
         # Who else has sent it since, in other words; each is answered in its own.
         self.others: list[tuple[Way, Packet, bytes, bytes]] = []
@@ -77,17 +77,17 @@
         self.front.silent(self, not ran or self.request_class.kind == Effect.IDEMPOTENT)
 
 
-class Front:
+class Frontend:
     """All RADIUS listeners of the process."""
 
     def __init__(
         self,
-        life: Life,
+        process: Process,
         spec: RadiusSpec,
         sockets: list[socket.socket],
         listeners: list[socket.socket],
     ) -> None:
-        self.life, self.loop, self.spec, self.sockets = life, life.loop, spec, sockets
+        self.process, self.loop, self.spec, self.sockets = process, process.loop, spec, sockets
         self.now = self.loop.clock()
         self.memory: deduplication.Memory[RadiusRequest] = deduplication.Memory()
         self.streams = Streams(self, listeners)
@@ -162,7 +162,7 @@
         secret = way.secrets[wire.proved_by(packet, data, way.secrets, way.signed)]
         if packet.code == wire.STATUS_SERVER:
             # RFC 5997, and the watchdog of RFC 3539: it asks whether this end lives.
-            if self.life.ready():
+            if self.process.ready():
                 self.send(way, wire.answer(packet, secret, True))
             return
         wire.check_record(packet)
@@ -209,7 +209,7 @@
     ) -> None:
         """A new record: a request of the pool that its route names."""
         route = self.routes.of(packet, client.name)
-        pool = self.life.pools.get(route.pool) if route else None
+        pool = self.process.pools.get(route.pool) if route else None
         if route is None or pool is None:
             log.counters["no_route"] += 1
             self.memory.given_up(entry)
@@ -221,22 +221,22 @@
             log.counters["radius_not_kept"] += 1
             self.memory.given_up(entry)
             return
-        if self.life.no_room(pool, route.name, client.name.encode()):
+        if self.process.rejects(pool, route.name, client.name.encode()):
             log.counters["rejected_on_arrival"] += 1
             self.memory.given_up(entry)
             return
         now = self.loop.clock()
-        ends = self.life.ends(now, request_class.timeout)
+        ends = self.process.deadline(now, request_class.timeout)
         request = RadiusRequest(
             self.loop.next_id(), request_class, now, ends, self, packet, entry, client, secret, way
         )
         session = packet.first(wire.SESSION_ID) or b""
-        request.key = hashed(session) if session else 0
+        request.key = stable_hash(session) if session else 0
         entry.request = request
         if self.state:
-            self.state.once_kept(partial(pool.take, request, pool.through))
+            self.state.once_kept(partial(pool.accept, request, pool.granted_permits))
         else:
-            pool.take(request, pool.through)
+            pool.accept(request, pool.granted_permits)
 
     # The one final answer.
 
@@ -275,11 +275,11 @@
 
     # As a front of the process.
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         self.memory.forget(self.loop.clock())
         self.streams.sweep()
 
-    def anyone(self) -> bool:
+    def has_clients(self) -> bool:
         return False
 
     def close_idle(self) -> None:
@@ -290,5 +290,5 @@
     def has_pending_responses(self) -> bool:
         return False
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         return {"radius_remembered": len(self.memory), "radius_streams": len(self.streams.open)}
--- a/whinpier/radius/stream_server.py
+++ b/whinpier/radius/stream_server.py
@@ -26,7 +26,7 @@
 from whinpier.radius.packet import BadPacket
 
 if TYPE_CHECKING:
-    from whinpier.radius.server import Front
+    from whinpier.radius.server import Frontend
     from whinpier.radius.spec import ClientSpec
 
 RADSEC = (b"radsec",)  # the secret inside TLS (RFC 6614, section 2.3)
@@ -158,7 +158,7 @@
                     self.held_back = True
                     self.transport.pause_reading()
                     now = self.front.loop.clock()
-                    self.front.loop.at((now // SECOND + 1) * SECOND, self.front, self.go_on)
+                    self.front.loop.call_at((now // SECOND + 1) * SECOND, self.front, self.go_on)
                 return
             try:
                 self.front.on_packet(self, self.waiting.popleft(), self.client)
@@ -208,7 +208,7 @@
 class Streams:
     """The listeners, and the connections that came on them."""
 
-    def __init__(self, front: Front, sockets: list[socket.socket]) -> None:
+    def __init__(self, front: Frontend, sockets: list[socket.socket]) -> None:
         self.front, self.sockets = front, sockets
         self.next = numbers(1).__next__
         self.open: dict[int, Stream] = {}
--- a/whinpier/radius/transport.py
+++ b/whinpier/radius/transport.py
@@ -7,10 +7,10 @@
 from whinpier.config.model import Entry
 from whinpier.http.transport import Http1
 from whinpier.radius.client import Server
-from whinpier.radius.server import Front as RadiusFront
+from whinpier.radius.server import Frontend as RadiusFrontend
 from whinpier.radius.spec import RadiusSpec, ServerSpec
-from whinpier.runtime.pool import Peer, Pool
-from whinpier.runtime.process import Front, Life
+from whinpier.runtime.pool import Endpoint, Pool
+from whinpier.runtime.process import Frontend, Process
 
 
 class WithRadius(Http1):
@@ -19,26 +19,26 @@
     def __init__(self, sockets: list[socket.socket], listeners: list[socket.socket]) -> None:
         self.sockets, self.listeners = sockets, listeners
 
-    def fronts(self, life: Life) -> list[Front]:
-        found = super().fronts(life)
-        if spec := self.spec(life):
-            found.append(RadiusFront(life, spec, self.sockets, self.listeners))
+    def create_frontends(self, process: Process) -> list[Frontend]:
+        found = super().create_frontends(process)
+        if spec := self.spec(process):
+            found.append(RadiusFrontend(process, spec, self.sockets, self.listeners))
         return found
 
-    def reroute(self, fronts: list[Front], life: Life) -> None:
-        super().reroute(fronts, life)
-        for front in fronts[1:]:
-            if isinstance(front, RadiusFront) and (spec := self.spec(life)):
-                front.follow(spec)
+    def update_routes(self, frontends: list[Frontend], process: Process) -> None:
+        super().update_routes(frontends, process)
+        for frontend in frontends[1:]:
+            if isinstance(frontend, RadiusFrontend) and (spec := self.spec(process)):
+                frontend.follow(spec)
 
     @staticmethod
-    def spec(life: Life) -> RadiusSpec | None:
-        found = life.spec.beside.get("radius")
+    def spec(process: Process) -> RadiusSpec | None:
+        found = process.spec.beside.get("radius")
         assert found is None or isinstance(found, RadiusSpec)
         return found
 
-    def peer(self, pool: Pool, entry: Entry, number: int) -> Peer:
+    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint:
         if pool.spec.protocol != "radius":
-            return super().peer(pool, entry, number)
+            return super().create_endpoint(pool, entry, number)
         assert isinstance(pool.spec.server, ServerSpec)
         return Server(pool, entry, number, pool.spec.server)
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -28,46 +28,46 @@
     UpstreamState,
 )
 from whinpier.policy.policy import Choice
-from whinpier.runtime.event_loop import Loop
-from whinpier.runtime.resource_budget import Budget, Part
+from whinpier.runtime.event_loop import EventLoop
+from whinpier.runtime.resource_budget import Budget, PoolBudget
 
-START = SECOND  # to be told the list before the one that was known must do
+LIST_TIMEOUT = SECOND  # to be told the list before the one that was known must do
 
 
 class AttemptObserver(Protocol):
     """Observes how upstreams answer."""
 
-    def on_attempt_started(self, sent: Sent) -> None:
+    def on_attempt_started(self, sent: PoolAttempt) -> None:
         """Note an attempt that was sent."""
 
-    def on_attempt_finished(self, sent: Sent) -> None:
+    def on_attempt_finished(self, sent: PoolAttempt) -> None:
         """Note an attempt that has its outcome."""
 
 
-class Passed(Protocol):
+class Permit(Protocol):
     """What a limit gave to one that passed it."""
 
-    def give(self, now: int, ran: bool) -> None:
+    def release(self, now: int, ran: bool) -> None:
         """It is over; `ran`: some of it may have been done."""
 
 
-class Gate(Protocol):
+class Limiter(Protocol):
     """A limit that requests pass at the door, or attempts at an upstream."""
 
-    def enter(self, now: int, ends: int) -> Passed | None:
+    def acquire(self, now: int, ends: int) -> Permit | None:
         """What one more is given, which is over by `ends`; None if it may not pass."""
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         """Nanoseconds after which one that may not may come again."""
 
 
 class PendingRequest(Request):
     """A request with whoever waits for its answer; a protocol says how the answer is written."""
 
-    __slots__ = ("id_given", "pool", "gates")
-    id_given: bytes  # the id its client gave it, empty if none: no two requests have the same
+    __slots__ = ("client_id", "pool", "permits")
+    client_id: bytes  # the id its client gave it, empty if none: no two requests have the same
     pool: Pool
-    gates: tuple[Passed, ...]  # what limits gave it
+    permits: tuple[Permit, ...]  # what limits gave it
 
     def is_awaited(self) -> bool:
         """Whether its client still waits for this request's answer."""
@@ -90,92 +90,94 @@
         raise NotImplementedError
 
 
-class Sent(Attempt):
+class PoolAttempt(Attempt):
     """An attempt with its upstream; `settled` once its outcome is told, or about to be."""
 
-    def __init__(self, request: PendingRequest, peer: Peer, now: int) -> None:
+    def __init__(self, request: PendingRequest, peer: Endpoint, now: int) -> None:
         super().__init__(request, peer, len(request.attempts), now)
-        self.peer, self.settled = peer, False
-        self.gates: tuple[Passed, ...] = ()  # what limits at its upstream gave it
+        self.endpoint, self.settled = peer, False
+        self.permits: tuple[Permit, ...] = ()  # what limits at its upstream gave it
 
 
-class Peer(Upstream):
+class Endpoint(Upstream):
     """An upstream with what a protocol keeps for it, such as connections."""
 
     pool: Pool
     host: str
     address: Address
-    listed_as: UpstreamState = UpstreamState.READY  # by its list
-    passes: tuple[Gate, ...] = ()  # limits that whatever is sent there passes
-    most_links: int | None = None  # connections to it at once, by a limit beside the process's own
+    listed_state: UpstreamState = UpstreamState.READY  # by its list
+    limiters: tuple[Limiter, ...] = ()  # limits that whatever is sent there passes
+    max_connections: int | None = (
+        None  # connections to it at once, by a limit beside the process's own
+    )
 
-    def hand(self, request: PendingRequest) -> Sent:
+    def start_attempt(self, request: PendingRequest) -> PoolAttempt:
         """Send a request, and settle the attempt with the pool once its outcome is known."""
         raise NotImplementedError
 
-    def stop(self, sent: Sent) -> None:
+    def abandon(self, sent: PoolAttempt) -> None:
         """Wait no longer for an attempt; whoever stops it tells its outcome."""
         raise NotImplementedError
 
-    def unsent(self, sent: Sent) -> bool:
+    def is_unsent(self, sent: PoolAttempt) -> bool:
         """Whether nothing of an attempt has gone out yet, so that it can be left unsent."""
         return False
 
-    def moved(self, dial: Address) -> None:
+    def set_address(self, dial: Address) -> None:
         """It is met at this address from now on."""
 
     def close_idle(self) -> None:
         """Let go of what is idle."""
 
-    def retire(self) -> None:
+    def drain(self) -> None:
         """It is to get nothing new: what is not sent yet is not sent, and is moot."""
 
-    def configured(self) -> None:
+    def on_configuration_changed(self) -> None:
         """Its pool goes on by another configuration."""
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Let go of what has been idle for too long."""
 
-    def unused(self) -> Iterator[tuple[int, Callable[[], None]]]:
+    def idle_connections(self) -> Iterator[tuple[int, Callable[[], None]]]:
         """What is idle: since when, and how to let go of it."""
         return iter(())
 
-    def out(self) -> int:
+    def in_flight(self) -> int:
         """How many attempts are out, counted anew on the wire."""
         raise NotImplementedError
 
 
-class Watch(Protocol):
+class EndpointWatch(Protocol):
     """Whatever tells a pool its list."""
 
     async def run(self) -> None: ...
 
-    def follow(self, on: bool) -> None: ...
+    def set_watching(self, on: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
-    def move(self, address: Address) -> None: ...
+    def set_address(self, address: Address) -> None: ...
 
-    def end(self) -> None: ...
+    def close(self) -> None: ...
 
 
-class House(Protocol):
+class PoolContext(Protocol):
     """What a pool needs of the process around it."""
 
-    loop: Loop
+    loop: EventLoop
     budget: Budget
     ids: dict[bytes | int, PendingRequest]
 
-    def peer(self, pool: Pool, entry: Entry, number: int) -> Peer: ...
+    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint: ...
 
-    def watch(self, pool: Pool) -> Watch | None: ...
+    def create_watch(self, pool: Pool) -> EndpointWatch | None: ...
 
-    def shared(self, entry: Entry) -> Any: ...
+    def shared_warm_up_turn(self, entry: Entry) -> Any: ...
 
-    def since(self, dial: Address) -> int: ...
+    def first_seen_at(self, dial: Address) -> int: ...
 
 
-def hashed(text: bytes) -> int:
+def stable_hash(text: bytes) -> int:
     """The same number for the same text at every balancer."""
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big")
 
@@ -183,41 +185,49 @@
 class Pool:
     """Some upstreams, and the decisions on what goes to them."""
 
-    def __init__(self, house: House, spec: PoolSpec, seed: int, counts: Counter[str]) -> None:
-        self.house, self.loop, self.spec, self.name, self.counts = (
+    def __init__(self, house: PoolContext, spec: PoolSpec, seed: int, counts: Counter[str]) -> None:
+        self.context, self.loop, self.spec, self.name, self.counts = (
             house,
             house.loop,
             spec,
             spec.name,
             counts,
         )
-        self.part = Part(house.budget, spec.limits)
+        self.budget = PoolBudget(house.budget, spec.limits)
         self.now = self.loop.clock()
-        self.began = self.now
-        self.held: dict[str, Peer] = {}  # the list as last told
-        self.draining: dict[Peer, None] = {}  # no longer listed, with attempts still out
-        self.out = 0  # requests without an answer
-        self.told_once, self.leaving, self.ended = False, False, False
-        self.on_end: Callable[[], None] = lambda: None
-        self.gates: tuple[Gate, ...] = ()  # limits that requests of this pool pass at the door
+        self.created_at = self.now
+        self.endpoints: dict[str, Endpoint] = {}  # the list as last told
+        self.draining: dict[Endpoint, None] = {}  # no longer listed, with attempts still out
+        self.in_flight = 0  # requests without an answer
+        self.list_received, self.closing, self.closed = False, False, False
+        self.on_closed: Callable[[], None] = lambda: None
+        self.limiters: tuple[
+            Limiter, ...
+        ] = ()  # limits that requests of this pool pass at the door
         # By route, tenant, ticket, and whether it is a repeat.
-        self.further: Callable[[str, bytes, bytes, bool], Iterable[Gate]] | None = None
-        self.through: tuple[Passed, ...] = ()  # what the request at the door was given
-        self.closed: Gate | None = None  # that was last met closed
-        self.met: Callable[[Peer], None] | None = None  # called with each upstream that is new
+        self.request_limiters: Callable[[str, bytes, bytes, bool], Iterable[Limiter]] | None = None
+        self.granted_permits: tuple[Permit, ...] = ()  # what the request at the door was given
+        self.refusing_limiter: Limiter | None = None  # that was last met closed
+        self.on_endpoint_added: Callable[[Endpoint], None] | None = (
+            None  # called with each upstream that is new
+        )
         self.attempt_observer: AttemptObserver | None = None
-        self.rested: set[str] = set()  # upstreams that get nothing new, whatever the list says
-        self.drained: frozenset[str] = frozenset()  # the same, over restarts of theirs
-        self.judge: Callable[[PendingRequest, str], None] | None = None  # told of each final answer
-        self.listings = 0  # how often the list has changed
-        self.wait = 0  # what the gate that was last closed says; 0: none was
-        self.speaks: Callable[[bytes], None] | None = None  # to the other balancers of this pool
-        self.counted: dict[str, Any] = {}  # settings that stand in for those of the file
-        self.settle_names(spec)
-        self.choice = Choice(self, spec.settings, list(spec.request_classes), seed)
-        self.source = house.watch(self)
-
-    def settle_names(self, spec: PoolSpec) -> None:
+        self.ejected_hosts: set[str] = (
+            set()
+        )  # upstreams that get nothing new, whatever the list says
+        self.drained_hosts: frozenset[str] = frozenset()  # the same, over restarts of theirs
+        self.on_request_finished: Callable[[PendingRequest, str], None] | None = (
+            None  # told of each final answer
+        )
+        self.list_changes = 0  # how often the list has changed
+        self.retry_after = 0  # what the gate that was last closed says; 0: none was
+        self.broadcast: Callable[[bytes], None] | None = None  # to the other balancers of this pool
+        self.fleet_settings: dict[str, Any] = {}  # settings that stand in for those of the file
+        self.apply_names(spec)
+        self.policy = Choice(self, spec.settings, list(spec.request_classes), seed)
+        self.endpoint_watch = house.create_watch(self)
+
+    def apply_names(self, spec: PoolSpec) -> None:
         self.spec = spec
         self.columns: list[str] = spec.settings["report.columns"]
         self.request_classes: dict[bytes, RequestClass] = {
@@ -228,12 +238,12 @@
     def start(self) -> None:
         """Take up the list: what is known, then what is told."""
         if self.spec.known:
-            self.told(self.spec.known, True, cached=self.source is not None)
-        if self.source:
-            self.loop.spawn(self.source.run, lambda: None)
-            self.source.follow(self.spec.settings.get("discovery") != "subscribe")
+            self.update_endpoints(self.spec.known, True, cached=self.endpoint_watch is not None)
+        if self.endpoint_watch:
+            self.loop.spawn(self.endpoint_watch.run, lambda: None)
+            self.endpoint_watch.set_watching(self.spec.settings.get("discovery") != "subscribe")
 
-    def change(self, spec: PoolSpec) -> None:
+    def reconfigure(self, spec: PoolSpec) -> None:
         """Go on by another configuration; requests, connections and what is known of upstreams stay."""
         before, kept = (
             self.spec,
@@ -246,18 +256,18 @@
             old = kept.get(new.name)
             if old and (old.kind, old.group, old.streamed) == (new.kind, new.group, new.streamed):
                 new.known = old.known
-        self.settle_names(spec)
-        self.part.change(spec.limits)
-        for peer in self.peers():
-            peer.configured()
-        self.recount()
+        self.apply_names(spec)
+        self.budget.reconfigure(spec.limits)
+        for peer in self.all_endpoints():
+            peer.on_configuration_changed()
+        self.update_policy_settings()
         if spec.discovery is None:
-            if self.source:
-                self.source.end()
-                self.source = None
-            self.told(spec.known, True)
-        elif self.source is None:
-            self.source = self.house.watch(self)
+            if self.endpoint_watch:
+                self.endpoint_watch.close()
+                self.endpoint_watch = None
+            self.update_endpoints(spec.known, True)
+        elif self.endpoint_watch is None:
+            self.endpoint_watch = self.context.create_watch(self)
             self.start()
         else:
             if (spec.discovery, spec.zones, spec.kinds) != (
@@ -265,39 +275,41 @@
                 before.zones,
                 before.kinds,
             ):
-                self.source.move(spec.discovery)  # other zones have other places in the whole list
+                self.endpoint_watch.set_address(
+                    spec.discovery
+                )  # other zones have other places in the whole list
             if spec.settings.get("discovery") != "subscribe":
-                self.source.follow(True)
+                self.endpoint_watch.set_watching(True)
 
     # What the decisions ask for.
 
     def start_attempt(self, request: Request, upstream: Upstream, stop_at: int = 0) -> Attempt:
-        assert isinstance(request, PendingRequest) and isinstance(upstream, Peer)
+        assert isinstance(request, PendingRequest) and isinstance(upstream, Endpoint)
         log.invariant(not request.ended, "nothing is sent for a task that has its answer")
         log.invariant(
             upstream.state == UpstreamState.READY, "nothing new is sent to what drains or is gone"
         )
         # Guards against attempts for nobody: a late loop decides before it reads that the client
         # has left.
-        gates = () if request.client_disconnected() else upstream.passes
-        given = self.given(gates, self.now, request.ends) if gates else ()
+        gates = () if request.client_disconnected() else upstream.limiters
+        given = self.acquire_permits(gates, self.now, request.ends) if gates else ()
         if given is None or request.ended:
             # What was free has ended meanwhile: it is not sent, and the decisions hear so at once.
-            sent = Sent(request, upstream, self.now)
+            sent = PoolAttempt(request, upstream, self.now)
             request.attempts.append(sent)
             self.settle(sent, Outcome.NOT_SENT)
             return sent
         self.counts["attempts"] += 1
-        sent = upstream.hand(request)
+        sent = upstream.start_attempt(request)
         if sent.settled:  # as it was handed over: nothing was sent
             for gate in given:
-                gate.give(self.now, False)
+                gate.release(self.now, False)
         else:
-            sent.gates = given
+            sent.permits = given
         if self.attempt_observer:
             self.attempt_observer.on_attempt_started(sent)
         if stop_at and stop_at < request.ends:
-            self.loop.at(stop_at, self, self.stop_waiting, sent, Outcome.TIMED_OUT)
+            self.loop.call_at(stop_at, self, self.stop_waiting, sent, Outcome.TIMED_OUT)
         return sent
 
     def cancel(self, attempt: Attempt) -> None:
@@ -314,97 +326,99 @@
             request.respond_failed()
 
     def set_timer(self, at: int, token: int = 0) -> None:
-        if not self.ended:
-            self.loop.at(max(at, self.now + 1), self, self.on_timer, token)
+        if not self.closed:
+            self.loop.call_at(max(at, self.now + 1), self, self.on_timer, token)
 
     def on_timer(self, token: int) -> None:
-        if not self.ended:
-            self.choice.on_timer(token)
+        if not self.closed:
+            self.policy.on_timer(token)
 
     def probe(self, upstream: Upstream) -> None:
         """Nothing carries a probe on this protocol: what asks for one does without."""
 
     def close_idle(self, upstream: Upstream) -> None:
-        assert isinstance(upstream, Peer)
+        assert isinstance(upstream, Endpoint)
         upstream.close_idle()
 
     def tell(self, balancer: int | None, contents: bytes) -> None:
         """No protocol of clients and upstreams carries a message; where there is a fleet, that does."""
-        if self.speaks:
-            self.speaks(contents)
+        if self.broadcast:
+            self.broadcast(contents)
 
-    def shared(self, balancers: int, number: int) -> None:
+    def set_fleet_size(self, balancers: int, number: int) -> None:
         """So many balancers share this pool, and this one is that one of them."""
-        self.counted = {"balancers": balancers, "slot_no": number, "limits.peers": True}
-        self.recount()
+        self.fleet_settings = {"balancers": balancers, "slot_no": number, "limits.peers": True}
+        self.update_policy_settings()
 
-    def alone(self) -> None:
+    def clear_fleet_size(self) -> None:
         """From now on the file says how many share it."""
-        if self.counted:
-            self.counted = {}
-            self.recount()
+        if self.fleet_settings:
+            self.fleet_settings = {}
+            self.update_policy_settings()
 
-    def recount(self) -> None:
-        self.loop.enter(
+    def update_policy_settings(self) -> None:
+        self.loop.dispatch(
             self,
-            self.choice.change,
-            self.spec.settings | self.counted,
+            self.policy.change,
+            self.spec.settings | self.fleet_settings,
             list(self.spec.request_classes),
         )
 
-    def hears(self, balancer: int, contents: bytes) -> None:
+    def receive_peer_message(self, balancer: int, contents: bytes) -> None:
         """What another balancer's decisions tell this one's."""
-        self.loop.enter(self, self.choice.told, balancer, contents)
+        self.loop.dispatch(self, self.policy.told, balancer, contents)
 
     def follow_list(self, on: bool) -> None:
-        if self.source:
-            self.source.follow(on)
+        if self.endpoint_watch:
+            self.endpoint_watch.set_watching(on)
 
     def fetch_list(self) -> None:
-        if self.source:
-            self.source.fetch()
+        if self.endpoint_watch:
+            self.endpoint_watch.fetch()
 
     def log(self, text: str) -> None:
         log.info("decisions", pool=self.name, text=text)
 
     # What comes in.
 
-    def passes(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> bool:
+    def admit(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> bool:
         """Whether one more request passes all gates; what closes them says when to come back."""
-        now, self.wait = self.loop.clock(), 0
+        now, self.retry_after = self.loop.clock(), 0
         ends = now + max(request_class.timeout for request_class in self.spec.request_classes)
-        gates = self.gates
-        if self.further is not None:
-            gates = (*gates, *self.further(route, tenant, ticket, again))
-        given = self.given(gates, now, ends)
-        self.through = given or ()
+        gates = self.limiters
+        if self.request_limiters is not None:
+            gates = (*gates, *self.request_limiters(route, tenant, ticket, again))
+        given = self.acquire_permits(gates, now, ends)
+        self.granted_permits = given or ()
         if given is None:
-            assert self.closed
-            self.wait = self.closed.wait(now)
+            assert self.refusing_limiter
+            self.retry_after = self.refusing_limiter.retry_after(now)
         return given is not None
 
-    def given(self, gates: tuple[Gate, ...], now: int, ends: int) -> tuple[Passed, ...] | None:
+    def acquire_permits(
+        self, gates: tuple[Limiter, ...], now: int, ends: int
+    ) -> tuple[Permit, ...] | None:
         """What one gets that passes all of these; None, and nothing is taken, where one is closed."""
-        found: list[Passed] = []
+        found: list[Permit] = []
         for gate in gates:
-            one = gate.enter(now, ends)
+            one = gate.acquire(now, ends)
             if one is None:
-                self.closed = gate
+                self.refusing_limiter = gate
                 for passed in found:
-                    passed.give(now, False)
+                    passed.release(now, False)
                 return None
             found.append(one)
         return tuple(found)
 
-    def take(self, request: PendingRequest, gates: tuple[Passed, ...] = ()) -> None:
+    def accept(self, request: PendingRequest, gates: tuple[Permit, ...] = ()) -> None:
         """A client's request, and what limits at the door gave it."""
-        request.gates = gates
-        self.out += 1
+        request.permits = gates
+        self.in_flight += 1
         self.counts["tasks"] += 1
         request.pool = self
-        self.house.ids[request.id_given or request.id] = request
-        self.loop.at(request.ends, self, self.time_up, request)
-        self.loop.enter(self, self.choice.arrive, request)
+        self.context.ids[request.client_id or request.id] = request
+        self.loop.call_at(request.ends, self, self.on_deadline, request)
+        self.loop.dispatch(self, self.policy.arrive, request)
 
     def finish(self, request: PendingRequest, how: str) -> bool:
         """Whether a request, which has no answer yet, is to have its final one now."""
@@ -413,34 +427,34 @@
             return False
         self.end_request(request)
         self.counts[how] += 1
-        if self.judge:
-            self.judge(request, how)
+        if self.on_request_finished:
+            self.on_request_finished(request, how)
         return True
 
     def end_request(self, request: PendingRequest) -> None:
         request.ended = True
-        self.out -= 1
-        self.part.requests.give()
-        if request.gates:
+        self.in_flight -= 1
+        self.budget.requests.release()
+        if request.permits:
             ran = any(sent.outcome not in NEVER_RAN for sent in request.attempts)
-            for gate in request.gates:
-                gate.give(self.now, ran)
+            for gate in request.permits:
+                gate.release(self.now, ran)
         for sent in request.attempts:
             # Guards against an attempt that waits for a connection and would begin for nobody. To
             # call off what is out is the decisions' matter, and not allowed everywhere; this has
             # not begun.
-            if isinstance(sent, Sent) and not sent.settled and sent.peer.unsent(sent):
+            if isinstance(sent, PoolAttempt) and not sent.settled and sent.endpoint.is_unsent(sent):
                 self.stop_waiting(sent, Outcome.NOT_SENT)
-        if self.leaving:
-            self.check_end()
+        if self.closing:
+            self.check_closed()
 
-    def time_up(self, request: PendingRequest) -> None:
+    def on_deadline(self, request: PendingRequest) -> None:
         """Its client gives up now: what is still out has timed out, and an answer goes in any case."""
         for attempt in list(request.attempts):
             self.stop_waiting(attempt, Outcome.TIMED_OUT)
-        self.loop.todo.append((self, self.last_word, (request,)))
+        self.loop.pending_calls.append((self, self.ensure_answered, (request,)))
 
-    def last_word(self, request: PendingRequest) -> None:
+    def ensure_answered(self, request: PendingRequest) -> None:
         # Guards against a fault in a decision: even then a request has its answer in time.
         if not request.ended:
             log.invariant(False, "the decisions end a task by its patience")
@@ -448,33 +462,37 @@
         # Guards against long stops of the loop: requests and attempts point to each other, so that
         # without this they would pile up, of an age that only a full collection looks at.
         request.attempts.clear()
-        self.house.ids.pop(request.id_given or request.id, None)
+        self.context.ids.pop(request.client_id or request.id, None)
 
-    def shorten(self, request: PendingRequest, ends: int) -> None:
+    def shorten_deadline(self, request: PendingRequest, ends: int) -> None:
         """A request is over sooner than its client thinks, as the process is."""
         if request.ends > ends:
             request.ends = ends
-            self.loop.at(ends, self, self.time_up, request)
+            self.loop.call_at(ends, self, self.on_deadline, request)
 
     def stop_waiting(self, attempt: Attempt, outcome: Outcome) -> None:
-        assert isinstance(attempt, Sent)
+        assert isinstance(attempt, PoolAttempt)
         if not attempt.settled:
-            attempt.peer.stop(attempt)
+            attempt.endpoint.abandon(attempt)
             self.settle(attempt, outcome)
 
     def settle(
-        self, sent: Sent, outcome: Outcome, answer: Any = None, load: dict[str, float] | None = None
+        self,
+        sent: PoolAttempt,
+        outcome: Outcome,
+        answer: Any = None,
+        load: dict[str, float] | None = None,
     ) -> None:
         """An attempt has its outcome, once; `answer` is what a fulfilled request is given."""
         log.invariant(not sent.settled, "a hand-off has one outcome")
         if not sent.settled:
             sent.settled = True
-            for gate in sent.gates:
-                gate.give(self.loop.clock(), outcome not in NEVER_RAN)
-            self.loop.enter(self, self.came_back, sent, outcome, answer, load)
+            for gate in sent.permits:
+                gate.release(self.loop.clock(), outcome not in NEVER_RAN)
+            self.loop.dispatch(self, self.finish_attempt, sent, outcome, answer, load)
 
-    def came_back(
-        self, sent: Sent, outcome: Outcome, answer: Any, load: dict[str, float] | None
+    def finish_attempt(
+        self, sent: PoolAttempt, outcome: Outcome, answer: Any, load: dict[str, float] | None
     ) -> None:
         sent.outcome, sent.took = outcome, self.now - sent.sent
         if self.attempt_observer:
@@ -485,33 +503,37 @@
         if outcome not in (Outcome.SUCCEEDED, Outcome.CANCELLED):
             log.warning_uncounted(
                 "not_fulfilled",
-                upstream=sent.peer.host,
+                upstream=sent.endpoint.host,
                 outcome=outcome,
                 lane=request.request_class.name,
             )
         first = outcome == Outcome.SUCCEEDED and not request.ended
         if first and self.finish(request, "fulfilled"):
             request.respond(answer)
-        self.choice.came_back(sent, load, first)
+        self.policy.came_back(sent, load, first)
 
-    def client_left(self, request: PendingRequest) -> None:
+    def on_client_disconnected(self, request: PendingRequest) -> None:
         if not request.ended:
             self.end_request(request)
             self.counts["clients_left"] += 1
-            self.loop.enter(self, self.choice.left, request)
+            self.loop.dispatch(self, self.policy.left, request)
 
     # The list.
 
-    def told(self, entries: Iterable[Entry], whole: bool, cached: bool = False) -> None:
+    def update_endpoints(self, entries: Iterable[Entry], whole: bool, cached: bool = False) -> None:
         """Follow what a list says; a restart of an upstream is a new one in its place."""
         entries = list(entries)
-        fresh = self.told_once and not self.source and bool(self.spec.settings.get("rules.cold"))
-        self.told_once = self.told_once or not cached
+        fresh = (
+            self.list_received
+            and not self.endpoint_watch
+            and bool(self.spec.settings.get("rules.cold"))
+        )
+        self.list_received = self.list_received or not cached
         if not entries and not whole:
             return  # nothing has changed
-        held = {} if whole else dict(self.held)
+        held = {} if whole else dict(self.endpoints)
         for entry in entries:
-            peer = self.held.get(entry.host)
+            peer = self.endpoints.get(entry.host)
             if entry.state == UpstreamState.REMOVED:
                 held.pop(entry.host, None)
                 continue
@@ -519,20 +541,20 @@
                 if peer is None and fresh and not entry.started:
                     # Guards against pushing over what the operator has only just started and
                     # listed.
-                    entry = replace(entry, started=self.house.since(entry.dial))
-                peer = self.house.peer(self, entry, hashed(entry.host.encode()))
-                self.rested.discard(entry.host)  # another run, of which nothing is known
-                peer.turn = self.house.shared(entry)
-                if self.met:
-                    self.met(peer)
-            peer.listed_as, peer.cell, peer.size = entry.state, entry.cell, entry.size
+                    entry = replace(entry, started=self.context.first_seen_at(entry.dial))
+                peer = self.context.create_endpoint(self, entry, stable_hash(entry.host.encode()))
+                self.ejected_hosts.discard(entry.host)  # another run, of which nothing is known
+                peer.turn = self.context.shared_warm_up_turn(entry)
+                if self.on_endpoint_added:
+                    self.on_endpoint_added(peer)
+            peer.listed_state, peer.cell, peer.size = entry.state, entry.cell, entry.size
             peer.state = self.state_of(peer)
-            peer.zone = self.place(self.spec.zones, entry.zone)
-            peer.shape = self.place(self.spec.kinds, entry.shape)
-            peer.moved(entry.dial)
+            peer.zone = self.position(self.spec.zones, entry.zone)
+            peer.shape = self.position(self.spec.kinds, entry.shape)
+            peer.set_address(entry.dial)
             held[entry.host] = peer
-        before, self.held = self.held, held
-        self.listings += 1
+        before, self.endpoints = self.endpoints, held
+        self.list_changes += 1
         for host, peer in before.items():
             if held.get(host) is not peer:
                 peer.state = UpstreamState.REMOVED
@@ -541,110 +563,110 @@
             (*before.values(), *held.values())
         ):  # in an order that does not change
             if peer.state != UpstreamState.READY:
-                peer.retire()
+                peer.drain()
         states = Counter(peer.state for peer in held.values())
         by_state = {str(state): count for state, count in states.items()}
-        log.info("endpoints_updated", **self.tag(), whole=whole, cached=cached, **by_state)
-        self.tell_list()
+        log.info("endpoints_updated", **self.log_fields(), whole=whole, cached=cached, **by_state)
+        self.notify_policy()
 
-    def tell_list(self) -> None:
+    def notify_policy(self) -> None:
         usable = [
             peer
-            for peer in self.held.values()
+            for peer in self.endpoints.values()
             if peer.state in (UpstreamState.READY, UpstreamState.DRAINING)
         ]
-        self.loop.enter(self, self.choice.listed, usable)
+        self.loop.dispatch(self, self.policy.listed, usable)
 
-    def state_of(self, peer: Peer) -> UpstreamState:
+    def state_of(self, peer: Endpoint) -> UpstreamState:
         """As its list has it, but that one that rests drains."""
-        aside = peer.host in self.rested or peer.host in self.drained
+        aside = peer.host in self.ejected_hosts or peer.host in self.drained_hosts
         return (
             UpstreamState.DRAINING
-            if peer.listed_as == UpstreamState.READY and aside
-            else peer.listed_as
+            if peer.listed_state == UpstreamState.READY and aside
+            else peer.listed_state
         )
 
-    def rest(self, host: str, on: bool) -> bool:
+    def set_ejected(self, host: str, on: bool) -> bool:
         """An upstream is to get nothing new for a while, or what its list allows; whether it is there."""
-        peer = self.held.get(host)
-        if peer is None or (host in self.rested) == on:
+        peer = self.endpoints.get(host)
+        if peer is None or (host in self.ejected_hosts) == on:
             return peer is not None
-        (self.rested.add if on else self.rested.discard)(host)
-        self.restate([peer])
+        (self.ejected_hosts.add if on else self.ejected_hosts.discard)(host)
+        self.update_states([peer])
         return True
 
-    def drain(self, hosts: frozenset[str]) -> None:
+    def set_drained(self, hosts: frozenset[str]) -> None:
         """These are to get nothing new from now on, whichever run of theirs is listed."""
-        if hosts == self.drained:
+        if hosts == self.drained_hosts:
             return
-        self.drained = hosts
-        self.restate(self.held.values())
+        self.drained_hosts = hosts
+        self.update_states(self.endpoints.values())
 
-    def restate(self, peers: Iterable[Peer]) -> None:
+    def update_states(self, peers: Iterable[Endpoint]) -> None:
         """What these may get has changed, by other than the list."""
         for peer in peers:
             peer.state = self.state_of(peer)
             if peer.state != UpstreamState.READY:
-                peer.retire()
-        self.tell_list()
+                peer.drain()
+        self.notify_policy()
 
-    def out_at(self, host: str) -> int:
+    def in_flight_at(self, host: str) -> int:
         """How many attempts are out at an upstream, over all its runs."""
-        return sum(peer.out() for peer in self.peers() if peer.host == host)
+        return sum(peer.in_flight() for peer in self.all_endpoints() if peer.host == host)
 
-    def tag(self) -> dict[str, str]:
+    def log_fields(self) -> dict[str, str]:
         """What a line of the log says of this pool: nothing where there is only one."""
         return (
             {"pool": self.name}
-            if self.house.budget.isolate and len(self.house.budget.parts) > 1
+            if self.context.budget.isolate and len(self.context.budget.pools) > 1
             else {}
         )
 
     @staticmethod
-    def place(names: list[str], name: str) -> int:
+    def position(names: list[str], name: str) -> int:
         return names.index(name) if name in names else len(names)
 
     def ready(self) -> bool:
         """Whether it can serve: it was told its list, or the known one must do, and something is ready."""
-        told = self.told_once or self.loop.clock() > self.began + START
-        return told and any(peer.state == UpstreamState.READY for peer in self.held.values())
+        told = self.list_received or self.loop.clock() > self.created_at + LIST_TIMEOUT
+        return told and any(peer.state == UpstreamState.READY for peer in self.endpoints.values())
 
-    def peers(self) -> Iterator[Peer]:
-        yield from self.held.values()
+    def all_endpoints(self) -> Iterator[Endpoint]:
+        yield from self.endpoints.values()
         yield from self.draining
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Let go of what has been idle for long, and of upstreams that have gone."""
-        for peer in self.held.values():
-            peer.sweep()
-        for peer in [peer for peer in self.draining if not peer.out()]:
+        for peer in self.endpoints.values():
+            peer.close_expired()
+        for peer in [peer for peer in self.draining if not peer.in_flight()]:
             self.draining.pop(peer, None)
 
     # The end.
 
-    def leave(self, then: Callable[[], None]) -> None:
+    def close(self, then: Callable[[], None]) -> None:
         """Take nothing new, finish what is out, then end."""
-        self.leaving, self.on_end = True, then
-        self.check_end()
+        self.closing, self.on_closed = True, then
+        self.check_closed()
 
-    def check_end(self) -> None:
+    def check_closed(self) -> None:
         # Not from inside a call of the decisions, which may go on with what would be ended here.
-        if not self.out and not self.ended:
-            self.loop.at(self.loop.clock(), self, self.end)
+        if not self.in_flight and not self.closed:
+            self.loop.call_at(self.loop.clock(), self, self.finish_closing)
 
-    def end(self) -> None:
-        if self.ended or self.out:
+    def finish_closing(self) -> None:
+        if self.closed or self.in_flight:
             return
-        self.ended = True
-        if self.source:
-            self.source.end()
-        for peer in self.peers():
+        self.closed = True
+        if self.endpoint_watch:
+            self.endpoint_watch.close()
+        for peer in self.all_endpoints():
             peer.state = UpstreamState.REMOVED
-            peer.retire()
-        self.part.end()
+            peer.drain()
+        self.budget.close()
         log.info("pool_removed", pool=self.name)
-        self.on_end()
+        self.on_closed()
 
-    def on_wire(self) -> int:
+    def count_in_flight(self) -> int:
         """How many attempts are out, counted on the wire: what the decisions' own count must be."""
-        return sum(peer.out() for peer in self.peers())
+        return sum(peer.in_flight() for peer in self.all_endpoints())
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -29,36 +29,38 @@
     differs,
 )
 from whinpier.policy.decaying_sum import SECOND, Turn
-from whinpier.runtime.event_loop import MS, Loop
-from whinpier.runtime.pool import Peer, PendingRequest, Pool, Watch
-from whinpier.runtime.resource_budget import Budget, Part, spare
+from whinpier.runtime.event_loop import MS, EventLoop
+from whinpier.runtime.pool import Endpoint, EndpointWatch, PendingRequest, Pool
+from whinpier.runtime.resource_budget import Budget, PoolBudget, reserved_descriptors
 
-STILL_COMING = 6 * SECOND // 10  # after SIGTERM new connections go on coming for up to 0.4 s
+ACCEPT_AFTER_SIGTERM = (
+    6 * SECOND // 10
+)  # after SIGTERM new connections go on coming for up to 0.4 s
 # After SIGTERM nothing ends the process sooner than the longest timeout and 0.7 s more. The last
 # tenth of that is for a late loop, and what comes before it for answering what is out, with no more
 # taken.
-LONGEST = 3 * SECOND  # of a timeout, as it counts for that
-AFTERWARDS, CLOSING = 6 * SECOND // 10, 4 * SECOND // 10
-SWEEP = (
+MAX_DRAIN_TIMEOUT = 3 * SECOND  # of a timeout, as it counts for that
+SHUTDOWN_MARGIN, CLOSING_TIME = 6 * SECOND // 10, 4 * SECOND // 10
+SWEEP_INTERVAL = (
     SECOND // 4
 )  # between looks at what waits too long: what is owed within 3 s is given after 2
-FIGURES = 10 * SECOND  # between lines of figures
+METRICS_INTERVAL = 10 * SECOND  # between lines of figures
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """A protocol's side towards clients."""
 
     def start(self, listeners: list[socket.socket]) -> None: ...
 
-    def sweep(self) -> None: ...
+    def close_expired(self) -> None: ...
 
-    def anyone(self) -> bool: ...
+    def has_clients(self) -> bool: ...
 
     def close_idle(self) -> None: ...
 
     def has_pending_responses(self) -> bool: ...
 
-    def figures(self) -> dict[str, int]: ...
+    def metrics(self) -> dict[str, int]: ...
 
 
 class Fleet(Protocol):
@@ -66,107 +68,107 @@
 
     def start(self) -> None: ...
 
-    def follow(self, spec: Any) -> None: ...
+    def reconfigure(self, spec: Any) -> None: ...
 
     def leave(self) -> None: ...
 
     def goodbye(self) -> None: ...
 
 
-class Wire(Protocol):
+class Transport(Protocol):
     """A protocol, as the life of the process puts it together."""
 
-    def fronts(self, life: Life) -> list[Front]:
+    def create_frontends(self, life: Process) -> list[Frontend]:
         """The first of them takes the listeners of the process."""
 
-    def reroute(self, fronts: list[Front], life: Life) -> None: ...
+    def update_routes(self, fronts: list[Frontend], life: Process) -> None: ...
 
-    def peer(self, pool: Pool, entry: Entry, number: int) -> Peer: ...
+    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint: ...
 
-    def watch(self, pool: Pool) -> Watch: ...
+    def create_watch(self, pool: Pool) -> EndpointWatch: ...
 
 
-class Life:
+class Process:
     """One process."""
 
     def __init__(
         self,
         spec: Spec,
-        wire: Wire,
+        wire: Transport,
         reread: Callable[[], Spec],
         changed: Callable[[Spec, Spec], Iterable[str]],
     ) -> None:
-        self.spec, self.wire, self.reread, self.changed = spec, wire, reread, changed
-        self.budget = Budget(spec.sockets, spec.memory, spec.isolate, spare(spec))
-        self.loop = Loop(self.budget.judge)
+        self.spec, self.transport, self.read_config, self.restart_keys = spec, wire, reread, changed
+        self.budget = Budget(spec.sockets, spec.memory, spec.isolate, reserved_descriptors(spec))
+        self.loop = EventLoop(self.budget.update_shedding)
         self.ids: dict[
             bytes | int, PendingRequest
         ] = {}  # of requests till the end of their timeout, answered or not
-        self.cold: dict[
+        self.warm_up_turns: dict[
             tuple[Address, int], Turn
         ] = {}  # when a run of an upstream is due one, of all pools
-        self.stopping, self.closing, self.stop_by = False, False, 0
-        self.aside = False  # its front is to send nobody, though it serves who comes
-        self.stopped, self.collect_from = 0, 0
-        self.chance = Random(spec.seed)
+        self.stopping, self.closing, self.stop_deadline = False, False, 0
+        self.out_of_rotation = False  # its front is to send nobody, though it serves who comes
+        self.longest_gc_pause, self.gc_started_at = 0, 0
+        self.seed_source = Random(spec.seed)
         self.pools: dict[str, Pool] = {}
-        self.say_not_honoured()
-        self.going: set[Pool] = set()  # pools that finish what they have
+        self.warn_ignored_settings()
+        self.draining_pools: set[Pool] = set()  # pools that finish what they have
         for pool in spec.pools.values():
-            self.add(pool)
+            self.add_pool(pool)
         first = next(iter(self.pools.values()))
-        self.random = self.chance.random if spec.routed else first.choice.split.random
-        self.budget.idle = self.idle
-        self.fronts = wire.fronts(self)
+        self.random = self.seed_source.random if spec.routed else first.policy.split.random
+        self.budget.list_idle = self.idle_connections
+        self.frontends = wire.create_frontends(self)
         self.fleet: Fleet | None = None
 
-    def add(self, spec: PoolSpec) -> Pool:
-        seed = self.chance.getrandbits(64) if self.spec.routed else self.spec.seed
+    def add_pool(self, spec: PoolSpec) -> Pool:
+        seed = self.seed_source.getrandbits(64) if self.spec.routed else self.spec.seed
         pool = Pool(self, spec, seed, Counter() if self.spec.routed else log.counters)
         self.pools[spec.name] = pool
         return pool
 
     # What pools ask for.
 
-    def peer(self, pool: Pool, entry: Entry, number: int) -> Peer:
-        return self.wire.peer(pool, entry, number)
+    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint:
+        return self.transport.create_endpoint(pool, entry, number)
 
-    def watch(self, pool: Pool) -> Watch | None:
-        return self.wire.watch(pool) if pool.spec.discovery else None
+    def create_watch(self, pool: Pool) -> EndpointWatch | None:
+        return self.transport.create_watch(pool) if pool.spec.discovery else None
 
-    def shared(self, entry: Entry) -> Turn | None:
+    def shared_warm_up_turn(self, entry: Entry) -> Turn | None:
         """When one run of an upstream is due a request while it is cold, for all pools that list it."""
         # Guards against two pools that each keep a cold upstream's bound, and together push it
         # over.
         if not self.spec.routed:
             return None
-        return self.cold.setdefault((entry.dial, entry.started), Turn(self.loop.clock()))
+        return self.warm_up_turns.setdefault((entry.dial, entry.started), Turn(self.loop.clock()))
 
-    def since(self, dial: Address) -> int:
+    def first_seen_at(self, dial: Address) -> int:
         """Since when an upstream that a file newly names counts as started: now, or as another pool says."""
         known = (
             peer.started
             for pool in self.pools.values()
-            for peer in pool.held.values()
+            for peer in pool.endpoints.values()
             if peer.address == dial
         )
         return next(known, self.loop.clock())
 
-    def idle(self) -> Iterable[tuple[int, Part, Callable[[], None]]]:
-        for pool in (*self.pools.values(), *self.going):
-            for peer in pool.peers():
-                for since, close in peer.unused():
-                    yield since, pool.part, close
+    def idle_connections(self) -> Iterable[tuple[int, PoolBudget, Callable[[], None]]]:
+        for pool in (*self.pools.values(), *self.draining_pools):
+            for peer in pool.all_endpoints():
+                for since, close in peer.idle_connections():
+                    yield since, pool.budget, close
 
     def ready(self) -> bool:
         """Whether the front may send clients."""
-        return not (self.stopping or self.aside) and any(
+        return not (self.stopping or self.out_of_rotation) and any(
             pool.ready() for pool in self.pools.values()
         )
 
     # What fronts ask for.
 
-    def no_room(
+    def rejects(
         self,
         pool: Pool,
         route: str = "",
@@ -179,42 +181,48 @@
 
         `again`: its client says that it is a repeat.
         """
-        shed = pool.part.shed
-        turned_back = self.closing or pool.leaving or bool(shed and self.random() < shed)
-        if turned_back or not pool.part.requests.take():
+        shed = pool.budget.shed_ratio
+        turned_back = self.closing or pool.closing or bool(shed and self.random() < shed)
+        if turned_back or not pool.budget.requests.acquire():
             return True
-        if (pool.gates or pool.further) and not pool.passes(route, tenant, ticket, again):
-            pool.part.requests.give()
+        if (pool.limiters or pool.request_limiters) and not pool.admit(
+            route, tenant, ticket, again
+        ):
+            pool.budget.requests.release()
             return True
         return False
 
-    def ends(self, came: int, timeout: int) -> int:
+    def deadline(self, came: int, timeout: int) -> int:
         """When a request is over here: its client must have the answer, and the process must
         still be there.
         """
-        margin = self.loop.margin()
-        return min(came + timeout, self.stop_by or came + timeout) - margin
+        margin = self.loop.deadline_margin()
+        return min(came + timeout, self.stop_deadline or came + timeout) - margin
 
     # A new configuration.
 
-    async def configure(self) -> None:
+    async def reload(self) -> None:
         """SIGHUP: read the configuration again; a faulty one changes nothing."""
         log.counters["reloads"] += 1
         try:
             # Guards against the loop standing still while a file of thousands of routes is read and
             # checked.
-            new = await anyio.to_thread.run_sync(self.reread) if self.spec.routed else self.reread()
+            new = (
+                await anyio.to_thread.run_sync(self.read_config)
+                if self.spec.routed
+                else self.read_config()
+            )
         except ConfigFault as fault:
             log.warning("configuration_rejected", fault=fault)
             return
         except Exception:  # a fault of ours must not end the process either
             log.exception("configuration_rejected")
             return
-        kept = ",".join(self.changed(self.spec, new))
+        kept = ",".join(self.restart_keys(self.spec, new))
         if new.routed:
-            self.apply(self.as_run(new))
+            self.apply_operator_config(self.keep_until_restart(new))
         else:
-            self.follow(new)
+            self.apply_platform_settings(new)
         discovery = (
             {}
             if new.routed
@@ -222,10 +230,10 @@
         )
         log.info("configuration_applied", **discovery, kept_till_restart=kept)
 
-    def follow(self, new: Spec) -> None:
+    def apply_platform_settings(self, new: Spec) -> None:
         """The platform's way: its one pool goes on by the new settings, in one step between two events."""
-        before, self.spec = self.spec, self.as_run(new)
-        self.say_not_honoured()
+        before, self.spec = self.spec, self.keep_until_restart(new)
+        self.warn_ignored_settings()
         for name, pool in self.pools.items():
             # `known` is the list for a start; from then on discovery tells it.
             spec = replace(
@@ -234,16 +242,16 @@
             if keys := differs(before.pools[name], spec):
                 old, now = before.pools[name].settings, spec.settings
                 keys += [key for key in sorted({*old, *now}) if old.get(key) != now.get(key)]
-                pool.change(spec)
+                pool.reconfigure(spec)
                 log.info(
                     "settings_changed", keys=",".join(key for key in keys if key != "settings")
                 )
 
-    def say_not_honoured(self) -> None:
+    def warn_ignored_settings(self) -> None:
         if self.spec.not_honoured:
             log.warning("settings_ignored", keys=",".join(self.spec.not_honoured))
 
-    def as_run(self, new: Spec) -> Spec:
+    def keep_until_restart(self, new: Spec) -> Spec:
         """A new file as it can be run by: what waits for a restart is as it was."""
         old = self.spec
         beside = {name: new.beside.get(name, kept) for name, kept in old.beside.items()}
@@ -252,10 +260,10 @@
             new, beside=beside, fleet=fleet, **{key: getattr(old, key) for key in KEPT_TILL_RESTART}
         )
 
-    def apply(self, new: Spec) -> None:
+    def apply_operator_config(self, new: Spec) -> None:
         """Pools and routes as the new file has them, in one step between two events of the loop."""
         before, self.spec = self.spec, new
-        self.budget.resize(spare(new))
+        self.budget.resize(reserved_descriptors(new))
         leaving = [
             self.pools.pop(name)
             for name in list(self.pools)
@@ -263,67 +271,69 @@
         ]
         for name, spec in new.pools.items():
             if name not in self.pools:
-                self.add(spec).start()
+                self.add_pool(spec).start()
                 log.info("pool_added", pool=name)
             elif keys := differs(before.pools[name], spec):
-                self.pools[name].change(spec)
+                self.pools[name].reconfigure(spec)
                 log.info("pool_changed", pool=name, keys=",".join(keys))
-        self.wire.reroute(self.fronts, self)
+        self.transport.update_routes(self.frontends, self)
         if self.fleet:
-            self.fleet.follow(new.fleet)
+            self.fleet.reconfigure(new.fleet)
         for pool in leaving:
-            self.going.add(pool)
-            log.info("pool_draining", pool=pool.name, out=pool.out)
-            pool.leave(lambda pool=pool: self.going.discard(pool))  # type: ignore[misc]
+            self.draining_pools.add(pool)
+            log.info("pool_draining", pool=pool.name, out=pool.in_flight)
+            pool.close(lambda pool=pool: self.draining_pools.discard(pool))  # type: ignore[misc]
 
     # The process.
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Every wait has an end."""
-        self.loop.at(self.loop.clock() + SWEEP, self.loop, self.sweep)
-        for pool in (*self.pools.values(), *self.going):
-            pool.sweep()
-        for front in self.fronts:
-            front.sweep()
+        self.loop.call_at(self.loop.clock() + SWEEP_INTERVAL, self.loop, self.close_expired)
+        for pool in (*self.pools.values(), *self.draining_pools):
+            pool.close_expired()
+        for front in self.frontends:
+            front.close_expired()
 
-    def collecting(self, phase: str, _: dict[str, int]) -> None:
+    def on_gc(self, phase: str, _: dict[str, int]) -> None:
         """Note how long a garbage collection stops the loop."""
         if phase == "start":
-            self.collect_from = time.monotonic_ns()
+            self.gc_started_at = time.monotonic_ns()
         else:
-            self.stopped = max(self.stopped, time.monotonic_ns() - self.collect_from)
+            self.longest_gc_pause = max(
+                self.longest_gc_pause, time.monotonic_ns() - self.gc_started_at
+            )
 
-    def figures(self) -> None:
-        self.loop.at(self.loop.clock() + FIGURES, self.loop, self.figures)
-        pools = (*self.pools.values(), *self.going)
+    def log_figures(self) -> None:
+        self.loop.call_at(self.loop.clock() + METRICS_INTERVAL, self.loop, self.log_figures)
+        pools = (*self.pools.values(), *self.draining_pools)
         for pool in pools:
             log.invariant(
-                pool.on_wire() == pool.choice.split.total,
+                pool.count_in_flight() == pool.policy.split.total,
                 "what is counted as out is out on a socket",
             )
             if self.spec.routed:
-                log.info("pool", pool=pool.name, **pool.part.figures(), **pool.counts)
+                log.info("pool", pool=pool.name, **pool.budget.metrics(), **pool.counts)
         log.info(
             "figures",
-            out=sum(pool.out for pool in pools),
-            **self.told(),
-            links=self.budget.links.used,
+            out=sum(pool.in_flight for pool in pools),
+            **self.frontend_metrics(),
+            links=self.budget.connections.used,
             timers=len(self.loop.timers),
-            lag_ms=self.loop.lag // MS,
-            collect_ms=self.stopped // MS,
+            lag_ms=self.loop.max_lag // MS,
+            collect_ms=self.longest_gc_pause // MS,
             cpu_s=round(time.process_time(), 2),
             **log.counters,
         )
-        self.loop.lag = self.stopped = 0
-        used = {(peer.address, peer.started) for pool in pools for peer in pool.held.values()}
-        self.cold = {run: sent for run, sent in self.cold.items() if run in used}
+        self.loop.max_lag = self.longest_gc_pause = 0
+        used = {(peer.address, peer.started) for pool in pools for peer in pool.endpoints.values()}
+        self.warm_up_turns = {run: sent for run, sent in self.warm_up_turns.items() if run in used}
 
-    async def heed(self) -> None:
+    async def handle_signals(self) -> None:
         """Signals, until the end: none of them may fall back to ending the process at once."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async for number in signals:
                 if number == signal.SIGHUP:
-                    await self.configure()
+                    await self.reload()
                 else:
                     self.stop()
 
@@ -333,8 +343,8 @@
             self.stopping = True
             self.loop.spawn(self.terminate, self.loop.task_group.cancel_scope.cancel)
 
-    def out(self) -> int:
-        return sum(pool.out for pool in (*self.pools.values(), *self.going))
+    def in_flight(self) -> int:
+        return sum(pool.in_flight for pool in (*self.pools.values(), *self.draining_pools))
 
     async def terminate(self) -> None:
         """SIGTERM: serve those who are connected for as long as may be, then close behind each answer.
@@ -344,42 +354,43 @@
         balancer.
         """
         loop = self.loop
-        log.info("stopping", out=self.out(), **self.told())
+        log.info("stopping", out=self.in_flight(), **self.frontend_metrics())
         longest = max(
             request_class.timeout
             for spec in self.spec.pools.values()
             for request_class in spec.request_classes
         )
-        self.stop_by = loop.clock() + min(longest, LONGEST) + AFTERWARDS
+        self.stop_deadline = loop.clock() + min(longest, MAX_DRAIN_TIMEOUT) + SHUTDOWN_MARGIN
         if self.fleet:
             self.fleet.leave()
         for request in list(self.ids.values()):
-            request.pool.shorten(request, self.stop_by - loop.margin())
-        await anyio.sleep(STILL_COMING / SECOND)
+            request.pool.shorten_deadline(request, self.stop_deadline - loop.deadline_margin())
+        await anyio.sleep(ACCEPT_AFTER_SIGTERM / SECOND)
         while (
-            any(front.anyone() for front in self.fronts) and loop.clock() < self.stop_by - CLOSING
+            any(front.has_clients() for front in self.frontends)
+            and loop.clock() < self.stop_deadline - CLOSING_TIME
         ):
             await anyio.sleep(0.01)
         self.closing = True
-        for front in self.fronts:
+        for front in self.frontends:
             front.close_idle()
-        while self.out() or any(front.has_pending_responses() for front in self.fronts):
-            if loop.clock() > self.stop_by:
+        while self.in_flight() or any(front.has_pending_responses() for front in self.frontends):
+            if loop.clock() > self.stop_deadline:
                 break
             await anyio.sleep(0.01)
         if self.fleet:
             self.fleet.goodbye()
-        log.info("stopped", out=self.out(), **self.total())
+        log.info("stopped", out=self.in_flight(), **self.counters())
         loop.task_group.cancel_scope.cancel()
 
-    def told(self) -> dict[str, int]:
-        return {name: count for front in self.fronts for name, count in front.figures().items()}
+    def frontend_metrics(self) -> dict[str, int]:
+        return {name: count for front in self.frontends for name, count in front.metrics().items()}
 
-    def total(self) -> dict[str, Any]:
+    def counters(self) -> dict[str, Any]:
         """All counters, those of the pools added up."""
         counts = Counter(log.counters)
         if self.spec.routed:
-            for pool in (*self.pools.values(), *self.going):
+            for pool in (*self.pools.values(), *self.draining_pools):
                 counts.update(pool.counts)
         return dict(counts)
 
@@ -387,17 +398,17 @@
         """Run until told to stop."""
         loop = self.loop
         async with anyio.create_task_group() as loop.task_group:
-            loop.spawn(self.heed, loop.task_group.cancel_scope.cancel)
+            loop.spawn(self.handle_signals, loop.task_group.cancel_scope.cancel)
             for pool in self.pools.values():
                 pool.start()
             if self.fleet:
                 self.fleet.start()
-            loop.at(loop.clock() + SWEEP, loop, self.sweep)
-            for front in self.fronts:
-                front.start(listeners if front is self.fronts[0] else [])
-            loop.at(loop.clock() + FIGURES, loop, self.figures)
+            loop.call_at(loop.clock() + SWEEP_INTERVAL, loop, self.close_expired)
+            for front in self.frontends:
+                front.start(listeners if front is self.frontends[0] else [])
+            loop.call_at(loop.clock() + METRICS_INTERVAL, loop, self.log_figures)
             # What is there by now stays: collecting it over and over would only stop the loop.
-            gc.callbacks.append(self.collecting)
+            gc.callbacks.append(self.on_gc)
             gc.freeze()
             gc.set_threshold(10_000, 20, 50)
-            loop.task_group.start_soon(loop.ring)
+            loop.task_group.start_soon(loop.run_timers)
