--- a/whinpier/runtime/resource_budget.py
+++ b/whinpier/runtime/resource_budget.py
@@ -12,7 +12,7 @@
 
 from whinpier.config.model import Limits, Spec
 from whinpier.policy.decaying_sum import SECOND, Sum
-from whinpier.runtime.event_loop import MOST_LATE
+from whinpier.runtime.event_loop import MAX_LAG
 
 # descriptors kept back: the standard ones, listener, discovery, the loop's own; a dozen in all
 SPARE = 24
@@ -37,7 +37,7 @@
 SPENT = 2 * SECOND  # over which the CPU of pools is compared: some hundred requests
 
 
-def spare(spec: Spec) -> int:
+def reserved_descriptors(spec: Spec) -> int:
     """Descriptors that no client and no upstream gets."""
     if not spec.routed:
         return SPARE
@@ -47,214 +47,228 @@
     return SPARE + listeners + sum(pool.discovery is not None for pool in spec.pools.values())
 
 
-class Held:
+class ResourceShare:
     """What one pool holds of one stock."""
 
-    __slots__ = ("stock", "guaranteed", "most", "used")
+    __slots__ = ("resource", "guaranteed", "limit", "used")
 
-    def __init__(self, stock: Stock) -> None:
-        self.stock, self.guaranteed, self.used = stock, 0, 0
-        self.most: int | None = None
+    def __init__(self, stock: SharedResource) -> None:
+        self.resource, self.guaranteed, self.used = stock, 0, 0
+        self.limit: int | None = None
 
-    def kept(self) -> int:
+    def reserved(self) -> int:
         """What may not be lent of it."""
         return int(KEPT * max(0, self.guaranteed - self.used))
 
     def borrowed(self) -> int:
         return max(0, self.used - self.guaranteed)
 
-    def take(self, amount: int = 1, capacity: int | None = None) -> bool:
+    def acquire(self, amount: int = 1, capacity: int | None = None) -> bool:
         """Take some, if there is; `capacity` where more than usual is free just now."""
-        stock, after = self.stock, self.used + amount
-        if self.most is not None and after > self.most:
+        stock, after = self.resource, self.used + amount
+        if self.limit is not None and after > self.limit:
             return False
         room = (stock.capacity if capacity is None else capacity) - stock.used - amount
-        kept = self.kept()
-        if room < 0 or after > self.guaranteed and room < stock.kept - kept:
+        kept = self.reserved()
+        if room < 0 or after > self.guaranteed and room < stock.reserved - kept:
             return False
         stock.used += amount
         self.used = after
-        stock.kept += self.kept() - kept
+        stock.reserved += self.reserved() - kept
         return True
 
-    def give(self, amount: int = 1) -> None:
-        kept = self.kept()
+    def release(self, amount: int = 1) -> None:
+        kept = self.reserved()
         self.used -= amount
-        self.stock.used -= amount
-        self.stock.kept += self.kept() - kept
+        self.resource.used -= amount
+        self.resource.reserved += self.reserved() - kept
 
-    def reshare(self, share: float, most: int | None) -> None:
+    def resize(self, share: float, most: int | None) -> None:
         """Another part for a pool that goes on; what it has above that is borrowed from now on."""
-        self.stock.kept -= self.kept()
-        self.guaranteed, self.most = int(share * self.stock.capacity), most
-        self.stock.kept += self.kept()
+        self.resource.reserved -= self.reserved()
+        self.guaranteed, self.limit = int(share * self.resource.capacity), most
+        self.resource.reserved += self.reserved()
 
-    def drop(self) -> None:
+    def close(self) -> None:
         """Its pool has gone; what it still holds is given back one by one."""
-        self.reshare(0.0, self.most)
-        if not self.used and self in self.stock.held:
-            self.stock.held.remove(self)
+        self.resize(0.0, self.limit)
+        if not self.used and self in self.resource.shares:
+            self.resource.shares.remove(self)
 
 
-class Stock:
+class SharedResource:
     """One resource of the process, in whatever unit it is counted."""
 
     def __init__(self, capacity: int) -> None:
-        self.capacity, self.used, self.kept = capacity, 0, 0
-        self.held: list[Held] = []
+        self.capacity, self.used, self.reserved = capacity, 0, 0
+        self.shares: list[ResourceShare] = []
 
-    def part(self) -> Held:
+    def create_share(self) -> ResourceShare:
         """A part of nothing, for a pool that has just come."""
-        self.held.append(Held(self))
-        return self.held[-1]
+        self.shares.append(ResourceShare(self))
+        return self.shares[-1]
 
 
-class Part:
+class PoolBudget:
     """What one pool has of the process."""
 
     def __init__(self, budget: Budget, limits: Limits) -> None:
         self.budget = budget
-        self.requests, self.links = budget.requests.part(), budget.links.part()
-        self.bodies = budget.bodies.part()  # bytes of answers
-        self.request_bytes = budget.request_bytes.part()  # bytes of what is asked
-        self.change(limits)
+        self.requests, self.connections = (
+            budget.requests.create_share(),
+            budget.connections.create_share(),
+        )
+        self.bodies = budget.bodies.create_share()  # bytes of answers
+        self.request_bytes = budget.request_bytes.create_share()  # bytes of what is asked
+        self.reconfigure(limits)
         self.clients = 0  # connections of clients that asked it last
-        self.shed = 0.0  # the part of its requests that is rejected at the door
-        self.spent = Sum(SPENT, 0)  # nanoseconds of the loop
-        budget.parts.append(self)
+        self.shed_ratio = 0.0  # the part of its requests that is rejected at the door
+        self.cpu_time = Sum(SPENT, 0)  # nanoseconds of the loop
+        budget.pools.append(self)
 
-    def change(self, limits: Limits) -> None:
+    def reconfigure(self, limits: Limits) -> None:
         self.limits, share = limits, limits.guaranteed if self.budget.isolate else 0.0
         for held, most in (
             (self.requests, limits.requests),
-            (self.links, limits.connections),
+            (self.connections, limits.connections),
             (self.bodies, limits.bodies),
             (self.request_bytes, limits.bodies),
         ):
-            held.reshare(share, most)
+            held.resize(share, most)
 
-    def end(self) -> None:
-        for held in (self.requests, self.links, self.bodies, self.request_bytes):
-            held.drop()
-        if self in self.budget.parts:
-            self.budget.parts.remove(self)
+    def close(self) -> None:
+        for held in (self.requests, self.connections, self.bodies, self.request_bytes):
+            held.close()
+        if self in self.budget.pools:
+            self.budget.pools.remove(self)
 
-    def figures(self) -> Mapping[str, object]:
+    def metrics(self) -> Mapping[str, object]:
         return {
             "out": self.requests.used,
             "out_guaranteed": self.requests.guaranteed,
             "clients": self.clients,
-            "links": self.links.used,
-            "links_guaranteed": self.links.guaranteed,
+            "links": self.connections.used,
+            "links_guaranteed": self.connections.guaranteed,
             "bodies": self.bodies.used,
-            "shed": round(self.shed, 2),
+            "shed": round(self.shed_ratio, 2),
         }
 
 
 class Budget:
     """What the process has, and how pools and clients share it."""
 
-    def __init__(self, sockets: int, memory: int, isolate: bool = True, spare: int = SPARE) -> None:
+    def __init__(
+        self, sockets: int, memory: int, isolate: bool = True, reserved_descriptors: int = SPARE
+    ) -> None:
         self.sockets, self.memory, self.isolate = sockets, memory, isolate
-        self.door = min(sockets // DOOR, MOST_DOOR)
+        self.rejection_reserve = min(sockets // DOOR, MOST_DOOR)
         self.clients = 0  # connections of clients
-        self.parts: list[Part] = []
-        self.requests, self.links = Stock(0), Stock(0)
-        self.resize(spare)
-        self.bodies = Stock(memory // BODIES * 2)  # bytes of answers
-        self.request_bytes = Stock(memory // BODIES)  # bytes of what is asked, whole or not
-        self.judged = 0
+        self.pools: list[PoolBudget] = []
+        self.requests, self.connections = SharedResource(0), SharedResource(0)
+        self.resize(reserved_descriptors)
+        self.bodies = SharedResource(memory // BODIES * 2)  # bytes of answers
+        self.request_bytes = SharedResource(
+            memory // BODIES
+        )  # bytes of what is asked, whole or not
+        self.shedding_updated_at = 0
         # Set by whoever owns them: one client that is not in use is closed; an idle connection of a
         # pool.
-        self.let_go: Callable[[], None] = lambda: None
-        self.idle: Callable[[], Iterable[tuple[int, Part, Callable[[], None]]]] = lambda: ()
-        self.roomier: Callable[[], None] = lambda: None  # called when a descriptor has fallen free
+        self.close_unused_client: Callable[[], None] = lambda: None
+        self.list_idle: Callable[[], Iterable[tuple[int, PoolBudget, Callable[[], None]]]] = (
+            lambda: ()
+        )
+        self.on_descriptor_freed: Callable[[], None] = (
+            lambda: None
+        )  # called when a descriptor has fallen free
 
-    def resize(self, spare: int) -> None:
+    def resize(self, reserved_descriptors: int) -> None:
         """Keep back so many descriptors; the parts of pools follow."""
-        self.connections = self.sockets - spare - self.door
-        self.most_clients = int(PART * self.connections)
-        self.requests.capacity, self.links.capacity = (
-            self.most_clients,
-            self.connections - self.most_clients,
+        self.total_connections = self.sockets - reserved_descriptors - self.rejection_reserve
+        self.max_clients = int(PART * self.total_connections)
+        self.requests.capacity, self.connections.capacity = (
+            self.max_clients,
+            self.total_connections - self.max_clients,
         )
-        for part in self.parts:
-            part.change(part.limits)
+        for part in self.pools:
+            part.reconfigure(part.limits)
 
-    def room(self) -> int:
+    def upstream_capacity(self) -> int:
         """How many connections to upstreams there may be, as many clients as there are."""
-        return self.connections - min(self.clients, self.most_clients)
+        return self.total_connections - min(self.clients, self.max_clients)
 
-    def full(self) -> bool:
-        return self.links.used >= self.room()
+    def is_full(self) -> bool:
+        return self.connections.used >= self.upstream_capacity()
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Whether one more connection may be opened: the longest idle ones make way, clients' first."""
-        if self.full():
-            self.let_go()
-        if self.full():
+        if self.is_full():
+            self.close_unused_client()
+        if self.is_full():
             self.close_idle()
-        return not self.full()
+        return not self.is_full()
 
     def close_idle(self, borrowed: bool = False) -> None:
         """Close the connection to an upstream that is longest idle; of the pools that have borrowed first."""
-        idle = list(self.idle())
-        lent = [found for found in idle if found[1].links.borrowed()]
+        idle = list(self.list_idle())
+        lent = [found for found in idle if found[1].connections.borrowed()]
         if lent or idle and not borrowed:
             min(lent or idle, key=lambda found: found[0])[2]()
 
-    def link(self, part: Part) -> bool:
+    def acquire_connection(self, part: PoolBudget) -> bool:
         """Take one more connection to an upstream for a pool, if it may have it."""
-        if self.make_room() and part.links.take(1, self.room()):
+        if self.ensure_capacity() and part.connections.acquire(1, self.upstream_capacity()):
             return True
         # Guards against one pool's idle connections standing in the way of another's guaranteed
         # ones.
-        if part.links.used < part.links.guaranteed and len(self.parts) > 1:
+        if part.connections.used < part.connections.guaranteed and len(self.pools) > 1:
             self.close_idle(borrowed=True)
-            return part.links.take(1, self.room())
+            return part.connections.acquire(1, self.upstream_capacity())
         return False
 
-    def called_back(self, part: Part) -> bool:
+    def is_recalled(self, part: PoolBudget) -> bool:
         """Whether a pool had better not keep what has just fallen free: it is another's."""
-        return part.links.borrowed() > 0 and self.links.used + self.links.kept >= self.room()
+        return (
+            part.connections.borrowed() > 0
+            and self.connections.used + self.connections.reserved >= self.upstream_capacity()
+        )
 
-    def crowded(self, asked: int, part: Part | None = None) -> bool:
+    def is_crowded(self, asked: int, part: PoolBudget | None = None) -> bool:
         """Whether clients (of a pool) had better not keep connections: room then comes with every answer."""
         # Guards against clients that ask once and stay: they may hold a third of the descriptors in
         # all, and while they do others have no connection left to ask on.
-        return asked > self.sockets // CROWD and not self.within(part)
+        return asked > self.sockets // CROWD and not self.is_within_share(part)
 
-    def within(self, part: Part | None) -> bool:
+    def is_within_share(self, part: PoolBudget | None) -> bool:
         """Whether a pool's clients hold no more than its part: they need not go for those of others."""
         # Guards against one pool's crowd at the door: the others' clients would wait in one queue
         # with it.
-        if part is None or len(self.parts) < 2 or not self.isolate:
+        if part is None or len(self.pools) < 2 or not self.isolate:
             return False
-        return part.clients <= part.limits.guaranteed * min(
-            self.sockets // CROWD, self.most_clients
-        )
+        return part.clients <= part.limits.guaranteed * min(self.sockets // CROWD, self.max_clients)
 
-    def judge(self, now: int, lag: int) -> None:
+    def update_shedding(self, now: int, lag: int) -> None:
         """Reject a larger or smaller part of what comes, by how late the loop is."""
-        if now - self.judged < JUDGED:
+        if now - self.shedding_updated_at < JUDGED:
             return
         # Guards against a core that is full: were all rejected while the loop is late, those
         # that come again at once would keep it late, and nothing would be served.
-        self.judged = now
-        late = lag > MOST_LATE
-        over = self.spenders(now) if late and self.isolate and len(self.parts) > 1 else self.parts
-        for part in self.parts:
+        self.shedding_updated_at = now
+        late = lag > MAX_LAG
+        over = (
+            self.cpu_overusers(now) if late and self.isolate and len(self.pools) > 1 else self.pools
+        )
+        for part in self.pools:
             if late and part in over:
-                part.shed = min(part.shed + MORE, MOST_SHED)
+                part.shed_ratio = min(part.shed_ratio + MORE, MOST_SHED)
             elif not late:
-                part.shed = max(part.shed - LESS, 0.0)
+                part.shed_ratio = max(part.shed_ratio - LESS, 0.0)
 
-    def spenders(self, now: int) -> list[Part]:
+    def cpu_overusers(self, now: int) -> list[PoolBudget]:
         """The pools that use more of the loop's time than their part; all where none does."""
-        total = sum(part.spent.read(now) for part in self.parts) or 1.0
+        total = sum(part.cpu_time.read(now) for part in self.pools) or 1.0
         over = [
             part
-            for part in self.parts
-            if part.spent.read(now) > OVER * part.limits.guaranteed * total
+            for part in self.pools
+            if part.cpu_time.read(now) > OVER * part.limits.guaranteed * total
         ]
-        return over or self.parts
+        return over or self.pools
--- a/whinpier/simulation/balancers.py
+++ b/whinpier/simulation/balancers.py
@@ -16,8 +16,8 @@
 from whinpier.config.model import Address, Entry
 from whinpier.policy.decaying_sum import Sum
 from whinpier.policy.model import Outcome, RequestClass
-from whinpier.runtime.event_loop import Loop
-from whinpier.runtime.pool import Peer, PendingRequest, Pool, Sent, Watch
+from whinpier.runtime.event_loop import EventLoop
+from whinpier.runtime.pool import Endpoint, EndpointWatch, PendingRequest, Pool, PoolAttempt
 from whinpier.runtime.resource_budget import Budget
 from whinpier.simulation.clock import Clock
 from whinpier.simulation.servers import CONNECTING, Server
@@ -26,39 +26,39 @@
     from whinpier.simulation.environment import Ground
 
 
-class SimLoop(Loop):
+class SimLoop(EventLoop):
     """The loop of one balancer's process, on the clock of the run."""
 
     def __init__(self, clock: Clock) -> None:  # without what waits on a real loop
         self.sim, self.now, self.dead = clock, clock.now, False
         self.next_id = numbers(1).__next__
-        self.todo: deque[tuple[Any, Callable[..., None], tuple[Any, ...]]] = deque()
-        self.inside, self.late, self.lag = False, 0, 0
+        self.pending_calls: deque[tuple[Any, Callable[..., None], tuple[Any, ...]]] = deque()
+        self.running, self.recent_lag, self.max_lag = False, 0, 0
 
     def clock(self) -> int:
         return self.sim.now
 
-    def at(self, at: int, host: Any, call: Callable[..., None], *args: Any) -> None:
-        self.sim.at(at, self.enter, host, call, *args)
+    def call_at(self, at: int, host: Any, call: Callable[..., None], *args: Any) -> None:
+        self.sim.at(at, self.dispatch, host, call, *args)
 
-    def enter(self, host: Any, call: Callable[..., None], *args: Any) -> None:
+    def dispatch(self, host: Any, call: Callable[..., None], *args: Any) -> None:
         """As the real one, without its guards: a fault ends the run, and a process that died does nothing."""
         if self.dead:
             return
-        todo = self.todo
+        todo = self.pending_calls
         todo.append((host, call, args))
-        if self.inside:
+        if self.running:
             return
-        self.inside = True
+        self.running = True
         try:
             while todo:
                 host, call, args = todo.popleft()
                 host.now = self.sim.now
                 call(*args)
         finally:
-            self.inside = False
+            self.running = False
 
-    def margin(self) -> int:
+    def deadline_margin(self) -> int:
         return 0
 
 
@@ -70,7 +70,7 @@
 
     def __init__(self, number: int, request_class: RequestClass, came: int, ends: int) -> None:
         super().__init__(number, request_class, came, ends)
-        self.id_given = b""
+        self.client_id = b""
         self.answered: Callable[[SimulatedRequest, str, int], None]
         self.due, self.work, self.tries, self.origin = came, 0.0, 0, number
         self.stream: Any = None
@@ -89,7 +89,7 @@
         self.answered(self, "scrapped", 0)
 
 
-class SimulatedAttempt(Sent):
+class SimulatedAttempt(PoolAttempt):
     """An attempt on its way to a model upstream and back."""
 
     def __init__(self, request: SimulatedRequest, peer: Link, now: int, fresh: bool) -> None:
@@ -118,7 +118,7 @@
             link.ground.clock.after(link.way(), link.heard, self, outcome)
 
 
-class Link(Peer):
+class Link(Endpoint):
     """What one process of a balancer has towards one upstream."""
 
     def __init__(
@@ -140,7 +140,7 @@
         troubled = bool(network.apart or network.cuts)
         return troubled and network.cut(here.number, here.zone, there.name, there.zone)
 
-    def hand(self, request: PendingRequest) -> Sent:
+    def start_attempt(self, request: PendingRequest) -> PoolAttempt:
         assert isinstance(request, SimulatedRequest)
         fresh, server, ground = self.idle == 0, self.server, self.ground
         attempt = SimulatedAttempt(request, self, self.pool.now, fresh)
@@ -185,7 +185,7 @@
         if not attempt.settled:
             self.pool.settle(attempt, outcome)
 
-    def stop(self, sent: Sent) -> None:
+    def abandon(self, sent: PoolAttempt) -> None:
         assert isinstance(sent, SimulatedAttempt)
         if self.attempts.pop(sent, self) is None:
             self.balancer.out -= 1
@@ -196,10 +196,10 @@
         self.server.connections = max(0, self.server.connections - self.idle)
         self.idle = 0
 
-    def retire(self) -> None:
+    def drain(self) -> None:
         self.close_idle()
 
-    def out(self) -> int:
+    def in_flight(self) -> int:
         return len(self.attempts)
 
 
@@ -231,7 +231,7 @@
 
     def begin(self) -> None:
         """A process that knows nothing."""
-        self.loop: Loop = SimLoop(self.ground.clock)
+        self.loop: EventLoop = SimLoop(self.ground.clock)
         self.budget = Budget(65_536, 1 << 34)
         self.ids: dict[bytes | int, PendingRequest] = {}
         self.counts: Counter[str] = Counter()
@@ -246,7 +246,7 @@
             for request in self.ids.values()
             if isinstance(request, SimulatedRequest) and not request.ended
         ]
-        for peer in self.pool.peers():
+        for peer in self.pool.all_endpoints():
             assert isinstance(peer, Link)
             for attempt in peer.attempts:
                 attempt.settled = True
@@ -268,16 +268,16 @@
         self.begin()
         self.tell(entries, True)
 
-    def peer(self, pool: Pool, entry: Entry, number: int) -> Peer:
+    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint:
         return Link(pool, entry, number, self, self.servers[entry.host])
 
-    def watch(self, pool: Pool) -> Watch | None:
+    def create_watch(self, pool: Pool) -> EndpointWatch | None:
         return None
 
-    def shared(self, entry: Entry) -> Sum | None:
+    def shared_warm_up_turn(self, entry: Entry) -> Sum | None:
         return None
 
-    def since(self, dial: Address) -> int:
+    def first_seen_at(self, dial: Address) -> int:
         return 0
 
     def tell(self, entries: list[Entry], whole: bool) -> None:
@@ -289,9 +289,9 @@
             self.told_at.clear()
         for entry in entries:
             self.told_at[entry.host] = (entry.state, now)
-        self.pool.told(entries, whole)
+        self.pool.update_endpoints(entries, whole)
 
     def take(self, request: SimulatedRequest) -> None:
         request.balancer = self
-        self.pool.part.requests.take()
-        self.pool.take(request)
+        self.pool.budget.requests.acquire()
+        self.pool.accept(request)
--- a/whinpier/simulation/baselines.py
+++ b/whinpier/simulation/baselines.py
@@ -198,8 +198,8 @@
 def dressed(pool: Pool, name: str, seed: int, sight: Sight | None) -> Pool:
     """A pool that draws by another policy than the project's."""
     if name != "choice":
-        split = POLICIES[name](pool.choice, pool.spec.settings, seed)
+        split = POLICIES[name](pool.policy, pool.spec.settings, seed)
         if isinstance(split, LateOracle) and sight:
             split.sight = sight
-        pool.choice.split = split
+        pool.policy.split = split
     return pool
--- a/whinpier/simulation/clients.py
+++ b/whinpier/simulation/clients.py
@@ -177,7 +177,7 @@
         request.gone = True
         self.ground.referee.given_up(request)
         if hasattr(request, "balancer") and request.balancer.up:
-            request.balancer.pool.client_left(request)
+            request.balancer.pool.on_client_disconnected(request)
 
     def cut_off(self, request: SimulatedRequest) -> None:
         """Its balancer has died: the connection is reset, and its client does not know what became of it."""
--- a/whinpier/simulation/faults.py
+++ b/whinpier/simulation/faults.py
@@ -250,7 +250,7 @@
         def end(balancer: Balancer, run: int, ends: int) -> None:
             if balancer.run != run:
                 return
-            if balancer.pool.out and world.clock.now < ends:
+            if balancer.pool.in_flight and world.clock.now < ends:
                 world.clock.after(SECOND // 10, end, balancer, run, ends)
             else:
                 world.kill(balancer)
--- a/whinpier/simulation/invariants.py
+++ b/whinpier/simulation/invariants.py
@@ -128,9 +128,9 @@
     def pictures(self, balancers: list[Balancer]) -> None:
         """What decisions count as out is out on the wire."""
         for balancer in balancers:
-            if balancer.up and balancer.out != balancer.pool.choice.split.total:
+            if balancer.up and balancer.out != balancer.pool.policy.split.total:
                 self.breach(
                     PICTURE,
-                    f"balancer {balancer.number} counts {balancer.pool.choice.split.total} "
+                    f"balancer {balancer.number} counts {balancer.pool.policy.split.total} "
                     f"out, {balancer.out} are",
                 )
--- a/whinpier/simulation/mutations.py
+++ b/whinpier/simulation/mutations.py
@@ -14,13 +14,13 @@
 
 def repeats_exclusive(pool: Pool) -> None:
     """An exclusive request is sent again though it may have run."""
-    again: Any = pool.choice.again
+    again: Any = pool.policy.again
     again.may_have_run = lambda request: None
 
 
 def ignores_drains(pool: Pool) -> None:
     """What drains goes on getting requests, as if the list had not said so."""
-    split = pool.choice.split
+    split = pool.policy.split
     listed: Callable[[list[Upstream]], None] = split.listed
 
     def all_ready(upstreams: list[Upstream]) -> None:
@@ -37,7 +37,7 @@
 
 def forgets_answers(pool: Pool) -> None:
     """One request in fifty gets no answer."""
-    arrive = pool.choice.arrive
+    arrive = pool.policy.arrive
     count = 0
 
     def now_and_then(request: Request) -> None:
@@ -48,12 +48,12 @@
         else:
             request.ended = True
 
-    pool.choice.arrive = now_and_then  # type: ignore[method-assign]
+    pool.policy.arrive = now_and_then  # type: ignore[method-assign]
 
 
 def floods_cold(pool: Pool) -> None:
     """Whoever has just started has the fewest out, and gets everything."""
-    split: Any = pool.choice.split
+    split: Any = pool.policy.split
     find = split.find
 
     def newest(request: Request) -> Any:
--- a/whinpier/simulation/world.py
+++ b/whinpier/simulation/world.py
@@ -190,7 +190,7 @@
         self.referee.pictures(self.balancers)
         for balancer in self.balancers:
             if balancer.up and balancer.pool.draining:
-                balancer.pool.sweep()
+                balancer.pool.close_expired()
         if self.clock.now < self.ends:
             self.clock.after(SECOND, self.look)
 
--- a/whinpier/testbed/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -56,7 +56,7 @@
     """What is drained goes on getting requests."""
     from whinpier.runtime.pool import Pool
 
-    Pool.drain = lambda self, hosts: None  # type: ignore[method-assign]
+    Pool.set_drained = lambda self, hosts: None  # type: ignore[method-assign]
 
 
 def sends_again() -> None:
