--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -29,7 +29,8 @@
 from whinpier.testbed.load import Loads
 from whinpier.testbed.upstream import Script
 
-EARLIER = "e6581ca"  # before its packages were renamed; "9985b3b" is before there was a record
+# The commit before the rewording; "9985b3b" is the one before consensus was added.
+EARLIER = "5db2e33"
 AGREED, TIMEOUT, WORK = 0.25, 1.5, 0.004
 DRAINED = "s-3"  # the upstream that operators have drained
 MINE = 90  # requests of a day that are each process's own part
