--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,6 +1,4 @@
-"""Stories of routes: which takes a request, what is refused, and the table held against a plain
-scan.
-"""
+"""Routes: which one matches, what is refused, and the table compared with a check of all routes."""
 
 import pytest
 from hypothesis import given, settings
@@ -236,7 +234,7 @@
     headers,
     st.sampled_from(["", "v"]),
 )
-asked = st.builds(
+query = st.builds(
     RouteQuery,
     st.sampled_from(["GET", "POST"]),
     st.sampled_from(["a", "a.b", "b.b", "x.a.b", "q"]),
@@ -247,10 +245,10 @@
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.lists(route, max_size=25), st.lists(asked, min_size=1, max_size=20))
-def test_the_table_finds_what_a_plain_scan_finds(routes, questions):
+@given(st.lists(route, max_size=25), st.lists(query, min_size=1, max_size=20))
+def test_the_table_finds_what_a_plain_scan_finds(routes, queries):
     kept = []
-    for number, one in enumerate(routes):  # as many of them as are no fault together
+    for number, one in enumerate(routes):  # as many as are valid together
         one = Route(
             f"r{number}",
             one.host,
@@ -266,9 +264,9 @@
         except RouteError:
             pass
     table = RoutingTable(kept)
-    for question in questions:
-        got = table.find(question)
-        assert (None if isinstance(got, NoRoute) else got) is find_by_scan(kept, question)
+    for query in queries:
+        got = table.find(query)
+        assert (None if isinstance(got, NoRoute) else got) is find_by_scan(kept, query)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -1,4 +1,7 @@
-"""Stories of several pools behind one process: it is started with an operator's file and spoken to."""
+"""Several pools in one process: routing, isolation, reloads and budgets.
+
+Most tests start a process with an operator's file and send requests to it.
+"""
 
 import asyncio
 import socket
@@ -23,19 +26,19 @@
 
 pytestmark = pytest.mark.xdist_group("sockets")
 
-USUAL = Script(workers=4, work=0.002)
+DEFAULT_SCRIPT = Script(workers=4, work=0.002)
 ids = numbers(1)
 
 
 @pytest.fixture(scope="module")
 def upstream_fleet():
-    upstream_fleet = UpstreamFleet({name: USUAL for name in ("a-1", "a-2", "b-1", "b-2")})
+    upstream_fleet = UpstreamFleet({name: DEFAULT_SCRIPT for name in ("a-1", "a-2", "b-1", "b-2")})
     yield upstream_fleet
     upstream_fleet.stop()
 
 
-class Setting:
-    """An operator's file that a story changes, the process it runs, and what the story asks of it."""
+class Deployment:
+    """An operator's file that a test changes, a process that runs by it, and clients of that."""
 
     def __init__(self, folder, upstream_fleet, latency_objective="500ms", **process):
         self.upstream_fleet, self.listen, self.latency_objective = (
@@ -94,36 +97,39 @@
         return answer
 
     def ran(self, name):
-        """Ids that an upstream did."""
+        """Return the ids of the requests that an upstream has executed."""
         return self.upstream_fleet.tell(name)["ran"]
 
-    def by(self, host, **more):
+    def answered_by(self, host, **more):
         return self.ask(host, **more).headers["X-By"][0]
 
 
 @contextmanager
-def setting(folder, upstream_fleet, **process):
-    made = Setting(folder, upstream_fleet, **process)
+def deployed(folder, upstream_fleet, **process):
+    deployment = Deployment(folder, upstream_fleet, **process)
     try:
-        yield made
+        yield deployment
     finally:
-        made.balancer.stop(wait=False)
-    log = made.balancer.log()
+        deployment.balancer.stop(wait=False)
+    log = deployment.balancer.log()
     assert "event=invariant_violated" not in log and "level=error" not in log, log
 
 
 def test_each_pool_gets_what_its_route_says_and_what_has_none_is_answered_at_once(
     tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, upstream_fleet) as deployment:
-        assert [deployment.by("a"), deployment.by("B:80"), deployment.by("a.")] == ["a", "b", "a"]
+    with deployed(tmp_path, upstream_fleet) as deployment:
+        assert [
+            deployment.answered_by("a"),
+            deployment.answered_by("B:80"),
+            deployment.answered_by("a."),
+        ] == ["a", "b", "a"]
         client = deployment.client()  # one connection, two hosts
-        assert [deployment.by(host, client=client) for host in "abab"] == list("abab")
+        assert [deployment.answered_by(host, client=client) for host in "abab"] == list("abab")
         began, lost = time.monotonic(), deployment.ask("c", client=client)
         assert (lost.status, lost.body) == (404, b"no route: host or path not known\n")
-        assert (
-            time.monotonic() - began < 0.2 and deployment.by("a", client=client) == "a"
-        )  # it may go on asking
+        # The connection stays open.
+        assert time.monotonic() - began < 0.2 and deployment.answered_by("a", client=client) == "a"
         for path in ("/a/../b", "/%2e%2e/b", "//b", "/a%2fb"):
             assert deployment.ask("a", path).status == 400
         assert (
@@ -137,7 +143,7 @@
 ):
     request = "POST /x HTTP/1.1\r\nHost: %s\r\nX-Txn: p%d\r\nX-Remaining: 1\r\nContent-Length: 0\r\n%s\r\n"
     with (
-        setting(tmp_path, upstream_fleet) as deployment,
+        deployed(tmp_path, upstream_fleet) as deployment,
         socket.create_connection(deployment.balancer.address, LIMIT) as sock,
     ):
         upstream_fleet.tell("a-1", work=0.1, workers=1)
@@ -150,10 +156,10 @@
                 + request % ("a", 4, "Connection: close\r\n")
             ).encode()
         )
-        said = sock.makefile("rb").read().decode()
-    statuses = [line.split()[1] for line in said.splitlines() if "HTTP/1.1" in line]
+        response = sock.makefile("rb").read().decode()
+    statuses = [line.split()[1] for line in response.splitlines() if "HTTP/1.1" in line]
     assert statuses == ["200", "200", "404", "200"]
-    assert [line[6] for line in said.lower().splitlines() if line.startswith("x-by: ")] == [
+    assert [line[6] for line in response.lower().splitlines() if line.startswith("x-by: ")] == [
         "a",
         "b",
         "a",
@@ -163,7 +169,7 @@
 def test_a_route_says_which_headers_say_what_how_long_is_waited_and_which_statuses_pass(
     tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, upstream_fleet) as deployment:
+    with deployed(tmp_path, upstream_fleet) as deployment:
         deployment.pools["a"] |= {"statuses": [200, 500][:1]}
         says = {"id": "x-request-id", "patience": "x-timeout", "ticket": "", "optional": True}
         deployment.routes[0] |= {"says": says, "patience": "300ms", "headers": {"x-partner": "*"}}
@@ -185,7 +191,7 @@
 def test_a_pool_whose_upstreams_hang_with_all_it_may_have_in_use_keeps_no_other_waiting(
     tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, upstream_fleet, descriptors=96) as deployment:
+    with deployed(tmp_path, upstream_fleet, descriptors=96) as deployment:
         upstream_fleet.tell("a-1", hang=1.0)
         upstream_fleet.tell("a-2", hang=1.0)
         hangs = Asks(f"hung{next(ids)}", 150, "/x", host="a", timeout=1.5)
@@ -209,7 +215,7 @@
 def test_a_pool_that_is_taken_out_finishes_its_requests_while_its_route_leads_elsewhere(
     tmp_path, upstream_fleet
 ):
-    with setting(tmp_path, upstream_fleet) as deployment:
+    with deployed(tmp_path, upstream_fleet) as deployment:
         upstream_fleet.tell("a-1", work=0.6, workers=1, spread="constant")
         upstream_fleet.tell("a-2", work=0.6, workers=1, spread="constant")
         client, before = (
@@ -223,7 +229,7 @@
         del deployment.pools["a"]
         deployment.routes[0]["pool"] = "b"
         deployment.reload()
-        assert [deployment.by("a") for _ in range(5)] == ["b"] * 5
+        assert [deployment.answered_by("a") for _ in range(5)] == ["b"] * 5
         answer = client.getresponse()
         assert (answer.status, answer.read(), answer.headers["X-By"][0]) == (200, b"ok", "a")
         until(lambda: deployment.balancer.said("event=pool_removed pool=a"))
@@ -231,15 +237,15 @@
         deployment.pools["a"] = deployment.pool(["a-1"])
         deployment.routes[0]["pool"] = "a"
         deployment.reload()
-        assert deployment.by("a") == "a"
+        assert deployment.answered_by("a") == "a"
         upstream_fleet.tell("a-1", spread="exponential")
         upstream_fleet.tell("a-2", spread="exponential")
 
 
 def test_reloads_under_load_lose_no_answer_and_run_nothing_twice(tmp_path, upstream_fleet):
-    # Held for up to half a second: a machine that stands still for a tenth must not turn requests
-    # back.
-    with setting(tmp_path, upstream_fleet, latency_objective="2s") as deployment:
+    # Requests may queue for up to half a second: a pause of the machine of 0.1 s must not cause
+    # rejections.
+    with deployed(tmp_path, upstream_fleet, latency_objective="2s") as deployment:
         names = [f"moved{next(ids)}", f"stays{next(ids)}"]
         address = deployment.balancer.address
         gateways = [
@@ -258,13 +264,13 @@
                     del deployment.pools["c"]
                 await asyncio.to_thread(deployment.reload)
 
-        async def story():
+        async def scenario():
             await asyncio.gather(*(gateway.run(2.5) for gateway in gateways), reload())
 
-        asyncio.run(story())
+        asyncio.run(scenario())
         ledger = upstream_fleet.ledger()
         for gateway in gateways:
-            # A machine that stands still for longer turns a few back, which loses nothing.
+            # A longer pause of the machine causes a few rejections, which are safe to retry.
             assert {request.status for request in gateway.told} <= {
                 200,
                 503,
@@ -278,16 +284,16 @@
 
 
 def test_a_faulty_file_changes_nothing_and_is_said_with_its_key(tmp_path, upstream_fleet):
-    with setting(tmp_path, upstream_fleet) as deployment:
+    with deployed(tmp_path, upstream_fleet) as deployment:
         deployment.routes[0]["pool"] = "nowhere"
         deployment.pools["b"]["upstreams"] = deployment.pools["a"]["upstreams"]
         deployment.reload()
         assert deployment.balancer.said("routes.a.pool: 'nowhere' is none of a, b") == 1
-        assert [deployment.by("a"), deployment.by("b")] == ["a", "b"]
+        assert [deployment.answered_by("a"), deployment.answered_by("b")] == ["a", "b"]
 
 
 def test_an_upstream_of_two_pools_may_drain_in_one_and_not_in_the_other(tmp_path, upstream_fleet):
-    with setting(tmp_path, upstream_fleet) as deployment:
+    with deployed(tmp_path, upstream_fleet) as deployment:
         deployment.pools["b"] = deployment.pool(["a-1", "b-1"])
         deployment.pools["a"] = deployment.pool(["a-1", "a-2"], states={"a-1": "draining"})
         deployment.reload()
@@ -298,7 +304,7 @@
 
 
 def test_fifty_pools_and_a_thousand_routes_fit_in_64_mb(tmp_path, upstream_fleet):
-    with setting(tmp_path, upstream_fleet, descriptors=1024, memory_mb=64) as deployment:
+    with deployed(tmp_path, upstream_fleet, descriptors=1024, memory_mb=64) as deployment:
         deployment.pools = {f"p{number}": deployment.pool(["a-1", "b-1"]) for number in range(50)}
         deployment.routes = [
             {
@@ -315,14 +321,14 @@
         assert deployment.balancer.memory() < 64 << 20
 
 
-def parts(budget, *limits):
+def pool_budgets(budget, *limits):
     return [PoolBudget(budget, limit) for limit in limits]
 
 
 def test_a_pool_always_gets_its_part_and_what_is_unused_is_lent_but_for_a_quarter():
     budget = Budget(1024, 64 << 20)
     budget.clients = budget.max_clients
-    first, second = parts(budget, Limits(0.5), Limits(0.5))
+    first, second = pool_budgets(budget, Limits(0.5), Limits(0.5))
     whole, half = budget.connections.capacity, first.connections.guaranteed
     lent = 0
     while first.connections.acquire():
@@ -331,7 +337,7 @@
     taken = 0
     while second.connections.acquire():
         taken += 1
-    assert taken == whole - lent  # the quarter at once, the rest as it falls free
+    assert taken == whole - lent  # the reserved quarter at once, the rest as it is released
     assert budget.is_recalled(first) and not budget.is_recalled(second)
     for _ in range(lent - half):
         first.connections.release()
@@ -347,7 +353,7 @@
 
 def test_a_pool_keeps_to_its_own_limit_and_one_that_ends_gives_its_part_back():
     budget = Budget(1024, 64 << 20)
-    first, second = parts(budget, Limits(0.5, requests=7), Limits(0.5))
+    first, second = pool_budgets(budget, Limits(0.5, requests=7), Limits(0.5))
     assert [first.requests.acquire() for _ in range(8)] == [True] * 7 + [False]
     second.close()
     assert budget.requests.reserved == first.requests.reserved() and budget.pools == [first]
@@ -359,7 +365,7 @@
 
 def test_when_the_core_is_full_who_uses_more_than_its_part_is_rejected_first():
     budget = Budget(1024, 64 << 20)
-    small, large = parts(budget, Limits(0.5), Limits(0.5))
+    small, large = pool_budgets(budget, Limits(0.5), Limits(0.5))
     now = SECOND
     for turn in range(20):
         now += SECOND // 10
@@ -384,7 +390,7 @@
             fresh.turn = both[0] if shared and number else Turn(host.now)
             found.append(fresh.turn)
             host.choice.listed([*host.upstreams, fresh])
-        for _ in range(100):  # the two in turn, as in one process
+        for _ in range(100):  # both pools in turn, as in one process
             for host in hosts:
                 host.traffic(10 * MS)
         sent = sum(handed.upstream.id == 100 + shared for host in hosts for handed in host.sent)
@@ -402,12 +408,11 @@
         seen.answers.value > 1 for seen in known
     )
     host.came_back(request.attempts[0], "reset")
-    assert host.answers[request.id] == "scrapped"  # it came as exclusive
+    assert host.answers[request.id] == "scrapped"  # it arrived as exclusive
     host.request_class = other
     again = host.request()
     host.came_back(again.attempts[0], "full")
-    assert (
-        len(again.attempts) == 1 and host.answers[again.id] == "turned back"
-    )  # one attempt, nothing held
+    # One attempt, and no queue.
+    assert len(again.attempts) == 1 and host.answers[again.id] == "turned back"
     host.traffic(2 * SECOND)
     assert list(host.choice.entry.held) == [other]
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -1,6 +1,4 @@
-"""Stories of a platform's balancer whose settings change while it runs: there, back, and not at
-all.
-"""
+"""Reloads of a platform's file: settings changed and changed back under load, and invalid ones."""
 
 import asyncio
 import json
@@ -20,7 +18,8 @@
 pytestmark = pytest.mark.xdist_group("sockets")
 
 GIVEN = json.loads(Path("example/config.json").read_text())
-MOVED = {  # as a deployment is put together where each client has a balancer of its own
+# Settings of a deployment in which each client has its own balancer.
+CHANGED = {
     "balancers": 12,
     "slot_no": 3,
     "discovery": "subscribe",
@@ -67,32 +66,36 @@
     upstream_fleet.stop()
 
 
-def file(balancer_at, told_by, **settings):
+def file_text(balancer_address, discovery_address, **settings):
     return json.dumps(
         GIVEN
-        | {"listen": balancer_at, "discovery": told_by, "settings": GIVEN["settings"] | settings}
+        | {
+            "listen": balancer_address,
+            "discovery": discovery_address,
+            "settings": GIVEN["settings"] | settings,
+        }
     )
 
 
 @contextmanager
-def balancer(folder, upstream_fleet):
+def started(folder, upstream_fleet):
     listen = free_address()
-    given = json.loads(file(listen, upstream_fleet.discovery))
-    made = Balancer(folder, platform=given, listen=listen, optimised=False)
-    made.wait_ready()
+    given = json.loads(file_text(listen, upstream_fleet.discovery))
+    running = Balancer(folder, platform=given, listen=listen, optimised=False)
+    running.wait_ready()
     try:
-        yield made
+        yield running
     finally:
-        made.stop()
-    assert "event=invariant_violated" not in made.log() and "level=error" not in made.log(), (
-        made.log()
+        running.stop()
+    assert "event=invariant_violated" not in running.log() and "level=error" not in running.log(), (
+        running.log()
     )
 
 
 def test_settings_switched_there_and_back_under_traffic_lose_no_answer_and_run_nothing_twice(
     tmp_path, upstream_fleet
 ):
-    with balancer(tmp_path, upstream_fleet) as running:
+    with started(tmp_path, upstream_fleet) as running:
         gateways = [
             Gateway(running.address, Asks("charge", 100, "/charge", lane="charge", timeout=2.0), 1),
             Gateway(
@@ -107,29 +110,29 @@
             ),
         ]
 
-        async def switch():
+        async def change_settings():
             for turn in range(8):
                 await asyncio.sleep(0.25)
-                settings = MOVED if turn % 2 == 0 else {}
+                settings = CHANGED if turn % 2 == 0 else {}
                 await asyncio.to_thread(
-                    running.reload, file(running.listen, upstream_fleet.discovery, **settings)
+                    running.reload, file_text(running.listen, upstream_fleet.discovery, **settings)
                 )
 
-        async def story():
-            await asyncio.gather(*(gateway.run(2.5) for gateway in gateways), switch())
+        async def scenario():
+            await asyncio.gather(*(gateway.run(2.5) for gateway in gateways), change_settings())
 
-        asyncio.run(story())
+        asyncio.run(scenario())
         for gateway in gateways:
             assert len(gateway.told) > 50 and gateway.surplus == 0
             assert {request.answers for request in gateway.told} == {1}
-            # Not all: a machine that stands still for a tenth of a second has some rejected.
+            # Not all: a pause of the machine of 0.1 s causes some rejections.
             assert sum(request.status == 200 for request in gateway.told) > 0.5 * len(gateway.told)
         assert upstream_fleet.ledger().twice("charge") == []
         assert running.said("event=settings_changed") == 8
         assert running.said("event=settings_ignored keys=limits.peers,limits.probes") == 4
-        # With the new settings the list is asked for by the module: a change of it still arrives.
-        probed = MOVED | {"report": {"source": "on_probe", "columns": "busy_reqs,cpu_share"}}
-        running.reload(file(running.listen, upstream_fleet.discovery, **probed))
+        # With the new settings the policy asks for the list: changes of it still arrive.
+        probed = CHANGED | {"report": {"source": "on_probe", "columns": "busy_reqs,cpu_share"}}
+        running.reload(file_text(running.listen, upstream_fleet.discovery, **probed))
         assert (
             running.said("event=settings_ignored keys=limits.peers,limits.probes,report.source")
             == 1
@@ -160,8 +163,8 @@
 def test_faulty_settings_are_refused_as_a_whole_and_the_running_ones_stay(
     tmp_path, upstream_fleet, settings, key
 ):
-    with balancer(tmp_path, upstream_fleet) as running:
-        running.reload(file(running.listen, upstream_fleet.discovery, **(MOVED | settings)))
+    with started(tmp_path, upstream_fleet) as running:
+        running.reload(file_text(running.listen, upstream_fleet.discovery, **(CHANGED | settings)))
         assert running.said(f'event=configuration_rejected fault="{key}:') == 1
         assert running.said("event=settings_changed") == 0
 
@@ -169,12 +172,12 @@
 @pytest.mark.parametrize(
     "settings, code, said",
     [
-        (MOVED, 0, "limits.probes: not honoured"),
-        (MOVED | {"weights": "heavy"}, 2, "weights: 'heavy'"),
+        (CHANGED, 0, "limits.probes: not honoured"),
+        (CHANGED | {"weights": "heavy"}, 2, "weights: 'heavy'"),
     ],
 )
 def test_a_platforms_file_is_checked_without_starting_anything(tmp_path, settings, code, said):
     path = tmp_path / "new.json"
-    path.write_text(file("127.0.0.2:9000", "127.0.0.1:8500", **settings))
+    path.write_text(file_text("127.0.0.2:9000", "127.0.0.1:8500", **settings))
     ended = CliRunner().invoke(cli, ["config", "platform", str(path)])
     assert ended.exit_code == code and said in ended.output
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -47,7 +47,11 @@
 )
 from whinpier.policy import model
 from whinpier.routing.table import Route, RouteError, RoutingTable
-from whinpier.runtime.resource_budget import DOOR, MOST_DOOR, reserved_descriptors
+from whinpier.runtime.resource_budget import (
+    MAX_REJECTION_RESERVE,
+    REJECTION_DIVISOR,
+    reserved_descriptors,
+)
 from whinpier.storage.bounded_files import read_bounded
 
 MOST_POOLS, MOST_ROUTES = 256, 20_000  # what is still checked within a second or two
@@ -474,7 +478,11 @@
 
 def check_room(spec: Spec) -> None:
     """Whether the descriptors come to something for each pool."""
-    left = spec.sockets - reserved_descriptors(spec) - min(spec.sockets // DOOR, MOST_DOOR)
+    left = (
+        spec.sockets
+        - reserved_descriptors(spec)
+        - min(spec.sockets // REJECTION_DIVISOR, MAX_REJECTION_RESERVE)
+    )
     need = LEAST * len(spec.pools)
     if left < need:
         raise ConfigFault(
--- a/whinpier/routing/__init__.py
+++ b/whinpier/routing/__init__.py
@@ -1,3 +1,4 @@
-"""Which pool and request class a request is for: names in one form, and a table of routes. No I/O,
-no protocol.
+"""Matches requests to routes: normalization of hosts and paths, and the table of routes.
+
+Does no I/O and knows no protocol.
 """
--- a/whinpier/routing/normalization.py
+++ b/whinpier/routing/normalization.py
@@ -1,8 +1,7 @@
-"""Owns the one form of a host and of a path in which routes are matched (RFC 3986, sections 3.2.2
-and 6.2.2).
+"""Normalizes the hosts and paths by which routes are matched (RFC 3986, sections 3.2.2 and 6.2.2).
 
-Must never guess: what one reader would take for this and the next for that is refused with a
-reason, since a request could otherwise slip past its route.
+Invariant: a text that two readers could take differently is refused with a reason, since a request
+could otherwise slip past its route.
 """
 
 from __future__ import annotations
@@ -14,26 +13,32 @@
 MAX_SEGMENTS = 64  # of a path; routes have 16 at most
 LABEL = re.compile(r"[a-z0-9_](?:[-a-z0-9_]{0,61}[a-z0-9_])?")
 PORT = re.compile(r":[0-9]{1,5}\Z")
-PLAIN = re.compile(
-    r"/(?:[-A-Za-z0-9_~]+(?:/[-A-Za-z0-9_~]+)*)?\Z"
-)  # most paths: nothing in them to look at
+# Most paths: already normalized, with nothing that needs checking.
+SIMPLE_PATH = re.compile(r"/(?:[-A-Za-z0-9_~]+(?:/[-A-Za-z0-9_~]+)*)?\Z")
 UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-ALLOWED = re.compile(r"[-A-Za-z0-9._~!$&'()*+,;=:@%/]*\Z")  # of a path
+PATH_CHARACTERS = re.compile(r"[-A-Za-z0-9._~!$&'()*+,;=:@%/]*\Z")
 ESCAPE = re.compile(r"%(..?)?")
-HIDDEN = frozenset(("2F", "5C", "00"))  # escapes that some servers take for an end
+# Escaped slash, backslash and NUL, which some servers treat as a separator or as the end.
+FORBIDDEN_ESCAPES = frozenset(("2F", "5C", "00"))
 
 
 class AmbiguousNameError(Exception):
-    """What can be read two ways, or not at all; the text says why."""
+    """A host or path that is invalid or can be read in two ways.
+
+    The text says why; it becomes part of the response to the client.
+    """
 
 
 def normalize_host(text: str) -> str:
-    """A host in lower case, without port and final dot. An address of version 6 keeps its brackets."""
+    """Return a host in lower case, without port and final dot; an IPv6 address in its brackets.
+
+    Raises AmbiguousNameError.
+    """
     name = text.lower()
     if name.startswith("["):
-        address, mark, port = name[1:].partition("]")
+        address, closing_bracket, port = name[1:].partition("]")
         try:
-            if not mark or port and not PORT.match(port) or "%" in address:
+            if not closing_bracket or (port and not PORT.match(port)) or "%" in address:
                 raise ValueError
             return f"[{IPv6Address(address).compressed}]"
         except ValueError:
@@ -49,10 +54,13 @@
 
 
 def normalize_path(text: str) -> str:
-    """A path, without its query, with needless escapes undone and the others in capitals."""
-    if PLAIN.match(text):
+    """Return a path without needless escapes, and with the others in upper case.
+
+    The text has no query. Raises AmbiguousNameError.
+    """
+    if SIMPLE_PATH.match(text):
         return text
-    if not text.startswith("/") or not ALLOWED.match(text):
+    if not text.startswith("/") or not PATH_CHARACTERS.match(text):
         raise AmbiguousNameError("the path has characters that belong in no path")
     if "%" in text:
         text = ESCAPE.sub(normalize_escape, text)
@@ -63,13 +71,17 @@
         if not segment:
             raise AmbiguousNameError("the path has an empty segment")
     for segment in segments:
-        # `..;x` is `..` to servers that know parameters of segments.
+        # Servers that support path parameters read `..;x` as `..`.
         if segment.partition(";")[0] in (".", ".."):
             raise AmbiguousNameError("the path has a dot segment")
     return text
 
 
 def normalize_escape(found: re.Match[str]) -> str:
+    """Decode an escape of an unreserved character, and write others in upper case.
+
+    Raises AmbiguousNameError.
+    """
     digits = (found[1] or "").upper()
     try:
         if len(digits) != 2:
@@ -77,7 +89,7 @@
         character = chr(int(digits, 16))
     except ValueError:
         raise AmbiguousNameError("the path has an escape that is none") from None
-    if digits in HIDDEN:
+    if digits in FORBIDDEN_ESCAPES:
         raise AmbiguousNameError(f"the path hides %{digits}")
     if digits == "25":
         after = found.string[found.end() : found.end() + 2]
--- a/whinpier/runtime/__init__.py
+++ b/whinpier/runtime/__init__.py
@@ -1,3 +1,4 @@
-"""What carries the decisions: loop, pools, what they share, the life of the process. No protocol's
-bytes.
+"""Hosts the policy in a process: event loop, pools, resource budget, start, reload and shutdown.
+
+Speaks no protocol: the transports in whinpier/http and whinpier/radius do.
 """
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -1,10 +1,10 @@
-"""Is the host of one pool's decisions: its list and upstreams, its requests, what became of each
-attempt.
+"""Hosts the policy of one pool: its endpoints, its requests and the outcome of each attempt.
 
-Knows protocols by two interfaces only: a `PendingRequest` request writes its one final answer to
-whoever asked, a `Peer` sends attempts to one upstream and tells the one outcome of each. Must never
-decide anything, give a request two final answers or none, or tell the decisions of an outcome
-twice.
+Protocols are behind two interfaces: a `PendingRequest` writes its final response to the client, an
+`Endpoint` sends attempts to one upstream and reports their outcomes.
+
+Invariants: a request has exactly one final response; the policy learns of each outcome once. All
+decisions are the policy's.
 """
 
 from __future__ import annotations
@@ -31,7 +31,8 @@
 from whinpier.runtime.event_loop import EventLoop
 from whinpier.runtime.resource_budget import Budget, PoolBudget
 
-LIST_TIMEOUT = SECOND  # to be told the list before the one that was known must do
+# If discovery sends no list for so long after the start, the last known one is used.
+LIST_TIMEOUT = SECOND
 
 
 class AttemptObserver(Protocol):
@@ -45,198 +46,206 @@
 
 
 class Permit(Protocol):
-    """What a limit gave to one that passed it."""
+    """What a limiter granted to one request or attempt."""
 
     def release(self, now: int, ran: bool) -> None:
-        """It is over; `ran`: some of it may have been done."""
+        """End the use of the permit; `ran` tells whether it may have been executed in part."""
 
 
 class Limiter(Protocol):
-    """A limit that requests pass at the door, or attempts at an upstream."""
+    """A limit on the requests of a pool, or on the attempts at one upstream."""
 
     def acquire(self, now: int, ends: int) -> Permit | None:
-        """What one more is given, which is over by `ends`; None if it may not pass."""
+        """Grant a permit for use until `ends` at the latest, or None if the limit is reached."""
 
     def retry_after(self, now: int) -> int:
-        """Nanoseconds after which one that may not may come again."""
+        """Return the nanoseconds after which a refused request may try again."""
 
 
 class PendingRequest(Request):
-    """A request with whoever waits for its answer; a protocol says how the answer is written."""
+    """A request whose client waits; each protocol implements how the response is written."""
 
-    __slots__ = ("client_id", "pool", "permits")
-    client_id: bytes  # the id its client gave it, empty if none: no two requests have the same
+    __slots__ = ("client_id", "permits", "pool")
+    client_id: bytes  # the id its client gave it, unique among pending requests; empty if none
     pool: Pool
-    permits: tuple[Permit, ...]  # what limits gave it
+    permits: tuple[Permit, ...]
 
     def is_awaited(self) -> bool:
-        """Whether its client still waits for this request's answer."""
+        """Tell whether the client still waits for the response to this request."""
         raise NotImplementedError
 
     def client_disconnected(self) -> bool:
-        """Whether its client has left, noticed or not; if so the pool has been told by now."""
+        """Check the connection for a disconnect not yet noticed; if there is one, tell the pool."""
         return False
 
     def respond(self, answer: Any) -> None:
-        """Final answer: what the upstream made."""
+        """Write the final response: the one of the upstream."""
         raise NotImplementedError
 
     def respond_rejected(self, wait: int) -> None:
-        """Final answer: not done, trying again is harmless, best after `wait` nanoseconds."""
+        """Write the final response: not executed, safe to retry, best after `wait` nanoseconds."""
         raise NotImplementedError
 
     def respond_failed(self) -> None:
-        """Final answer: not fulfilled, nothing promised."""
+        """Write the final response: failed, and may have been executed."""
         raise NotImplementedError
 
 
 class PoolAttempt(Attempt):
-    """An attempt with its upstream; `settled` once its outcome is told, or about to be."""
+    """An attempt at an endpoint."""
 
-    def __init__(self, request: PendingRequest, peer: Endpoint, now: int) -> None:
-        super().__init__(request, peer, len(request.attempts), now)
-        self.endpoint, self.settled = peer, False
-        self.permits: tuple[Permit, ...] = ()  # what limits at its upstream gave it
+    def __init__(self, request: PendingRequest, endpoint: Endpoint, now: int) -> None:
+        """Start at `now`, without an outcome."""
+        super().__init__(request, endpoint, len(request.attempts), now)
+        self.endpoint = endpoint
+        self.settled = False  # whether the policy knows the outcome, or is about to
+        self.permits: tuple[Permit, ...] = ()  # of the endpoint's limiters
 
 
 class Endpoint(Upstream):
-    """An upstream with what a protocol keeps for it, such as connections."""
+    """An upstream with the state that a protocol keeps for it, such as connections."""
 
     pool: Pool
     host: str
     address: Address
-    listed_state: UpstreamState = UpstreamState.READY  # by its list
-    limiters: tuple[Limiter, ...] = ()  # limits that whatever is sent there passes
-    max_connections: int | None = (
-        None  # connections to it at once, by a limit beside the process's own
-    )
+    listed_state: UpstreamState = UpstreamState.READY  # as the endpoint list has it
+    limiters: tuple[Limiter, ...] = ()  # for each attempt at it
+    max_connections: int | None = None  # by a limit of the fleet, beside the process's own
 
     def start_attempt(self, request: PendingRequest) -> PoolAttempt:
-        """Send a request, and settle the attempt with the pool once its outcome is known."""
+        """Send a request, and call `Pool.settle` once the outcome is known."""
         raise NotImplementedError
 
     def abandon(self, sent: PoolAttempt) -> None:
-        """Wait no longer for an attempt; whoever stops it tells its outcome."""
+        """Stop waiting for an attempt; the caller settles it."""
         raise NotImplementedError
 
     def is_unsent(self, sent: PoolAttempt) -> bool:
-        """Whether nothing of an attempt has gone out yet, so that it can be left unsent."""
+        """Tell whether no byte of an attempt has been sent, so that it can be dropped."""
         return False
 
     def set_address(self, dial: Address) -> None:
-        """It is met at this address from now on."""
+        """Use this address from now on."""
 
     def close_idle(self) -> None:
-        """Let go of what is idle."""
+        """Close idle connections."""
 
     def drain(self) -> None:
-        """It is to get nothing new: what is not sent yet is not sent, and is moot."""
+        """Send nothing new, and settle unsent attempts as not sent."""
 
     def on_configuration_changed(self) -> None:
-        """Its pool goes on by another configuration."""
+        """Take over another configuration of the pool."""
 
     def close_expired(self) -> None:
-        """Let go of what has been idle for too long."""
+        """Close connections that have been idle for too long."""
 
     def idle_connections(self) -> Iterator[tuple[int, Callable[[], None]]]:
-        """What is idle: since when, and how to let go of it."""
+        """Yield for each idle connection since when it is idle, and how to close it."""
         return iter(())
 
     def in_flight(self) -> int:
-        """How many attempts are out, counted anew on the wire."""
+        """Count the attempts in flight from the state of the connections."""
         raise NotImplementedError
 
 
 class EndpointWatch(Protocol):
-    """Whatever tells a pool its list."""
+    """Receives a pool's endpoint list from discovery."""
 
-    async def run(self) -> None: ...
+    async def run(self) -> None:
+        """Receive the list and its changes until closed."""
 
-    def set_watching(self, on: bool) -> None: ...
+    def set_watching(self, on: bool) -> None:
+        """Start or stop watching for changes."""
 
-    def fetch(self) -> None: ...
+    def fetch(self) -> None:
+        """Ask once for the whole list."""
 
-    def set_address(self, address: Address) -> None: ...
+    def set_address(self, address: Address) -> None:
+        """Change the address of discovery, and ask there for the whole list."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stop for good."""
 
 
 class PoolContext(Protocol):
-    """What a pool needs of the process around it."""
+    """What a pool needs from its process."""
 
     loop: EventLoop
     budget: Budget
     ids: dict[bytes | int, PendingRequest]
 
-    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint: ...
+    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint:
+        """Make an endpoint of the pool's protocol."""
 
-    def create_watch(self, pool: Pool) -> EndpointWatch | None: ...
+    def create_watch(self, pool: Pool) -> EndpointWatch | None:
+        """Make the pool's connection to discovery; None if its endpoints are configured."""
 
-    def shared_warm_up_turn(self, entry: Entry) -> Any: ...
+    def shared_warm_up_turn(self, entry: Entry) -> Any:
+        """Return the warm-up schedule that all pools with this upstream share; None if none."""
 
-    def first_seen_at(self, dial: Address) -> int: ...
+    def first_seen_at(self, dial: Address) -> int:
+        """Return the start time of an upstream that is new in a file."""
 
 
 def stable_hash(text: bytes) -> int:
-    """The same number for the same text at every balancer."""
+    """Hash to 64 bits, with the same result in every process."""
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big")
 
 
 class Pool:
-    """Some upstreams, and the decisions on what goes to them."""
-
-    def __init__(self, house: PoolContext, spec: PoolSpec, seed: int, counts: Counter[str]) -> None:
-        self.context, self.loop, self.spec, self.name, self.counts = (
-            house,
-            house.loop,
-            spec,
-            spec.name,
-            counts,
-        )
-        self.budget = PoolBudget(house.budget, spec.limits)
+    """A set of endpoints for the same requests, with its policy."""
+
+    def __init__(
+        self, context: PoolContext, spec: PoolSpec, seed: int, counts: Counter[str]
+    ) -> None:
+        """Create a pool without endpoints; `seed` is for the policy's random numbers."""
+        self.context = context
+        self.loop = context.loop
+        self.spec = spec
+        self.name = spec.name
+        self.counts = counts
+        self.budget = PoolBudget(context.budget, spec.limits)
         self.now = self.loop.clock()
         self.created_at = self.now
-        self.endpoints: dict[str, Endpoint] = {}  # the list as last told
-        self.draining: dict[Endpoint, None] = {}  # no longer listed, with attempts still out
-        self.in_flight = 0  # requests without an answer
-        self.list_received, self.closing, self.closed = False, False, False
+        self.endpoints: dict[str, Endpoint] = {}  # by host, as in the last list
+        self.draining: dict[Endpoint, None] = {}  # no longer listed, with attempts in flight
+        self.in_flight = 0  # requests without a final response
+        self.list_received = False
+        self.closing = False
+        self.closed = False
         self.on_closed: Callable[[], None] = lambda: None
-        self.limiters: tuple[
-            Limiter, ...
-        ] = ()  # limits that requests of this pool pass at the door
-        # By route, tenant, ticket, and whether it is a repeat.
+        self.limiters: tuple[Limiter, ...] = ()  # for each request of this pool
+        # More limiters for a request, by its route, tenant, ticket and whether it is a repeat.
         self.request_limiters: Callable[[str, bytes, bytes, bool], Iterable[Limiter]] | None = None
-        self.granted_permits: tuple[Permit, ...] = ()  # what the request at the door was given
-        self.refusing_limiter: Limiter | None = None  # that was last met closed
-        self.on_endpoint_added: Callable[[Endpoint], None] | None = (
-            None  # called with each upstream that is new
-        )
+        self.granted_permits: tuple[Permit, ...] = ()  # of the request last admitted
+        self.refusing_limiter: Limiter | None = None  # the one that refused last
+        self.on_endpoint_added: Callable[[Endpoint], None] | None = None
         self.attempt_observer: AttemptObserver | None = None
-        self.ejected_hosts: set[str] = (
-            set()
-        )  # upstreams that get nothing new, whatever the list says
-        self.drained_hosts: frozenset[str] = frozenset()  # the same, over restarts of theirs
-        self.on_request_finished: Callable[[PendingRequest, str], None] | None = (
-            None  # told of each final answer
-        )
-        self.list_changes = 0  # how often the list has changed
-        self.retry_after = 0  # what the gate that was last closed says; 0: none was
-        self.broadcast: Callable[[bytes], None] | None = None  # to the other balancers of this pool
-        self.fleet_settings: dict[str, Any] = {}  # settings that stand in for those of the file
+        # Hosts that get no new requests, whatever the list says: the first until they restart, the
+        # second also after that.
+        self.ejected_hosts: set[str] = set()
+        self.drained_hosts: frozenset[str] = frozenset()
+        # Called with each request that has its final response, and the name of that.
+        self.on_request_finished: Callable[[PendingRequest, str], None] | None = None
+        self.list_changes = 0
+        self.retry_after = 0  # nanoseconds, of the limiter that refused last; 0 if none did
+        self.broadcast: Callable[[bytes], None] | None = None  # to the pool's other balancers
+        self.fleet_settings: dict[str, Any] = {}  # replace those of the file
         self.apply_names(spec)
         self.policy = Choice(self, spec.settings, list(spec.request_classes), seed)
-        self.endpoint_watch = house.create_watch(self)
+        self.endpoint_watch = context.create_watch(self)
 
     def apply_names(self, spec: PoolSpec) -> None:
+        """Take over a configuration, with its names of request classes and tenants."""
         self.spec = spec
         self.columns: list[str] = spec.settings["report.columns"]
         self.request_classes: dict[bytes, RequestClass] = {
-            w.name.encode(): w for w in spec.request_classes
+            request_class.name.encode(): request_class for request_class in spec.request_classes
         }
         self.tenants = {name.encode(): index for index, name in enumerate(spec.tenants)}
 
     def start(self) -> None:
-        """Take up the list: what is known, then what is told."""
+        """Use the last known endpoint list, and start receiving it from discovery."""
         if self.spec.known:
             self.update_endpoints(self.spec.known, True, cached=self.endpoint_watch is not None)
         if self.endpoint_watch:
@@ -244,22 +253,21 @@
             self.endpoint_watch.set_watching(self.spec.settings.get("discovery") != "subscribe")
 
     def reconfigure(self, spec: PoolSpec) -> None:
-        """Go on by another configuration; requests, connections and what is known of upstreams stay."""
-        before, kept = (
-            self.spec,
-            {request_class.name: request_class for request_class in self.spec.request_classes},
-        )
+        """Take over a configuration; requests, connections and statistics of upstreams stay."""
+        before = self.spec
+        old_classes = {
+            request_class.name: request_class for request_class in before.request_classes
+        }
         for new in spec.request_classes:
-            # Guards against a mixture of two files: a request that is here keeps the request class
-            # it came with, with all that says how it may be repeated; only what was measured goes
-            # on under the new one.
-            old = kept.get(new.name)
+            # Pending requests keep their old request class, with its rules for retries, so that
+            # they never follow a mixture of two files; only its statistics go to the new one.
+            old = old_classes.get(new.name)
             if old and (old.kind, old.group, old.streamed) == (new.kind, new.group, new.streamed):
                 new.known = old.known
         self.apply_names(spec)
         self.budget.reconfigure(spec.limits)
-        for peer in self.all_endpoints():
-            peer.on_configuration_changed()
+        for endpoint in self.all_endpoints():
+            endpoint.on_configuration_changed()
         self.update_policy_settings()
         if spec.discovery is None:
             if self.endpoint_watch:
@@ -275,37 +283,39 @@
                 before.zones,
                 before.kinds,
             ):
-                self.endpoint_watch.set_address(
-                    spec.discovery
-                )  # other zones have other places in the whole list
+                # With other zones or kinds, the indexes of all endpoints change: fetch them anew.
+                self.endpoint_watch.set_address(spec.discovery)
             if spec.settings.get("discovery") != "subscribe":
                 self.endpoint_watch.set_watching(True)
 
-    # What the decisions ask for.
+    # Called by the policy: the methods of its `Host`.
 
     def start_attempt(self, request: Request, upstream: Upstream, stop_at: int = 0) -> Attempt:
-        assert isinstance(request, PendingRequest) and isinstance(upstream, Endpoint)
-        log.invariant(not request.ended, "nothing is sent for a task that has its answer")
+        """Send a request to an upstream; `stop_at` is when to stop waiting, 0 for its deadline."""
+        assert isinstance(request, PendingRequest)
+        assert isinstance(upstream, Endpoint)
+        log.invariant(
+            not request.ended, "no attempt starts after the final response of its request"
+        )
         log.invariant(
-            upstream.state == UpstreamState.READY, "nothing new is sent to what drains or is gone"
+            upstream.state == UpstreamState.READY, "an attempt starts only at a ready endpoint"
         )
-        # Guards against attempts for nobody: a late loop decides before it reads that the client
-        # has left.
-        gates = () if request.client_disconnected() else upstream.limiters
-        given = self.acquire_permits(gates, self.now, request.ends) if gates else ()
-        if given is None or request.ended:
-            # What was free has ended meanwhile: it is not sent, and the decisions hear so at once.
+        # A late loop decides before it reads that the client has disconnected.
+        limiters = () if request.client_disconnected() else upstream.limiters
+        permits = self.acquire_permits(limiters, self.now, request.ends) if limiters else ()
+        if permits is None or request.ended:
+            # A limit has been reached, or the request has ended, since the policy decided.
             sent = PoolAttempt(request, upstream, self.now)
             request.attempts.append(sent)
             self.settle(sent, Outcome.NOT_SENT)
             return sent
         self.counts["attempts"] += 1
         sent = upstream.start_attempt(request)
-        if sent.settled:  # as it was handed over: nothing was sent
-            for gate in given:
-                gate.release(self.now, False)
+        if sent.settled:  # at once, since nothing could be sent
+            for permit in permits:
+                permit.release(self.now, False)
         else:
-            sent.permits = given
+            sent.permits = permits
         if self.attempt_observer:
             self.attempt_observer.on_attempt_started(sent)
         if stop_at and stop_at < request.ends:
@@ -313,50 +323,57 @@
         return sent
 
     def cancel(self, attempt: Attempt) -> None:
+        """Stop waiting for an attempt."""
         self.stop_waiting(attempt, Outcome.CANCELLED)
 
     def reject(self, request: Request, wait: int = 0) -> None:
+        """Respond that the request was not executed and may be retried after `wait`."""
         assert isinstance(request, PendingRequest)
         if self.finish(request, "turned_back"):
             request.respond_rejected(wait)
 
     def fail(self, request: Request) -> None:
+        """Respond that the request failed and may have been executed."""
         assert isinstance(request, PendingRequest)
         if self.finish(request, "scrapped"):
             request.respond_failed()
 
     def set_timer(self, at: int, token: int = 0) -> None:
+        """Call the policy's `on_timer` at the time `at`."""
         if not self.closed:
             self.loop.call_at(max(at, self.now + 1), self, self.on_timer, token)
 
     def on_timer(self, token: int) -> None:
+        """Call the policy, unless the pool has been closed."""
         if not self.closed:
             self.policy.on_timer(token)
 
     def probe(self, upstream: Upstream) -> None:
-        """Nothing carries a probe on this protocol: what asks for one does without."""
+        """Do nothing: none of the protocols carries probes."""
 
     def close_idle(self, upstream: Upstream) -> None:
+        """Close idle connections to an upstream."""
         assert isinstance(upstream, Endpoint)
         upstream.close_idle()
 
     def tell(self, balancer: int | None, contents: bytes) -> None:
-        """No protocol of clients and upstreams carries a message; where there is a fleet, that does."""
+        """Send a message to the pool's other balancers, if there is a fleet to carry it."""
         if self.broadcast:
             self.broadcast(contents)
 
     def set_fleet_size(self, balancers: int, number: int) -> None:
-        """So many balancers share this pool, and this one is that one of them."""
-        self.fleet_settings = {"balancers": balancers, "slot_no": number, "limits.peers": True}
+        """Use the fleet's count of balancers that share this pool, and the index of this one."""
+        self.fleet_settings = {"balancers": balancers, "slot_no": number, "limits.endpoints": True}
         self.update_policy_settings()
 
     def clear_fleet_size(self) -> None:
-        """From now on the file says how many share it."""
+        """Use the file's count of balancers again."""
         if self.fleet_settings:
             self.fleet_settings = {}
             self.update_policy_settings()
 
     def update_policy_settings(self) -> None:
+        """Give the policy its present settings."""
         self.loop.dispatch(
             self,
             self.policy.change,
@@ -365,54 +382,57 @@
         )
 
     def receive_peer_message(self, balancer: int, contents: bytes) -> None:
-        """What another balancer's decisions tell this one's."""
+        """Pass on a message from another balancer's policy."""
         self.loop.dispatch(self, self.policy.told, balancer, contents)
 
     def follow_list(self, on: bool) -> None:
+        """Start or stop watching for changes of the endpoint list."""
         if self.endpoint_watch:
             self.endpoint_watch.set_watching(on)
 
     def fetch_list(self) -> None:
+        """Ask discovery once for the whole list."""
         if self.endpoint_watch:
             self.endpoint_watch.fetch()
 
     def log(self, text: str) -> None:
+        """Log a line of the policy."""
         log.info("decisions", pool=self.name, text=text)
 
-    # What comes in.
+    # Requests and outcomes.
 
     def admit(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> bool:
-        """Whether one more request passes all gates; what closes them says when to come back."""
+        """Acquire the permits of a new request; without them `retry_after` says when to retry."""
         now, self.retry_after = self.loop.clock(), 0
         ends = now + max(request_class.timeout for request_class in self.spec.request_classes)
-        gates = self.limiters
+        limiters = self.limiters
         if self.request_limiters is not None:
-            gates = (*gates, *self.request_limiters(route, tenant, ticket, again))
-        given = self.acquire_permits(gates, now, ends)
-        self.granted_permits = given or ()
-        if given is None:
+            limiters = (*limiters, *self.request_limiters(route, tenant, ticket, again))
+        permits = self.acquire_permits(limiters, now, ends)
+        self.granted_permits = permits or ()
+        if permits is None:
             assert self.refusing_limiter
             self.retry_after = self.refusing_limiter.retry_after(now)
-        return given is not None
+        return permits is not None
 
     def acquire_permits(
-        self, gates: tuple[Limiter, ...], now: int, ends: int
+        self, limiters: tuple[Limiter, ...], now: int, ends: int
     ) -> tuple[Permit, ...] | None:
-        """What one gets that passes all of these; None, and nothing is taken, where one is closed."""
-        found: list[Permit] = []
-        for gate in gates:
-            one = gate.acquire(now, ends)
-            if one is None:
-                self.refusing_limiter = gate
-                for passed in found:
-                    passed.release(now, False)
+        """Acquire a permit of each limiter, or of none and return None."""
+        permits: list[Permit] = []
+        for limiter in limiters:
+            permit = limiter.acquire(now, ends)
+            if permit is None:
+                self.refusing_limiter = limiter
+                for granted in permits:
+                    granted.release(now, False)
                 return None
-            found.append(one)
-        return tuple(found)
+            permits.append(permit)
+        return tuple(permits)
 
-    def accept(self, request: PendingRequest, gates: tuple[Permit, ...] = ()) -> None:
-        """A client's request, and what limits at the door gave it."""
-        request.permits = gates
+    def accept(self, request: PendingRequest, permits: tuple[Permit, ...] = ()) -> None:
+        """Take in an admitted request of a client, with its permits."""
+        request.permits = permits
         self.in_flight += 1
         self.counts["tasks"] += 1
         request.pool = self
@@ -421,8 +441,10 @@
         self.loop.dispatch(self, self.policy.arrive, request)
 
     def finish(self, request: PendingRequest, how: str) -> bool:
-        """Whether a request, which has no answer yet, is to have its final one now."""
-        log.invariant(not request.ended and request.is_awaited(), "a task has one final answer")
+        """End a request as `how`; return whether its final response is to be written now."""
+        log.invariant(
+            not request.ended and request.is_awaited(), "a request has one final response"
+        )
         if request.ended or not request.is_awaited():
             return False
         self.end_request(request)
@@ -432,45 +454,47 @@
         return True
 
     def end_request(self, request: PendingRequest) -> None:
+        """Release what a request holds, and drop its unsent attempts."""
         request.ended = True
         self.in_flight -= 1
         self.budget.requests.release()
         if request.permits:
             ran = any(sent.outcome not in NEVER_RAN for sent in request.attempts)
-            for gate in request.permits:
-                gate.release(self.now, ran)
+            for permit in request.permits:
+                permit.release(self.now, ran)
         for sent in request.attempts:
-            # Guards against an attempt that waits for a connection and would begin for nobody. To
-            # call off what is out is the decisions' matter, and not allowed everywhere; this has
-            # not begun.
+            # An attempt that waits for a connection would start for a request that has ended. To
+            # cancel attempts in flight is up to the policy, and not allowed for every pool.
             if isinstance(sent, PoolAttempt) and not sent.settled and sent.endpoint.is_unsent(sent):
                 self.stop_waiting(sent, Outcome.NOT_SENT)
         if self.closing:
             self.check_closed()
 
     def on_deadline(self, request: PendingRequest) -> None:
-        """Its client gives up now: what is still out has timed out, and an answer goes in any case."""
+        """Time out the attempts of a request at its deadline, and make sure of its response."""
         for attempt in list(request.attempts):
             self.stop_waiting(attempt, Outcome.TIMED_OUT)
         self.loop.pending_calls.append((self, self.ensure_answered, (request,)))
 
     def ensure_answered(self, request: PendingRequest) -> None:
-        # Guards against a fault in a decision: even then a request has its answer in time.
+        """Fail a request that the policy has not ended by its deadline, and forget it."""
+        # Even after an exception in the policy, a request has its response in time.
         if not request.ended:
-            log.invariant(False, "the decisions end a task by its patience")
+            log.invariant(False, "the policy ends each request by its deadline")
             self.fail(request)
-        # Guards against long stops of the loop: requests and attempts point to each other, so that
-        # without this they would pile up, of an age that only a full collection looks at.
+        # Requests and attempts refer to each other: without this they would pile up until a full
+        # garbage collection, which stops the loop for long.
         request.attempts.clear()
         self.context.ids.pop(request.client_id or request.id, None)
 
     def shorten_deadline(self, request: PendingRequest, ends: int) -> None:
-        """A request is over sooner than its client thinks, as the process is."""
+        """End a request earlier than its client's deadline, since the process stops then."""
         if request.ends > ends:
             request.ends = ends
             self.loop.call_at(ends, self, self.on_deadline, request)
 
     def stop_waiting(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Abandon an attempt and settle it, unless it is settled."""
         assert isinstance(attempt, PoolAttempt)
         if not attempt.settled:
             attempt.endpoint.abandon(attempt)
@@ -483,18 +507,23 @@
         answer: Any = None,
         load: dict[str, float] | None = None,
     ) -> None:
-        """An attempt has its outcome, once; `answer` is what a fulfilled request is given."""
-        log.invariant(not sent.settled, "a hand-off has one outcome")
+        """Record the outcome of an attempt, once.
+
+        `answer` is the response for the client, `load` the upstream's load report.
+        """
+        log.invariant(not sent.settled, "an attempt has one outcome")
         if not sent.settled:
             sent.settled = True
-            for gate in sent.permits:
-                gate.release(self.loop.clock(), outcome not in NEVER_RAN)
+            for permit in sent.permits:
+                permit.release(self.loop.clock(), outcome not in NEVER_RAN)
             self.loop.dispatch(self, self.finish_attempt, sent, outcome, answer, load)
 
     def finish_attempt(
         self, sent: PoolAttempt, outcome: Outcome, answer: Any, load: dict[str, float] | None
     ) -> None:
-        sent.outcome, sent.took = outcome, self.now - sent.sent
+        """Respond to the client if the attempt is its request's first success; tell the policy."""
+        sent.outcome = outcome
+        sent.took = self.now - sent.sent
         if self.attempt_observer:
             self.attempt_observer.on_attempt_finished(sent)
         request = sent.request
@@ -513,15 +542,19 @@
         self.policy.came_back(sent, load, first)
 
     def on_client_disconnected(self, request: PendingRequest) -> None:
+        """End a request whose client no longer waits."""
         if not request.ended:
             self.end_request(request)
             self.counts["clients_left"] += 1
             self.loop.dispatch(self, self.policy.left, request)
 
-    # The list.
+    # Endpoints.
 
     def update_endpoints(self, entries: Iterable[Entry], whole: bool, cached: bool = False) -> None:
-        """Follow what a list says; a restart of an upstream is a new one in its place."""
+        """Take over a list or, unless `whole`, a change of it; `cached` if from before the start.
+
+        A restarted upstream gets a new endpoint.
+        """
         entries = list(entries)
         fresh = (
             self.list_received
@@ -531,91 +564,96 @@
         self.list_received = self.list_received or not cached
         if not entries and not whole:
             return  # nothing has changed
-        held = {} if whole else dict(self.endpoints)
+        listed = {} if whole else dict(self.endpoints)
         for entry in entries:
-            peer = self.endpoints.get(entry.host)
+            endpoint = self.endpoints.get(entry.host)
             if entry.state == UpstreamState.REMOVED:
-                held.pop(entry.host, None)
+                listed.pop(entry.host, None)
                 continue
-            if peer is None or (entry.started and entry.started != peer.started):
-                if peer is None and fresh and not entry.started:
-                    # Guards against pushing over what the operator has only just started and
-                    # listed.
+            if endpoint is None or (entry.started and entry.started != endpoint.started):
+                if endpoint is None and fresh and not entry.started:
+                    # Warm up an upstream that the operator has just started and added to the file.
                     entry = replace(entry, started=self.context.first_seen_at(entry.dial))
-                peer = self.context.create_endpoint(self, entry, stable_hash(entry.host.encode()))
-                self.ejected_hosts.discard(entry.host)  # another run, of which nothing is known
-                peer.turn = self.context.shared_warm_up_turn(entry)
+                endpoint = self.context.create_endpoint(
+                    self, entry, stable_hash(entry.host.encode())
+                )
+                self.ejected_hosts.discard(entry.host)  # it was for an earlier run of the upstream
+                endpoint.turn = self.context.shared_warm_up_turn(entry)
                 if self.on_endpoint_added:
-                    self.on_endpoint_added(peer)
-            peer.listed_state, peer.cell, peer.size = entry.state, entry.cell, entry.size
-            peer.state = self.state_of(peer)
-            peer.zone = self.position(self.spec.zones, entry.zone)
-            peer.shape = self.position(self.spec.kinds, entry.shape)
-            peer.set_address(entry.dial)
-            held[entry.host] = peer
-        before, self.endpoints = self.endpoints, held
+                    self.on_endpoint_added(endpoint)
+            endpoint.listed_state = entry.state
+            endpoint.cell = entry.cell
+            endpoint.size = entry.size
+            endpoint.state = self.state_of(endpoint)
+            endpoint.zone = self.position(self.spec.zones, entry.zone)
+            endpoint.shape = self.position(self.spec.kinds, entry.shape)
+            endpoint.set_address(entry.dial)
+            listed[entry.host] = endpoint
+        before, self.endpoints = self.endpoints, listed
         self.list_changes += 1
-        for host, peer in before.items():
-            if held.get(host) is not peer:
-                peer.state = UpstreamState.REMOVED
-                self.draining[peer] = None
-        for peer in dict.fromkeys(
-            (*before.values(), *held.values())
-        ):  # in an order that does not change
-            if peer.state != UpstreamState.READY:
-                peer.drain()
-        states = Counter(peer.state for peer in held.values())
+        for host, endpoint in before.items():
+            if listed.get(host) is not endpoint:
+                endpoint.state = UpstreamState.REMOVED
+                self.draining[endpoint] = None
+        # Without duplicates, in an order that does not depend on hashes.
+        for endpoint in dict.fromkeys((*before.values(), *listed.values())):
+            if endpoint.state != UpstreamState.READY:
+                endpoint.drain()
+        states = Counter(endpoint.state for endpoint in listed.values())
         by_state = {str(state): count for state, count in states.items()}
         log.info("endpoints_updated", **self.log_fields(), whole=whole, cached=cached, **by_state)
         self.notify_policy()
 
     def notify_policy(self) -> None:
+        """Give the policy the ready and draining endpoints."""
         usable = [
-            peer
-            for peer in self.endpoints.values()
-            if peer.state in (UpstreamState.READY, UpstreamState.DRAINING)
+            endpoint
+            for endpoint in self.endpoints.values()
+            if endpoint.state in (UpstreamState.READY, UpstreamState.DRAINING)
         ]
         self.loop.dispatch(self, self.policy.listed, usable)
 
-    def state_of(self, peer: Endpoint) -> UpstreamState:
-        """As its list has it, but that one that rests drains."""
-        aside = peer.host in self.ejected_hosts or peer.host in self.drained_hosts
+    def state_of(self, endpoint: Endpoint) -> UpstreamState:
+        """Return the listed state, or draining for a ready one that is ejected or drained."""
+        aside = endpoint.host in self.ejected_hosts or endpoint.host in self.drained_hosts
         return (
             UpstreamState.DRAINING
-            if peer.listed_state == UpstreamState.READY and aside
-            else peer.listed_state
+            if endpoint.listed_state == UpstreamState.READY and aside
+            else endpoint.listed_state
         )
 
     def set_ejected(self, host: str, on: bool) -> bool:
-        """An upstream is to get nothing new for a while, or what its list allows; whether it is there."""
-        peer = self.endpoints.get(host)
-        if peer is None or (host in self.ejected_hosts) == on:
-            return peer is not None
+        """Eject a host or end its ejection; return whether the host is listed."""
+        endpoint = self.endpoints.get(host)
+        if endpoint is None or (host in self.ejected_hosts) == on:
+            return endpoint is not None
         (self.ejected_hosts.add if on else self.ejected_hosts.discard)(host)
-        self.update_states([peer])
+        self.update_states([endpoint])
         return True
 
     def set_drained(self, hosts: frozenset[str]) -> None:
-        """These are to get nothing new from now on, whichever run of theirs is listed."""
+        """Replace the set of drained hosts; it holds for later runs of them too."""
         if hosts == self.drained_hosts:
             return
         self.drained_hosts = hosts
         self.update_states(self.endpoints.values())
 
-    def update_states(self, peers: Iterable[Endpoint]) -> None:
-        """What these may get has changed, by other than the list."""
-        for peer in peers:
-            peer.state = self.state_of(peer)
-            if peer.state != UpstreamState.READY:
-                peer.drain()
+    def update_states(self, endpoints: Iterable[Endpoint]) -> None:
+        """Recompute the states of endpoints after a change other than of the list."""
+        for endpoint in endpoints:
+            endpoint.state = self.state_of(endpoint)
+            if endpoint.state != UpstreamState.READY:
+                endpoint.drain()
         self.notify_policy()
 
     def in_flight_at(self, host: str) -> int:
-        """How many attempts are out at an upstream, over all its runs."""
-        return sum(peer.in_flight() for peer in self.all_endpoints() if peer.host == host)
+        """Count the attempts in flight at a host, over all its runs."""
+        return sum(
+            endpoint.in_flight() for endpoint in self.all_endpoints() if endpoint.host == host
+        )
 
     def log_fields(self) -> dict[str, str]:
-        """What a line of the log says of this pool: nothing where there is only one."""
+        """Return the log fields that name this pool; none if it is the only one."""
         return (
             {"pool": self.name}
             if self.context.budget.isolate and len(self.context.budget.pools) > 1
@@ -624,49 +662,55 @@
 
     @staticmethod
     def position(names: list[str], name: str) -> int:
+        """Return the index of a name; the length of the list if it is not in it."""
         return names.index(name) if name in names else len(names)
 
     def ready(self) -> bool:
-        """Whether it can serve: it was told its list, or the known one must do, and something is ready."""
-        told = self.list_received or self.loop.clock() > self.created_at + LIST_TIMEOUT
-        return told and any(peer.state == UpstreamState.READY for peer in self.endpoints.values())
+        """Tell whether an endpoint is ready, by a list of discovery or after LIST_TIMEOUT."""
+        list_known = self.list_received or self.loop.clock() > self.created_at + LIST_TIMEOUT
+        return list_known and any(
+            endpoint.state == UpstreamState.READY for endpoint in self.endpoints.values()
+        )
 
     def all_endpoints(self) -> Iterator[Endpoint]:
+        """Yield the listed endpoints and those that drain."""
         yield from self.endpoints.values()
         yield from self.draining
 
     def close_expired(self) -> None:
-        """Let go of what has been idle for long, and of upstreams that have gone."""
-        for peer in self.endpoints.values():
-            peer.close_expired()
-        for peer in [peer for peer in self.draining if not peer.in_flight()]:
-            self.draining.pop(peer, None)
+        """Close connections idle for too long, and forget endpoints that have drained."""
+        for endpoint in self.endpoints.values():
+            endpoint.close_expired()
+        for endpoint in [endpoint for endpoint in self.draining if not endpoint.in_flight()]:
+            self.draining.pop(endpoint, None)
 
-    # The end.
+    # Removal of the pool.
 
     def close(self, then: Callable[[], None]) -> None:
-        """Take nothing new, finish what is out, then end."""
+        """Accept no new requests, and call `then` once those in flight have ended."""
         self.closing, self.on_closed = True, then
         self.check_closed()
 
     def check_closed(self) -> None:
-        # Not from inside a call of the decisions, which may go on with what would be ended here.
+        """Finish closing soon if nothing is in flight."""
+        # By a timer: the policy, if it is the caller, may still use what is closed.
         if not self.in_flight and not self.closed:
             self.loop.call_at(self.loop.clock(), self, self.finish_closing)
 
     def finish_closing(self) -> None:
+        """Close the endpoints and the budget."""
         if self.closed or self.in_flight:
             return
         self.closed = True
         if self.endpoint_watch:
             self.endpoint_watch.close()
-        for peer in self.all_endpoints():
-            peer.state = UpstreamState.REMOVED
-            peer.drain()
+        for endpoint in self.all_endpoints():
+            endpoint.state = UpstreamState.REMOVED
+            endpoint.drain()
         self.budget.close()
         log.info("pool_removed", pool=self.name)
         self.on_closed()
 
     def count_in_flight(self) -> int:
-        """How many attempts are out, counted on the wire: what the decisions' own count must be."""
-        return sum(peer.in_flight() for peer in self.all_endpoints())
+        """Count the attempts in flight on the connections; the policy's count must be the same."""
+        return sum(endpoint.in_flight() for endpoint in self.all_endpoints())
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -1,7 +1,7 @@
-"""Owns the life of the process: its pools, its fronts, signals, reload and the end.
+"""Runs the process: its pools and frontends, signals, reload and graceful shutdown.
 
-Must never let a signal or a faulty file end the process, or leave a request without an answer at
-the end.
+Invariants: no signal and no invalid file ends the process at once, and no request is left without a
+response at shutdown.
 """
 
 from __future__ import annotations
@@ -33,140 +33,170 @@
 from whinpier.runtime.pool import Endpoint, EndpointWatch, PendingRequest, Pool
 from whinpier.runtime.resource_budget import Budget, PoolBudget, reserved_descriptors
 
-ACCEPT_AFTER_SIGTERM = (
-    6 * SECOND // 10
-)  # after SIGTERM new connections go on coming for up to 0.4 s
-# After SIGTERM nothing ends the process sooner than the longest timeout and 0.7 s more. The last
-# tenth of that is for a late loop, and what comes before it for answering what is out, with no more
-# taken.
-MAX_DRAIN_TIMEOUT = 3 * SECOND  # of a timeout, as it counts for that
-SHUTDOWN_MARGIN, CLOSING_TIME = 6 * SECOND // 10, 4 * SECOND // 10
-SWEEP_INTERVAL = (
-    SECOND // 4
-)  # between looks at what waits too long: what is owed within 3 s is given after 2
-METRICS_INTERVAL = 10 * SECOND  # between lines of figures
+# All durations are in nanoseconds.
+# New connections arrive for up to 0.4 s after SIGTERM.
+ACCEPT_AFTER_SIGTERM = 6 * SECOND // 10
+# Who sends SIGTERM waits for the longest timeout of a request, at most MAX_DRAIN_TIMEOUT, and 0.7 s
+# more. The last 0.1 s of that is left for a late loop; in CLOSING_TIME before it, requests are
+# answered and none is accepted.
+MAX_DRAIN_TIMEOUT = 3 * SECOND
+SHUTDOWN_MARGIN = 6 * SECOND // 10
+CLOSING_TIME = 4 * SECOND // 10
+# Between checks for expired connections, so that what is due within 3 s is done after 2.
+SWEEP_INTERVAL = SECOND // 4
+METRICS_INTERVAL = 10 * SECOND  # between metrics in the log
+
+
+def address_text(address: Address | None) -> str:
+    """Format an address as `host:port`; `:0` without one."""
+    host, port = address or ("", 0)
+    return f"{host}:{port}"
 
 
 class Frontend(Protocol):
-    """A protocol's side towards clients."""
+    """The side of a protocol that faces clients."""
 
-    def start(self, listeners: list[socket.socket]) -> None: ...
+    def start(self, listeners: list[socket.socket]) -> None:
+        """Accept clients."""
 
-    def close_expired(self) -> None: ...
+    def close_expired(self) -> None:
+        """Close connections that have waited for too long."""
 
-    def has_clients(self) -> bool: ...
+    def has_clients(self) -> bool:
+        """Tell whether a client is connected."""
 
-    def close_idle(self) -> None: ...
+    def close_idle(self) -> None:
+        """Close idle connections, as no further request is accepted."""
 
-    def has_pending_responses(self) -> bool: ...
+    def has_pending_responses(self) -> bool:
+        """Tell whether a response is not written whole, or a request not read whole."""
 
-    def metrics(self) -> dict[str, int]: ...
+    def metrics(self) -> dict[str, int]:
+        """Return fields for the metrics in the log."""
 
 
 class Fleet(Protocol):
-    """What knows the other processes; pools are told of them by it."""
+    """The other balancers, as the process uses them."""
 
-    def start(self) -> None: ...
+    def start(self) -> None:
+        """Join the fleet."""
 
-    def reconfigure(self, spec: Any) -> None: ...
+    def reconfigure(self, spec: Any) -> None:
+        """Take over another configuration."""
 
-    def leave(self) -> None: ...
+    def leave(self) -> None:
+        """Tell the fleet that this process is shutting down."""
 
-    def goodbye(self) -> None: ...
+    def goodbye(self) -> None:
+        """Tell the fleet that this process has finished its requests."""
 
 
 class Transport(Protocol):
-    """A protocol, as the life of the process puts it together."""
+    """Creates the parts of the process that depend on the protocol."""
 
-    def create_frontends(self, life: Process) -> list[Frontend]:
-        """The first of them takes the listeners of the process."""
+    def create_frontends(self, process: Process) -> list[Frontend]:
+        """Make the frontends; the first of them gets the listeners of the process."""
 
-    def update_routes(self, fronts: list[Frontend], life: Process) -> None: ...
+    def update_routes(self, frontends: list[Frontend], process: Process) -> None:
+        """Give the frontends the routes of the present configuration."""
 
-    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint: ...
+    def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint:
+        """Make an endpoint of the pool's protocol."""
 
-    def create_watch(self, pool: Pool) -> EndpointWatch: ...
+    def create_watch(self, pool: Pool) -> EndpointWatch:
+        """Make a pool's connection to discovery."""
 
 
 class Process:
-    """One process."""
+    """One process with its configuration, pools and frontends."""
 
     def __init__(
         self,
         spec: Spec,
-        wire: Transport,
-        reread: Callable[[], Spec],
-        changed: Callable[[Spec, Spec], Iterable[str]],
+        transport: Transport,
+        read_config: Callable[[], Spec],
+        restart_keys: Callable[[Spec, Spec], Iterable[str]],
     ) -> None:
-        self.spec, self.transport, self.read_config, self.restart_keys = spec, wire, reread, changed
+        """Create pools and frontends; nothing is accepted yet.
+
+        `restart_keys(old, new)` names the changed keys that take effect at the next start only.
+        """
+        self.spec = spec
+        self.transport = transport
+        self.read_config = read_config
+        self.restart_keys = restart_keys
         self.budget = Budget(spec.sockets, spec.memory, spec.isolate, reserved_descriptors(spec))
         self.loop = EventLoop(self.budget.update_shedding)
-        self.ids: dict[
-            bytes | int, PendingRequest
-        ] = {}  # of requests till the end of their timeout, answered or not
-        self.warm_up_turns: dict[
-            tuple[Address, int], Turn
-        ] = {}  # when a run of an upstream is due one, of all pools
-        self.stopping, self.closing, self.stop_deadline = False, False, 0
-        self.out_of_rotation = False  # its front is to send nobody, though it serves who comes
-        self.longest_gc_pause, self.gc_started_at = 0, 0
+        # Requests by their id, until their deadline, with or without a final response.
+        self.ids: dict[bytes | int, PendingRequest] = {}
+        # Warm-up schedules by address and start time of an upstream, shared by all pools.
+        self.warm_up_turns: dict[tuple[Address, int], Turn] = {}
+        self.stopping = False
+        self.closing = False
+        self.stop_deadline = 0
+        self.out_of_rotation = False  # not ready for new clients, though requests are served
+        self.longest_gc_pause = 0  # nanoseconds, since the last metrics
+        self.gc_started_at = 0
         self.seed_source = Random(spec.seed)
         self.pools: dict[str, Pool] = {}
         self.warn_ignored_settings()
-        self.draining_pools: set[Pool] = set()  # pools that finish what they have
+        self.draining_pools: set[Pool] = set()  # removed, with requests in flight
         for pool in spec.pools.values():
             self.add_pool(pool)
         first = next(iter(self.pools.values()))
         self.random = self.seed_source.random if spec.routed else first.policy.split.random
         self.budget.list_idle = self.idle_connections
-        self.frontends = wire.create_frontends(self)
+        self.frontends = transport.create_frontends(self)
         self.fleet: Fleet | None = None
 
     def add_pool(self, spec: PoolSpec) -> Pool:
+        """Create a pool; it is not started yet."""
         seed = self.seed_source.getrandbits(64) if self.spec.routed else self.spec.seed
         pool = Pool(self, spec, seed, Counter() if self.spec.routed else log.counters)
         self.pools[spec.name] = pool
         return pool
 
-    # What pools ask for.
+    # For pools: the methods of their `PoolContext`.
 
     def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint:
+        """Make an endpoint of the pool's protocol."""
         return self.transport.create_endpoint(pool, entry, number)
 
     def create_watch(self, pool: Pool) -> EndpointWatch | None:
+        """Make the pool's connection to discovery; None if its endpoints are configured."""
         return self.transport.create_watch(pool) if pool.spec.discovery else None
 
     def shared_warm_up_turn(self, entry: Entry) -> Turn | None:
-        """When one run of an upstream is due a request while it is cold, for all pools that list it."""
-        # Guards against two pools that each keep a cold upstream's bound, and together push it
-        # over.
+        """Return the warm-up schedule of an upstream for all pools, or None if there is one pool."""
+        # Two pools that each keep to the bound of an upstream that warms up overload it together.
         if not self.spec.routed:
             return None
         return self.warm_up_turns.setdefault((entry.dial, entry.started), Turn(self.loop.clock()))
 
     def first_seen_at(self, dial: Address) -> int:
-        """Since when an upstream that a file newly names counts as started: now, or as another pool says."""
+        """Return the start time of an upstream that is new in a file: another pool's, or now."""
         known = (
-            peer.started
+            endpoint.started
             for pool in self.pools.values()
-            for peer in pool.endpoints.values()
-            if peer.address == dial
+            for endpoint in pool.endpoints.values()
+            if endpoint.address == dial
         )
         return next(known, self.loop.clock())
 
     def idle_connections(self) -> Iterable[tuple[int, PoolBudget, Callable[[], None]]]:
+        """Yield for each idle upstream connection since when, its pool, and how to close it."""
         for pool in (*self.pools.values(), *self.draining_pools):
-            for peer in pool.all_endpoints():
-                for since, close in peer.idle_connections():
+            for endpoint in pool.all_endpoints():
+                for since, close in endpoint.idle_connections():
                     yield since, pool.budget, close
 
     def ready(self) -> bool:
-        """Whether the front may send clients."""
+        """Tell whether new clients may be sent here."""
         return not (self.stopping or self.out_of_rotation) and any(
             pool.ready() for pool in self.pools.values()
         )
 
-    # What fronts ask for.
+    # For frontends.
 
     def rejects(
         self,
@@ -176,14 +206,13 @@
         ticket: bytes = b"",
         again: bool = False,
     ) -> bool:
-        """Whether a pool takes no request at the door; if it does the request counts among its own
-        from now on.
+        """Tell whether a new request is rejected; if not, it counts as one of the pool's.
 
-        `again`: its client says that it is a repeat.
+        `again` means that its client says it is a repeat.
         """
         shed = pool.budget.shed_ratio
-        turned_back = self.closing or pool.closing or bool(shed and self.random() < shed)
-        if turned_back or not pool.budget.requests.acquire():
+        rejected = self.closing or pool.closing or bool(shed and self.random() < shed)
+        if rejected or not pool.budget.requests.acquire():
             return True
         if (pool.limiters or pool.request_limiters) and not pool.admit(
             route, tenant, ticket, again
@@ -193,20 +222,20 @@
         return False
 
     def deadline(self, came: int, timeout: int) -> int:
-        """When a request is over here: its client must have the answer, and the process must
-        still be there.
+        """Return when a request must end, so that its client has the response in time.
+
+        No request outlives the process.
         """
         margin = self.loop.deadline_margin()
         return min(came + timeout, self.stop_deadline or came + timeout) - margin
 
-    # A new configuration.
+    # Reload.
 
     async def reload(self) -> None:
-        """SIGHUP: read the configuration again; a faulty one changes nothing."""
+        """Read the configuration again and apply it; an invalid one changes nothing."""
         log.counters["reloads"] += 1
         try:
-            # Guards against the loop standing still while a file of thousands of routes is read and
-            # checked.
+            # In a thread: a file with thousands of routes takes long to read and check.
             new = (
                 await anyio.to_thread.run_sync(self.read_config)
                 if self.spec.routed
@@ -215,7 +244,7 @@
         except ConfigFault as fault:
             log.warning("configuration_rejected", fault=fault)
             return
-        except Exception:  # a fault of ours must not end the process either
+        except Exception:  # a bug in reading it must not end the process
             log.exception("configuration_rejected")
             return
         kept = ",".join(self.restart_keys(self.spec, new))
@@ -226,16 +255,16 @@
         discovery = (
             {}
             if new.routed
-            else {"discovery": "%s:%d" % (pool.discovery or ("", 0)) for pool in new.pools.values()}
+            else {"discovery": address_text(pool.discovery) for pool in new.pools.values()}
         )
         log.info("configuration_applied", **discovery, kept_till_restart=kept)
 
     def apply_platform_settings(self, new: Spec) -> None:
-        """The platform's way: its one pool goes on by the new settings, in one step between two events."""
+        """Apply a platform's file to its one pool, without returning to the event loop between."""
         before, self.spec = self.spec, self.keep_until_restart(new)
         self.warn_ignored_settings()
         for name, pool in self.pools.items():
-            # `known` is the list for a start; from then on discovery tells it.
+            # `known` is used at the start only; from then on discovery sends the list.
             spec = replace(
                 new.pools[name], known=before.pools[name].known, seq=before.pools[name].seq
             )
@@ -248,11 +277,12 @@
                 )
 
     def warn_ignored_settings(self) -> None:
+        """Log the settings that this build does not implement."""
         if self.spec.not_honoured:
             log.warning("settings_ignored", keys=",".join(self.spec.not_honoured))
 
     def keep_until_restart(self, new: Spec) -> Spec:
-        """A new file as it can be run by: what waits for a restart is as it was."""
+        """Return the new configuration with the old values of keys that need a restart."""
         old = self.spec
         beside = {name: new.beside.get(name, kept) for name, kept in old.beside.items()}
         fleet = new.fleet.kept(old.fleet) if new.fleet and old.fleet else old.fleet
@@ -261,10 +291,10 @@
         )
 
     def apply_operator_config(self, new: Spec) -> None:
-        """Pools and routes as the new file has them, in one step between two events of the loop."""
+        """Apply an operator's file, without returning to the event loop between."""
         before, self.spec = self.spec, new
         self.budget.resize(reserved_descriptors(new))
-        leaving = [
+        removed = [
             self.pools.pop(name)
             for name in list(self.pools)
             if name not in new.pools or new.pools[name].protocol != before.pools[name].protocol
@@ -279,23 +309,23 @@
         self.transport.update_routes(self.frontends, self)
         if self.fleet:
             self.fleet.reconfigure(new.fleet)
-        for pool in leaving:
+        for pool in removed:
             self.draining_pools.add(pool)
             log.info("pool_draining", pool=pool.name, out=pool.in_flight)
             pool.close(lambda pool=pool: self.draining_pools.discard(pool))  # type: ignore[misc]
 
-    # The process.
+    # Periodic work.
 
     def close_expired(self) -> None:
-        """Every wait has an end."""
+        """Close expired connections everywhere, every SWEEP_INTERVAL."""
         self.loop.call_at(self.loop.clock() + SWEEP_INTERVAL, self.loop, self.close_expired)
         for pool in (*self.pools.values(), *self.draining_pools):
             pool.close_expired()
-        for front in self.frontends:
-            front.close_expired()
+        for frontend in self.frontends:
+            frontend.close_expired()
 
     def on_gc(self, phase: str, _: dict[str, int]) -> None:
-        """Note how long a garbage collection stops the loop."""
+        """Measure how long a garbage collection stops the loop."""
         if phase == "start":
             self.gc_started_at = time.monotonic_ns()
         else:
@@ -304,12 +334,13 @@
             )
 
     def log_figures(self) -> None:
+        """Log the metrics of the process and its pools, and check the count of attempts."""
         self.loop.call_at(self.loop.clock() + METRICS_INTERVAL, self.loop, self.log_figures)
         pools = (*self.pools.values(), *self.draining_pools)
         for pool in pools:
             log.invariant(
                 pool.count_in_flight() == pool.policy.split.total,
-                "what is counted as out is out on a socket",
+                "the policy's count of attempts is that of the connections",
             )
             if self.spec.routed:
                 log.info("pool", pool=pool.name, **pool.budget.metrics(), **pool.counts)
@@ -325,11 +356,20 @@
             **log.counters,
         )
         self.loop.max_lag = self.longest_gc_pause = 0
-        used = {(peer.address, peer.started) for pool in pools for peer in pool.endpoints.values()}
+        used = {
+            (endpoint.address, endpoint.started)
+            for pool in pools
+            for endpoint in pool.endpoints.values()
+        }
         self.warm_up_turns = {run: sent for run, sent in self.warm_up_turns.items() if run in used}
 
+    # Signals and shutdown.
+
     async def handle_signals(self) -> None:
-        """Signals, until the end: none of them may fall back to ending the process at once."""
+        """Reload on SIGHUP and shut down on SIGTERM or SIGINT.
+
+        Runs until the end: a signal without a handler would end the process at once.
+        """
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async for number in signals:
                 if number == signal.SIGHUP:
@@ -338,20 +378,20 @@
                     self.stop()
 
     def stop(self) -> None:
-        """End in order, once."""
+        """Begin the graceful shutdown, once."""
         if not self.stopping:
             self.stopping = True
             self.loop.spawn(self.terminate, self.loop.task_group.cancel_scope.cancel)
 
     def in_flight(self) -> int:
+        """Count the requests without a final response."""
         return sum(pool.in_flight for pool in (*self.pools.values(), *self.draining_pools))
 
     async def terminate(self) -> None:
-        """SIGTERM: serve those who are connected for as long as may be, then close behind each answer.
+        """Shut down: serve connected clients for as long as possible, then close them.
 
-        Guards against clients with nobody to serve them: they stay with the connections they
-        have, the next run does not start sooner for an early end, and there may be no other
-        balancer.
+        Clients keep to the connections they have, the next process does not start earlier if this
+        one ends early, and there may be no other balancer to serve them meanwhile.
         """
         loop = self.loop
         log.info("stopping", out=self.in_flight(), **self.frontend_metrics())
@@ -367,14 +407,16 @@
             request.pool.shorten_deadline(request, self.stop_deadline - loop.deadline_margin())
         await anyio.sleep(ACCEPT_AFTER_SIGTERM / SECOND)
         while (
-            any(front.has_clients() for front in self.frontends)
+            any(frontend.has_clients() for frontend in self.frontends)
             and loop.clock() < self.stop_deadline - CLOSING_TIME
         ):
             await anyio.sleep(0.01)
         self.closing = True
-        for front in self.frontends:
-            front.close_idle()
-        while self.in_flight() or any(front.has_pending_responses() for front in self.frontends):
+        for frontend in self.frontends:
+            frontend.close_idle()
+        while self.in_flight() or any(
+            frontend.has_pending_responses() for frontend in self.frontends
+        ):
             if loop.clock() > self.stop_deadline:
                 break
             await anyio.sleep(0.01)
@@ -384,10 +426,13 @@
         loop.task_group.cancel_scope.cancel()
 
     def frontend_metrics(self) -> dict[str, int]:
-        return {name: count for front in self.frontends for name, count in front.metrics().items()}
+        """Return the metrics of all frontends."""
+        return {
+            name: count for frontend in self.frontends for name, count in frontend.metrics().items()
+        }
 
     def counters(self) -> dict[str, Any]:
-        """All counters, those of the pools added up."""
+        """Return all counters, with those of the pools added up."""
         counts = Counter(log.counters)
         if self.spec.routed:
             for pool in (*self.pools.values(), *self.draining_pools):
@@ -395,7 +440,7 @@
         return dict(counts)
 
     async def serve(self, listeners: list[socket.socket]) -> None:
-        """Run until told to stop."""
+        """Run until `terminate` has finished."""
         loop = self.loop
         async with anyio.create_task_group() as loop.task_group:
             loop.spawn(self.handle_signals, loop.task_group.cancel_scope.cancel)
@@ -404,10 +449,10 @@
             if self.fleet:
                 self.fleet.start()
             loop.call_at(loop.clock() + SWEEP_INTERVAL, loop, self.close_expired)
-            for front in self.frontends:
-                front.start(listeners if front is self.frontends[0] else [])
+            for frontend in self.frontends:
+                frontend.start(listeners if frontend is self.frontends[0] else [])
             loop.call_at(loop.clock() + METRICS_INTERVAL, loop, self.log_figures)
-            # What is there by now stays: collecting it over and over would only stop the loop.
+            # What exists now stays: collecting it again and again would only stop the loop.
             gc.callbacks.append(self.on_gc)
             gc.freeze()
             gc.set_threshold(10_000, 20, 50)
--- a/whinpier/runtime/resource_budget.py
+++ b/whinpier/runtime/resource_budget.py
@@ -1,9 +1,10 @@
-"""Owns what pools share: descriptors, requests in the house, bodies and CPU, in guaranteed parts.
+"""Divides the process's descriptors, requests, bodies and CPU among its pools.
 
-What one pool does not use is lent to others, but for a part of it that is kept for its return; what
-is lent is called back as it falls free. Must never let a pool that stays within its guaranteed part
-wait for one that does not, beyond the requests that are out already. Free of I/O: who owns a
-connection closes it.
+Each pool has a guaranteed share. What it does not use is lent to others, except for a fraction kept
+for its return; lent units go back to their owner as they are released.
+
+Invariant: a pool within its guaranteed share never waits for one that has borrowed, beyond the
+requests already in flight. This module does no I/O: the owner of a connection closes it.
 """
 
 from __future__ import annotations
@@ -14,135 +15,153 @@
 from whinpier.policy.decaying_sum import SECOND, Sum
 from whinpier.runtime.event_loop import MAX_LAG
 
-# descriptors kept back: the standard ones, listener, discovery, the loop's own; a dozen in all
-SPARE = 24
-DOOR, MOST_DOOR = (
-    8,
-    64,
-)  # one in so many, and the most, for clients rejected at the door: short bursts
-PART = (
-    0.6  # of the rest for clients: each request needs one descriptor, and one more while it is out
-)
-# clients that asked hold one descriptor in so many before they are let go early; they get a third
-CROWD = 4
-BODIES = 16  # one part in so many of the memory is for bodies; usual ones are a hundredth of that
-KEPT = 0.25  # of what a pool has unused: not lent, so that its return finds room at once
-JUDGED = SECOND // 20  # between looks at the lag; a late loop looks once a turn
-MORE, LESS, MOST_SHED = (
-    0.1,
-    0.02,
-    0.95,
-)  # steps of the part rejected at the door: down slower than up
-OVER = 1.1  # times its part of the CPU: a pool above that pays for a late loop first
-SPENT = 2 * SECOND  # over which the CPU of pools is compared: some hundred requests
+# Standard streams, listener, discovery and the event loop's own take a dozen.
+RESERVED_DESCRIPTORS = 24
+# One descriptor in so many is for accepting clients only to reject them, in short bursts.
+REJECTION_DIVISOR = 8
+MAX_REJECTION_RESERVE = 64
+# Of the descriptors for clients and upstreams: each request needs one for its client, and one more
+# while it is in flight.
+CLIENT_FRACTION = 0.6
+# Above one descriptor in so many, clients with a request behind them are closed early.
+CROWDED_DIVISOR = 4
+# One part in so many of the memory is for bodies; usual bodies need a hundredth of that.
+BODY_DIVISOR = 16
+# Of a pool's unused guarantee: not lent, so that the pool has capacity at once when load returns.
+RESERVED_FRACTION = 0.25
+# Between adjustments of shedding; a loop that is later than this adjusts on each round of timers.
+SHEDDING_INTERVAL = SECOND // 20
+# The fraction of requests that is shed rises faster than it falls.
+SHEDDING_STEP_UP = 0.1
+SHEDDING_STEP_DOWN = 0.02
+MAX_SHED_RATIO = 0.95
+# A pool above so many times its share of the CPU sheds first when the loop is late.
+CPU_TOLERANCE = 1.1
+# Some hundred requests: the period over which pools' CPU time is compared.
+CPU_WINDOW = 2 * SECOND
 
 
 def reserved_descriptors(spec: Spec) -> int:
-    """Descriptors that no client and no upstream gets."""
+    """Count the descriptors that neither clients nor upstreams may use."""
     if not spec.routed:
-        return SPARE
+        return RESERVED_DESCRIPTORS
     listeners = len(spec.listen) + sum(beside.descriptors for beside in spec.beside.values())
     if spec.fleet:
         listeners += spec.fleet.descriptors
-    return SPARE + listeners + sum(pool.discovery is not None for pool in spec.pools.values())
+    watches = sum(pool.discovery is not None for pool in spec.pools.values())
+    return RESERVED_DESCRIPTORS + listeners + watches
 
 
 class ResourceShare:
-    """What one pool holds of one stock."""
+    """What one pool uses of one resource, and what it is guaranteed."""
 
-    __slots__ = ("resource", "guaranteed", "limit", "used")
+    __slots__ = ("guaranteed", "limit", "resource", "used")
 
-    def __init__(self, stock: SharedResource) -> None:
-        self.resource, self.guaranteed, self.used = stock, 0, 0
+    def __init__(self, resource: SharedResource) -> None:
+        """Start with no guarantee and no limit."""
+        self.resource = resource
+        self.guaranteed = 0
+        self.used = 0
         self.limit: int | None = None
 
     def reserved(self) -> int:
-        """What may not be lent of it."""
-        return int(KEPT * max(0, self.guaranteed - self.used))
+        """Return how much of the unused guarantee may not be lent."""
+        return int(RESERVED_FRACTION * max(0, self.guaranteed - self.used))
 
     def borrowed(self) -> int:
+        """Return how much is used above the guarantee."""
         return max(0, self.used - self.guaranteed)
 
     def acquire(self, amount: int = 1, capacity: int | None = None) -> bool:
-        """Take some, if there is; `capacity` where more than usual is free just now."""
-        stock, after = self.resource, self.used + amount
-        if self.limit is not None and after > self.limit:
+        """Take `amount` if it is free; `capacity` replaces the resource's own for this call."""
+        resource = self.resource
+        used_after = self.used + amount
+        if self.limit is not None and used_after > self.limit:
             return False
-        room = (stock.capacity if capacity is None else capacity) - stock.used - amount
-        kept = self.reserved()
-        if room < 0 or after > self.guaranteed and room < stock.reserved - kept:
+        free_after = (resource.capacity if capacity is None else capacity) - resource.used - amount
+        reserved = self.reserved()
+        borrows = used_after > self.guaranteed
+        if free_after < 0 or (borrows and free_after < resource.reserved - reserved):
             return False
-        stock.used += amount
-        self.used = after
-        stock.reserved += self.reserved() - kept
+        resource.used += amount
+        self.used = used_after
+        resource.reserved += self.reserved() - reserved
         return True
 
     def release(self, amount: int = 1) -> None:
-        kept = self.reserved()
+        """Give back what was acquired."""
+        reserved = self.reserved()
         self.used -= amount
         self.resource.used -= amount
-        self.resource.reserved += self.reserved() - kept
+        self.resource.reserved += self.reserved() - reserved
 
-    def resize(self, share: float, most: int | None) -> None:
-        """Another part for a pool that goes on; what it has above that is borrowed from now on."""
+    def resize(self, share: float, limit: int | None) -> None:
+        """Change guarantee and limit; what is used above the new guarantee counts as borrowed."""
         self.resource.reserved -= self.reserved()
-        self.guaranteed, self.limit = int(share * self.resource.capacity), most
+        self.guaranteed = int(share * self.resource.capacity)
+        self.limit = limit
         self.resource.reserved += self.reserved()
 
     def close(self) -> None:
-        """Its pool has gone; what it still holds is given back one by one."""
+        """Give up the guarantee of a removed pool; what it still uses is released one by one."""
         self.resize(0.0, self.limit)
         if not self.used and self in self.resource.shares:
             self.resource.shares.remove(self)
 
 
 class SharedResource:
-    """One resource of the process, in whatever unit it is counted."""
+    """One resource of the process, in any unit."""
 
     def __init__(self, capacity: int) -> None:
-        self.capacity, self.used, self.reserved = capacity, 0, 0
+        """Start with nothing used."""
+        self.capacity = capacity
+        self.used = 0
+        self.reserved = 0  # by all shares together
         self.shares: list[ResourceShare] = []
 
     def create_share(self) -> ResourceShare:
-        """A part of nothing, for a pool that has just come."""
+        """Add a share without a guarantee, for a new pool."""
         self.shares.append(ResourceShare(self))
         return self.shares[-1]
 
 
 class PoolBudget:
-    """What one pool has of the process."""
+    """One pool's shares of all resources of the process."""
 
     def __init__(self, budget: Budget, limits: Limits) -> None:
+        """Add a pool to the budget."""
         self.budget = budget
-        self.requests, self.connections = (
-            budget.requests.create_share(),
-            budget.connections.create_share(),
-        )
-        self.bodies = budget.bodies.create_share()  # bytes of answers
-        self.request_bytes = budget.request_bytes.create_share()  # bytes of what is asked
+        self.requests = budget.requests.create_share()
+        self.connections = budget.connections.create_share()
+        self.bodies = budget.bodies.create_share()  # bytes of response bodies
+        self.request_bytes = budget.request_bytes.create_share()  # bytes of request bodies
         self.reconfigure(limits)
-        self.clients = 0  # connections of clients that asked it last
-        self.shed_ratio = 0.0  # the part of its requests that is rejected at the door
-        self.cpu_time = Sum(SPENT, 0)  # nanoseconds of the loop
+        self.clients = 0  # client connections whose last request was for this pool
+        self.shed_ratio = 0.0  # fraction of its requests that is rejected on arrival
+        self.cpu_time = Sum(CPU_WINDOW, 0)  # nanoseconds of the event loop
         budget.pools.append(self)
 
     def reconfigure(self, limits: Limits) -> None:
-        self.limits, share = limits, limits.guaranteed if self.budget.isolate else 0.0
-        for held, most in (
+        """Apply other limits."""
+        self.limits = limits
+        share = limits.guaranteed if self.budget.isolate else 0.0
+        for resource_share, limit in (
             (self.requests, limits.requests),
             (self.connections, limits.connections),
             (self.bodies, limits.bodies),
             (self.request_bytes, limits.bodies),
         ):
-            held.resize(share, most)
+            resource_share.resize(share, limit)
 
     def close(self) -> None:
-        for held in (self.requests, self.connections, self.bodies, self.request_bytes):
-            held.close()
+        """Remove the pool from the budget."""
+        for resource_share in (self.requests, self.connections, self.bodies, self.request_bytes):
+            resource_share.close()
         if self in self.budget.pools:
             self.budget.pools.remove(self)
 
     def metrics(self) -> Mapping[str, object]:
+        """Return the fields of this pool's line of metrics in the log."""
         return {
             "out": self.requests.used,
             "out_guaranteed": self.requests.guaranteed,
@@ -155,52 +174,56 @@
 
 
 class Budget:
-    """What the process has, and how pools and clients share it."""
+    """The resources of the process, shared by its pools and clients."""
 
     def __init__(
-        self, sockets: int, memory: int, isolate: bool = True, reserved_descriptors: int = SPARE
+        self,
+        sockets: int,
+        memory: int,
+        isolate: bool = True,
+        reserved_descriptors: int = RESERVED_DESCRIPTORS,
     ) -> None:
-        self.sockets, self.memory, self.isolate = sockets, memory, isolate
-        self.rejection_reserve = min(sockets // DOOR, MOST_DOOR)
-        self.clients = 0  # connections of clients
+        """Start with no pools; `memory` is in bytes, without `isolate` no pool has a guarantee."""
+        self.sockets = sockets
+        self.memory = memory
+        self.isolate = isolate
+        self.rejection_reserve = min(sockets // REJECTION_DIVISOR, MAX_REJECTION_RESERVE)
+        self.clients = 0  # client connections
         self.pools: list[PoolBudget] = []
-        self.requests, self.connections = SharedResource(0), SharedResource(0)
+        self.requests = SharedResource(0)
+        self.connections = SharedResource(0)  # to upstreams
         self.resize(reserved_descriptors)
-        self.bodies = SharedResource(memory // BODIES * 2)  # bytes of answers
-        self.request_bytes = SharedResource(
-            memory // BODIES
-        )  # bytes of what is asked, whole or not
+        self.bodies = SharedResource(memory // BODY_DIVISOR * 2)  # bytes of response bodies
+        # Bytes of request bodies, also of those still being received.
+        self.request_bytes = SharedResource(memory // BODY_DIVISOR)
         self.shedding_updated_at = 0
-        # Set by whoever owns them: one client that is not in use is closed; an idle connection of a
-        # pool.
+        # The owners of connections replace these three.
         self.close_unused_client: Callable[[], None] = lambda: None
+        # Yields for each idle upstream connection: since when, its pool, and how to close it.
         self.list_idle: Callable[[], Iterable[tuple[int, PoolBudget, Callable[[], None]]]] = (
             lambda: ()
         )
-        self.on_descriptor_freed: Callable[[], None] = (
-            lambda: None
-        )  # called when a descriptor has fallen free
+        self.on_descriptor_freed: Callable[[], None] = lambda: None
 
     def resize(self, reserved_descriptors: int) -> None:
-        """Keep back so many descriptors; the parts of pools follow."""
+        """Reserve so many descriptors and recompute the pools' shares."""
         self.total_connections = self.sockets - reserved_descriptors - self.rejection_reserve
-        self.max_clients = int(PART * self.total_connections)
-        self.requests.capacity, self.connections.capacity = (
-            self.max_clients,
-            self.total_connections - self.max_clients,
-        )
-        for part in self.pools:
-            part.reconfigure(part.limits)
+        self.max_clients = int(CLIENT_FRACTION * self.total_connections)
+        self.requests.capacity = self.max_clients
+        self.connections.capacity = self.total_connections - self.max_clients
+        for pool in self.pools:
+            pool.reconfigure(pool.limits)
 
     def upstream_capacity(self) -> int:
-        """How many connections to upstreams there may be, as many clients as there are."""
+        """Return how many upstream connections fit beside the present number of clients."""
         return self.total_connections - min(self.clients, self.max_clients)
 
     def is_full(self) -> bool:
+        """Tell whether no further upstream connection fits."""
         return self.connections.used >= self.upstream_capacity()
 
     def ensure_capacity(self) -> bool:
-        """Whether one more connection may be opened: the longest idle ones make way, clients' first."""
+        """Free one connection if needed, of an unused client first; return whether one is free."""
         if self.is_full():
             self.close_unused_client()
         if self.is_full():
@@ -208,67 +231,69 @@
         return not self.is_full()
 
     def close_idle(self, borrowed: bool = False) -> None:
-        """Close the connection to an upstream that is longest idle; of the pools that have borrowed first."""
+        """Close the longest idle upstream connection, of pools that have borrowed first.
+
+        With `borrowed`, only of those.
+        """
         idle = list(self.list_idle())
         lent = [found for found in idle if found[1].connections.borrowed()]
-        if lent or idle and not borrowed:
+        if lent or (idle and not borrowed):
             min(lent or idle, key=lambda found: found[0])[2]()
 
-    def acquire_connection(self, part: PoolBudget) -> bool:
-        """Take one more connection to an upstream for a pool, if it may have it."""
-        if self.ensure_capacity() and part.connections.acquire(1, self.upstream_capacity()):
+    def acquire_connection(self, pool: PoolBudget) -> bool:
+        """Take one more upstream connection for a pool; return whether it may be opened."""
+        if self.ensure_capacity() and pool.connections.acquire(1, self.upstream_capacity()):
             return True
-        # Guards against one pool's idle connections standing in the way of another's guaranteed
-        # ones.
-        if part.connections.used < part.connections.guaranteed and len(self.pools) > 1:
+        # Idle connections of one pool must not block the guaranteed ones of another.
+        if pool.connections.used < pool.connections.guaranteed and len(self.pools) > 1:
             self.close_idle(borrowed=True)
-            return part.connections.acquire(1, self.upstream_capacity())
+            return pool.connections.acquire(1, self.upstream_capacity())
         return False
 
-    def is_recalled(self, part: PoolBudget) -> bool:
-        """Whether a pool had better not keep what has just fallen free: it is another's."""
+    def is_recalled(self, pool: PoolBudget) -> bool:
+        """Tell whether a pool should close a connection it has finished with: it is borrowed."""
         return (
-            part.connections.borrowed() > 0
+            pool.connections.borrowed() > 0
             and self.connections.used + self.connections.reserved >= self.upstream_capacity()
         )
 
-    def is_crowded(self, asked: int, part: PoolBudget | None = None) -> bool:
-        """Whether clients (of a pool) had better not keep connections: room then comes with every answer."""
-        # Guards against clients that ask once and stay: they may hold a third of the descriptors in
-        # all, and while they do others have no connection left to ask on.
-        return asked > self.sockets // CROWD and not self.is_within_share(part)
-
-    def is_within_share(self, part: PoolBudget | None) -> bool:
-        """Whether a pool's clients hold no more than its part: they need not go for those of others."""
-        # Guards against one pool's crowd at the door: the others' clients would wait in one queue
-        # with it.
-        if part is None or len(self.pools) < 2 or not self.isolate:
+    def is_crowded(self, active_clients: int, pool: PoolBudget | None = None) -> bool:
+        """Tell whether clients (of a pool) should be closed after their response."""
+        # Clients that send one request and stay may hold a third of all descriptors; meanwhile
+        # others find no connection to send a request on.
+        return active_clients > self.sockets // CROWDED_DIVISOR and not self.is_within_share(pool)
+
+    def is_within_share(self, pool: PoolBudget | None) -> bool:
+        """Tell whether a pool's clients hold at most their share, so that they need not close."""
+        # Otherwise one pool's many clients would put those of others into the same queue.
+        if pool is None or len(self.pools) < 2 or not self.isolate:
             return False
-        return part.clients <= part.limits.guaranteed * min(self.sockets // CROWD, self.max_clients)
+        return pool.clients <= pool.limits.guaranteed * min(
+            self.sockets // CROWDED_DIVISOR, self.max_clients
+        )
 
     def update_shedding(self, now: int, lag: int) -> None:
-        """Reject a larger or smaller part of what comes, by how late the loop is."""
-        if now - self.shedding_updated_at < JUDGED:
+        """Raise or lower the fraction of requests that is rejected, by how late the loop is."""
+        if now - self.shedding_updated_at < SHEDDING_INTERVAL:
             return
-        # Guards against a core that is full: were all rejected while the loop is late, those
-        # that come again at once would keep it late, and nothing would be served.
+        # A fraction, since rejecting all would serve nothing on a saturated core: clients that
+        # retry at once would keep the loop late.
         self.shedding_updated_at = now
         late = lag > MAX_LAG
-        over = (
-            self.cpu_overusers(now) if late and self.isolate and len(self.pools) > 1 else self.pools
-        )
-        for part in self.pools:
-            if late and part in over:
-                part.shed_ratio = min(part.shed_ratio + MORE, MOST_SHED)
+        isolated = self.isolate and len(self.pools) > 1
+        shedding = self.cpu_overusers(now) if late and isolated else self.pools
+        for pool in self.pools:
+            if late and pool in shedding:
+                pool.shed_ratio = min(pool.shed_ratio + SHEDDING_STEP_UP, MAX_SHED_RATIO)
             elif not late:
-                part.shed_ratio = max(part.shed_ratio - LESS, 0.0)
+                pool.shed_ratio = max(pool.shed_ratio - SHEDDING_STEP_DOWN, 0.0)
 
     def cpu_overusers(self, now: int) -> list[PoolBudget]:
-        """The pools that use more of the loop's time than their part; all where none does."""
-        total = sum(part.cpu_time.read(now) for part in self.pools) or 1.0
-        over = [
-            part
-            for part in self.pools
-            if part.cpu_time.read(now) > OVER * part.limits.guaranteed * total
+        """Return the pools that use more than their share of the loop's time, or all if none."""
+        total = sum(pool.cpu_time.read(now) for pool in self.pools) or 1.0
+        overusers = [
+            pool
+            for pool in self.pools
+            if pool.cpu_time.read(now) > CPU_TOLERANCE * pool.limits.guaranteed * total
         ]
-        return over or self.pools
+        return overusers or self.pools
