--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -22,7 +22,7 @@
 from whinpier.fleet.messages import member_id
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Effect, RequestClass, Upstream, UpstreamState
-from whinpier.policy.policy import Choice
+from whinpier.policy.policy import Policy
 from whinpier.simulation.fleet import Fleet as Model
 from whinpier.simulation.fleet_mutants import MUTATIONS, caught
 from whinpier.testbed import files
@@ -369,7 +369,7 @@
     def close_idle(self, upstream: Upstream) -> None:
         """There are no connections."""
 
-    def tell(self, balancer: int | None, contents: bytes) -> None:
+    def send_peer_message(self, balancer: int | None, contents: bytes) -> None:
         """Nobody listens."""
 
 
@@ -382,7 +382,7 @@
         (f"m{number}" for number in range(balancers + 1)), key=lambda name: member_id(name, 0)
     )
     listed = [Upstream(number, UpstreamState.READY, 0, 0, 0) for number in range(upstreams)]
-    those: dict[str, Choice] = {}
+    those: dict[str, Policy] = {}
 
     def settings(name: str, there: list[str]) -> dict[str, Any]:
         return {"balancers": len(there), "slot_no": there.index(name), "report.columns": []}
@@ -390,24 +390,25 @@
     def go_by(there: list[str], seconds: int = 5) -> float:
         """The part of what was held that is held no longer, over all that stay."""
         before = {
-            name: {seen.upstream.id for seen in choice.split.pool} for name, choice in those.items()
+            name: {seen.upstream.id for seen in choice.selector.subset}
+            for name, choice in those.items()
         }
         for name in there:
             if name in those:
-                those[name].change(settings(name, there), [request_class])
+                those[name].reconfigure(settings(name, there), [request_class])
             else:
                 own = RequestClass("t", Effect.IDEMPOTENT, SECOND // 4, SECOND, 1.0)
                 host: Any = Still()  # has of a host only what a solve asks for
-                those[name] = Choice(host, settings(name, there), [own], seed + len(those))
+                those[name] = Policy(host, settings(name, there), [own], seed + len(those))
                 fresh = [Upstream(one.id, UpstreamState.READY, 0, 0, 0) for one in listed]
-                those[name].listed(fresh)
+                those[name].on_endpoints_updated(fresh)
             for _ in range(seconds):
                 those[name].host.now += SECOND
-                those[name].split.solve()
+                those[name].selector.update_shares()
         moved = held = 0
         for name, old in before.items():
             if name in there and old:
-                now = {seen.upstream.id for seen in those[name].split.pool}
+                now = {seen.upstream.id for seen in those[name].selector.subset}
                 moved, held = moved + len(old - now) + len(now - old), held + len(old)
         return moved / max(1, held)
 
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from whinpier.policy.model import Attempt, Outcome, Request, RequestClass, Upstream, UpstreamState
-from whinpier.policy.policy import SECOND, Choice
+from whinpier.policy.policy import SECOND, Policy
 
 MS = SECOND // 1000
 SETTINGS = {
@@ -27,7 +27,7 @@
         self.withdrawn: list[Attempt] = []
         self.timers: list[tuple[int, int]] = []
         self.waits: list[int] = []  # that clients were told
-        self.told: list[bytes] = []
+        self.peer_messages: list[bytes] = []
         self.probed: list[Upstream] = []
         self.asked: list[int] = []  # when the list was asked for
         self.requests = 0
@@ -35,12 +35,12 @@
         self.request_class = RequestClass(
             "any", kind, 800 * MS, 3000 * MS, 5.0, group=group, window=2 * SECOND
         )
-        self.choice = Choice(
+        self.policy = Policy(
             self, SETTINGS | settings, [self.request_class], settings.pop("seed", 7)
         )
         self.upstreams = [Upstream(n, UpstreamState.READY, n % 2, 0, 0) for n in range(count)]
         if count:
-            self.choice.listed(self.upstreams)
+            self.policy.on_endpoints_updated(self.upstreams)
 
     # What the decisions ask for.
 
@@ -67,11 +67,11 @@
     def set_timer(self, at, token=0):
         self.timers.append((max(at, self.now + 1), token))
 
-    def follow_list(self, on):
+    def follow_endpoint_list(self, on):
         self.asked.append(self.now)
 
-    def tell(self, balancer, contents):
-        self.told.append(contents)
+    def send_peer_message(self, balancer, contents):
+        self.peer_messages.append(contents)
 
     def probe(self, upstream):
         self.probed.append(upstream)
@@ -84,15 +84,15 @@
     def request(self, timeout: int = 3000 * MS) -> Request:
         self.requests += 1
         made = Request(self.requests, self.request_class, self.now, self.now + timeout)
-        self.choice.arrive(made)
+        self.policy.on_request(made)
         return made
 
-    def came_back(self, attempt, outcome=Outcome.SUCCEEDED, load=None):
-        attempt.outcome, attempt.took = outcome, self.now - attempt.sent
+    def finish_attempt(self, attempt, outcome=Outcome.SUCCEEDED, load=None):
+        attempt.outcome, attempt.duration = outcome, self.now - attempt.sent_at
         first = outcome == Outcome.SUCCEEDED and not attempt.request.ended
         if first:
             self._answer(attempt.request, "fulfilled")
-        self.choice.came_back(attempt, load, first)
+        self.policy.on_attempt_finished(attempt, load, first)
 
     def out(self):
         return [attempt for attempt in self.sent if not attempt.outcome]
@@ -104,7 +104,7 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = due[0]
-            self.choice.on_timer(due[1])
+            self.policy.on_timer(due[1])
         self.now = until
 
     def traffic(
@@ -118,8 +118,8 @@
                 next_request += every
             for attempt in self.out():
                 time = takes(attempt.upstream)
-                if attempt.sent + 3000 * MS <= self.now:
-                    self.came_back(attempt, "timed out")
-                elif time is not None and attempt.sent + time <= self.now:
-                    self.came_back(attempt, load=load)
+                if attempt.sent_at + 3000 * MS <= self.now:
+                    self.finish_attempt(attempt, "timed out")
+                elif time is not None and attempt.sent_at + time <= self.now:
+                    self.finish_attempt(attempt, load=load)
             self.wait(5 * MS)
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -267,15 +267,15 @@
         server = stage.pool.held["s-0"]
         server.spare = 0  # no room, as a limit at the upstream has it
         client = stage.client(request())
-        await stage.until(lambda: stage.pool.choice.entry.waiting())
+        await stage.until(lambda: stage.pool.policy.admission_queue.waiting())
         client.close()
         server.spare = 10
         stage.pool.loop.enter(
-            stage.pool, stage.pool.choice.entry.release
+            stage.pool, stage.pool.policy.admission_queue.release
         )  # before its leaving is read
         await stage.until(lambda: stage.pool.counts["clients_left"] == 1)
         await stage.turns()
-        assert stage.begun() == 0 and stage.pool.choice.split.total == 0
+        assert stage.begun() == 0 and stage.pool.policy.selector.in_flight == 0
 
 
 # Told to stop.
@@ -545,7 +545,10 @@
         await stage.until(lambda: any(link.sending for link in links))
         link = next(link for link in links if link.sending)
         pending = link.sending.request
-        assert pending.request_class.most == 1 and pending.ends - pending.came < SECOND
+        assert (
+            pending.request_class.max_attempts == 1
+            and pending.deadline - pending.arrived_at < SECOND
+        )
         link.close()  # as a reset: it may have run
         await stage.turns()
         assert stage.begun() == 3
@@ -574,8 +577,8 @@
     host = FakeHost(
         Effect.KEYED
     )  # a window of 2 s; a connection may take a quarter of one to come up
-    host.choice.again.configure({"limits.max_hand_offs": 3})
+    host.policy.retry_policy.configure({"limits.max_hand_offs": 3})
     host.request()
     host.wait(after * MS)
-    host.came_back(host.sent[0], Outcome.FAILED)
+    host.finish_attempt(host.sent[0], Outcome.FAILED)
     assert len(host.sent) == attempts
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -718,8 +718,10 @@
                 await stream.send(f"{request}Content-Length: 2\r\n\r\n{{}}".encode())
                 if number % 5:  # each fifth leaves at once
                     await stream.receive()
-            split = pool.choice.split
-            pictures.append((sum(seen.out for seen in split.ready), split.total, pool.on_wire()))
+            split = pool.policy.selector
+            pictures.append(
+                (sum(seen.in_flight for seen in split.ready), split.in_flight, pool.on_wire())
+            )
 
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(balancer.serve, [listener])
@@ -729,13 +731,15 @@
                 async with anyio.create_task_group() as clients:
                     for number in range(40):
                         clients.start_soon(client, number)
-                while balancer.ids or balancer.fronts[0].clients or pool.choice.split.total:
+                while balancer.ids or balancer.fronts[0].clients or pool.policy.selector.in_flight:
                     await anyio.sleep(0.01)
             assert all(seen == total == sockets for seen, total, sockets in pictures)
             assert (pool.out, len(balancer.fronts[0].strangers)) == (0, 0)
             part = pool.part
             assert (part.requests.used, part.bodies.used, part.request_bytes.used) == (0, 0, 0)
-            assert pool.on_wire() == 0 and all(seen.out == 0 for seen in pool.choice.split.ready)
+            assert pool.on_wire() == 0 and all(
+                seen.in_flight == 0 for seen in pool.policy.selector.ready
+            )
             task_group.cancel_scope.cancel()
 
     with inside(tmp_path, *banks) as (config, listener):
@@ -773,7 +777,7 @@
 
     async def story(config, listener):
         balancer = life(config)
-        held(balancer).choice.arrive = lambda request: 1 / 0
+        held(balancer).policy.on_request = lambda request: 1 / 0
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(balancer.serve, [listener])
             async with await anyio.connect_tcp(*config.listen[0]) as client:
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -9,8 +9,8 @@
 
 from tests.fake_host import MS, SETTINGS, FakeHost
 from whinpier.policy.model import Effect, Outcome, Upstream, UpstreamState
-from whinpier.policy.policy import SECOND, level
-from whinpier.policy.rate_gossip import Peers
+from whinpier.policy.policy import SECOND, min_max_split
+from whinpier.policy.rate_gossip import PeerRates
 
 
 @pytest.mark.parametrize(
@@ -25,7 +25,7 @@
     ],
 )
 def test_level_is_the_papers(costs, rate, split):
-    assert level(costs, rate) == pytest.approx(split, abs=1e-9)
+    assert min_max_split(costs, rate) == pytest.approx(split, abs=1e-9)
 
 
 @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
 ):
     host = FakeHost(kind, 2, group=group)  # the two upstreams stand in different zones
     request = host.request()
-    host.came_back(host.sent[0], outcome)
+    host.finish_attempt(host.sent[0], outcome)
     host.wait(SECOND // 4)
     assert (len(request.attempts), host.answers.get(request.id)) == (sent, answer)
 
@@ -55,8 +55,8 @@
     host = FakeHost(Effect.KEYED, 1)
     request = host.request()
     host.wait(2100 * MS)
-    host.choice.listed(host.upstreams + [Upstream(9, UpstreamState.READY, 0, 0, 0)])
-    host.came_back(request.attempts[0], Outcome.RESET)
+    host.policy.on_endpoints_updated(host.upstreams + [Upstream(9, UpstreamState.READY, 0, 0, 0)])
+    host.finish_attempt(request.attempts[0], Outcome.RESET)
     assert len(request.attempts) == 1 and host.answers[request.id] == "turned back"
 
 
@@ -65,7 +65,7 @@
     host = FakeHost(kind, 1)
     request = host.request()
     host.wait(3000 * MS)
-    host.came_back(request.attempts[0], Outcome.TIMED_OUT)
+    host.finish_attempt(request.attempts[0], Outcome.TIMED_OUT)
     assert host.answers[request.id] == "scrapped"
 
 
@@ -81,14 +81,14 @@
     host = FakeHost(count=0)
     request = host.request()
     host.wait(20 * MS)
-    host.choice.listed([Upstream(1, UpstreamState.READY, 0, 0, 0)])
+    host.policy.on_endpoints_updated([Upstream(1, UpstreamState.READY, 0, 0, 0)])
     assert len(request.attempts) == 1
 
 
 def test_a_draining_or_missing_upstream_gets_nothing_new():
     host = FakeHost(count=3)
     host.upstreams[0].state = UpstreamState.DRAINING
-    host.choice.listed(host.upstreams[:2])  # the third is missing
+    host.policy.on_endpoints_updated(host.upstreams[:2])  # the third is missing
     host.traffic(2 * SECOND)
     assert {sent.upstream.id for sent in host.sent} == {1}
 
@@ -97,7 +97,7 @@
     host = FakeHost(count=4)
     host.traffic(4 * SECOND)
     cold = Upstream(9, UpstreamState.READY, 0, 0, host.now)
-    host.choice.listed(host.upstreams + [cold])
+    host.policy.on_endpoints_updated(host.upstreams + [cold])
     before = len(host.sent)
     host.traffic(SECOND)
     fresh = sum(sent.upstream is cold for sent in host.sent[before:])
@@ -107,7 +107,7 @@
 def test_a_slow_upstream_gets_less():
     host = FakeHost(count=3)
     host.traffic(8 * SECOND, takes=lambda upstream: (400 if upstream.id == 0 else 50) * MS)
-    late = [sent for sent in host.sent if sent.sent > host.now - 3 * SECOND]
+    late = [sent for sent in host.sent if sent.sent_at > host.now - 3 * SECOND]
     assert sum(sent.upstream.id == 0 for sent in late) < 0.1 * len(late)
 
 
@@ -127,9 +127,11 @@
     for _ in range(30):
         host.request()
         for attempt in host.out():
-            host.came_back(attempt, Outcome.FAILED if attempt.upstream.id == 0 else "fulfilled")
+            host.finish_attempt(
+                attempt, Outcome.FAILED if attempt.upstream.id == 0 else "fulfilled"
+            )
         host.wait(100 * MS)
-    assert host.upstreams[0].seen.share < 0.1
+    assert host.upstreams[0].statistics.share < 0.1
 
 
 @pytest.mark.parametrize("silent, copies", [(True, 1), (False, 0)])
@@ -143,11 +145,11 @@
         host.request()
         for attempt in host.out():
             if attempt.request is not request and not (silent and attempt.upstream is upstream):
-                host.came_back(attempt)
+                host.finish_attempt(attempt)
         host.wait(5 * MS)
     assert len(request.attempts) == 1 + copies
     if silent:
-        host.came_back(request.attempts[1])
+        host.finish_attempt(request.attempts[1])
         assert host.answers[request.id] == "fulfilled" and request.attempts[0] in host.withdrawn
 
 
@@ -175,7 +177,7 @@
         host.request()
         for attempt in host.out():
             if attempt.upstream.id == 0:
-                host.came_back(attempt, outcome)
+                host.finish_attempt(attempt, outcome)
                 failed += 1
         host.wait(10 * MS)
     assert failed < 15
@@ -196,27 +198,31 @@
     met = Counter()
     for number in range(max(1, balancers)):
         host = FakeHost(Effect.NON_IDEMPOTENT, count, balancers=balancers, slot_no=number)
-        met.update(seen.upstream.id for seen in host.choice.split.pool)
+        met.update(seen.upstream.id for seen in host.policy.selector.subset)
     assert len(met) == count and max(met.values()) <= min(max(1, balancers), 2 * min(met.values()))
     assert balancers < 400 or count < 80 or max(met.values()) < 40
 
 
 def test_a_balancer_whose_upstreams_all_fall_silent_takes_others_besides():
     host = FakeHost(Effect.NON_IDEMPOTENT, 80, balancers=400, slot_no=399)
-    first = list(host.choice.split.pool)
-    host.traffic(6 * SECOND, 200 * MS, lambda upstream: None if upstream.seen in first else 50 * MS)
-    assert {sent.upstream.seen for sent in host.sent[-4:]}.isdisjoint(first)
+    first = list(host.policy.selector.subset)
+    host.traffic(
+        6 * SECOND, 200 * MS, lambda upstream: None if upstream.statistics in first else 50 * MS
+    )
+    assert {sent.upstream.statistics for sent in host.sent[-4:]}.isdisjoint(first)
 
 
 def test_a_list_that_shrinks_and_grows_keeps_what_is_connected_and_meets_who_is_new():
     host = FakeHost(Effect.NON_IDEMPOTENT, 80, balancers=100)
-    before = set(host.choice.split.pool)
-    host.choice.listed(host.upstreams[40:])
-    assert before & {up.seen for up in host.upstreams[40:]} <= set(host.choice.split.pool)
-    host.choice.listed(
+    before = set(host.policy.selector.subset)
+    host.policy.on_endpoints_updated(host.upstreams[40:])
+    assert before & {up.statistics for up in host.upstreams[40:]} <= set(
+        host.policy.selector.subset
+    )
+    host.policy.on_endpoints_updated(
         host.upstreams[40:] + [Upstream(n, UpstreamState.READY, 0, 0, 0) for n in range(200, 300)]
     )
-    assert any(seen.upstream.id >= 200 for seen in host.choice.split.pool)
+    assert any(seen.upstream.id >= 200 for seen in host.policy.selector.subset)
 
 
 def test_hundreds_of_balancers_together_send_a_cold_upstream_less_than_its_part():
@@ -225,7 +231,7 @@
         host = FakeHost(Effect.NON_IDEMPOTENT, 10, balancers=100, seed=number, slot_no=number)
         host.traffic(3 * SECOND, every=100 * MS)
         cold = Upstream(99, UpstreamState.READY, 0, 0, host.now)
-        host.choice.listed(host.upstreams + [cold])
+        host.policy.on_endpoints_updated(host.upstreams + [cold])
         host.traffic(1500 * MS, every=100 * MS)
         first += sum(sent.upstream is cold for sent in host.sent)
     assert (
@@ -259,8 +265,8 @@
                 host.request()
                 due += int(chance.expovariate(each) * SECOND)
             for out in host.out():
-                if out.sent + (120 if out.upstream.id >= 100 else 50) * MS <= host.now:
-                    host.came_back(
+                if out.sent_at + (120 if out.upstream.id >= 100 else 50) * MS <= host.now:
+                    host.finish_attempt(
                         out, Outcome.OVERLOADED if chance.random() < full else Outcome.SUCCEEDED
                     )
             host.sent[:] = host.out()
@@ -273,7 +279,7 @@
 
     host.start_attempt = counted
     go(5 * SECOND, each, 0.0)
-    host.choice.listed(
+    host.policy.on_endpoints_updated(
         host.upstreams[2:]
         + [Upstream(100 + n, UpstreamState.READY, 0, 0, host.now) for n in range(2)]
     )
@@ -306,11 +312,11 @@
 
 def test_the_quick_answers_of_a_restarted_balancers_first_seconds_do_not_narrow_its_room():
     host = FakeHost(Effect.IDEMPOTENT, 3)
-    before = host.choice.split.ease
+    before = host.policy.selector.baseline_latency
     host.traffic(2 * SECOND, takes=lambda upstream: 5 * MS)
-    assert host.choice.split.ease == before
+    assert host.policy.selector.baseline_latency == before
     host.traffic(4 * SECOND, takes=lambda upstream: 50 * MS)
-    assert host.choice.split.ease < before
+    assert host.policy.selector.baseline_latency < before
 
 
 def test_a_connection_that_is_reset_puts_no_upstream_in_doubt_and_one_that_never_came_up_does():
@@ -323,7 +329,7 @@
         """What share of the requests it gets from two seconds after an attempt that came back so."""
         while not (out := [attempt for attempt in host.out() if attempt.upstream is bad]):
             host.traffic(20 * MS)
-        host.came_back(out[0], outcome)
+        host.finish_attempt(out[0], outcome)
         host.traffic(2 * SECOND)
         before = len(host.sent)
         host.traffic(8 * SECOND)
@@ -345,7 +351,7 @@
         for attempt in host.out():
             if attempt.upstream is bad:
                 met.append(host.now)
-                host.came_back(attempt, Outcome.RESET)
+                host.finish_attempt(attempt, Outcome.RESET)
     assert len(met) < 0.02 * 500  # of 50 requests a second, where a sound one gets a quarter
 
 
@@ -360,13 +366,13 @@
     """
     host = FakeHost(count=3, balancers=2, **REPORTED)
     host.traffic(5 * SECOND, load={"fulfilled_rate": 20.0, "busy": busy, "held": 3.0})
-    assert all(least <= upstream.seen.wide <= most for upstream in host.upstreams)
+    assert all(least <= upstream.statistics.total_capacity <= most for upstream in host.upstreams)
 
 
 def test_an_upstream_that_does_not_send_the_reports_it_promised_counts_as_one_that_gives_none():
     host = FakeHost(count=3, **REPORTED)
     host.traffic(5 * SECOND)
-    assert all(upstream.seen.wide == 6.0 for upstream in host.upstreams)
+    assert all(upstream.statistics.total_capacity == 6.0 for upstream in host.upstreams)
 
 
 @pytest.mark.parametrize(
@@ -375,10 +381,10 @@
 def test_no_report_upsets_the_decisions(load):
     host = FakeHost(count=3, **PROBED)
     host.traffic(3 * SECOND, load=load)
-    host.choice.reported(
+    host.policy.on_load_report(
         Upstream(99, UpstreamState.READY, 0, 0, 0), {"busy": 1.0}
     )  # one that was never listed
-    host.choice.listed([])
+    host.policy.on_endpoints_updated([])
     host.wait(2 * SECOND)
     assert "fulfilled" in host.answers.values()
 
@@ -390,9 +396,9 @@
     host = FakeHost(count=3, **PROBED)
     for _ in range(100):
         host.request()
-        host.choice.reported(host.upstreams[0], {"held": 9.0, "busy": 1.0})
+        host.policy.on_load_report(host.upstreams[0], {"held": 9.0, "busy": 1.0})
         for attempt in host.out():
-            host.came_back(attempt)
+            host.finish_attempt(attempt)
         host.wait(20 * MS)
     assert len(host.probed) == 50 and set(host.probed) == set(host.upstreams)
     assert not any(sent.upstream is host.upstreams[0] for sent in host.sent[1:])
@@ -402,10 +408,10 @@
     def part(every):
         host = FakeHost(count=60, balancers=60, **{"limits.peers": True})
         for who in range(1, 60):
-            host.choice.told(who, Peers.pack(20.0))
+            host.policy.on_peer_message(who, PeerRates.pack(20.0))
         host.traffic(3 * SECOND, every=every)
-        assert len(host.told) <= 3  # in a third of the seconds, as sixty speak
-        return len(host.choice.split.pool)
+        assert len(host.peer_messages) <= 3  # in a third of the seconds, as sixty speak
+        return len(host.policy.selector.subset)
 
     assert part(500 * MS) <= 3 and part(5 * MS) >= 30
 
@@ -414,29 +420,32 @@
     """Told rates of nothing had each of a fleet take all room for its own."""
     host = FakeHost(count=6, balancers=6, **{"limits.peers": True})
     host.wait(900 * MS)
-    assert host.told == []
+    assert host.peer_messages == []
     host.traffic(2 * SECOND)
-    assert host.told and all(len(contents) == 5 for contents in host.told)
+    assert host.peer_messages and all(len(contents) == 5 for contents in host.peer_messages)
 
 
 @pytest.mark.parametrize(
     "who, contents",
     [
         (1, b""),
-        (1, b"\x02" + Peers.pack(1.0)[1:]),
-        (1, Peers.pack(1.0) + b"more"),
-        (9, Peers.pack(1.0)),
-        (1, Peers.pack(float("nan"))),
-        (1, Peers.pack(-1.0)),
-        (1, Peers.pack(float("inf"))),
+        (1, b"\x02" + PeerRates.pack(1.0)[1:]),
+        (1, PeerRates.pack(1.0) + b"more"),
+        (9, PeerRates.pack(1.0)),
+        (1, PeerRates.pack(float("nan"))),
+        (1, PeerRates.pack(-1.0)),
+        (1, PeerRates.pack(float("inf"))),
         (1, b"x" * 256),
     ],
 )
 def test_a_message_that_cannot_be_read_is_counted_and_passed_over(who, contents):
     host = FakeHost(count=3, balancers=4, **{"limits.peers": True})
-    host.choice.told(who, contents)
+    host.policy.on_peer_message(who, contents)
     host.traffic(2 * SECOND)
-    assert host.choice.split.peers.told == {} and host.choice.split.peers.unread == 1
+    assert (
+        host.policy.selector.peer_rates.received == {}
+        and host.policy.selector.peer_rates.invalid_messages == 1
+    )
 
 
 def test_the_list_is_asked_for_at_times_spread_by_chance_and_later_after_each_call_in_vain():
@@ -451,10 +460,10 @@
         first.append(host.asked[0] - start)
         gaps = [after - before for before, after in zip(host.asked, host.asked[1:])]
         assert max(gaps) <= 5 * SECOND and min(gaps[1:]) >= 2 * SECOND
-        host.choice.listed([Upstream(1, UpstreamState.READY, 0, 0, 0)])
+        host.policy.on_endpoints_updated([Upstream(1, UpstreamState.READY, 0, 0, 0)])
         host.wait(20 * SECOND)
         assert len(host.asked) == 6  # it has come: nothing more is asked
-        host.choice.list_lost()
+        host.policy.on_endpoint_list_lost()
         host.wait(2 * SECOND)
         assert len(host.asked) == 7
     assert max(first) > SECOND and len(set(first)) == 20
@@ -473,7 +482,7 @@
     host.traffic(3 * SECOND)
     bad = host.upstreams[0]
     host.traffic(300 * MS, takes=lambda upstream: None if upstream is bad else 50 * MS)
-    host.choice.change(SETTINGS | {"limits.second_copies": False}, [host.request_class])
+    host.policy.reconfigure(SETTINGS | {"limits.second_copies": False}, [host.request_class])
     before = {
         request.id: len(request.attempts) for request in {sent.request for sent in host.out()}
     }
--- a/tests/runtime/test_pools.py
+++ b/tests/runtime/test_pools.py
@@ -12,7 +12,7 @@
 from tests.fake_host import MS, FakeHost
 from tests.waiting import LIMIT, until
 from whinpier.config.model import Limits
-from whinpier.policy.decaying_sum import SECOND, Turn
+from whinpier.policy.decaying_sum import SECOND, Pacer
 from whinpier.policy.model import RequestClass, Upstream, UpstreamState
 from whinpier.runtime.resource_budget import Budget, Part
 from whinpier.testbed import files
@@ -378,9 +378,9 @@
     for shared, found in ((False, alone), (True, both)):
         for number, host in enumerate(hosts):
             fresh = Upstream(100 + shared, UpstreamState.READY, 0, 0, host.now)
-            fresh.turn = both[0] if shared and number else Turn(host.now)
-            found.append(fresh.turn)
-            host.choice.listed([*host.upstreams, fresh])
+            fresh.warm_up_pacer = both[0] if shared and number else Pacer(host.now)
+            found.append(fresh.warm_up_pacer)
+            host.policy.on_endpoints_updated([*host.upstreams, fresh])
         for _ in range(100):  # the two in turn, as in one process
             for host in hosts:
                 host.traffic(10 * MS)
@@ -392,19 +392,19 @@
 def test_settings_that_change_keep_what_is_known_and_a_request_keeps_the_rules_it_came_under():
     host = FakeHost("exclusive", 3)
     host.traffic(4 * SECOND)
-    known, request = [up.seen for up in host.upstreams], host.request()
+    known, request = [up.statistics for up in host.upstreams], host.request()
     other = RequestClass("other", "rerunnable", 400 * MS, 2000 * MS, 1.0)
-    host.choice.change({"limits.max_hand_offs": 1, "limits.held": 0}, [other])
-    assert [up.seen for up in host.upstreams] == known and all(
+    host.policy.reconfigure({"limits.max_hand_offs": 1, "limits.held": 0}, [other])
+    assert [up.statistics for up in host.upstreams] == known and all(
         seen.answers.value > 1 for seen in known
     )
-    host.came_back(request.attempts[0], "reset")
+    host.finish_attempt(request.attempts[0], "reset")
     assert host.answers[request.id] == "scrapped"  # it came as exclusive
     host.request_class = other
     again = host.request()
-    host.came_back(again.attempts[0], "full")
+    host.finish_attempt(again.attempts[0], "full")
     assert (
         len(again.attempts) == 1 and host.answers[again.id] == "turned back"
     )  # one attempt, nothing held
     host.traffic(2 * SECOND)
-    assert list(host.choice.entry.held) == [other]
+    assert list(host.policy.admission_queue.queues) == [other]
--- a/tests/simhost/test_simhost.py
+++ b/tests/simhost/test_simhost.py
@@ -7,7 +7,7 @@
 import pytest
 
 from whinpier.policy.model import WireError
-from whinpier.policy.rate_gossip import Peers
+from whinpier.policy.rate_gossip import PeerRates
 from whinpier.simhost import wire
 from whinpier.simhost.__main__ import Process, main
 
@@ -109,13 +109,13 @@
     ):  # one that is not listed, one that says nothing
         load = struct.pack(f"<{n}f", *(5.0, 1.0)[:n])
         body += record(30, struct.pack("<IHIIB", 3, 0, 1400, upstream, n) + load)
-    for contents in (Peers.pack(30.0), b"hi"):
+    for contents in (PeerRates.pack(30.0), b"hi"):
         body += record(20, struct.pack("<IHH", 3, 2, len(contents)) + contents)
     body += record(100, struct.pack("<IBII", 3, wire.SCOPE_FAILED, 0, 0))
     process = Process()
     process.batch(1, 9, 6_000_000_000, body)
-    choice = process.instances[3].choice
-    assert process.instances[3].known[222].seen.held == 5.0
-    assert [rate for _, rate in choice.split.peers.told.values()] == [
+    choice = process.instances[3].policy
+    assert process.instances[3].known[222].statistics.reported_in_flight == 5.0
+    assert [rate for _, rate in choice.selector.peer_rates.received.values()] == [
         30.0
-    ] and choice.split.peers.unread == 1
+    ] and choice.selector.peer_rates.invalid_messages == 1
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -43,9 +43,9 @@
 from whinpier.model_checking.quota_mutants import FAULTS as SHARE_FAULTS
 from whinpier.model_checking.quotas import Sharing, Wishing
 from whinpier.policy.model import Attempt, Host, Outcome, Request, Upstream, UpstreamState
-from whinpier.policy.policy import Choice
-from whinpier.policy.rate_gossip import Peers
-from whinpier.settings import COLUMNS, request_classes
+from whinpier.policy.policy import Policy
+from whinpier.policy.rate_gossip import PeerRates
+from whinpier.settings import REPORT_COLUMNS, request_classes
 from whinpier.simhost import wire
 from whinpier.simhost.__main__ import Process, main
 from whinpier.simulation.clock import Clock
@@ -182,10 +182,10 @@
         found, self.request_classes = understood(texts[0])
         self.behaviour = {}
         self.upstreams = []
-        self.choice = Choice(self, found, self.request_classes, seed)
+        self.policy = Policy(self, found, self.request_classes, seed)
         for number in range(upstreams):
             self.join(number, 0)
-        self.choice.listed(list(self.upstreams))
+        self.policy.on_endpoints_updated(list(self.upstreams))
 
     def join(self, number, started):
         upstream = Upstream(number, UpstreamState.READY, number % 2, number % 3, started)
@@ -209,7 +209,7 @@
     def fate(self, attempt):
         """When an attempt comes back, and how."""
         drawn, behaviour = self.chance.random, self.behaviour[attempt.upstream]
-        at, ends = self.now + int(MS * (4 + 60 * drawn() ** 3)), attempt.request.ends
+        at, ends = self.now + int(MS * (4 + 60 * drawn() ** 3)), attempt.request.deadline
         outcome = Outcome.SUCCEEDED
         if behaviour == 1:
             at = self.now + int(MS * (200 + 900 * drawn()))
@@ -262,11 +262,11 @@
         self.journal.note(CLOSE_IDLE, self.now, upstream.id)
         self.journal.count(closed=1)
 
-    def tell(self, balancer, contents):
+    def send_peer_message(self, balancer, contents):
         self.journal.note(TELL, self.now, -1 if balancer is None else balancer, bytes(contents))
         self.journal.count(told=1)
 
-    def follow_list(self, on):
+    def follow_endpoint_list(self, on):
         self.journal.note(FOLLOW, self.now, int(on))
         self.journal.count(list_calls=1)
         if self.chance.random() < 0.6:
@@ -274,7 +274,7 @@
         else:
             self.agenda.put(self.now + 50 * MS, self.lose_list)
 
-    def fetch_list(self):
+    def fetch_endpoint_list(self):
         self.journal.note(FETCH, self.now)
 
     def log(self, text):
@@ -285,33 +285,35 @@
     def load(self):
         drawn = self.chance.random
         return {
-            COLUMNS["busy_reqs"]: float(int(8 * drawn())),
-            COLUMNS["cpu_share"]: 1.2 * drawn(),
-            COLUMNS["served_ps"]: 40 + 40 * drawn(),
+            REPORT_COLUMNS["busy_reqs"]: float(int(8 * drawn())),
+            REPORT_COLUMNS["cpu_share"]: 1.2 * drawn(),
+            REPORT_COLUMNS["served_ps"]: 40 + 40 * drawn(),
         }
 
     def ring(self, token):
-        self.choice.on_timer(token)
+        self.policy.on_timer(token)
 
     def report(self, upstream):
-        self.choice.reported(upstream, self.load())
+        self.policy.on_load_report(upstream, self.load())
 
     def tell_list(self):
-        self.choice.listed([one for one in self.upstreams if one.state != UpstreamState.REMOVED])
+        self.policy.on_endpoints_updated(
+            [one for one in self.upstreams if one.state != UpstreamState.REMOVED]
+        )
 
     def lose_list(self):
-        self.choice.list_lost()
+        self.policy.on_endpoint_list_lost()
 
     def come_back(self, attempt, outcome):
         if attempt.outcome:
             return
         request = attempt.request
-        attempt.outcome, attempt.took = outcome, self.now - attempt.sent
+        attempt.outcome, attempt.duration = outcome, self.now - attempt.sent_at
         first = outcome == Outcome.SUCCEEDED and not request.ended
         request.ended = request.ended or first
         self.journal.count(fulfilled=int(first), **{f"outcome_{OUTCOME_CODES[outcome]}": 1})
         load = self.load() if outcome == Outcome.SUCCEEDED and self.chance.random() < 0.5 else None
-        self.choice.came_back(attempt, load, first)
+        self.policy.on_attempt_finished(attempt, load, first)
 
     def arrive(self):
         self.number += 1
@@ -321,7 +323,7 @@
         self.journal.count(requests=1)
         if drawn() < 0.02:
             self.agenda.put(self.now + int(300 * MS * drawn()), self.leave, request)
-        self.choice.arrive(request)
+        self.policy.on_request(request)
         if self.number < self.requests:
             surge = 4.0 if self.number // 500 % 7 == 6 else 1.0
             self.agenda.put(
@@ -332,7 +334,7 @@
         if not request.ended:
             request.ended = True
             self.journal.count(departures=1)
-            self.choice.left(request)
+            self.policy.on_client_disconnected(request)
 
     def disturb(self):
         """Something happens to an upstream, the list, the peers or the settings."""
@@ -364,12 +366,12 @@
             if drawn() < 0.5:
                 now_asked = self.request_classes  # settings alone, the request classes stay
             self.request_classes = now_asked
-            self.choice.change(found, now_asked)
+            self.policy.reconfigure(found, now_asked)
         elif kind == 13 and one:
             self.report(one)
         else:
-            contents = Peers.pack(50 + 200 * drawn()) if drawn() < 0.9 else b"other"
-            self.choice.told(int(5 * drawn()), contents)
+            contents = PeerRates.pack(50 + 200 * drawn()) if drawn() < 0.9 else b"other"
+            self.policy.on_peer_message(int(5 * drawn()), contents)
         if self.number < self.requests:
             self.agenda.put(self.now + int(250 * MS * (0.2 + drawn())), self.disturb)
 
--- a/whinpier/__main__.py
+++ b/whinpier/__main__.py
@@ -16,7 +16,7 @@
 # isort: off
 from whinpier import log
 from whinpier.config.model import Address, ConfigFault, Spec, kept_till_restart
-from whinpier.policy.policy import Choice  # noqa: F401 (imported here for its place in the order)
+from whinpier.policy.policy import Policy  # noqa: F401 (imported here for its place in the order)
 from whinpier.runtime.process import Life
 from whinpier.config.platform import read
 from whinpier.http.transport import Http1
--- a/whinpier/config/platform.py
+++ b/whinpier/config/platform.py
@@ -120,8 +120,10 @@
     for key, known in CHOICES.items():
         one_of(found, key, known)
     for name in found["report.columns"]:
-        if name not in common.COLUMNS.values():
-            raise ConfigFault(f"report.columns: {name!r} is none of {', '.join(common.COLUMNS)}")
+        if name not in common.REPORT_COLUMNS.values():
+            raise ConfigFault(
+                f"report.columns: {name!r} is none of {', '.join(common.REPORT_COLUMNS)}"
+            )
     for index in range(found["workloads.count"]):
         one_of(found, f"workloads.{index}.key_scope", ("all", "zone", "cell"))
     try:
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -248,7 +248,7 @@
         self.ended += 1
         if how == Outcome.SUCCEEDED:
             self.on_time += (
-                request.pool.now - request.came <= request.request_class.latency_objective
+                request.pool.now - request.arrived_at <= request.request_class.latency_objective
             )
         elif how == "scrapped":
             self.scrapped += 1
--- a/whinpier/fleet/outliers/detector.py
+++ b/whinpier/fleet/outliers/detector.py
@@ -13,7 +13,7 @@
 
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.model import Observation, UpstreamKey
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
 # Over which answers count: with longer ones good answers of before outweigh bad ones.
 OBSERVATION_SPAN = 4 * SECOND // 5
@@ -38,8 +38,8 @@
 class UpstreamStatistics:
     """What this member measured at one upstream."""
 
-    answers: Sum
-    latency_ratios: Sum
+    answers: DecayingSum
+    latency_ratios: DecayingSum
     suspicion: float = 0.0  # a cumulative sum of how far answers exceed the drift
     outstanding: dict[int, int] = field(default_factory=dict)  # attempts: started at
 
@@ -125,7 +125,9 @@
         """Return the statistics of an endpoint, new ones where there are none; None: no endpoint."""
         statistics = self.statistics.get(upstream)
         if statistics is None and upstream in self.zones:
-            statistics = UpstreamStatistics(Sum(OBSERVATION_SPAN, now), Sum(OBSERVATION_SPAN, now))
+            statistics = UpstreamStatistics(
+                DecayingSum(OBSERVATION_SPAN, now), DecayingSum(OBSERVATION_SPAN, now)
+            )
             self.statistics[upstream] = statistics
         return statistics
 
--- a/whinpier/fleet/outliers/monitor.py
+++ b/whinpier/fleet/outliers/monitor.py
@@ -79,7 +79,10 @@
 
     def usual_ns(self) -> float:
         """Return the usual latency of the pool, the longest of its request classes."""
-        known = [request_class.known.usual for request_class in self.pool.spec.request_classes]
+        known = [
+            request_class.statistics.mean_latency
+            for request_class in self.pool.spec.request_classes
+        ]
         return float(max(known))
 
     def on_attempt_started(self, sent: Sent) -> None:
@@ -100,7 +103,7 @@
         """Return how late an attempt ended; a failure is as bad as the latest answer."""
         if sent.outcome in FAILURES:
             return MAX_LATENCY_RATIO
-        ratio: float = sent.took / sent.request.request_class.known.usual
+        ratio: float = sent.duration / sent.request.request_class.statistics.mean_latency
         # A cancelled attempt says something only where it had taken longer than usual.
         is_late_cancel = sent.outcome == Outcome.CANCELLED and ratio > 1.0
         if sent.outcome == Outcome.SUCCEEDED or is_late_cancel:
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -24,7 +24,7 @@
 
 from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
 from whinpier.fleet.quotas.leases import ASKED, MOST_LOANS, Limit
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
 Every = Literal["minute", "hour", "day"]
 # of demand that is written ahead as used: what a kill loses, and what a slow disk may take
@@ -143,7 +143,7 @@
         self.asks: dict[int, Ask] = {}
         self.granted: dict[int, int] = {}
         self.nothing: dict[int, int] = {}
-        self.wanted, self.counted, self.passed, self.turned_back = Sum(LOOK, now), 0, 0, 0
+        self.wanted, self.counted, self.passed, self.turned_back = DecayingSum(LOOK, now), 0, 0, 0
         self.out: list[tuple[int, Deal]] = []
         self.notes: dict[int, Note] = {}  # to be written, by window
         self.held: list[tuple[int, int, Deal]] = []  # goes out once so many notes are written
--- a/whinpier/fleet/quotas/enforcement.py
+++ b/whinpier/fleet/quotas/enforcement.py
@@ -183,7 +183,7 @@
                     for peer in pool.peers():
                         peer.most_links = table.named(peer.host).home
             for peer in pool.peers() if self.at_upstreams.get(pool.name) else ():
-                if peer.spare <= 0 and peer.seen is not None and peer.seen.share > 0.0:
+                if peer.spare <= 0 and peer.statistics is not None and peer.statistics.share > 0.0:
                     for narrow in peer.passes:
                         assert isinstance(narrow, Narrow)
                         narrow.lacking()
--- a/whinpier/fleet/quotas/fair_share.py
+++ b/whinpier/fleet/quotas/fair_share.py
@@ -22,7 +22,7 @@
 
 from whinpier.fleet.quotas.calendar_quota import Calendar
 from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, TASK, Limit
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
 FORM, WORD = 1, Struct("<BQQI")  # demand, used in the window, the window
 TELL = SECOND // 2  # between words to all at once, while demand changes
@@ -97,7 +97,7 @@
         self.members, self.expected = 1, 1
         self.part, self.level, self.level_at, self.cap = 0, 0, now, 0
         self.used, self.spent, self.window, self.window_end = 0, 0, 0, 0
-        self.wanted, self.refused = Sum(LOOK, now), Sum(LOOK, now)
+        self.wanted, self.refused = DecayingSum(LOOK, now), DecayingSum(LOOK, now)
         self.asks, self.refusals, self.passed, self.turned_back = 0, 0, 0, 0
         self.told_at, self.told_demand, self.unheard = 0, -1, 0
 
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from whinpier.fleet.messages import ASK_FOR, BACK, LEND, Deal, pool_mark
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
 MS = SECOND // 1000
 SPAN = 2 * SECOND  # of a loan: what is lost with a message lies unused for so long
@@ -105,7 +105,11 @@
         self.used, self.last_end = 0, 0  # requests in flight, and when the last of them is over
         self.level, self.level_at = 0, now
         self.mine, self.mine_till = 0, now  # what may be used, and till when that is known
-        self.wanted, self.refused, self.wanted_at = Sum(LOOK, now), Sum(LOOK, now), now
+        self.wanted, self.refused, self.wanted_at = (
+            DecayingSum(LOOK, now),
+            DecayingSum(LOOK, now),
+            now,
+        )
         self.asks, self.refusals = 0, 0  # since last added: sums that fade cost more
         self.cap = 0  # of the bucket
         self.sure, self.sure_till = (
--- a/whinpier/http/client_connection.py
+++ b/whinpier/http/client_connection.py
@@ -233,7 +233,7 @@
             return
         pool = self.to[0].pool
         request = self.read_request(*self.to)
-        if request.ends <= self.loop.clock():
+        if request.deadline <= self.loop.clock():
             log.counters["request_expired"] += 1
             self.answer(504, b"too late\n")
             return
--- a/whinpier/http/transport.py
+++ b/whinpier/http/transport.py
@@ -38,5 +38,5 @@
 
     def watch(self, pool: Pool) -> Watch:
         assert pool.spec.discovery
-        chance = pool.choice.split.random
+        chance = pool.policy.selector.random
         return Discovery(pool.spec.discovery, pool.spec.seq, pool.told, chance, pool.tag)
--- a/whinpier/http/upstream_connection.py
+++ b/whinpier/http/upstream_connection.py
@@ -23,7 +23,7 @@
 from whinpier.policy.model import Outcome, UpstreamState
 from whinpier.runtime.pool import Peer, PendingRequest, Pool, Sent
 from whinpier.runtime.resource_budget import Part
-from whinpier.settings import COLUMNS
+from whinpier.settings import REPORT_COLUMNS
 
 BODY = 64 * 1024  # the largest body, by the protocol
 # Of an answer: upstreams have been met whose good ones are six times what the protocol says.
@@ -86,8 +86,8 @@
                 figure = float(text)
             except ValueError:
                 continue
-            if 0.0 <= figure < 1e9 and COLUMNS.get(name, name) in columns:
-                found[COLUMNS.get(name, name)] = figure
+            if 0.0 <= figure < 1e9 and REPORT_COLUMNS.get(name, name) in columns:
+                found[REPORT_COLUMNS.get(name, name)] = figure
         return found or None
 
 
@@ -294,7 +294,7 @@
         log.invariant(sending.outcome is None, "what has its outcome is not sent")
         self.sending, sending.link, self.answer, self.moved = sending, self, Answer(), 0
         asked = sending.asked
-        remaining = max(0, asked.ends - self.loop.clock()) / SECOND
+        remaining = max(0, asked.deadline - self.loop.clock()) / SECOND
         self.write(b"%sx-remaining: %.3f\r\n\r\n%s" % (asked.head, remaining, asked.body))
 
     def read(self) -> None:
--- a/whinpier/policy/decaying_sum.py
+++ b/whinpier/policy/decaying_sum.py
@@ -8,7 +8,7 @@
 SECOND = 1_000_000_000  # in nanoseconds, as all times are
 
 
-class Sum:
+class DecayingSum:
     """A sum whose parts fade with age; brought up to date when read."""
 
     __slots__ = ("span", "value", "at", "begun")
@@ -35,7 +35,7 @@
         return self.read(now) * SECOND / (self.span * (1.0 - exp(-seen / self.span)))
 
 
-class Turn:
+class Pacer:
     """Deals out a stated number over each span of time, one by one; of a part of one, one comes
     by chance.
 
--- a/whinpier/policy/model.py
+++ b/whinpier/policy/model.py
@@ -62,10 +62,10 @@
     window: int = 0
     streamed: bool = False
     stretch: float = 0.0
-    known: Any = None  # what the decisions have observed of it
-    most: int = 1  # attempts of one request, by the settings it came under
-    copies: bool = False  # whether a second one may be sent while the first is out
-    cancelling: bool = False  # whether one that is out may be called off
+    statistics: Any = None  # what the decisions have observed of it
+    max_attempts: int = 1  # attempts of one request, by the settings it came under
+    hedging: bool = False  # whether a second one may be sent while the first is out
+    cancellation: bool = False  # whether one that is out may be called off
 
 
 @dataclass(slots=True, eq=False)
@@ -79,8 +79,8 @@
     started: int  # 0: long ago
     size: float = 1.0
     shape: int = 0
-    seen: Any = None  # what the decisions have observed of it
-    turn: Any = (
+    statistics: Any = None  # what the decisions have observed of it
+    warm_up_pacer: Any = (
         None  # when it is due a request while cold, where other pools of this process list it too
     )
     spare: float = inf  # how many more it may be sent just now, by limits beside the decisions' own
@@ -92,8 +92,8 @@
 
     id: int
     request_class: RequestClass
-    came: int
-    ends: int  # the client gives up then
+    arrived_at: int
+    deadline: int  # the client gives up then
     key: int = 0
     tenant: int = 0
     work_hint: int | None = None
@@ -101,7 +101,7 @@
     write: bool = False
     attempts: list[Attempt] = field(default_factory=list)
     ended: bool = False
-    held_until: int = 0  # by the decisions, at the latest
+    queued_until: int = 0  # by the decisions, at the latest
 
 
 @dataclass(slots=True, eq=False)
@@ -111,10 +111,10 @@
     request: Request
     upstream: Upstream
     number: int
-    sent: int
+    sent_at: int
     outcome: Outcome | None = None
-    took: int = 0
-    pull: float = 0.0  # answers due of it in a nanosecond, by the decisions' count
+    duration: int = 0
+    expected_rate: float = 0.0  # answers due of it in a nanosecond, by the decisions' count
 
 
 class Host(Protocol):
@@ -143,13 +143,13 @@
     def close_idle(self, upstream: Upstream) -> None:
         """Close idle connections to an upstream."""
 
-    def tell(self, balancer: int | None, contents: bytes) -> None:
+    def send_peer_message(self, balancer: int | None, contents: bytes) -> None:
         """Send a few bytes to one other balancer, or to all (None); they come as `Choice.told`."""
 
-    def follow_list(self, on: bool) -> None:
+    def follow_endpoint_list(self, on: bool) -> None:
         """Ask for changes of the upstream list from now on, or no longer."""
 
-    def fetch_list(self) -> None:
+    def fetch_endpoint_list(self) -> None:
         """Ask once for the whole list."""
 
     def log(self, text: str) -> None:
--- a/whinpier/policy/policy.py
+++ b/whinpier/policy/policy.py
@@ -20,7 +20,7 @@
 from random import Random
 from typing import Any
 
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 from whinpier.policy.model import (
     NEVER_RAN,
     Attempt,
@@ -32,19 +32,19 @@
     Upstream,
     UpstreamState,
 )
-from whinpier.policy.rate_gossip import Peers
-from whinpier.policy.statistics import Known, Seen
+from whinpier.policy.rate_gossip import PeerRates
+from whinpier.policy.statistics import RequestClassStatistics, UpstreamStatistics
 
 PASS, KEEP, END = "pass on", "keep", "end"
 PERIOD = SECOND  # between solves; the design page's
 SOLVE, TICK, ASK = 1, 2, 3  # timer tokens
 
 
-def level(costs: list[float], rate: float) -> list[float]:
+def min_max_split(costs: list[float], rate: float) -> list[float]:
     """The min-max split: rates for servers of mean service time `costs`, all in use at one level r."""
-    total, capacity = sum(1.0 / cost for cost in costs), 0.0
-    if rate >= total:
-        return [rate / total / cost for cost in costs]
+    in_flight, capacity = sum(1.0 / cost for cost in costs), 0.0
+    if rate >= in_flight:
+        return [rate / in_flight / cost for cost in costs]
     slack, order = 0.0, sorted(costs)
     for used, cost in enumerate(order, 1):
         capacity += 1.0 / cost
@@ -54,7 +54,7 @@
     return [max(0.0, 1.0 / cost - slack) for cost in costs]
 
 
-class Entry:
+class AdmissionQueue:
     """First stage: takes a request in; what no upstream has room for is held a moment, then
     rejected.
     """
@@ -62,12 +62,12 @@
     # of the latency objective at most: rides out a short stop and leaves the rest for the upstream
     HOLD = 0.25
 
-    def __init__(self, choice: Choice, settings: dict[str, Any]) -> None:
-        self.choice, self.host = choice, choice.host
-        self.held: dict[RequestClass, deque[Request]] = {
-            request_class: deque() for request_class in choice.request_classes
+    def __init__(self, policy: Policy, settings: dict[str, Any]) -> None:
+        self.policy, self.host = policy, policy.host
+        self.queues: dict[RequestClass, deque[Request]] = {
+            request_class: deque() for request_class in policy.request_classes
         }
-        self.answered = Sum(
+        self.answered = DecayingSum(
             2 * SECOND, self.host.now
         )  # follows a fleet that turns slow, not single requests
         self.configure(settings)
@@ -76,9 +76,9 @@
         self.whole = float(settings.get("goal.whole", 1.0))
         self.worst = float(settings.get("goal.worst_class", 0.0))
         self.most = int(settings.get("limits.held", 1 << 30))
-        self.held |= {
-            request_class: self.held.get(request_class, deque())
-            for request_class in self.choice.request_classes
+        self.queues |= {
+            request_class: self.queues.get(request_class, deque())
+            for request_class in self.policy.request_classes
         }
 
     def rank(self) -> None:
@@ -87,16 +87,16 @@
         """
         here = [
             kind
-            for kind, requests in self.held.items()
-            if requests or kind in self.choice.request_classes
+            for kind, requests in self.queues.items()
+            if requests or kind in self.policy.request_classes
         ]
         asked = {
-            request_class: request_class.known.asked.read(self.host.now) + 1.0
+            request_class: request_class.statistics.requests.read(self.host.now) + 1.0
             for request_class in here
         }
         least = min(
             asked,
-            key=lambda request_class: request_class.known.kept.read(self.host.now)
+            key=lambda request_class: request_class.statistics.on_time.read(self.host.now)
             / asked[request_class],
         )
         priority_weight = sum(
@@ -107,19 +107,19 @@
             lift = self.worst / asked[request_class] if request_class is least else 0.0
             return float(
                 (self.whole * request_class.priority_weight / priority_weight + lift)
-                / request_class.known.usual
+                / request_class.statistics.mean_latency
             )
 
-        self.held = {
-            request_class: self.held[request_class]
+        self.queues = {
+            request_class: self.queues[request_class]
             for request_class in sorted(here, key=worth, reverse=True)
         }
 
     def waiting(self, request_class: RequestClass | None = None) -> int:
         """How many are held, or of those how many would go before a new request of a request class."""
-        first = list(self.held)
-        first = first[: first.index(request_class) + 1] if request_class in self.held else first
-        return sum(len(self.held[other]) for other in first)
+        first = list(self.queues)
+        first = first[: first.index(request_class) + 1] if request_class in self.queues else first
+        return sum(len(self.queues[other]) for other in first)
 
     def take(self, request: Request) -> str:
         return self.hold(request) if self.waiting(request.request_class) else PASS
@@ -128,51 +128,54 @@
         """Keep a request until there is room, unless too many wait for it to be reached in time."""
         now, request_class = self.host.now, request.request_class
         # 20 ms before its client gives up at the latest, so that its answer is timely.
-        request.held_until = min(
-            request.came + int(self.HOLD * request_class.latency_objective),
-            request.ends - SECOND // 50,
+        request.queued_until = min(
+            request.arrived_at + int(self.HOLD * request_class.latency_objective),
+            request.deadline - SECOND // 50,
         )
-        wait = request.held_until - now
+        wait = request.queued_until - now
         if (
             wait <= 0
             or self.waiting(request_class) > 3 + self.answered.rate(now) * wait / SECOND
             or self.waiting() >= self.most
         ):
-            return self.choice.finish(request)
-        self.held.setdefault(request_class, deque()).append(request)
-        self.choice.wake(now + SECOND // 100)
+            return self.policy.finish(request)
+        self.queues.setdefault(request_class, deque()).append(request)
+        self.policy.wake(now + SECOND // 100)
         return KEEP
 
     def release(self) -> None:
         """Send on what is held while there is room: the most worth first, of that the oldest."""
-        for requests in self.held.values():
-            while requests and (requests[0].ended or self.choice.run(requests[0], 1) != PASS):
+        for requests in self.queues.values():
+            while requests and (requests[0].ended or self.policy.run(requests[0], 1) != PASS):
                 requests.popleft()
 
     def expire(self) -> None:
         """Reject what has been held long enough."""
-        for requests in self.held.values():
+        for requests in self.queues.values():
             for request in [
                 request
                 for request in requests
-                if request.held_until <= self.host.now or request.ended
+                if request.queued_until <= self.host.now or request.ended
             ]:
                 requests.remove(request)
                 if not request.ended:
-                    self.choice.finish(request)
+                    self.policy.finish(request)
 
-    def back(self, attempt: Attempt, first: bool) -> None:
+    def on_attempt_finished(self, attempt: Attempt, first: bool) -> None:
         now, request = self.host.now, attempt.request
         if attempt.outcome == Outcome.SUCCEEDED:
             self.answered.add(now)
-            request.request_class.known.kept.add(
-                now, float(first and now <= request.came + request.request_class.latency_objective)
+            request.request_class.statistics.on_time.add(
+                now,
+                float(
+                    first and now <= request.arrived_at + request.request_class.latency_objective
+                ),
             )
-        if attempt.upstream.seen.out < attempt.upstream.seen.room:
+        if attempt.upstream.statistics.in_flight < attempt.upstream.statistics.capacity:
             self.release()
 
 
-class Again:
+class RetryPolicy:
     """Second stage: keeps to what each request class allows when a request is sent more than once."""
 
     LATE = (
@@ -180,9 +183,12 @@
     )
     COPIES = 0.1  # second copies and repeats, per request: enough for one bad upstream in ten
 
-    def __init__(self, choice: Choice, settings: dict[str, Any]) -> None:
-        self.choice, self.host = choice, choice.host
-        self.requests, self.copies = Sum(5 * SECOND, self.host.now), Sum(5 * SECOND, self.host.now)
+    def __init__(self, policy: Policy, settings: dict[str, Any]) -> None:
+        self.policy, self.host = policy, policy.host
+        self.requests, self.copies = (
+            DecayingSum(5 * SECOND, self.host.now),
+            DecayingSum(5 * SECOND, self.host.now),
+        )
         self.due: list[tuple[int, int, Attempt]] = []
         self.number = numbers()
         self.configure(settings)
@@ -192,17 +198,17 @@
         self.setup = (
             settings.get("limits.connect_timeout", SECOND // 4) + SECOND // 20
         )  # till it has come
-        for request_class in self.choice.request_classes:  # a request keeps what held when it came
-            request_class.most, request_class.copies = (
+        for request_class in self.policy.request_classes:  # a request keeps what held when it came
+            request_class.max_attempts, request_class.hedging = (
                 int(settings.get("limits.max_hand_offs", 1)),
                 self.second_copies,
             )
-            request_class.cancelling = settings.get("limits.cancelling", False)
+            request_class.cancellation = settings.get("limits.cancelling", False)
         self.due = self.due if self.second_copies else []  # no copy is sent by settings of before
 
     def take(self, request: Request) -> str:
         return (
-            PASS if not request.attempts or self.allowed(request) else self.choice.finish(request)
+            PASS if not request.attempts or self.allowed(request) else self.policy.finish(request)
         )
 
     @staticmethod
@@ -220,11 +226,13 @@
             ran is None
             or request_class.kind == Effect.IDEMPOTENT
             or request_class.kind != Effect.NON_IDEMPOTENT
-            and now + self.setup < ran.sent + request_class.window
+            and now + self.setup < ran.sent_at + request_class.window
+        )
+        return (
+            once and len(request.attempts) < request_class.max_attempts and now < request.deadline
         )
-        return once and len(request.attempts) < request_class.most and now < request.ends
 
-    def fits(self, request: Request, upstream: Upstream) -> bool:
+    def allows_upstream(self, request: Request, upstream: Upstream) -> bool:
         """Whether the upstream drops repeats of what may have run before."""
         ran, group = self.may_have_run(request), request.request_class.group
         if ran is None or request.request_class.kind == Effect.IDEMPOTENT or group == "all":
@@ -254,15 +262,15 @@
     def sent(self, attempt: Attempt) -> None:
         """Look again at a repeatable request when its answer is late."""
         request_class = attempt.request.request_class
-        due = self.host.now + int(self.LATE * request_class.known.usual)
+        due = self.host.now + int(self.LATE * request_class.statistics.mean_latency)
         if (
             request_class.kind != Effect.NON_IDEMPOTENT
-            and request_class.copies
+            and request_class.hedging
             and self.second_copies
-            and due < attempt.request.ends
+            and due < attempt.request.deadline
         ):
             heapq.heappush(self.due, (due, next(self.number), attempt))
-            self.choice.wake(due)
+            self.policy.wake(due)
 
     def check(self) -> None:
         """Send second copies of what an upstream in doubt holds: copies of what is only heavy tip a fleet."""
@@ -271,28 +279,32 @@
             request = attempt.request
             if request.ended or attempt.outcome or attempt is not request.attempts[-1]:
                 continue
-            if not self.choice.split.doubted(attempt.upstream.seen, attempt):
+            if not self.policy.selector.is_suspected(attempt.upstream.statistics, attempt):
                 self.sent(attempt)
-            elif self.allowed(request) and not self.choice.entry.waiting() and self.afford():
-                self.choice.split.take(request)
-
-    def back(self, attempt: Attempt, first: bool) -> None:
+            elif (
+                self.allowed(request)
+                and not self.policy.admission_queue.waiting()
+                and self.afford()
+            ):
+                self.policy.selector.take(request)
+
+    def on_attempt_finished(self, attempt: Attempt, first: bool) -> None:
         request = attempt.request
         others = [other for other in request.attempts if not other.outcome]
-        if request.ended or (others and self.host.now < request.ends):
+        if request.ended or (others and self.host.now < request.deadline):
             self.call_off(others if first else [])
         elif attempt.outcome not in NEVER_RAN and not self.afford():
-            self.choice.finish(request)
-        elif self.choice.run(request, 1) == PASS:
-            self.choice.entry.hold(request)
+            self.policy.finish(request)
+        elif self.policy.run(request, 1) == PASS:
+            self.policy.admission_queue.hold(request)
 
     def call_off(self, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            if not attempt.outcome and attempt.request.request_class.cancelling:
+            if not attempt.outcome and attempt.request.request_class.cancellation:
                 self.host.cancel(attempt)
 
 
-class Split:
+class UpstreamSelector:
     """Last stage: draws an upstream by the shares of the min-max solve and hands the request over."""
 
     DOUBT = 4.0  # answers overdue: by chance once in e^4, about one in fifty
@@ -311,24 +323,33 @@
     FRESH = SECOND // 2  # a probe's word holds: a few turns of what is in work
     SPEAK = 20.0  # messages a second that each balancer gets at most, however many there are
 
-    def __init__(self, choice: Choice, settings: dict[str, Any], seed: int) -> None:
-        self.choice, self.host = choice, choice.host
+    def __init__(self, policy: Policy, settings: dict[str, Any], seed: int) -> None:
+        self.policy, self.host = policy, policy.host
         chance = Random(seed)
-        self.random, self.pick = chance.random, chance.choice
-        self.ready: list[Seen] = []  # what is listed as ready, sorted
-        self.pool: list[Seen] = []  # the part of it that this balancer keeps to
-        self.drawn: list[Seen] = []  # those with a share
+        self.random, self.random_choice = chance.random, chance.choice
+        self.ready: list[UpstreamStatistics] = []  # what is listed as ready, sorted
+        self.subset: list[UpstreamStatistics] = []  # the part of it that this balancer keeps to
+        self.drawn: list[UpstreamStatistics] = []  # those with a share
         self.bounds: list[float] = []  # running sums of their shares
-        self.span, self.ease = 3 * SECOND, 0.0  # ease: the least mean latency of late, in seconds
-        self.cold: list[Seen] = []  # those of the pool that are not warm yet
-        self.arrived = Sum(self.span, self.host.now)
+        self.span, self.baseline_latency = (
+            3 * SECOND,
+            0.0,
+        )  # ease: the least mean latency of late, in seconds
+        self.warming_up: list[UpstreamStatistics] = []  # those of the pool that are not warm yet
+        self.arrived = DecayingSum(self.span, self.host.now)
         self.configure(settings)
         self.traffic, self.asking = 1.0 / self.balancers, float(self.number)
-        self.total, self.owed, self.usual, self.sharing, self.crowded = 0, 0.0, 0.0, 1.0, False
+        self.in_flight, self.owed, self.mean_latency, self.sharing, self.crowded = (
+            0,
+            0.0,
+            0.0,
+            1.0,
+            False,
+        )
 
     def configure(self, settings: dict[str, Any]) -> None:
-        self.peers, self.balancers = (
-            Peers(),
+        self.peer_rates, self.balancers = (
+            PeerRates(),
             max(1, int(settings.get("balancers", 1))),
         )  # others, other rates
         self.reports = "busy" in settings.get("report.columns", [])
@@ -347,59 +368,74 @@
         )
         agreed = [
             request_class.latency_objective / SECOND
-            for request_class in self.choice.request_classes
+            for request_class in self.policy.request_classes
         ]
-        self.ease = self.ease or min(agreed) / 5  # a start until it is known
+        self.baseline_latency = (
+            self.baseline_latency or min(agreed) / 5
+        )  # a start until it is known
         self.crossing = float(settings.get("prices.cross_zone", 0.0)) * max(
             agreed
         )  # its price as time
 
-    def listed(self, upstreams: list[Upstream]) -> None:
+    def on_endpoints_updated(self, upstreams: list[Upstream]) -> None:
         """Follow the list: what drains or is missing gets nothing new from this moment on."""
         for upstream in upstreams:
-            if upstream.seen is None:
+            if upstream.statistics is None:
                 wait = int(self.fall * self.random()) if self.ready else 0
-                upstream.seen = Seen(upstream, self.host.now, self.span, wait)
+                upstream.statistics = UpstreamStatistics(upstream, self.host.now, self.span, wait)
         ready = sorted(
-            (up.seen for up in upstreams if up.state == UpstreamState.READY),
+            (up.statistics for up in upstreams if up.state == UpstreamState.READY),
             key=lambda seen: seen.upstream.id,
         )
         # Who joins a list is taken up by chance, so that it meets as many balancers as the others.
-        part = self.want(len(ready)) / max(1, len(ready)) if self.ready else 0.0
-        pool, known, self.ready = set(self.pool), set(self.ready), ready
-        self.pool = [
-            seen for seen in ready if seen in pool or seen not in known and self.random() < part
+        part = self.subset_size(len(ready)) / max(1, len(ready)) if self.ready else 0.0
+        subset, known, self.ready = set(self.subset), set(self.ready), ready
+        self.subset = [
+            seen for seen in ready if seen in subset or seen not in known and self.random() < part
         ]
-        self.solve()
+        self.update_shares()
 
-    def want(self, count: int) -> int:
+    def subset_size(self, count: int) -> int:
         """How many upstreams of a list to keep to."""
         # Guards against knowing little of many, and against more balancers at an upstream than
         # there is room for requests, as each may send one: with so many by its part of all traffic
         # they are no more.
-        wide = sum(seen.wide for seen in self.pool) / len(self.pool) if self.pool else self.MOST
+        wide = (
+            sum(seen.total_capacity for seen in self.subset) / len(self.subset)
+            if self.subset
+            else self.MOST
+        )
         return min(count, max(self.LEAST, int(wide * count * self.traffic + 0.5)))
 
     def choose(self) -> None:
         """Keep to every n-th upstream of the sorted list, from a start of this balancer's own."""
-        pool, count = self.pool, len(self.ready)
-        want, sound = self.want(count), sum(not self.doubted(seen) for seen in pool)
-        if want == count:
-            pool = list(self.ready)
+        subset, count = self.subset, len(self.ready)
+        subset_size, sound = (
+            self.subset_size(count),
+            sum(not self.is_suspected(seen) for seen in subset),
+        )
+        if subset_size == count:
+            subset = list(self.ready)
         # In steps, with what is connected kept. If most of them are in doubt others are taken
         # besides.
-        elif 4 * min(len(pool), 2 * sound) <= 3 * want:
-            step, start, held = count // want, self.number * count // self.balancers, set(pool)
+        elif 4 * min(len(subset), 2 * sound) <= 3 * subset_size:
+            step, start, held = (
+                count // subset_size,
+                self.number * count // self.balancers,
+                set(subset),
+            )
             walk = (
                 self.ready[(start + at) % count]
                 for at in sorted(range(count), key=lambda at: at % step)
             )
-            pool += islice((seen for seen in walk if seen not in held), max(1, want - sound))
-        while len(pool) > 1.5 * want:
-            self.host.close_idle(pool.pop(int(self.random() * len(pool))).upstream)
-        self.pool = pool
+            subset += islice(
+                (seen for seen in walk if seen not in held), max(1, subset_size - sound)
+            )
+        while len(subset) > 1.5 * subset_size:
+            self.host.close_idle(subset.pop(int(self.random() * len(subset))).upstream)
+        self.subset = subset
 
-    def tell(self) -> None:
+    def send_rate(self) -> None:
         now = (
             self.host.now
         )  # once there is a rate: of nothing, others would think that they are alone
@@ -408,31 +444,33 @@
             and now >= self.arrived.begun + PERIOD
             and self.random() < self.SPEAK / self.balancers
         ):
-            self.host.tell(None, self.peers.pack(self.arrived.rate(now)))
+            self.host.send_peer_message(None, self.peer_rates.pack(self.arrived.rate(now)))
 
-    def came(self) -> None:
+    def on_request(self) -> None:
         """Count a request; as often as they come upstreams are asked for their load, in turn."""
         self.arrived.add(self.host.now)
         self.asking += self.PROBES
-        if self.probes and self.asking % 1.0 < self.PROBES and self.pool:
-            self.host.probe(self.pool[int(self.asking) % len(self.pool)].upstream)
+        if self.probes and self.asking % 1.0 < self.PROBES and self.subset:
+            self.host.probe(self.subset[int(self.asking) % len(self.subset)].upstream)
 
-    def reported(self, seen: Seen, load: dict[str, float]) -> None:
+    def on_load_report(self, seen: UpstreamStatistics, load: dict[str, float]) -> None:
         """Take in what an upstream says of its load."""
         now = self.host.now
-        seen.given = load.get("fulfilled_rate", seen.given)
+        seen.rate = load.get("fulfilled_rate", seen.rate)
         if self.probes and "held" in load:
-            seen.held, seen.probed = load["held"], now
+            seen.reported_in_flight, seen.probed_at = load["held"], now
         if "busy" in load:
             # Guards against room for six at one of a single core: its room grows and shrinks by e a
             # second for each whole part in use that is missing or too many, to what just keeps it
             # in use.
             use, span = (
                 self.IN_USE if self.probes else self.LATE_USE,
-                min(now - seen.told, SECOND) / SECOND,
+                min(now - seen.reported_at, SECOND) / SECOND,
             )
-            seen.wide = min(max(seen.wide * exp((use - load["busy"]) * span), 1.5), self.MOST)
-            seen.told, seen.mute = now, 0
+            seen.total_capacity = min(
+                max(seen.total_capacity * exp((use - load["busy"]) * span), 1.5), self.MOST
+            )
+            seen.reported_at, seen.answers_without_report = now, 0
 
     def age(self, upstream: Upstream) -> float:
         old, most = (
@@ -441,31 +479,34 @@
         )
         return 1.0 if old >= most else self.cold_from + (1.0 - self.cold_from) * max(0, old) / most
 
-    def doubted(self, seen: Seen, but: Attempt | None = None) -> bool:
+    def is_suspected(self, seen: UpstreamStatistics, but: Attempt | None = None) -> bool:
         # Guards against one that takes requests and answers none: what is out bounds its latency by
         # its age.
         seen.watch(now := self.host.now)
         # For `but`, a heavy request must not pass for a silent upstream: without it, one more must
         # be overdue.
-        return seen.silence > self.DOUBT and (
-            not but or seen.silence - (now - max(but.sent, seen.heard)) * but.pull > 1.0
+        return seen.overdue_answers > self.DOUBT and (
+            not but
+            or seen.overdue_answers
+            - (now - max(but.sent_at, seen.last_answer_at)) * but.expected_rate
+            > 1.0
         )
 
-    def sure(self) -> list[Seen]:
+    def sure(self) -> list[UpstreamStatistics]:
         """Those that answer. Where most seem silent at once it is no fault of theirs: then all of them."""
-        sure = [seen for seen in self.pool if not self.doubted(seen)]
-        return sure if 2 * len(sure) >= len(self.pool) else self.pool
+        sure = [seen for seen in self.subset if not self.is_suspected(seen)]
+        return sure if 2 * len(sure) >= len(self.subset) else self.subset
 
-    def solve(self) -> None:
+    def update_shares(self) -> None:
         """Find the shares for the next period."""
         now = self.host.now
         own, mean = self.arrived.rate(now), self.measure(now)
-        fleet = self.peers.rate(own, self.balancers, now)
+        fleet = self.peer_rates.rate(own, self.balancers, now)
         # Its part of all traffic. One request a second each as a start: before anything came all
         # are alike.
         self.traffic = (own + 1.0) / (fleet + self.balancers)
         self.choose()
-        pool, sure, part = self.pool, self.sure(), len(self.pool) / max(1, len(self.ready))
+        subset, sure, part = self.subset, self.sure(), len(self.subset) / max(1, len(self.ready))
         rate, self.sharing = (
             fleet * part,
             max(1.0, part / self.traffic),
@@ -473,90 +514,106 @@
         # Latencies fade over the time it takes to hear some thirty answers of each: fewer say
         # little where requests differ much. Bounds: three seconds, and half of what a trouble
         # usually lasts.
-        self.span = int(min(max(30.0 * len(pool) / max(own, 1.0), 3.0), 10.0) * SECOND)
-        for seen in pool:
+        self.span = int(min(max(30.0 * len(subset) / max(own, 1.0), 3.0), 10.0) * SECOND)
+        for seen in subset:
             seen.share, seen.due.span, seen.answers.span = 0.0, self.span, self.span
-            seen.cold = self.age(seen.upstream) < 1.0
-            self.make_room(seen)
+            seen.warming_up = self.age(seen.upstream) < 1.0
+            self.update_capacity(seen)
         # What a warm one answers from here in the time that lets a cold one fall is the measure for
         # that one.
-        self.cold, even = [seen for seen in pool if seen.cold], own / max(1, len(pool))
+        self.warming_up, even = (
+            [seen for seen in subset if seen.warming_up],
+            own / max(1, len(subset)),
+        )
         warm, answers = (
-            len(pool) - len(self.cold),
-            [w.known.answers.rate(now) for w in self.choice.request_classes],
+            len(subset) - len(self.warming_up),
+            [w.statistics.answers.rate(now) for w in self.policy.request_classes],
+        )
+        self.mean_latency = (
+            (max(sum(answers) / warm, even / 4) if warm else even) * self.fall / SECOND
         )
-        self.usual = (max(sum(answers) / warm, even / 4) if warm else even) * self.fall / SECOND
         # Until latencies and a rate exist the draw is even.
-        shares = level(self.costs(sure, mean), rate) if mean and rate >= 1.0 else [1.0] * len(sure)
+        shares = (
+            min_max_split(self.costs(sure, mean), rate)
+            if mean and rate >= 1.0
+            else [1.0] * len(sure)
+        )
         for seen, share in zip(sure, shares):
             seen.share = share * self.age(seen.upstream)
         # Rates are smoothed over the same time as latencies.
-        total, step = sum(seen.share for seen in sure) or 1.0, 1.0 - exp(-PERIOD / self.span)
+        in_flight, step = sum(seen.share for seen in sure) or 1.0, 1.0 - exp(-PERIOD / self.span)
         for seen in sure:  # who is in doubt keeps the rate it carried before
-            seen.share /= total
-            if seen.given is not None:
-                seen.given += (seen.share * rate - seen.given) * step
-        self.drawn = [seen for seen in sure if seen.share > 0.0 and not seen.cold]
+            seen.share /= in_flight
+            if seen.rate is not None:
+                seen.rate += (seen.share * rate - seen.rate) * step
+        self.drawn = [seen for seen in sure if seen.share > 0.0 and not seen.warming_up]
         self.bounds = list(accumulate(seen.share for seen in self.drawn))
 
     def measure(self, now: int) -> float:
         """Mean latency in seconds over the mix of request classes as it comes; 0 while nothing is known."""
         took = answers = 0.0
-        for request_class in self.choice.request_classes:
-            known, answered = request_class.known, request_class.known.answers.read(now)
-            known.usual = (
-                max(known.took.read(now) / answered, 1e3) if answered > 0.5 else known.usual
+        for request_class in self.policy.request_classes:
+            known, answered = request_class.statistics, request_class.statistics.answers.read(now)
+            known.mean_latency = (
+                max(known.durations.read(now) / answered, 1e3)
+                if answered > 0.5
+                else known.mean_latency
             )
-            answers, took = answers + answered, took + known.took.value
+            answers, took = answers + answered, took + known.durations.value
         mean = took / answers / SECOND if answers > 0.5 else 0.0
         # Against fifty answers, and after three seconds: the quickest come first, and a restarted
         # balancer must not think them usual. Forgotten slower than a trouble lasts.
         if now >= self.arrived.begun + 3 * SECOND:
-            self.ease = min(self.ease * 1.01, (took / SECOND + 50.0 * self.ease) / (answers + 50.0))
-        self.crowded = mean > 2.0 * self.ease
+            self.baseline_latency = min(
+                self.baseline_latency * 1.01,
+                (took / SECOND + 50.0 * self.baseline_latency) / (answers + 50.0),
+            )
+        self.crowded = mean > 2.0 * self.baseline_latency
         return mean
 
-    def costs(self, sure: list[Seen], mean: float) -> list[float]:
+    def costs(self, sure: list[UpstreamStatistics], mean: float) -> list[float]:
         """Mean service time of each, from the point on its curve that its latency and rate show."""
         now, known = self.host.now, {}
         for seen in sure:
-            if seen.given is not None:
+            if seen.rate is not None:
                 far = self.crossing if seen.upstream.zone != self.zone else 0.0
-                known[seen] = 1.0 / (mean * seen.ratio(now) + far) + seen.given
+                known[seen] = 1.0 / (mean * seen.ratio(now) + far) + seen.rate
         middle = sum(known.values()) / len(known) if known else 1.0 / mean
         costs = []
         for seen in sure:
-            seen.given = max(0.0, middle - 1.0 / mean) if seen.given is None else seen.given
+            seen.rate = max(0.0, middle - 1.0 / mean) if seen.rate is None else seen.rate
             # What was measured counts against three answers at the mean: who is little heard of is
             # near it.
             heard = seen.answers.read(now)
             costs.append((heard + 3.0) / (heard * known.get(seen, middle) + 3.0 * middle))
         return costs
 
-    def make_room(self, seen: Seen) -> None:
+    def update_capacity(self, seen: UpstreamStatistics) -> None:
         # Guards against crowding, where upstreams lose speed or turn requests away: its part of
         # what all may have out, or, by Little's law, what is answered in a fifth more than the
         # latency at ease.
-        if not self.reports or seen.mute > self.MUTE:
-            seen.wide = self.MOST
-        seen.part = seen.wide / self.sharing
-        if seen.wide == self.MOST:
-            seen.part = max(seen.part, seen.answers.rate(self.host.now) * 1.2 * self.ease)
-        seen.room = max(1.0, seen.part) - 0.5  # rounded to whole requests
-
-    def open_to(self, seen: Seen, request: Request) -> bool:
+        if not self.reports or seen.answers_without_report > self.MUTE:
+            seen.total_capacity = self.MOST
+        seen.capacity_share = seen.total_capacity / self.sharing
+        if seen.total_capacity == self.MOST:
+            seen.capacity_share = max(
+                seen.capacity_share, seen.answers.rate(self.host.now) * 1.2 * self.baseline_latency
+            )
+        seen.capacity = max(1.0, seen.capacity_share) - 0.5  # rounded to whole requests
+
+    def open_to(self, seen: UpstreamStatistics, request: Request) -> bool:
         """Whether the rules and plain sense let this upstream have the request."""
         upstream, now = seen.upstream, self.host.now
-        if seen.held >= seen.wide and now < seen.probed + self.FRESH:
+        if seen.reported_in_flight >= seen.total_capacity and now < seen.probed_at + self.FRESH:
             return False  # a probe has just said that it holds what all may have out
         if (
-            seen.out >= seen.room
-            or now < seen.shut_until
+            seen.in_flight >= seen.capacity
+            or now < seen.backoff_until
             or upstream.state != UpstreamState.READY
             or upstream.spare < 1
             or any(sent.upstream is upstream for sent in request.attempts)
             or request.attempts
-            and not self.choice.again.fits(request, upstream)
+            and not self.policy.retry_policy.allows_upstream(request, upstream)
         ):
             return False
         if (age := self.age(upstream)) >= 1.0:
@@ -564,22 +621,29 @@
         # Guards against a cold one that all balancers push over together, each by rounding up: it
         # is due its part by age of what a warm one answers; more, by what it bears, only where
         # requests wait for room.
-        part = age * self.usual * (0.8 * self.bears if self.choice.entry.waiting() else 1.0)
-        return seen.turn.due(now, self.fall, part, self.random)
+        part = (
+            age
+            * self.mean_latency
+            * (0.8 * self.bears if self.policy.admission_queue.waiting() else 1.0)
+        )
+        return seen.warm_up_pacer.due(now, self.fall, part, self.random)
 
-    def find(self, request: Request) -> Seen | None:
+    def select(self, request: Request) -> UpstreamStatistics | None:
         """The upstream for a request; None where nothing may be sent to."""
         # Guards against many that each round up to one: all parts bound what is out, at ease if not
         # overdue.
-        out, parts, sound = 0, 0.0, self.DOUBT if self.crowded else 1.0
-        for seen in self.pool:
-            if seen.silence <= sound:
-                out, parts = out + seen.out, parts + seen.part
-        if request.request_class.known is next(iter(self.choice.entry.held)).known:
-            out = min(
-                out, request.request_class.known.out
+        in_flight, parts, sound = 0, 0.0, self.DOUBT if self.crowded else 1.0
+        for seen in self.subset:
+            if seen.overdue_answers <= sound:
+                in_flight, parts = in_flight + seen.in_flight, parts + seen.capacity_share
+        if (
+            request.request_class.statistics
+            is next(iter(self.policy.admission_queue.queues)).statistics
+        ):
+            in_flight = min(
+                in_flight, request.request_class.statistics.in_flight
             )  # what adds most for its work is not kept out by the rest
-        if out >= max(1.0, parts) - 0.5 * self.crowded:
+        if in_flight >= max(1.0, parts) - 0.5 * self.crowded:
             return None
         # Trials rather go with requests that may be repeated: they may meet what answers nothing.
         if (
@@ -589,86 +653,94 @@
             self.owed = 0.0
             if idle := [
                 seen
-                for seen in self.pool
-                if seen.out == 0
+                for seen in self.subset
+                if seen.in_flight == 0
                 and self.open_to(seen, request)
-                and (seen.share == 0.0 or self.doubted(seen))
+                and (seen.share == 0.0 or self.is_suspected(seen))
             ]:
-                return self.pick(idle)
+                return self.random_choice(idle)
         # After cold ones that are due one, four draws by share: enough to pass by the few that
         # can't have it.
         points = (self.random() * self.bounds[-1] for _ in range(4 if self.drawn else 0))
         warm = (self.drawn[bisect_right(self.bounds, at, 0, len(self.drawn) - 1)] for at in points)
         fit = (
             seen
-            for seen in chain(self.cold, warm)
-            if not self.doubted(seen) and self.open_to(seen, request)
+            for seen in chain(self.warming_up, warm)
+            if not self.is_suspected(seen) and self.open_to(seen, request)
         )
         found = next(fit, None)
-        if found is not None and found.out > 2.0 * self.total / len(self.pool):
+        if found is not None and found.in_flight > 2.0 * self.in_flight / len(self.subset):
             found = next(fit, found)  # over twice the mean is out there: drawn once more
         return found or min(
             (seen for seen in self.sure() if self.open_to(seen, request)),
-            key=lambda seen: seen.out,
+            key=lambda seen: seen.in_flight,
             default=None,
         )
 
     def take(self, request: Request) -> str:
-        if (seen := self.find(request)) is None:
+        if (seen := self.select(request)) is None:
             return PASS  # nothing may be sent to: whoever called knows what is left to do
         attempt = self.host.start_attempt(request, seen.upstream)
         seen.watch(self.host.now)
-        attempt.pull = (
-            1.0 / request.request_class.known.usual
+        attempt.expected_rate = (
+            1.0 / request.request_class.statistics.mean_latency
         )  # the answers due of it in a nanosecond
-        seen.pull += attempt.pull
-        seen.out, self.total, self.owed = seen.out + 1, self.total + 1, self.owed + self.TRIALS
-        seen.turn.open = False
-        request.request_class.known.out += 1
-        self.choice.again.sent(attempt)
+        seen.expected_rate += attempt.expected_rate
+        seen.in_flight, self.in_flight, self.owed = (
+            seen.in_flight + 1,
+            self.in_flight + 1,
+            self.owed + self.TRIALS,
+        )
+        seen.warm_up_pacer.open = False
+        request.request_class.statistics.in_flight += 1
+        self.policy.retry_policy.sent(attempt)
         return KEEP
 
-    def back(self, attempt: Attempt, first: bool) -> None:
+    def on_attempt_finished(self, attempt: Attempt, first: bool) -> None:
         seen, request_class, outcome = (
-            attempt.upstream.seen,
+            attempt.upstream.statistics,
             attempt.request.request_class,
             attempt.outcome,
         )
         seen.watch(now := self.host.now)
-        seen.out, self.total, request_class.known.out = (
-            seen.out - 1,
-            self.total - 1,
-            request_class.known.out - 1,
+        seen.in_flight, self.in_flight, request_class.statistics.in_flight = (
+            seen.in_flight - 1,
+            self.in_flight - 1,
+            request_class.statistics.in_flight - 1,
         )
-        seen.pull = seen.pull - attempt.pull if seen.out else 0.0
+        seen.expected_rate = seen.expected_rate - attempt.expected_rate if seen.in_flight else 0.0
         if outcome in (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.OVERLOADED):
-            seen.silence, seen.heard = 0.0, now
+            seen.overdue_answers, seen.last_answer_at = 0.0, now
         elif outcome == Outcome.CONNECT_FAILED:
             # Guards against one that is down before the list says so. A reset alone is no reason:
             # of one that died the next connection tells, which harms no request, and one that lives
             # would get trials only.
-            seen.silence = max(seen.silence, 5.0)
+            seen.overdue_answers = max(seen.overdue_answers, 5.0)
         if outcome in (Outcome.NOT_SENT, Outcome.CANCELLED):
             return  # its time is counted, an answer never came
         if outcome == Outcome.SUCCEEDED:
-            request_class.known.took.add(now, attempt.took)
-            request_class.known.answers.add(now)
-            seen.shut_until = 0
+            request_class.statistics.durations.add(now, attempt.duration)
+            request_class.statistics.answers.add(now)
+            seen.backoff_until = 0
         else:
             # Guards against quick failures that look fast: they count as time-outs, with the whole
             # timeout.
-            seen.missing += max(0, request_class.timeout - attempt.took) * attempt.pull
+            seen.unaccounted_answers += (
+                max(0, request_class.timeout - attempt.duration) * attempt.expected_rate
+            )
             if outcome != Outcome.TIMED_OUT:
                 # Guards against request after request for an upstream that is full, down or fails
                 # quickly, and so seems to have room: it gets none for as long as its latency now
                 # says.
-                seen.shut_until = now + int(request_class.known.usual * seen.ratio(now))
+                seen.backoff_until = now + int(
+                    request_class.statistics.mean_latency * seen.ratio(now)
+                )
         seen.answers.add(now)
-        seen.mute += 1
-        self.make_room(seen)
+        seen.answers_without_report += 1
+        self.update_capacity(seen)
 
 
-class Choice:
+class Policy:
     """One balancer's decisions."""
 
     def __init__(
@@ -676,9 +748,12 @@
     ) -> None:
         self.host, self.request_classes, self.next_wake = host, request_classes, 0
         for request_class in request_classes:
-            request_class.known = Known(request_class, host.now)
-        self.entry, self.again = Entry(self, settings), Again(self, settings)
-        self.split = Split(self, settings, seed)
+            request_class.statistics = RequestClassStatistics(request_class, host.now)
+        self.admission_queue, self.retry_policy = (
+            AdmissionQueue(self, settings),
+            RetryPolicy(self, settings),
+        )
+        self.selector = UpstreamSelector(self, settings, seed)
         self.following, self.tries, self.ask_at = False, 0, 0
         self.configure(settings)
         host.set_timer(host.now, SOLVE)
@@ -700,62 +775,66 @@
         if self.asks and not self.following:
             within, chance = (
                 min(2 * SECOND << min(self.tries, 9), self.ask_within),
-                self.split.random(),
+                self.selector.random(),
             )
             self.ask_at = (
                 self.host.now + int(within * (0.5 + chance / 2 if self.tries else chance)) + 1
             )
             self.host.set_timer(self.ask_at, ASK)
 
-    def list_lost(self) -> None:
+    def on_endpoint_list_lost(self) -> None:
         """A call for the list was in vain, or it is followed no longer; what was listed stays till told."""
         self.following = False
         self.ask_later()
 
-    def change(self, settings: dict[str, Any], request_classes: list[RequestClass]) -> None:
+    def reconfigure(self, settings: dict[str, Any], request_classes: list[RequestClass]) -> None:
         """Go on by other settings; what is known of upstreams, and of request classes that stay, is kept."""
         self.request_classes = request_classes
         for request_class in request_classes:
-            request_class.known = request_class.known or Known(request_class, self.host.now)
-        for stage in (self.entry, self.again, self.split):
+            request_class.statistics = request_class.statistics or RequestClassStatistics(
+                request_class, self.host.now
+            )
+        for stage in (self.admission_queue, self.retry_policy, self.selector):
             stage.configure(settings)
         self.configure(settings)
-        self.split.solve()
-        self.entry.rank()
+        self.selector.update_shares()
+        self.admission_queue.rank()
 
-    def listed(self, upstreams: list[Upstream]) -> None:
+    def on_endpoints_updated(self, upstreams: list[Upstream]) -> None:
         self.following, self.tries = self.following or self.tries > 0, 0
-        self.split.listed(upstreams)
-        self.entry.release()
+        self.selector.on_endpoints_updated(upstreams)
+        self.admission_queue.release()
 
-    def arrive(self, request: Request) -> None:
-        self.split.came()
-        self.again.requests.add(self.host.now)
-        request.request_class.known.asked.add(self.host.now)
+    def on_request(self, request: Request) -> None:
+        self.selector.on_request()
+        self.retry_policy.requests.add(self.host.now)
+        request.request_class.statistics.requests.add(self.host.now)
         if self.run(request, 0) == PASS:
-            self.entry.hold(request)
+            self.admission_queue.hold(request)
 
     def run(self, request: Request, first: int) -> str:
         """Pass a request along the stages; it comes out again if none could place it."""
-        for stage in (self.entry, self.again, self.split)[first:]:
+        for stage in (self.admission_queue, self.retry_policy, self.selector)[first:]:
             if (verdict := stage.take(request)) != PASS:
                 return verdict
         return PASS
 
-    def came_back(self, attempt: Attempt, load: dict[str, float] | None, first: bool) -> None:
+    def on_attempt_finished(
+        self, attempt: Attempt, load: dict[str, float] | None, first: bool
+    ) -> None:
         """An attempt has its outcome; `first` if it ended the request. Late ones still count as measured."""
-        self.reported(attempt.upstream, load)
-        for stage in (self.split, self.again, self.entry):
-            stage.back(attempt, first)
+        self.on_load_report(attempt.upstream, load)
+        for stage in (self.selector, self.retry_policy, self.admission_queue):
+            stage.on_attempt_finished(attempt, first)
 
-    def reported(self, upstream: Upstream, load: dict[str, float] | None) -> None:
+    def on_load_report(self, upstream: Upstream, load: dict[str, float] | None) -> None:
         """What an upstream says of its load, with an answer or when probed."""
-        if load and upstream.seen:
-            self.split.reported(upstream.seen, load)
+        if load and upstream.statistics:
+            self.selector.on_load_report(upstream.statistics, load)
 
     def finish(self, request: Request) -> str:
         """The final answer to a request that was not fulfilled: rejected if that is true to say."""
-        if self.again.harmless(request) and self.host.now < request.ends:
+        if self.retry_policy.harmless(request) and self.host.now < request.deadline:
             # A quarter of the latency objective: a jam has moved on, and the next try can still be
             # in time.
             self.host.reject(
@@ -765,11 +844,11 @@
             self.host.fail(request)
         return END
 
-    def left(self, request: Request) -> None:
-        self.again.call_off(request.attempts)
+    def on_client_disconnected(self, request: Request) -> None:
+        self.retry_policy.call_off(request.attempts)
 
-    def told(self, balancer: int, contents: bytes) -> None:
-        self.split.peers.hear(balancer, contents, self.split.balancers, self.host.now)
+    def on_peer_message(self, balancer: int, contents: bytes) -> None:
+        self.selector.peer_rates.receive(balancer, contents, self.selector.balancers, self.host.now)
 
     def wake(self, at: int) -> None:
         """See that `bell` rings by then."""
@@ -781,19 +860,19 @@
         now = self.host.now
         if token == SOLVE:
             self.host.set_timer(now + PERIOD, SOLVE)
-            self.split.solve()
-            self.split.tell()
-            self.entry.rank()
+            self.selector.update_shares()
+            self.selector.send_rate()
+            self.admission_queue.rank()
         elif token == ASK and self.asks and not self.following and now >= self.ask_at:
-            self.host.follow_list(True)
+            self.host.follow_endpoint_list(True)
             self.tries += 1
             self.ask_later()  # unless the list comes
         elif token == TICK and now >= self.next_wake:
             self.next_wake = 0
-        self.again.check()
-        self.entry.release()
-        self.entry.expire()
-        if self.again.due:
-            self.wake(self.again.due[0][0])
-        if self.entry.waiting():
+        self.retry_policy.check()
+        self.admission_queue.release()
+        self.admission_queue.expire()
+        if self.retry_policy.due:
+            self.wake(self.retry_policy.due[0][0])
+        if self.admission_queue.waiting():
             self.wake(now + SECOND // 100)
--- a/whinpier/radius/client.py
+++ b/whinpier/radius/client.py
@@ -79,7 +79,7 @@
             ],
         )
         # What it waited here is told, so that the record's time stays true (RFC 2866, section 5.2).
-        waited = max(0, now - request.came) // SECOND
+        waited = max(0, now - request.arrived_at) // SECOND
         asked.attributes = [
             (kind, delayed(value, waited)) if kind == wire.DELAY_TIME else (kind, value)
             for kind, value in asked.attributes
@@ -138,7 +138,7 @@
             wait = int(
                 self.spec.retransmit
                 * 2 ** (sending.tries - 1)
-                * (0.9 + 0.2 * self.pool.choice.split.random())
+                * (0.9 + 0.2 * self.pool.policy.selector.random())
             )
             self.loop.at(self.loop.clock() + wait, self.loop, self.transmit, sending)
 
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -27,7 +27,7 @@
     Upstream,
     UpstreamState,
 )
-from whinpier.policy.policy import Choice
+from whinpier.policy.policy import Policy
 from whinpier.runtime.event_loop import Loop
 from whinpier.runtime.resource_budget import Budget, Part
 
@@ -214,7 +214,7 @@
         self.speaks: Callable[[bytes], None] | None = None  # to the other balancers of this pool
         self.counted: dict[str, Any] = {}  # settings that stand in for those of the file
         self.settle_names(spec)
-        self.choice = Choice(self, spec.settings, list(spec.request_classes), seed)
+        self.policy = Policy(self, spec.settings, list(spec.request_classes), seed)
         self.source = house.watch(self)
 
     def settle_names(self, spec: PoolSpec) -> None:
@@ -245,7 +245,7 @@
             # on under the new one.
             old = kept.get(new.name)
             if old and (old.kind, old.group, old.streamed) == (new.kind, new.group, new.streamed):
-                new.known = old.known
+                new.statistics = old.statistics
         self.settle_names(spec)
         self.part.change(spec.limits)
         for peer in self.peers():
@@ -280,7 +280,7 @@
         # Guards against attempts for nobody: a late loop decides before it reads that the client
         # has left.
         gates = () if request.client_disconnected() else upstream.passes
-        given = self.given(gates, self.now, request.ends) if gates else ()
+        given = self.given(gates, self.now, request.deadline) if gates else ()
         if given is None or request.ended:
             # What was free has ended meanwhile: it is not sent, and the decisions hear so at once.
             sent = Sent(request, upstream, self.now)
@@ -296,7 +296,7 @@
             sent.gates = given
         if self.attempt_observer:
             self.attempt_observer.on_attempt_started(sent)
-        if stop_at and stop_at < request.ends:
+        if stop_at and stop_at < request.deadline:
             self.loop.at(stop_at, self, self.stop_waiting, sent, Outcome.TIMED_OUT)
         return sent
 
@@ -319,7 +319,7 @@
 
     def on_timer(self, token: int) -> None:
         if not self.ended:
-            self.choice.on_timer(token)
+            self.policy.on_timer(token)
 
     def probe(self, upstream: Upstream) -> None:
         """Nothing carries a probe on this protocol: what asks for one does without."""
@@ -328,7 +328,7 @@
         assert isinstance(upstream, Peer)
         upstream.close_idle()
 
-    def tell(self, balancer: int | None, contents: bytes) -> None:
+    def send_peer_message(self, balancer: int | None, contents: bytes) -> None:
         """No protocol of clients and upstreams carries a message; where there is a fleet, that does."""
         if self.speaks:
             self.speaks(contents)
@@ -347,20 +347,20 @@
     def recount(self) -> None:
         self.loop.enter(
             self,
-            self.choice.change,
+            self.policy.reconfigure,
             self.spec.settings | self.counted,
             list(self.spec.request_classes),
         )
 
     def hears(self, balancer: int, contents: bytes) -> None:
         """What another balancer's decisions tell this one's."""
-        self.loop.enter(self, self.choice.told, balancer, contents)
+        self.loop.enter(self, self.policy.on_peer_message, balancer, contents)
 
-    def follow_list(self, on: bool) -> None:
+    def follow_endpoint_list(self, on: bool) -> None:
         if self.source:
             self.source.follow(on)
 
-    def fetch_list(self) -> None:
+    def fetch_endpoint_list(self) -> None:
         if self.source:
             self.source.fetch()
 
@@ -403,8 +403,8 @@
         self.counts["tasks"] += 1
         request.pool = self
         self.house.ids[request.id_given or request.id] = request
-        self.loop.at(request.ends, self, self.time_up, request)
-        self.loop.enter(self, self.choice.arrive, request)
+        self.loop.at(request.deadline, self, self.time_up, request)
+        self.loop.enter(self, self.policy.on_request, request)
 
     def finish(self, request: PendingRequest, how: str) -> bool:
         """Whether a request, which has no answer yet, is to have its final one now."""
@@ -452,8 +452,8 @@
 
     def shorten(self, request: PendingRequest, ends: int) -> None:
         """A request is over sooner than its client thinks, as the process is."""
-        if request.ends > ends:
-            request.ends = ends
+        if request.deadline > ends:
+            request.deadline = ends
             self.loop.at(ends, self, self.time_up, request)
 
     def stop_waiting(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -471,12 +471,12 @@
             sent.settled = True
             for gate in sent.gates:
                 gate.give(self.loop.clock(), outcome not in NEVER_RAN)
-            self.loop.enter(self, self.came_back, sent, outcome, answer, load)
+            self.loop.enter(self, self.on_attempt_finished, sent, outcome, answer, load)
 
-    def came_back(
+    def on_attempt_finished(
         self, sent: Sent, outcome: Outcome, answer: Any, load: dict[str, float] | None
     ) -> None:
-        sent.outcome, sent.took = outcome, self.now - sent.sent
+        sent.outcome, sent.duration = outcome, self.now - sent.sent_at
         if self.attempt_observer:
             self.attempt_observer.on_attempt_finished(sent)
         request = sent.request
@@ -492,13 +492,13 @@
         first = outcome == Outcome.SUCCEEDED and not request.ended
         if first and self.finish(request, "fulfilled"):
             request.respond(answer)
-        self.choice.came_back(sent, load, first)
+        self.policy.on_attempt_finished(sent, load, first)
 
     def client_left(self, request: PendingRequest) -> None:
         if not request.ended:
             self.end_request(request)
             self.counts["clients_left"] += 1
-            self.loop.enter(self, self.choice.left, request)
+            self.loop.enter(self, self.policy.on_client_disconnected, request)
 
     # The list.
 
@@ -522,7 +522,7 @@
                     entry = replace(entry, started=self.house.since(entry.dial))
                 peer = self.house.peer(self, entry, hashed(entry.host.encode()))
                 self.rested.discard(entry.host)  # another run, of which nothing is known
-                peer.turn = self.house.shared(entry)
+                peer.warm_up_pacer = self.house.shared(entry)
                 if self.met:
                     self.met(peer)
             peer.listed_as, peer.cell, peer.size = entry.state, entry.cell, entry.size
@@ -553,7 +553,7 @@
             for peer in self.held.values()
             if peer.state in (UpstreamState.READY, UpstreamState.DRAINING)
         ]
-        self.loop.enter(self, self.choice.listed, usable)
+        self.loop.enter(self, self.policy.on_endpoints_updated, usable)
 
     def state_of(self, peer: Peer) -> UpstreamState:
         """As its list has it, but that one that rests drains."""
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -28,7 +28,7 @@
     Spec,
     differs,
 )
-from whinpier.policy.decaying_sum import SECOND, Turn
+from whinpier.policy.decaying_sum import SECOND, Pacer
 from whinpier.runtime.event_loop import MS, Loop
 from whinpier.runtime.pool import Peer, PendingRequest, Pool, Watch
 from whinpier.runtime.resource_budget import Budget, Part, spare
@@ -103,7 +103,7 @@
             bytes | int, PendingRequest
         ] = {}  # of requests till the end of their timeout, answered or not
         self.cold: dict[
-            tuple[Address, int], Turn
+            tuple[Address, int], Pacer
         ] = {}  # when a run of an upstream is due one, of all pools
         self.stopping, self.closing, self.stop_by = False, False, 0
         self.aside = False  # its front is to send nobody, though it serves who comes
@@ -115,7 +115,7 @@
         for pool in spec.pools.values():
             self.add(pool)
         first = next(iter(self.pools.values()))
-        self.random = self.chance.random if spec.routed else first.choice.split.random
+        self.random = self.chance.random if spec.routed else first.policy.selector.random
         self.budget.idle = self.idle
         self.fronts = wire.fronts(self)
         self.fleet: Fleet | None = None
@@ -134,13 +134,13 @@
     def watch(self, pool: Pool) -> Watch | None:
         return self.wire.watch(pool) if pool.spec.discovery else None
 
-    def shared(self, entry: Entry) -> Turn | None:
+    def shared(self, entry: Entry) -> Pacer | None:
         """When one run of an upstream is due a request while it is cold, for all pools that list it."""
         # Guards against two pools that each keep a cold upstream's bound, and together push it
         # over.
         if not self.spec.routed:
             return None
-        return self.cold.setdefault((entry.dial, entry.started), Turn(self.loop.clock()))
+        return self.cold.setdefault((entry.dial, entry.started), Pacer(self.loop.clock()))
 
     def since(self, dial: Address) -> int:
         """Since when an upstream that a file newly names counts as started: now, or as another pool says."""
@@ -298,7 +298,7 @@
         pools = (*self.pools.values(), *self.going)
         for pool in pools:
             log.invariant(
-                pool.on_wire() == pool.choice.split.total,
+                pool.on_wire() == pool.policy.selector.in_flight,
                 "what is counted as out is out on a socket",
             )
             if self.spec.routed:
--- a/whinpier/runtime/resource_budget.py
+++ b/whinpier/runtime/resource_budget.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from whinpier.config.model import Limits, Spec
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 from whinpier.runtime.event_loop import MOST_LATE
 
 # descriptors kept back: the standard ones, listener, discovery, the loop's own; a dozen in all
@@ -120,7 +120,7 @@
         self.change(limits)
         self.clients = 0  # connections of clients that asked it last
         self.shed = 0.0  # the part of its requests that is rejected at the door
-        self.spent = Sum(SPENT, 0)  # nanoseconds of the loop
+        self.spent = DecayingSum(SPENT, 0)  # nanoseconds of the loop
         budget.parts.append(self)
 
     def change(self, limits: Limits) -> None:
--- a/whinpier/settings.py
+++ b/whinpier/settings.py
@@ -10,14 +10,14 @@
 from whinpier.policy import model
 from whinpier.policy.model import RequestClass, WireError
 
-US = 1000  # nanoseconds in one microsecond of the settings
+NS_PER_US = 1000  # nanoseconds in one microsecond of the settings
 
 KINDS = {
     "repeatable": model.Effect.IDEMPOTENT,
     "by_key": model.Effect.KEYED,
     "once": model.Effect.NON_IDEMPOTENT,
 }
-COLUMNS = {
+REPORT_COLUMNS = {
     "busy_reqs": "held",
     "pending": "waiting",
     "cpu_share": "busy",
@@ -32,10 +32,10 @@
     found: dict[str, Any] = {}
     for name, plain in pairs:
         if name.endswith("_us") and isinstance(plain, (int, float)):
-            name, plain = name[:-3], int(plain * US)
+            name, plain = name[:-3], int(plain * NS_PER_US)
         found[name] = plain
     columns = str(found.get("report.columns", "") or "").split(",")
-    found["report.columns"] = [COLUMNS.get(name, name) for name in columns if name]
+    found["report.columns"] = [REPORT_COLUMNS.get(name, name) for name in columns if name]
     return found
 
 
--- a/whinpier/simhost/__main__.py
+++ b/whinpier/simhost/__main__.py
@@ -64,7 +64,7 @@
             _, number, bits, key, tenant, ends, lane, hint = fields
             instance.ingress(number, bits, key, tenant, ends, lane, hint)
         elif code == wire.BELL:
-            instance.choice.on_timer(fields[1])
+            instance.policy.on_timer(fields[1])
         elif code == wire.TARGETS:
             _, scope, _, roster = fields
             instance.targets(scope, self.rosters.get(roster, []))
@@ -74,7 +74,7 @@
             _, reason, took, upstream, n = fields
             instance.sampled(upstream, wire.report(rest, n, instance.columns))
         elif code == wire.DATAGRAM:
-            instance.choice.told(fields[1], wire.counted(rest, fields[2]))
+            instance.policy.on_peer_message(fields[1], wire.counted(rest, fields[2]))
         elif code == wire.DESTROY:
             del self.instances[instance.who]
 
--- a/whinpier/simhost/instance.py
+++ b/whinpier/simhost/instance.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from whinpier.policy.model import Attempt, Outcome, Request, Upstream, UpstreamState
-from whinpier.policy.policy import Choice
-from whinpier.settings import US, request_classes
+from whinpier.policy.policy import Policy
+from whinpier.settings import NS_PER_US, request_classes
 from whinpier.simhost import wire
 
 ALL = 0xFFFFFFFF
@@ -30,7 +30,7 @@
         self.known: dict[
             int, Upstream
         ] = {}  # also those no longer listed: their outcomes still come
-        self.choice = Choice(self, found, self.request_classes, seed)
+        self.policy = Policy(self, found, self.request_classes, seed)
 
     # What the decisions ask for.
 
@@ -41,14 +41,14 @@
     def start_attempt(self, request: Request, upstream: Upstream, stop_at: int = 0) -> Attempt:
         made = Attempt(request, upstream, len(request.attempts), self.now)
         request.attempts.append(made)
-        self._put(wire.ISSUE.pack(60, 20, self.who, request.id, upstream.id, stop_at // US))
+        self._put(wire.ISSUE.pack(60, 20, self.who, request.id, upstream.id, stop_at // NS_PER_US))
         return made
 
     def cancel(self, attempt: Attempt) -> None:
         self._put(wire.WITHDRAW.pack(120, 10, self.who, attempt.request.id, attempt.number))
 
     def reject(self, request: Request, wait: int = 0) -> None:
-        self._put(wire.PUSH_BACK.pack(80, 12, self.who, request.id, min(wait // US, U32)))
+        self._put(wire.PUSH_BACK.pack(80, 12, self.who, request.id, min(wait // NS_PER_US, U32)))
         self._end(request)
 
     def fail(self, request: Request) -> None:
@@ -56,7 +56,7 @@
         self._end(request)
 
     def set_timer(self, at: int, token: int = 0) -> None:
-        self._put(wire.SET_ALARM.pack(10, 20, self.who, token, -(-at // US)))
+        self._put(wire.SET_ALARM.pack(10, 20, self.who, token, -(-at // NS_PER_US)))
 
     def probe(self, upstream: Upstream) -> None:
         self._put(wire.SOUND_OUT.pack(100, 8, self.who, upstream.id))
@@ -64,16 +64,16 @@
     def close_idle(self, upstream: Upstream) -> None:
         self._put(wire.DROP_CONNS.pack(30, 8, self.who, upstream.id))
 
-    def tell(self, balancer: int | None, contents: bytes) -> None:
+    def send_peer_message(self, balancer: int | None, contents: bytes) -> None:
         target = ALL if balancer is None else balancer
         self._put(
             wire.SIGNAL.pack(40, 10 + len(contents), self.who, target, len(contents)) + contents
         )
 
-    def follow_list(self, on: bool) -> None:
+    def follow_endpoint_list(self, on: bool) -> None:
         self._put(wire.STREAM_CHANGES.pack(20, 5, self.who, on))
 
-    def fetch_list(self) -> None:
+    def fetch_endpoint_list(self) -> None:
         self._put(wire.SNAPSHOT.pack(70, 4, self.who))
 
     def log(self, text: str) -> None:
@@ -91,11 +91,11 @@
 
     def targets(self, scope: int, entries: list[tuple[Any, ...]]) -> None:
         if scope == wire.SCOPE_FAILED:
-            self.choice.list_lost()
+            self.policy.on_endpoint_list_lost()
             return
         held = {} if scope in (wire.SCOPE_FULL, wire.SCOPE_CACHED) else dict(self.listed)
         for state, number, zone, started, size, cell, shape in entries:
-            state, started = wire.STATES.get(state, UpstreamState.REMOVED), started * US
+            state, started = wire.STATES.get(state, UpstreamState.REMOVED), started * NS_PER_US
             upstream = self.known.get(number)
             if upstream is None or (
                 started and started != upstream.started and state != UpstreamState.REMOVED
@@ -113,7 +113,7 @@
             if number not in held:
                 upstream.state = UpstreamState.REMOVED
         self.listed = held
-        self.choice.listed(
+        self.policy.on_endpoints_updated(
             [
                 up
                 for up in held.values()
@@ -130,15 +130,15 @@
             number,
             self.request_classes[lane],
             self.now,
-            ends * US,
+            ends * NS_PER_US,
             key,
             tenant,
-            hint * US if bits & 1 else None,
+            hint * NS_PER_US if bits & 1 else None,
             bool(bits & 2),
             bool(bits & 4),
         )
         self.requests[number] = request
-        self.choice.arrive(request)
+        self.policy.on_request(request)
 
     def _attempt(self, number: int, trial: int) -> Attempt | None:
         request = self.requests.get(number)
@@ -158,23 +158,26 @@
         attempt = self._attempt(number, trial)
         if attempt is None or attempt.outcome:
             return
-        attempt.outcome, attempt.took = wire.OUTCOMES.get(reason, Outcome.FAILED), took * US
+        attempt.outcome, attempt.duration = (
+            wire.OUTCOMES.get(reason, Outcome.FAILED),
+            took * NS_PER_US,
+        )
         request = attempt.request
         first = bool(over) and not request.ended
         request.ended = request.ended or bool(over)
-        self.choice.came_back(attempt, load, first)
+        self.policy.on_attempt_finished(attempt, load, first)
         self._forget(request)
 
     def sampled(self, number: int, load: dict[str, float] | None) -> None:
         upstream = self.known.get(number)
         if upstream is not None:
-            self.choice.reported(upstream, load)
+            self.policy.on_load_report(upstream, load)
 
     def client_left(self, number: int) -> None:
         request = self.requests.get(number)
         if request is not None and not request.ended:
             self._end(request)
-            self.choice.left(request)
+            self.policy.on_client_disconnected(request)
 
 
 def text_record(code: int, who: int, text: str) -> bytes:
--- a/whinpier/simhost/wire.py
+++ b/whinpier/simhost/wire.py
@@ -9,7 +9,7 @@
 
 from whinpier.policy import model
 from whinpier.policy.model import WireError
-from whinpier.settings import US
+from whinpier.settings import NS_PER_US
 from whinpier.settings import settings as in_our_words
 
 BATCH = Struct("<IIIQ")
@@ -75,7 +75,7 @@
     body = source.read(length - 8)
     if len(body) < length - 8:
         raise WireError(f"batch {number}: {len(body)} bytes of records, {length - 8} announced")
-    return number, count, clock * US, body
+    return number, count, clock * NS_PER_US, body
 
 
 def records(number: int, count: int, body: bytes) -> Iterator[tuple[int, tuple[Any, ...], bytes]]:
--- a/whinpier/simulation/balancers.py
+++ b/whinpier/simulation/balancers.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from whinpier.config.model import Address, Entry
-from whinpier.policy.decaying_sum import Sum
+from whinpier.policy.decaying_sum import DecayingSum
 from whinpier.policy.model import Outcome, RequestClass
 from whinpier.runtime.event_loop import Loop
 from whinpier.runtime.pool import Peer, PendingRequest, Pool, Sent, Watch
@@ -274,7 +274,7 @@
     def watch(self, pool: Pool) -> Watch | None:
         return None
 
-    def shared(self, entry: Entry) -> Sum | None:
+    def shared(self, entry: Entry) -> DecayingSum | None:
         return None
 
     def since(self, dial: Address) -> int:
--- a/whinpier/simulation/baselines.py
+++ b/whinpier/simulation/baselines.py
@@ -14,8 +14,8 @@
 from typing import TYPE_CHECKING, Any
 
 from whinpier.policy.model import Request, UpstreamState
-from whinpier.policy.policy import Choice, Split
-from whinpier.policy.statistics import Seen
+from whinpier.policy.policy import Policy, UpstreamSelector
+from whinpier.policy.statistics import UpstreamStatistics
 from whinpier.simulation.clock import SECOND
 
 if TYPE_CHECKING:
@@ -24,30 +24,30 @@
     from whinpier.simulation.servers import Server
 
 
-class Plain(Split):
-    """Draws without shares or room; `find` is all that differs."""
+class Plain(UpstreamSelector):
+    """Draws without shares or room; `select` is all that differs."""
 
-    def allowed(self, request: Request) -> list[Seen]:
+    def allowed(self, request: Request) -> list[UpstreamStatistics]:
         """Those that the rules let a request go to; none that it was at already."""
-        again = self.choice.again
+        again = self.policy.retry_policy
         return [
             seen
             for seen in self.ready
             if seen.upstream.state == UpstreamState.READY
             and not any(sent.upstream is seen.upstream for sent in request.attempts)
-            and (not request.attempts or again.fits(request, seen.upstream))
+            and (not request.attempts or again.allows_upstream(request, seen.upstream))
         ]
 
-    def want(self, count: int) -> int:
+    def subset_size(self, count: int) -> int:
         return count
 
 
 class Random(Plain):
     """Any of them."""
 
-    def find(self, request: Request) -> Seen | None:
+    def select(self, request: Request) -> UpstreamStatistics | None:
         allowed = self.allowed(request)
-        return self.pick(allowed) if allowed else None
+        return self.random_choice(allowed) if allowed else None
 
 
 class RoundRobin(Plain):
@@ -55,7 +55,7 @@
 
     turn = 0
 
-    def find(self, request: Request) -> Seen | None:
+    def select(self, request: Request) -> UpstreamStatistics | None:
         allowed = self.allowed(request)
         if not allowed:
             return None
@@ -66,27 +66,33 @@
 class LeastOut(Plain):
     """The one with the fewest of this balancer's own out; chance among equals."""
 
-    def find(self, request: Request) -> Seen | None:
-        return min(self.allowed(request), key=lambda seen: (seen.out, self.random()), default=None)
+    def select(self, request: Request) -> UpstreamStatistics | None:
+        return min(
+            self.allowed(request), key=lambda seen: (seen.in_flight, self.random()), default=None
+        )
 
 
 class TwoChoices(Plain):
     """The one with fewer out of two drawn."""
 
-    def find(self, request: Request) -> Seen | None:
+    def select(self, request: Request) -> UpstreamStatistics | None:
         allowed = self.allowed(request)
         if not allowed:
             return None
-        return min(self.pick(allowed), self.pick(allowed), key=lambda seen: seen.out)
+        return min(
+            self.random_choice(allowed),
+            self.random_choice(allowed),
+            key=lambda seen: seen.in_flight,
+        )
 
 
 class JoinIdle(Plain):
     """One with nothing of this balancer's out, else any."""
 
-    def find(self, request: Request) -> Seen | None:
+    def select(self, request: Request) -> UpstreamStatistics | None:
         allowed = self.allowed(request)
-        idle = [seen for seen in allowed if not seen.out]
-        return self.pick(idle or allowed) if allowed else None
+        idle = [seen for seen in allowed if not seen.in_flight]
+        return self.random_choice(idle or allowed) if allowed else None
 
 
 def done_after(work: float, backlog: float, capacity: float, cores: int) -> float:
@@ -99,7 +105,7 @@
 class Oracle(Plain):
     """Sees every upstream as it is: the one that would be done first, if that is in time."""
 
-    def find(self, request: Request) -> Seen | None:
+    def select(self, request: Request) -> UpstreamStatistics | None:
         work = getattr(request, "work", 0.0)
         best, least = None, float("inf")
         for seen in self.allowed(request):
@@ -115,7 +121,9 @@
                 best, least = seen, wait
         # What would be late it holds or rejects: in a surge a queue of late requests serves
         # nobody.
-        left = (request.came + request.request_class.latency_objective - self.host.now) / SECOND
+        left = (
+            request.arrived_at + request.request_class.latency_objective - self.host.now
+        ) / SECOND
         return best if least < max(left, 0.0) else None
 
 
@@ -126,7 +134,7 @@
 
     sight: Sight
 
-    def find(self, request: Request) -> Seen | None:
+    def select(self, request: Request) -> UpstreamStatistics | None:
         allowed, seen_then = self.allowed(request), self.sight.then()
         work = getattr(request, "work", 0.0)
         sums = list(
@@ -142,11 +150,13 @@
             capacity, backlog, cores = seen_then.get(getattr(seen.upstream, "host"), NOTHING)
             if capacity > 0.0:
                 # Of what was sent since then it knows its own only.
-                own = seen.out * work
+                own = seen.in_flight * work
                 wait = done_after(work, backlog + own, capacity, cores)
                 if wait < least:
                     best, least = seen, wait
-        left = (request.came + request.request_class.latency_objective - self.host.now) / SECOND
+        left = (
+            request.arrived_at + request.request_class.latency_objective - self.host.now
+        ) / SECOND
         return best if least < max(left, 0.0) else None
 
 
@@ -184,7 +194,7 @@
         return self.kept[0][1]
 
 
-POLICIES: dict[str, Callable[[Choice, dict[str, Any], int], Split]] = {
+POLICIES: dict[str, Callable[[Policy, dict[str, Any], int], UpstreamSelector]] = {
     "random": Random,
     "round_robin": RoundRobin,
     "least_out": LeastOut,
@@ -198,8 +208,8 @@
 def dressed(pool: Pool, name: str, seed: int, sight: Sight | None) -> Pool:
     """A pool that draws by another policy than the project's."""
     if name != "choice":
-        split = POLICIES[name](pool.choice, pool.spec.settings, seed)
+        split = POLICIES[name](pool.policy, pool.spec.settings, seed)
         if isinstance(split, LateOracle) and sight:
             split.sight = sight
-        pool.choice.split = split
+        pool.policy.selector = split
     return pool
--- a/whinpier/simulation/clients.py
+++ b/whinpier/simulation/clients.py
@@ -158,13 +158,13 @@
         if not balancer.up:
             # Refused: nobody has taken it, so that it is no other try.
             self.ground.counts["refused_by_the_dead"] += 1
-            if self.ground.clock.now < request.ends:
+            if self.ground.clock.now < request.deadline:
                 self.ground.clock.after(REFUSED, self.arrive, request, self.front.pick())
             else:
                 self.ground.referee.given_up(request)
             return
-        request.came = balancer.loop.clock()
-        if request.came >= request.ends:
+        request.arrived_at = balancer.loop.clock()
+        if request.arrived_at >= request.deadline:
             self.ground.referee.given_up(request)
             return
         request.request_class = balancer.pool.request_classes[self.stream.name.encode()]
--- a/whinpier/simulation/invariants.py
+++ b/whinpier/simulation/invariants.py
@@ -45,7 +45,7 @@
     # What happens.
 
     def asked(self, request: SimulatedRequest) -> None:
-        self.clock.at(request.ends + SLACK, self.over, request)
+        self.clock.at(request.deadline + SLACK, self.over, request)
 
     def sent(self, attempt: SimulatedAttempt, balancer: Balancer, server: Server) -> None:
         """The third rule: nothing new to what drains or has gone, past the grace."""
@@ -89,7 +89,7 @@
         self.answers[request.id] += 1
         if self.answers[request.id] > 1:
             self.breach(ANSWER, f"task {request.id} had another answer: {how}", request=request.id)
-        if self.clock.now > request.ends + SLACK:
+        if self.clock.now > request.deadline + SLACK:
             self.breach(
                 ANSWER, f"task {request.id} answered after its patience: {how}", request=request.id
             )
@@ -128,9 +128,9 @@
     def pictures(self, balancers: list[Balancer]) -> None:
         """What decisions count as out is out on the wire."""
         for balancer in balancers:
-            if balancer.up and balancer.out != balancer.pool.choice.split.total:
+            if balancer.up and balancer.out != balancer.pool.policy.selector.in_flight:
                 self.breach(
                     PICTURE,
-                    f"balancer {balancer.number} counts {balancer.pool.choice.split.total} "
+                    f"balancer {balancer.number} counts {balancer.pool.policy.selector.in_flight} "
                     f"out, {balancer.out} are",
                 )
--- a/whinpier/simulation/mutations.py
+++ b/whinpier/simulation/mutations.py
@@ -14,14 +14,14 @@
 
 def repeats_exclusive(pool: Pool) -> None:
     """An exclusive request is sent again though it may have run."""
-    again: Any = pool.choice.again
+    again: Any = pool.policy.retry_policy
     again.may_have_run = lambda request: None
 
 
 def ignores_drains(pool: Pool) -> None:
     """What drains goes on getting requests, as if the list had not said so."""
-    split = pool.choice.split
-    listed: Callable[[list[Upstream]], None] = split.listed
+    split = pool.policy.selector
+    listed: Callable[[list[Upstream]], None] = split.on_endpoints_updated
 
     def all_ready(upstreams: list[Upstream]) -> None:
         for upstream in upstreams:
@@ -32,12 +32,12 @@
             )
         listed(upstreams)
 
-    split.listed = all_ready  # type: ignore[method-assign]
+    split.on_endpoints_updated = all_ready  # type: ignore[method-assign]
 
 
 def forgets_answers(pool: Pool) -> None:
     """One request in fifty gets no answer."""
-    arrive = pool.choice.arrive
+    arrive = pool.policy.on_request
     count = 0
 
     def now_and_then(request: Request) -> None:
@@ -48,13 +48,13 @@
         else:
             request.ended = True
 
-    pool.choice.arrive = now_and_then  # type: ignore[method-assign]
+    pool.policy.on_request = now_and_then  # type: ignore[method-assign]
 
 
 def floods_cold(pool: Pool) -> None:
     """Whoever has just started has the fewest out, and gets everything."""
-    split: Any = pool.choice.split
-    find = split.find
+    split: Any = pool.policy.selector
+    find = split.select
 
     def newest(request: Request) -> Any:
         ready = [
@@ -66,7 +66,7 @@
         ]
         return max(ready, key=lambda seen: seen.upstream.started, default=None) or find(request)
 
-    split.find = newest
+    split.select = newest
 
 
 MUTATIONS: dict[str, Callable[[Pool], None]] = {
--- a/whinpier/simulation/report.py
+++ b/whinpier/simulation/report.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from whinpier.policy.policy import level
+from whinpier.policy.policy import min_max_split
 from whinpier.simulation.experiment import File, checked
 from whinpier.simulation.results import FIGURES, Results, Row, matching
 
@@ -110,7 +110,7 @@
         for machine in experiment.upstream_fleet.machines
         for _ in range(machine.count)
     ]
-    shares = level(costs, rate)
+    shares = min_max_split(costs, rate)
     total = sum(shares) or 1.0
     return [share / total for share in shares]
 
--- a/whinpier/simulation/servers.py
+++ b/whinpier/simulation/servers.py
@@ -155,7 +155,10 @@
             return
         if self.paused_until > self.clock.now:
             self.clock.at(
-                self.paused_until + (self.clock.now - attempt.sent) // 4, self.finish, attempt, run
+                self.paused_until + (self.clock.now - attempt.sent_at) // 4,
+                self.finish,
+                attempt,
+                run,
             )
             return
         del self.busy[attempt]
