--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -23,10 +23,10 @@
 from typing import Any
 
 from benchmarks.common import Report, main
-from whinpier.fleet.quotas.allocation import Said, Shares, Table
-from whinpier.fleet.quotas.fair_share import UNHEARD, aged
+from whinpier.fleet.quotas.allocation import LimitConfig, QuotaAllocation, QuotaTable
+from whinpier.fleet.quotas.fair_share import STALE_AFTER, propagation_time
 from whinpier.fleet.quotas.leases import RATE as A_RATE
-from whinpier.fleet.quotas.leases import Limit, Share
+from whinpier.fleet.quotas.leases import LeasedQuota, Limit
 from whinpier.model_checking import count_scenarios, quota_scenarios
 from whinpier.model_checking.count_mutants import FAULTS as COUNT_FAULTS
 from whinpier.model_checking.counts import Wishful
@@ -514,7 +514,7 @@
         met = upstream_fleet.meter()["times"]
         calm = [at for at in met if at < start + cut]
         over = most_in(calm, 1.0) - RATE - BURST
-        age = aged(count) / 1e9
+        age = propagation_time(count) / 1e9
         report.say(
             f"     {count} processes, words reach all within {age:.2f} s; asked for in full "
             f"{sum(start + 2.0 <= at < start + span for at in met) / (RATE * (span - 2.0)):.3f} used"
@@ -527,7 +527,7 @@
         report.bound(
             "tasks over in any second while demand moves, of the limit", over / RATE, most=0.1
         )
-        unheard = UNHEARD / 1e9 + age
+        unheard = STALE_AFTER / 1e9 + age
         known = start + cut + unheard + 1.0
         wild = [at for at in met if start + cut <= at < known]
         late = [at for at in met if at >= known]
@@ -557,10 +557,10 @@
     def between(now: int) -> tuple[int, int]:
         return now, now
 
-    ten = [Said(Limit(f"x{n}", A_RATE, 10**9, ("a",), 10**6), ("t",)) for n in range(10)]
-    shares = Shares("a", ten, 0, Random(1), between)
+    ten = [LimitConfig(Limit(f"x{n}", A_RATE, 10**9, ("a",), 10**6), ("t",)) for n in range(10)]
+    shares = QuotaAllocation("a", ten, 0, Random(1), between)
     shares.look(0, set(), set(), set())
-    parts = [table.one for table in shares.tables.values()]
+    parts = [table.sole_quota for table in shares.tables.values()]
     now, requests = 10 * SECOND, 20_000
     for part in parts:
         part.enter(now, now)
@@ -574,8 +574,10 @@
     report.bound("ten limits, of the 800 us that a task takes of a core", each / 800e-6, most=0.02)
     found = {}
     for tenants in (10, 1_000, 100_000):
-        said = Said(Limit("x", A_RATE, 10**6, ("a",), 1_000), ("t",), each="tenant", most=1_024)
-        table = Table(said, lambda limit: Share(limit, "a", 0, Random(1), 0))
+        said = LimitConfig(
+            Limit("x", A_RATE, 10**6, ("a",), 1_000), ("t",), scope="tenant", max_tenants=1_024
+        )
+        table = QuotaTable(said, lambda limit: LeasedQuota(limit, "a", 0, Random(1), 0))
         names = [f"t{n}" for n in range(tenants)]
         chance, now = Random(1), 10 * SECOND
         begun = time.perf_counter()
--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -15,8 +15,13 @@
 from tests.waiting import until
 from whinpier.fleet.clock_offset import KEPT, MARGIN, Clocks
 from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
-from whinpier.fleet.quotas.calendar_quota import MOST_GRANTED, Calendar, Units
-from whinpier.fleet.quotas.fair_share import WORD, Nearly, aged, fill
+from whinpier.fleet.quotas.calendar_quota import MAX_REMEMBERED_GRANTS, Calendar, CalendarQuota
+from whinpier.fleet.quotas.fair_share import (
+    DEMAND_REPORT,
+    ApproximateQuota,
+    compute_fill_level,
+    propagation_time,
+)
 from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, Limit
 from whinpier.fleet.state_store import StateStore
 from whinpier.model_checking.count_mutants import FAULTS
@@ -96,17 +101,17 @@
     name="a", amount=90, homes=("a", "b", "c"), lasting=False, between=lambda now: (now, now), now=0
 ):
     limit = Limit("x", COUNT, amount, homes, window="minute UTC")
-    return Units(limit, MINUTES, name, now, Random(name), between, lasting)
+    return CalendarQuota(limit, MINUTES, name, now, Random(name), between, lasting)
 
 
 def test_all_demand_at_one_brings_it_nearly_all_of_a_window_and_a_rejection_says_when_the_next_begins():
     those, passed = {name: units(name) for name in "abc"}, 0
     for step in range(1_190):  # 59.5 s, ten requests a second at one
         now = step * SECOND // 20
-        passed += step % 2 and those["a"].take(now)
+        passed += step % 2 and those["a"].try_acquire(now)
         if step % 2:
             for place, one in enumerate(those.values()):
-                one.turn(now, [other for other in range(3) if other != place])
+                one.on_timer(now, [other for other in range(3) if other != place])
             for _ in range(4):
                 sent = [
                     (place, to, deal)
@@ -116,10 +121,10 @@
                 for one in those.values():
                     one.out = []
                 for place, to, deal in sent:
-                    those["abc"[to]].deal(deal, place, now)
+                    those["abc"[to]].on_message(deal, place, now)
     assert 0.95 * 90 <= passed <= 90
     assert 0.3 * SECOND < those["a"].wait(now) < 1.2 * SECOND
-    assert those["a"].take(60 * SECOND)
+    assert those["a"].try_acquire(60 * SECOND)
 
 
 def test_clocks_that_go_back_open_no_window_anew():
@@ -127,40 +132,40 @@
     one = units(amount=1, homes=("a",), between=lambda now: (wall[0], wall[0]))
     for now, at_ in enumerate((59, 60, 59, 60, 59)):
         wall[0] = at_ * SECOND
-        one.edge_high = 0
-        assert one.take(now) == (now < 2)
+        one.windows_valid_until = 0
+        assert one.try_acquire(now) == (now < 2)
 
 
 def test_an_ask_that_comes_again_is_answered_as_it_was_and_a_flood_of_them_gets_no_more_than_there_is():
     one = units(amount=3_000, homes=("a",))
-    for nonce in range(1, 2 * MOST_GRANTED):
-        one.deal(Deal(ASK_UNITS, one.limit.mark, nonce, 1, 0), 7, SECOND)
+    for nonce in range(1, 2 * MAX_REMEMBERED_GRANTS):
+        one.on_message(Deal(ASK_UNITS, one.limit.wire_id, nonce, 1, 0), 7, SECOND)
     given_away = sum(deal.amount for _, deal in one.out)
     assert (
-        given_away == 2 * MOST_GRANTED - 1
-        and one.slots[0].own == 953
-        and len(one.granted) == MOST_GRANTED
+        given_away == 2 * MAX_REMEMBERED_GRANTS - 1
+        and one.windows[0].total == 953
+        and len(one.grants) == MAX_REMEMBERED_GRANTS
     )
     one.out = []
-    one.deal(Deal(ASK_UNITS, one.limit.mark, 1_500, 1, 0), 7, SECOND)
-    assert [deal.amount for _, deal in one.out] == [1] and one.slots[0].own == 953
+    one.on_message(Deal(ASK_UNITS, one.limit.wire_id, 1_500, 1, 0), 7, SECOND)
+    assert [deal.amount for _, deal in one.out] == [1] and one.windows[0].total == 953
 
 
 def test_what_was_not_asked_for_or_is_of_another_window_or_comes_twice_adds_nothing():
     one = units(amount=3, homes=("a", "b", "c"))
     for _ in range(4):
-        one.take(0)
-    one.turn(0, [1])
+        one.try_acquire(0)
+    one.on_timer(0, [1])
     _, ask = one.out[0]
     good = Deal(UNITS, ask.limit, ask.nonce, 1, 0)
     for deal, other in ((Deal(UNITS, ask.limit, 5, 1, 0), 1), (good, 2)):
-        one.deal(deal, other, 1)
-    assert one.slots[0].own == 1
-    one.turn(1, [1])
+        one.on_message(deal, other, 1)
+    assert one.windows[0].total == 1
+    one.on_timer(1, [1])
     ask = one.out[-1][1]
     for _ in range(2):
-        one.deal(Deal(UNITS, ask.limit, ask.nonce, 1, 0), 1, 2)
-    assert one.slots[0].own == 2
+        one.on_message(Deal(UNITS, ask.limit, ask.nonce, 1, 0), 1, 2)
+    assert one.windows[0].total == 2
 
 
 # What the disk holds.
@@ -209,20 +214,20 @@
         raise OSError(28, "No space left on device")
 
     async def flush():
-        said, notes = one.take_notes()
+        said, notes = one.take_records()
         await store.write(
             {("window", *note[:3]): note[3:] for note in notes},
-            lambda: one.written(said, notes),
-            lambda: one.not_written(notes),
+            lambda: one.on_records_written(said, notes),
+            lambda: one.on_write_failed(notes),
         )
 
-    assert not one.take(0) and one.notes
+    assert not one.try_acquire(0) and one.pending_records
     monkeypatch.setattr(os, "pwrite", full)
     anyio.run(flush)
-    assert store.last_error and not one.take(1) and len(one.notes) == 1
+    assert store.last_error and not one.try_acquire(1) and len(one.pending_records) == 1
     monkeypatch.setattr(os, "pwrite", write)
     anyio.run(flush)
-    assert not store.last_error and one.take(2)
+    assert not store.last_error and one.try_acquire(2)
     store.journal.close()
     again = StateStore(str(tmp_path / "state"))
     (row,) = again.open().values()
@@ -265,10 +270,10 @@
 def test_where_clocks_are_unsure_a_request_counts_in_both_windows():
     apart = 5 * SECOND
     one = units(amount=2, homes=("a",), between=lambda now: (now - apart, now + apart))
-    assert one.take(50 * SECOND) and [slot.start for slot in one.slots] == [0]
-    assert one.take(57 * SECOND) and [slot.start for slot in one.slots] == [0, 60]
-    assert not one.take(62 * SECOND)  # of the first nothing is left
-    assert one.take(66 * SECOND) and not one.take(
+    assert one.try_acquire(50 * SECOND) and [slot.start for slot in one.windows] == [0]
+    assert one.try_acquire(57 * SECOND) and [slot.start for slot in one.windows] == [0, 60]
+    assert not one.try_acquire(62 * SECOND)  # of the first nothing is left
+    assert one.try_acquire(66 * SECOND) and not one.try_acquire(
         67 * SECOND
     )  # of the second one was counted before
 
@@ -279,7 +284,7 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.floats(0.0, 1e6), min_size=1, max_size=12), st.floats(1.0, 1e6))
 def test_the_level_shares_out_all_there_is_and_no_more(demands, amount):
-    level = fill(amount, demands)
+    level = compute_fill_level(amount, demands)
     given_ = sum(min(demand, level) for demand in demands)
     assert given_ <= amount * 1.0001 and (given_ >= min(amount, sum(demands)) * 0.9999)
 
@@ -289,29 +294,29 @@
     has them.
     """
     chance, limit = Random(seed), Limit("x", RATE, 100_000, (), 20)
-    those = [Nearly(limit, None, 0) for _ in range(count)]
-    on_way, settled, newest = [], 3 * aged(count), {}
+    those = [ApproximateQuota(limit, None, 0) for _ in range(count)]
+    on_way, settled, newest = [], 3 * propagation_time(count), {}
     for step in range(400):
         now = step * SECOND // 10
         if step % 20 == 0:
             rates = [chance.choice([0, 0, 1, 5, 60]) for _ in those]
         for one, rate in zip(those, rates):
             for _ in range(rate):
-                one.take(now)
+                one.try_acquire(now)
         for place, one in enumerate(those):
             heard = {other: True for other in range(count) if other != place}
-            if one.turn(now, heard, count)[0]:
+            if one.on_timer(now, heard, count)[0]:
                 for other in heard:
                     # Any time before it is stale; words may pass each other.
-                    late = int(chance.random() * (aged(count) - SECOND // 4))
-                    on_way.append((now + late, other, place, one.word(now), now))
+                    late = int(chance.random() * (propagation_time(count) - SECOND // 4))
+                    on_way.append((now + late, other, place, one.encode_report(now), now))
         for _, other, place, word, told in [one for one in on_way if one[0] <= now]:
             if not in_order or told >= newest.get((place, other), 0):
                 newest[place, other] = told
-                those[other].hear(place, word, now)
+                those[other].on_report(place, word, now)
         on_way = [one for one in on_way if one[0] > now]
         if now > settled:
-            assert sum(one.part for one in those) <= limit.amount + count, seed
+            assert sum(one.allowance for one in those) <= limit.amount + count, seed
 
 
 @settings(max_examples=30, deadline=None, derandomize=True)
@@ -329,41 +334,41 @@
 
 def test_one_that_asks_for_all_gets_nearly_all_and_unheard_ones_keep_an_even_share():
     limit = Limit("x", RATE, 100_000, (), 20)
-    one, other = Nearly(limit, None, 0), Nearly(limit, None, 0)
+    one, other = ApproximateQuota(limit, None, 0), ApproximateQuota(limit, None, 0)
     for step in range(100):
         now = step * SECOND // 10
         for _ in range(30):
-            one.take(now)
+            one.try_acquire(now)
         for first, second in ((one, other), (other, one)):
-            first.turn(now, {1: True}, 2)
-            second.hear(1, first.word(now), now)
-    assert one.part > 95_000
+            first.on_timer(now, {1: True}, 2)
+            second.on_report(1, first.encode_report(now), now)
+    assert one.allowance > 95_000
     for step in range(100, 200):
         now = step * SECOND // 10
         for _ in range(30):
-            one.take(now)
-        one.turn(now, {1: False}, 2)
-    assert one.part <= 50_000
-    for noise in (b"", b"x" * WORD.size, b"\1"):
-        one.hear(1, noise, now)
-    assert one.part <= 50_000
+            one.try_acquire(now)
+        one.on_timer(now, {1: False}, 2)
+    assert one.allowance <= 50_000
+    for noise in (b"", b"x" * DEMAND_REPORT.size, b"\1"):
+        one.on_report(1, noise, now)
+    assert one.allowance <= 50_000
 
 
 def test_requests_in_flight_and_windows_are_nearly_kept_too():
-    flight = Nearly(Limit("x", IN_FLIGHT, 3, ()), None, 0)
+    flight = ApproximateQuota(Limit("x", IN_FLIGHT, 3, ()), None, 0)
     passed = 0
     for step in range(40):
-        flight.turn(step * SECOND // 10, {}, 1)
-        passed += sum(flight.take(step * SECOND // 10) for _ in range(9))
+        flight.on_timer(step * SECOND // 10, {}, 1)
+        passed += sum(flight.try_acquire(step * SECOND // 10) for _ in range(9))
     assert passed == flight.used == 3 and flight.wait(0)
     flight.give(0)
-    assert flight.take(5 * SECOND)
-    window = Nearly(Limit("x", COUNT, 50, ()), MINUTES, 0, lambda now: (now, now))
+    assert flight.try_acquire(5 * SECOND)
+    window = ApproximateQuota(Limit("x", COUNT, 50, ()), MINUTES, 0, lambda now: (now, now))
     passed = 0
     for step in range(1_190):
         now = step * SECOND // 10
-        window.turn(now, {}, 1)
-        passed += window.take(now)
+        window.on_timer(now, {}, 1)
+        passed += window.try_acquire(now)
     assert passed == 100 and window.wait(now) <= 2 * SECOND
 
 
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -14,8 +14,17 @@
 from whinpier.config import operator
 from whinpier.config.model import ConfigFault
 from whinpier.fleet import peer_cache
-from whinpier.fleet.quotas.allocation import Kept, Said, Shares
-from whinpier.fleet.quotas.leases import IN_FLIGHT, RATE, SLACK, SPAN, TASK, TURN, Limit, Share
+from whinpier.fleet.quotas.allocation import LimitConfig, QuotaAllocation, StoredAllocation
+from whinpier.fleet.quotas.leases import (
+    IN_FLIGHT,
+    LEASE_DURATION,
+    LEASE_GRACE,
+    RATE,
+    REQUEST_TOKENS,
+    TIMER_INTERVAL,
+    LeasedQuota,
+    Limit,
+)
 from whinpier.model_checking.explore import every, replay, walk
 from whinpier.model_checking.quota_mutants import FAULTS
 from whinpier.model_checking.quota_scenarios import WALKS, WHOLE, found
@@ -36,7 +45,7 @@
 
 
 def shares(limit, now=0):
-    return {name: Share(limit, name, now, Random(name), 0) for name in limit.homes}
+    return {name: LeasedQuota(limit, name, now, Random(name), 0) for name in limit.homes}
 
 
 def pass_on(those, now, lost=lambda: False):
@@ -50,7 +59,7 @@
             one.out = []
         for place, to, deal in sent:
             if not lost():
-                those[names[to]].deal(deal, place, now)
+                those[names[to]].on_message(deal, place, now)
         if not sent:
             return
 
@@ -94,7 +103,9 @@
 def test_homes_add_up_and_one_who_has_none_holds_nothing():
     for amount in (1, 7, 30_000):
         limit = Limit("x", IN_FLIGHT, amount, HOMES)
-        assert sum(limit.home(name) for name in HOMES) == amount and limit.home("d") == 0
+        assert (
+            sum(limit.home_quota(name) for name in HOMES) == amount and limit.home_quota("d") == 0
+        )
 
 
 def test_what_all_ask_for_at_one_is_lent_to_it_and_moves_when_they_ask_another():
@@ -103,13 +114,13 @@
         now = step * SECOND // 100
         asked = "a" if step < 600 else "b"
         passed[asked] += (
-            those[asked].take(now)
+            those[asked].try_acquire(now)
             if 500 <= step < 600 or step >= 800
-            else (those[asked].take(now) and 0)
+            else (those[asked].try_acquire(now) and 0)
         )
         if step % 10 == 0:
             for place, one in enumerate(those.values()):
-                one.turn(now, [other for other in range(3) if other != place])
+                one.on_timer(now, [other for other in range(3) if other != place])
             pass_on(those, now)
     assert passed["a"] >= 28 and passed["b"] >= 0.95 * 30 * 4
 
@@ -123,32 +134,36 @@
         now = step * SECOND // 100
         for name in HOMES:
             for _ in range(int(chance.random() * 3)):
-                if those[name].take(now):
+                if those[name].try_acquire(now):
                     times.append(now)
         if chance.random() < 0.1:
             names = list(HOMES)
             place = int(chance.random() * 3)
-            those[names[place]].turn(now, [other for other in range(3) if other != place])
+            those[names[place]].on_timer(now, [other for other in range(3) if other != place])
         pass_on(those, now, lambda: chance.random() < lost)
-        assert sum(one.count(now) for one in those.values()) <= limit.amount
+        assert sum(one.compute_available(now) for one in those.values()) <= limit.amount
     for start in range(0, len(times), 7):
         for end in range(start, len(times), 11):
             assert end - start + 1 <= burst + amount * (times[end] - times[start]) / SECOND + 1e-6
 
 
 def test_what_never_ran_is_given_back_and_a_rejection_says_a_true_time():
-    one = Share(rate(10, 1, ("a",)), "a", 0, Random(1), 0)
-    assert not one.take(0) and one.take(SECOND // 10)
+    one = LeasedQuota(rate(10, 1, ("a",)), "a", 0, Random(1), 0)
+    assert not one.try_acquire(0) and one.try_acquire(SECOND // 10)
     one.give(SECOND // 10, ran=False)
-    assert one.take(SECOND // 10) and not one.take(SECOND // 10)
+    assert one.try_acquire(SECOND // 10) and not one.try_acquire(SECOND // 10)
     wait = one.wait(SECOND // 10)
     assert SECOND // 20 <= wait <= SECOND // 4
-    assert one.take(SECOND // 10 + wait) and one.level < TASK
+    assert one.try_acquire(SECOND // 10 + wait) and one.tokens < REQUEST_TOKENS
 
 
 def test_a_start_waits_until_what_its_last_run_lent_is_over():
-    one = Share(rate(), "a", 0, Random(1), SPAN + SLACK)
-    assert one.count(SPAN) == 0 and one.count(SPAN + SLACK) == 10_000 and one.spare(SPAN) == 0
+    one = LeasedQuota(rate(), "a", 0, Random(1), LEASE_DURATION + LEASE_GRACE)
+    assert (
+        one.compute_available(LEASE_DURATION) == 0
+        and one.compute_available(LEASE_DURATION + LEASE_GRACE) == 10_000
+        and one.compute_spare(LEASE_DURATION) == 0
+    )
 
 
 def between(now):
@@ -156,88 +171,116 @@
 
 
 def division(name, *limits, kept=None, **more):
-    return Shares(
-        name, [Said(limit, ("t",)) for limit in limits], 0, Random(1), between, kept or {}, **more
+    return QuotaAllocation(
+        name,
+        [LimitConfig(limit, ("t",)) for limit in limits],
+        0,
+        Random(1),
+        between,
+        kept or {},
+        **more,
     )
 
 
 def home(one, name="x"):
-    return one.tables[name].one.home
+    return one.tables[name].sole_quota.home_quota
 
 
 def test_another_division_holds_for_a_member_only_when_all_go_by_it():
     old, new = rate(30), rate(60, homes=("a", "b"))
-    kept = {"x": Kept(old.epoch(), old.home("a"), HOMES, SPAN)}
+    kept = {"x": StoredAllocation(old.epoch(), old.home_quota("a"), HOMES, LEASE_DURATION)}
     one = division("a", new, kept=kept)
     assert home(one) == 0  # not before it is heard that the last one stands
-    assert not one.look(TURN, set(), {"b"}, set()) and home(one) == 0
-    assert not one.look(TURN, {"b"}, set(), set()) and home(one) == 10_000 and one.keep() == kept
-    assert not one.look(TURN, {"b"}, {"c"}, set())  # one that held a part goes by the old one still
-    assert not one.look(TURN, {"b"}, set(), {"c"})  # or is unheard
-    assert not one.look(TURN, {"b"}, set(), set())  # or was never met
+    assert not one.check_agreement(TIMER_INTERVAL, set(), {"b"}, set()) and home(one) == 0
+    assert (
+        not one.check_agreement(TIMER_INTERVAL, {"b"}, set(), set())
+        and home(one) == 10_000
+        and one.stored_allocations() == kept
+    )
+    assert not one.check_agreement(
+        TIMER_INTERVAL, {"b"}, {"c"}, set()
+    )  # one that held a part goes by the old one still
+    assert not one.check_agreement(TIMER_INTERVAL, {"b"}, set(), {"c"})  # or is unheard
+    assert not one.check_agreement(TIMER_INTERVAL, {"b"}, set(), set())  # or was never met
     one.departed.add("c")
-    assert one.look(TURN, {"b"}, set(), set()) and home(one) == 30_000
-    assert one.keep() == {"x": Kept(new.epoch(), 30_000, ("a", "b"), SPAN)}
+    assert one.check_agreement(TIMER_INTERVAL, {"b"}, set(), set()) and home(one) == 30_000
+    assert one.stored_allocations() == {
+        "x": StoredAllocation(new.epoch(), 30_000, ("a", "b"), LEASE_DURATION)
+    }
     again = division("a", old, kept=kept)
     assert (
-        not again.look(TURN, {"b"}, {"c"}, set()) and home(again) == 10_000
+        not again.check_agreement(TIMER_INTERVAL, {"b"}, {"c"}, set()) and home(again) == 10_000
     )  # two of three stand by it
 
 
 def test_who_comes_back_from_long_ago_finds_that_its_division_was_left():
     old = rate(30)
-    one = division("c", old, kept={"x": Kept(old.epoch(), old.home("c"), HOMES, SPAN)})
-    assert not one.look(TURN, set(), {"a", "b"}, set()) and home(one) == 0
-    alone = division("c", old, kept={"x": Kept(old.epoch(), old.home("c"), HOMES, SPAN)})
-    assert not alone.look(TURN, set(), set(), {"a", "b"}) and home(alone) == 0
+    one = division(
+        "c",
+        old,
+        kept={"x": StoredAllocation(old.epoch(), old.home_quota("c"), HOMES, LEASE_DURATION)},
+    )
+    assert not one.check_agreement(TIMER_INTERVAL, set(), {"a", "b"}, set()) and home(one) == 0
+    alone = division(
+        "c",
+        old,
+        kept={"x": StoredAllocation(old.epoch(), old.home_quota("c"), HOMES, LEASE_DURATION)},
+    )
+    assert not alone.check_agreement(TIMER_INTERVAL, set(), set(), {"a", "b"}) and home(alone) == 0
 
 
 def test_a_limit_that_changes_while_it_runs_is_the_smaller_of_both_until_all_go_by_it():
     old, new = rate(30), rate(60)
     one = division("a", old)
-    assert one.look(TURN, {"b", "c"}, set(), set()) and home(one) == 10_000
-    one.follow([Said(new, ("t",))], 2 * TURN)
+    assert one.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set()) and home(one) == 10_000
+    one.apply_configs([LimitConfig(new, ("t",))], 2 * TIMER_INTERVAL)
     assert (
-        home(one) == 10_000 and one.tell(2 * TURN) and not one.look(3 * TURN, {"b"}, {"c"}, set())
+        home(one) == 10_000
+        and one.announce(2 * TIMER_INTERVAL)
+        and not one.check_agreement(3 * TIMER_INTERVAL, {"b"}, {"c"}, set())
     )
-    one.follow([Said(rate(15), ("t",))], 3 * TURN)  # a third one, before the second was agreed
+    one.apply_configs(
+        [LimitConfig(rate(15), ("t",))], 3 * TIMER_INTERVAL
+    )  # a third one, before the second was agreed
     assert home(one) == 5_000
-    one.follow([Said(old, ("t",))], 4 * TURN)  # and back: the others may have gone on meanwhile
-    assert home(one) == 5_000 and one.tell(4 * TURN)
-    assert one.look(5 * TURN, {"b", "c"}, set(), set()) and home(one) == 10_000
+    one.apply_configs(
+        [LimitConfig(old, ("t",))], 4 * TIMER_INTERVAL
+    )  # and back: the others may have gone on meanwhile
+    assert home(one) == 5_000 and one.announce(4 * TIMER_INTERVAL)
+    assert one.check_agreement(5 * TIMER_INTERVAL, {"b", "c"}, set(), set()) and home(one) == 10_000
 
 
 def test_a_lower_limit_is_told_only_when_what_was_more_is_over():
     old, new = Limit("x", IN_FLIGHT, 30, HOMES), Limit("x", IN_FLIGHT, 3, HOMES)
     one = division("a", old)
-    one.look(TURN, {"b", "c"}, set(), set())
-    start = SPAN + SLACK
-    taken = [one.tables["x"].one.enter(start, start + SECOND) for _ in range(10)]
+    one.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set())
+    start = LEASE_DURATION + LEASE_GRACE
+    taken = [one.tables["x"].sole_quota.enter(start, start + SECOND) for _ in range(10)]
     assert all(taken)
-    one.follow([Said(new, ("t",))], start)
+    one.apply_configs([LimitConfig(new, ("t",))], start)
     assert (
         home(one) == 1
-        and not one.tell(start)
-        and one.tables["x"].one.enter(start, start + SECOND) is None
+        and not one.announce(start)
+        and one.tables["x"].sole_quota.enter(start, start + SECOND) is None
     )
     for passed in taken[:9]:
         passed.give(start)
-    assert one.tell(start) and one.look(start, {"b", "c"}, set(), set())
+    assert one.announce(start) and one.check_agreement(start, {"b", "c"}, set(), set())
 
 
 def test_loans_end_by_the_shorter_span_and_come_back_by_the_longer_while_two_stand_side_by_side():
     old, new = (
-        Limit("x", IN_FLIGHT, 3, HOMES, span=SPAN),
-        Limit("x", IN_FLIGHT, 3, HOMES, span=3 * SPAN),
+        Limit("x", IN_FLIGHT, 3, HOMES, lease_duration=LEASE_DURATION),
+        Limit("x", IN_FLIGHT, 3, HOMES, lease_duration=3 * LEASE_DURATION),
     )
     one = division("a", old)
-    one.look(TURN, {"b", "c"}, set(), set())
-    one.follow([Said(new, ("t",))], TURN)
-    part = one.tables["x"].one
-    assert (part.lends_for, part.borrows_for) == (3 * SPAN, SPAN)
-    one.tell(TURN)
-    one.look(2 * TURN, {"b", "c"}, set(), set())
-    assert (part.lends_for, part.borrows_for) == (3 * SPAN, 3 * SPAN)
+    one.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set())
+    one.apply_configs([LimitConfig(new, ("t",))], TIMER_INTERVAL)
+    part = one.tables["x"].sole_quota
+    assert (part.lend_duration, part.borrow_duration) == (3 * LEASE_DURATION, LEASE_DURATION)
+    one.announce(TIMER_INTERVAL)
+    one.check_agreement(2 * TIMER_INTERVAL, {"b", "c"}, set(), set())
+    assert (part.lend_duration, part.borrow_duration) == (3 * LEASE_DURATION, 3 * LEASE_DURATION)
 
 
 def test_tables_of_loans_are_bounded_and_a_flood_of_asks_lends_no_more_than_there_is():
@@ -245,22 +288,22 @@
     from whinpier.fleet.messages import ASK_FOR, Deal
 
     for nonce in range(2_000):
-        those["a"].deal(Deal(ASK_FOR, those["a"].limit.mark, nonce + 1, 1, 0), 1, 0)
-    assert len(those["a"].lent) == 256 and those["a"].count(0) == 1_000 - 256
+        those["a"].on_message(Deal(ASK_FOR, those["a"].limit.wire_id, nonce + 1, 1, 0), 1, 0)
+    assert len(those["a"].lent) == 256 and those["a"].compute_available(0) == 1_000 - 256
     assert len(those["a"].out) == 2_000
 
 
 def test_what_was_agreed_is_kept_in_a_file_and_another_file_is_refused(tmp_path):
     path = str(tmp_path / "recall")
     assert peer_cache.read(path) == ([], {})
-    kept = {"x": Kept(5, 6, ("a", "b"), 7)}
+    kept = {"x": StoredAllocation(5, 6, ("a", "b"), 7)}
     peer_cache.write(path, [("127.0.0.1", 7)], kept)
     assert peer_cache.read(path) == ([("127.0.0.1", 7)], kept)
     before = (
         '{"form":1,"members":["127.0.0.1:7"],"limits":{"x":[5,6]}}'  # of the build before this one
     )
     (tmp_path / "recall").write_text(before)
-    assert peer_cache.read(path) == ([("127.0.0.1", 7)], {"x": Kept(5, 6)})
+    assert peer_cache.read(path) == ([("127.0.0.1", 7)], {"x": StoredAllocation(5, 6)})
     for noise in ("", "{", '{"form":3,"members":[]}', '{"form":1,"members":["a:1"]}', "[" * 5_000):
         (tmp_path / "recall").write_text(noise)
         with pytest.raises(ValueError):
@@ -308,7 +351,9 @@
 def test_loans_of_requests_in_flight_last_longer_than_any_request(tmp_path):
     (held,) = operator.made(table(tmp_path, kind="in_flight")).fleet.limits
     assert (
-        held.limit.span == 3 * 3 * SECOND // 2 and held.pools == ("t",) and held.limit.amount == 10
+        held.limit.lease_duration == 3 * 3 * SECOND // 2
+        and held.pools == ("t",)
+        and held.limit.amount == 10
     )
     with pytest.raises(ConfigFault, match="no whole number"):
         operator.made(table(tmp_path, kind="in_flight", amount=1.5))
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -97,7 +97,7 @@
         it.rejected,
         it.memory_bytes,
     ],
-    allocation.Kept: lambda it: [it.epoch, it.home, it.homes, it.span],
+    allocation.StoredAllocation: lambda it: [it.epoch, it.home_quota, it.homes, it.lease_duration],
     commands.CommandHeader: lambda it: [
         it.id,
         it.operator,
@@ -426,11 +426,11 @@
         messages.pool_mark("web"),
         messages.RECORD_NEWS,
         service.STAMP,
-        limit.mark,
+        limit.wire_id,
         limit.epoch(),
-        window.mark,
+        window.wire_id,
         window.epoch(),
-        allocation.key_of("tenant-a"),
+        allocation.hash_tenant_name("tenant-a"),
         registry.digest_part(entry),
         hash_file(b"file"),
         compute_digest(b"before", (1, 2, "who", "what", "why", True, "text")).hex(),
@@ -508,12 +508,14 @@
 def test_an_announced_demand_of_a_limit_keeps_its_bytes():
     calendar = calendar_quota.Calendar("minute")
     limit = leases.Limit("near", leases.COUNT, 1_000, (), 0, window="minute/UTC")
-    here = fair_share.Nearly(limit, calendar, 0, lambda now: (now, now))
-    here.told_demand, here.spent, here.window = 300, 21, 60
-    assert here.word(0).hex() == KEPT["announced"]["demand"]
-    here.hear(5, bytes.fromhex(KEPT["announced"]["demand"]), 0)
-    other = here.others[5]
-    assert (other.used, other.window) == (21, 60) and 300 in [one for _, one in other.words]
+    here = fair_share.ApproximateQuota(limit, calendar, 0, lambda now: (now, now))
+    here.reported_demand, here.window_used, here.window_start = 300, 21, 60
+    assert here.encode_report(0).hex() == KEPT["announced"]["demand"]
+    here.on_report(5, bytes.fromhex(KEPT["announced"]["demand"]), 0)
+    other = here.peers[5]
+    assert (other.window_used, other.window_start) == (21, 60) and 300 in [
+        one for _, one in other.reports
+    ]
 
 
 def test_an_announced_place_in_the_log_keeps_its_bytes():
@@ -697,14 +699,21 @@
 def test_a_note_of_a_window_keeps_its_order():
     limit = leases.Limit("day", leases.COUNT, 700, ("m1", "m2"), window="day/UTC", key=3)
     calendar = calendar_quota.Calendar("day")
-    units = calendar_quota.Units(limit, calendar, "m1", 0, Chance(), lambda now: (now, now), True)
-    units.remember(calendar_quota.Slot(86_400, 172_800, 350, -40, 25, 20, 60))
-    units.write(units.known[86_400])
-    assert units.take_notes() == (1, [(limit.mark, 3, 86_400, 350, -40, 60)])
-    units.recall([(limit.mark, 3, 172_800, 340, 8, 70)], 90)
-    slot = units.known[172_800]
-    assert (slot.start, slot.end, slot.home, slot.moved) == (172_800, 259_200, 340, 8)
-    assert (slot.used, slot.kept, slot.asked, units.blind_till) == (70, 70, 70, 90)
+    units = calendar_quota.CalendarQuota(
+        limit, calendar, "m1", 0, Chance(), lambda now: (now, now), True
+    )
+    units.add_window(calendar_quota.WindowQuota(86_400, 172_800, 350, -40, 25, 20, 60))
+    units.queue_record(units.known_windows[86_400])
+    assert units.take_records() == (1, [(limit.wire_id, 3, 86_400, 350, -40, 60)])
+    units.restore([(limit.wire_id, 3, 172_800, 340, 8, 70)], 90)
+    slot = units.known_windows[172_800]
+    assert (slot.start, slot.end, slot.home_quota, slot.transferred) == (172_800, 259_200, 340, 8)
+    assert (slot.used, slot.durable_used, slot.pending_used, units.unknown_before) == (
+        70,
+        70,
+        70,
+        90,
+    )
 
 
 # The peer cache.
@@ -863,19 +872,19 @@
     """A share that is asked for, lent and given back; units of a window that are handed over."""
     limit = leases.Limit("flight", leases.IN_FLIGHT, 100, ("m1", "m2"))
     sent, now = [], 10 * SECOND
-    share = leases.Share(limit, "m1", now, Chance(), 0)
-    share.ask(now, 2, 9, 1_001, 0)
-    share.deal(messages.Deal(messages.LEND, limit.mark, 1_001, 9, 0, 0), 2, now)
-    share.deal(messages.Deal(messages.ASK_FOR, limit.mark, 55, 7, 0, 0), 3, now)
-    share.turn(now + SECOND // 10, [])
+    share = leases.LeasedQuota(limit, "m1", now, Chance(), 0)
+    share.send_request(now, 2, 9, 1_001, 0)
+    share.on_message(messages.Deal(messages.LEND, limit.wire_id, 1_001, 9, 0, 0), 2, now)
+    share.on_message(messages.Deal(messages.ASK_FOR, limit.wire_id, 55, 7, 0, 0), 3, now)
+    share.on_timer(now + SECOND // 10, [])
     sent += share.out
     window = leases.Limit("day", leases.COUNT, 700, ("m1", "m2"), window="day/UTC", key=3)
-    units = calendar_quota.Units(
+    units = calendar_quota.CalendarQuota(
         window, calendar_quota.Calendar("day"), "m1", now, Chance(), lambda now: (now, now), False
     )
-    units.settle(now)
-    units.look_for(units.slots[0], now, 12, [4])
-    units.deal(messages.Deal(messages.ASK_UNITS, window.mark, 66, 11, 0, 3), 5, now)
+    units.update_windows(now)
+    units.request_from_members(units.windows[0], now, 12, [4])
+    units.on_message(messages.Deal(messages.ASK_UNITS, window.wire_id, 66, 11, 0, 3), 5, now)
     sent += units.out
     return [[other, plain(lease), encoded(lease).hex()] for other, lease in sent]
 
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -25,7 +25,7 @@
 from whinpier.fleet.consensus.node import Agreement
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.ejection import EjectionCoordinator
-from whinpier.fleet.quotas.calendar_quota import LEAST_AHEAD
+from whinpier.fleet.quotas.calendar_quota import MIN_WRITE_AHEAD
 from whinpier.fleet.rollouts.commands import CommandHeader, DrainCommand, EntryKind, encode
 from whinpier.model_checking import (
     consensus_scenarios,
@@ -815,7 +815,7 @@
 def day_of_windows(seed):
     world = seeded(Counting)
     return walked(
-        lambda: world(4, 90, 12, 2_000, 3, 40, Wishful, failures=5, ahead=LEAST_AHEAD),
+        lambda: world(4, 90, 12, 2_000, 3, 40, Wishful, failures=5, ahead=MIN_WRITE_AHEAD),
         seed,
         5_000,
         500,
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -17,9 +17,9 @@
 from whinpier.fleet.consensus.node import MOST_VOTERS
 from whinpier.fleet.membership.membership import MS, Times
 from whinpier.fleet.outliers.config import EjectionConfig
-from whinpier.fleet.quotas.allocation import Said
+from whinpier.fleet.quotas.allocation import LimitConfig
 from whinpier.fleet.quotas.calendar_quota import Calendar
-from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SPAN, Limit
+from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, LEASE_DURATION, RATE, Limit
 from whinpier.fleet.rollouts.commands import MAX_RULES, BudgetRule, BudgetTarget
 from whinpier.fleet.spec import AgreementSpec, FleetSpec
 from whinpier.policy.decaying_sum import SECOND
@@ -139,7 +139,7 @@
     return tuple(found)
 
 
-def limit(name: str, value: Any, pools: dict[str, int], routes: dict[str, str]) -> Said:
+def limit(name: str, value: Any, pools: dict[str, int], routes: dict[str, str]) -> LimitConfig:
     """One limit; `pools` are all there are, with the longest timeout of each, `routes` with
     their pool.
     """
@@ -194,13 +194,13 @@
             raise ConfigFault(
                 f"{at}.time_zone: {table.time_zone!r} is no time zone that this machine knows"
             ) from None
-    amount, burst, span = whole(table.amount, table.kind, f"{at}.amount"), 0, SPAN
+    amount, burst, span = whole(table.amount, table.kind, f"{at}.amount"), 0, LEASE_DURATION
     if table.kind == RATE:
         burst = table.burst or max(1, ceil(table.amount))
     elif table.burst is not None:
         raise ConfigFault(f"{at}.burst: only a rate has one")
     elif table.kind == IN_FLIGHT:
-        span = max(SPAN, 3 * max(pools[pool] for pool in chosen))
+        span = max(LEASE_DURATION, 3 * max(pools[pool] for pool in chosen))
     window = f"{table.window} {table.time_zone}" if table.window else ""
     scope = "/".join(("", *sorted(table.pools), "", *sorted(table.routes), "", table.each or ""))
     amounts = tuple(
@@ -208,7 +208,7 @@
         for tenant, one in sorted(table.tenants.items())
     )
     window += scope * bool(scope.strip("/")) + str(amounts) * bool(amounts)
-    return Said(
+    return LimitConfig(
         Limit(name, table.kind, amount, tuple(table.homes), burst, span, window),
         chosen,
         nearly,
--- a/whinpier/fleet/limit_bounds.py
+++ b/whinpier/fleet/limit_bounds.py
@@ -8,10 +8,10 @@
 
 from typing import Any
 
-from whinpier.fleet.quotas.allocation import Said
-from whinpier.fleet.quotas.calendar_quota import AHEAD, LEAST_AHEAD
-from whinpier.fleet.quotas.fair_share import UNHEARD, aged
-from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, RATE, SLACK
+from whinpier.fleet.quotas.allocation import LimitConfig
+from whinpier.fleet.quotas.calendar_quota import MIN_WRITE_AHEAD, WRITE_AHEAD_PERIOD
+from whinpier.fleet.quotas.fair_share import STALE_AFTER, propagation_time
+from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, IN_FLIGHT, LEASE_GRACE, RATE
 from whinpier.policy.decaying_sum import SECOND
 
 
@@ -23,29 +23,29 @@
 UNITS = {COUNT: "tasks", IN_FLIGHT: "tasks in flight", CONNECTIONS: "connections"}
 
 
-def explained(said: Said, members: int) -> dict[str, Any]:
+def explained(said: LimitConfig, members: int) -> dict[str, Any]:
     """One limit: over, unused, when. `members`: how many share it, where it has no homes."""
     limit, found = said.limit, dict[str, Any]()
     found |= {
         "limit": limit.name,
-        "promise": "nearly" if said.nearly else "never over",
+        "promise": "nearly" if said.is_approximate else "never over",
         "amount": shown(limit.amount, limit.kind),
     }
-    if said.each:
-        found["of"] = f"each {said.each}"
+    if said.scope:
+        found["of"] = f"each {said.scope}"
     if limit.window:
         found["window"] = limit.window.partition("/")[0]
-    found |= nearly(said, members) if said.nearly else never_over(said)
-    if said.each == "tenant":
+    found |= nearly(said, members) if said.is_approximate else never_over(said)
+    if said.scope == "tenant":
         found["pooled"] = (
-            f"strangers beyond {said.most} tenants share 16 parts, each of one tenant's amount"
+            f"strangers beyond {said.max_tenants} tenants share 16 parts, each of one tenant's amount"
         )
     return found
 
 
-def nearly(said: Said, members: int) -> dict[str, Any]:
-    limit, age = said.limit, aged(members) / SECOND
-    unheard = UNHEARD / SECOND + age
+def nearly(said: LimitConfig, members: int) -> dict[str, Any]:
+    limit, age = said.limit, propagation_time(members) / SECOND
+    unheard = STALE_AFTER / SECOND + age
     found = {"over, words in time": "0"}
     if limit.kind == RATE:
         over = limit.amount / 1000 * unheard / 2 + limit.burst
@@ -66,9 +66,9 @@
     }
 
 
-def never_over(said: Said) -> dict[str, Any]:
+def never_over(said: LimitConfig) -> dict[str, Any]:
     limit = said.limit
-    homes, span = len(limit.homes), (limit.span + SLACK) / SECOND
+    homes, span = len(limit.homes), (limit.lease_duration + LEASE_GRACE) / SECOND
     home = shown(limit.amount // homes if limit.kind != RATE else limit.amount / homes, limit.kind)
     found: dict[str, Any] = {"over": "0"}
     if limit.kind == RATE:
@@ -80,8 +80,8 @@
     if limit.kind == COUNT:
         return found | {
             "unused, a home away": f"what it has left of each window; {home} at most",
-            "unused, a kill": f"what was written ahead: {AHEAD / SECOND:g} s of its tasks, {LEAST_AHEAD} "
-            "at least",
+            "unused, a kill": f"what was written ahead: {WRITE_AHEAD_PERIOD / SECOND:g} s of its tasks, "
+            f"{MIN_WRITE_AHEAD} at least",
             "unused, a hand-over lost": "what was handed over, till the window ends",
             "unused, without bank.state": "a home's part of the window in which it starts",
             "at a close": "a task counts in both windows while clocks are not sure, 0.1 s at least",
--- a/whinpier/fleet/peer_cache.py
+++ b/whinpier/fleet/peer_cache.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from whinpier.config.model import Address, ConfigFault, address
-from whinpier.fleet.quotas.allocation import Kept
+from whinpier.fleet.quotas.allocation import StoredAllocation
 from whinpier.storage.bounded_files import read_bounded
 
 MAX_ADDRESSES = 1_000
@@ -31,14 +31,14 @@
     members: list[str]  # HOST:PORT
     # By name: the allocation that was agreed, this member's home in it, and whose homes it had
     # (not in version 1).
-    limits: dict[str, Kept] = {}
+    limits: dict[str, StoredAllocation] = {}
 
 
 class PeerCache(NamedTuple):
     """What the last run of this process knew of its fleet."""
 
     addresses: list[Address]
-    allocations: dict[str, Kept]  # by name of the limit
+    allocations: dict[str, StoredAllocation]  # by name of the limit
 
 
 def read(path: str) -> PeerCache:
@@ -66,7 +66,7 @@
         raise ValueError(f"{path}: form {cached.format_version} with {len(cached.members)} members")
 
 
-def write(path: str, addresses: list[Address], allocations: dict[str, Kept]) -> None:
+def write(path: str, addresses: list[Address], allocations: dict[str, StoredAllocation]) -> None:
     """Replace the file in one step. Raises OSError."""
     members = [f"{host}:{port}" for host, port in addresses[:MAX_ADDRESSES]]
     data = msgspec.json.encode(CachedPeers(FORMAT_VERSION, members, allocations))
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -23,13 +23,13 @@
 from zoneinfo import ZoneInfo
 
 from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
-from whinpier.fleet.quotas.leases import ASKED, MOST_LOANS, Limit
+from whinpier.fleet.quotas.leases import MAX_LEASES, MAX_MEMBERS_ASKED, Limit
 from whinpier.policy.decaying_sum import SECOND, Sum
 
 Every = Literal["minute", "hour", "day"]
 # of demand that is written ahead as used: what a kill loses, and what a slow disk may take
-AHEAD = SECOND
-LEAST_AHEAD = 8  # requests
+WRITE_AHEAD_PERIOD = SECOND
+MIN_WRITE_AHEAD = 8  # requests
 FORESEEN = 5 * SECOND  # of demand that a member has in hand before it asks for more
 RESERVED = 30 * SECOND  # of its own demand that a home keeps when it is asked
 LOOK = 2 * SECOND  # over which demand is counted
@@ -37,7 +37,7 @@
 AGAIN = 3 * SECOND // 10  # until an ask without an answer goes once more, with the same number
 TRIES = 4
 HELD_OFF = SECOND  # that one who had nothing is not asked again
-MOST_GRANTED = (
+MAX_REMEMBERED_GRANTS = (
     1_024  # hand-overs that are remembered, to answer an ask that comes again as it was answered
 )
 MOST_KNOWN = 4  # windows: that before a close, that behind it, and two more should clocks go back
@@ -67,24 +67,24 @@
 
 
 @dataclass(slots=True)
-class Slot:
+class WindowQuota:
     """What a member has of one window."""
 
     start: int
     end: int
-    home: int
-    moved: int = 0  # received less handed over
+    home_quota: int
+    transferred: int = 0  # received less handed over
     used: int = 0
-    kept: int = 0  # used, as far as the disk knows
-    asked: int = 0  # used, as far as the disk is to know
+    durable_used: int = 0  # used, as far as the disk knows
+    pending_used: int = 0  # used, as far as the disk is to know
 
     @property
-    def own(self) -> int:
-        return self.home + self.moved
+    def total(self) -> int:
+        return self.home_quota + self.transferred
 
     @property
-    def left(self) -> int:
-        return max(0, self.own - self.used)
+    def remaining(self) -> int:
+        return max(0, self.total - self.used)
 
     def give(self, now: int, ran: bool = True) -> None:
         """A request that was counted here is over: what never ran gives back what it took."""
@@ -92,34 +92,34 @@
 
 
 @dataclass(slots=True)
-class Both:
+class MultiWindowAdmission:
     """What a request took that may fall into either of two windows."""
 
-    slots: list[Slot]
+    windows: list[WindowQuota]
 
     def give(self, now: int, ran: bool = True) -> None:
-        for slot in self.slots:
+        for slot in self.windows:
             slot.give(now, ran)
 
 
 @dataclass(slots=True)
-class Ask:
+class PendingTransfer:
     """A hand-over that was asked for."""
 
-    other: int
+    member: int
     amount: int
     start: int
-    at: int
-    tries: int = 1
+    sent_at: int
+    attempts: int = 1
 
 
-Note = tuple[int, int, int, int, int, int]  # limit's mark, key, window, home, moved, used
+WindowRecord = tuple[int, int, int, int, int, int]  # limit's mark, key, window, home, moved, used
 
 
-class Units:
+class CalendarQuota:
     """One member's part of one count."""
 
-    least_ahead = LEAST_AHEAD
+    min_write_ahead = MIN_WRITE_AHEAD
 
     def __init__(
         self,
@@ -135,286 +135,307 @@
         """`between`: the earliest and latest that it may be, in ns since the epoch; `lasting`: has a disk."""
         self.limit, self.calendar, self.name, self.between = limit, calendar, name, between
         self.bits, self.shuffle = chance.getrandbits, chance.shuffle
-        self.home, self.lasting = limit.home(name), lasting
-        self.fenced_till = now + fence
-        self.slots: list[Slot] = []  # which it may be now
-        self.known: dict[int, Slot] = {}  # and those of late, should clocks go back
-        self.edge_low, self.edge_high = 0, 0  # the span of time in which the slots are as they are
-        self.asks: dict[int, Ask] = {}
-        self.granted: dict[int, int] = {}
-        self.nothing: dict[int, int] = {}
-        self.wanted, self.counted, self.passed, self.turned_back = Sum(LOOK, now), 0, 0, 0
+        self.home_quota, self.lasting = limit.home_quota(name), lasting
+        self.fenced_until = now + fence
+        self.windows: list[WindowQuota] = []  # which it may be now
+        self.known_windows: dict[int, WindowQuota] = {}  # and those of late, should clocks go back
+        self.windows_valid_from, self.windows_valid_until = (
+            0,
+            0,
+        )  # the span of time in which the slots are as they are
+        self.pending: dict[int, PendingTransfer] = {}
+        self.grants: dict[int, int] = {}
+        self.declined_at: dict[int, int] = {}
+        self.wanted, self.counted, self.admitted, self.rejected = Sum(LOOK, now), 0, 0, 0
         self.out: list[tuple[int, Deal]] = []
-        self.notes: dict[int, Note] = {}  # to be written, by window
-        self.held: list[tuple[int, int, Deal]] = []  # goes out once so many notes are written
-        self.said = 0  # notes, in all
-        self.blind_till = (
+        self.pending_records: dict[int, WindowRecord] = {}  # to be written, by window
+        self.held_grants: list[
+            tuple[int, int, Deal]
+        ] = []  # goes out once so many notes are written
+        self.records_issued = 0  # notes, in all
+        self.unknown_before = (
             0  # of windows that began sooner nothing is known: seconds since the epoch
         )
         self.apart = False  # whether clocks are so far apart that no window can be told
 
     # What the disk says.
 
-    def recall(self, notes: Iterable[Note], since: int) -> None:
+    def restore(self, notes: Iterable[WindowRecord], since: int) -> None:
         """What the last runs wrote; of a window that began before `since` (s) and is not there nothing is."""
-        self.blind_till = since
+        self.unknown_before = since
         for mark, key, start, home, moved, used in notes:
-            if (mark, key) == (self.limit.mark, self.limit.key):
+            if (mark, key) == (self.limit.wire_id, self.limit.key):
                 end = self.calendar.bounds(start)[1]
-                self.remember(Slot(start, end, min(home, self.home), moved, used, used, used))
+                self.add_window(
+                    WindowQuota(start, end, min(home, self.home_quota), moved, used, used, used)
+                )
 
-    def remember(self, slot: Slot) -> None:
-        self.known[slot.start] = slot
-        while len(self.known) > MOST_KNOWN:
-            del self.known[min(self.known)]
+    def add_window(self, slot: WindowQuota) -> None:
+        self.known_windows[slot.start] = slot
+        while len(self.known_windows) > MOST_KNOWN:
+            del self.known_windows[min(self.known_windows)]
 
-    def void(self, now: int) -> None:
+    def invalidate_records(self, now: int) -> None:
         """What the disk said is no longer true: nothing of windows that have begun may be used."""
-        self.blind_till = self.between(now)[1] // SECOND + 1
-        for slot in self.known.values():
-            slot.home = min(slot.home, slot.used - slot.moved)
-            self.write(slot)
+        self.unknown_before = self.between(now)[1] // SECOND + 1
+        for slot in self.known_windows.values():
+            slot.home_quota = min(slot.home_quota, slot.used - slot.transferred)
+            self.queue_record(slot)
 
-    def begin(self, now: int) -> None:
+    def mark_window_unused(self, now: int) -> None:
         """An operator says that nothing of the window that is on was used: this home may use its part."""
-        self.settle(now)
-        self.blind_till = self.slots[0].start
-        for slot in self.slots:
-            slot.home = max(slot.home, self.home)
-            self.write(slot)
-
-    def write(self, slot: Slot) -> None:
-        self.notes[slot.start] = (
-            self.limit.mark,
+        self.update_windows(now)
+        self.unknown_before = self.windows[0].start
+        for slot in self.windows:
+            slot.home_quota = max(slot.home_quota, self.home_quota)
+            self.queue_record(slot)
+
+    def queue_record(self, slot: WindowQuota) -> None:
+        self.pending_records[slot.start] = (
+            self.limit.wire_id,
             self.limit.key,
             slot.start,
-            slot.home,
-            slot.moved,
-            slot.asked,
+            slot.home_quota,
+            slot.transferred,
+            slot.pending_used,
         )
-        self.said += 1
+        self.records_issued += 1
         if not self.lasting:
-            self.written(*self.take_notes())
+            self.on_records_written(*self.take_records())
 
-    def take_notes(self) -> tuple[int, list[Note]]:
+    def take_records(self) -> tuple[int, list[WindowRecord]]:
         """What is to be written; once it is, both go to `written`, if it can't be to `not_written`."""
-        found, self.notes = list(self.notes.values()), {}
-        return self.said, found
+        found, self.pending_records = list(self.pending_records.values()), {}
+        return self.records_issued, found
 
-    def written(self, said: int, notes: Iterable[Note]) -> None:
+    def on_records_written(self, said: int, notes: Iterable[WindowRecord]) -> None:
         """These notes are on the disk, and all before them."""
         for _, _, start, _, _, used in notes:
-            if (slot := self.known.get(start)) is not None:
-                slot.kept = used
-        while self.held and self.held[0][0] <= said:
-            _, other, deal = self.held.pop(0)
+            if (slot := self.known_windows.get(start)) is not None:
+                slot.durable_used = used
+        while self.held_grants and self.held_grants[0][0] <= said:
+            _, other, deal = self.held_grants.pop(0)
             self.out.append((other, deal))
 
-    def not_written(self, notes: Iterable[Note]) -> None:
-        self.notes = {note[2]: note for note in notes} | self.notes
+    def on_write_failed(self, notes: Iterable[WindowRecord]) -> None:
+        self.pending_records = {note[2]: note for note in notes} | self.pending_records
 
     # Windows.
 
-    def settle(self, now: int) -> None:
+    def update_windows(self, now: int) -> None:
         """Which windows it may be now."""
         low, high = self.between(now)
         first, last = self.calendar.bounds(low // SECOND), self.calendar.bounds(high // SECOND)
         self.apart = first[1] < last[0]
         wanted = [first] if first == last else [first, last]
-        self.slots = [self.opened(start, end, now) for start, end in wanted]
-        open_now = {slot.start for slot in self.slots}
-        self.asks = {nonce: ask for nonce, ask in self.asks.items() if ask.start in open_now}
+        self.windows = [self.get_window(start, end, now) for start, end in wanted]
+        open_now = {slot.start for slot in self.windows}
+        self.pending = {nonce: ask for nonce, ask in self.pending.items() if ask.start in open_now}
         # Until the earlier edge of what it may be leaves the first window, or the later one enters
         # another.
         span = min(first[1] * SECOND - low, last[1] * SECOND - high)
-        self.edge_low, self.edge_high = now, now + max(1, min(span, SECOND // 10))
+        self.windows_valid_from, self.windows_valid_until = (
+            now,
+            now + max(1, min(span, SECOND // 10)),
+        )
 
-    def opened(self, start: int, end: int, now: int) -> Slot:
+    def get_window(self, start: int, end: int, now: int) -> WindowQuota:
         """What there is of a window."""
-        slot = self.known.get(start)
+        slot = self.known_windows.get(start)
         if slot is None:
-            slot = Slot(start, end, 0 if start < self.blind_till else self.home)
-            self.remember(slot)
-            self.ahead(slot, now)
+            slot = WindowQuota(start, end, 0 if start < self.unknown_before else self.home_quota)
+            self.add_window(slot)
+            self.write_ahead(slot, now)
         return slot
 
-    def take(self, now: int, ends: int = 0) -> bool:
+    def try_acquire(self, now: int, ends: int = 0) -> bool:
         """Whether one request may pass."""
         self.counted += 1
-        if not self.edge_low <= now < self.edge_high:
-            self.settle(now)
-        slots = self.slots
-        good = now >= self.fenced_till and not self.apart
+        if not self.windows_valid_from <= now < self.windows_valid_until:
+            self.update_windows(now)
+        slots = self.windows
+        good = now >= self.fenced_until and not self.apart
         for slot in slots:
-            good = good and slot.used < slot.own and slot.used < slot.kept
+            good = good and slot.used < slot.total and slot.used < slot.durable_used
         if good:
-            self.passed += 1
+            self.admitted += 1
             for slot in slots:
                 slot.used += 1
-                if slot.asked - slot.used < self.least_ahead // 2 + 1:
-                    self.ahead(slot, now)
+                if slot.pending_used - slot.used < self.min_write_ahead // 2 + 1:
+                    self.write_ahead(slot, now)
         else:
-            self.turned_back += 1
+            self.rejected += 1
             for slot in slots:
-                if slot.asked <= slot.used:
-                    self.ahead(slot, now)
+                if slot.pending_used <= slot.used:
+                    self.write_ahead(slot, now)
         return good
 
-    def ahead(self, slot: Slot, now: int) -> None:
+    def write_ahead(self, slot: WindowQuota, now: int) -> None:
         """Have some more written as used, before it is."""
-        if slot.asked > slot.kept and slot.asked - slot.used > self.least_ahead // 2:
+        if (
+            slot.pending_used > slot.durable_used
+            and slot.pending_used - slot.used > self.min_write_ahead // 2
+        ):
             return  # on its way
-        most = min(slot.own, slot.used + max(self.least_ahead, self.rate(now) * AHEAD // SECOND))
-        if most > slot.asked and now >= self.fenced_till:
-            slot.asked = most
-            self.write(slot)
+        most = min(
+            slot.total,
+            slot.used
+            + max(self.min_write_ahead, self.estimate_rate(now) * WRITE_AHEAD_PERIOD // SECOND),
+        )
+        if most > slot.pending_used and now >= self.fenced_until:
+            slot.pending_used = most
+            self.queue_record(slot)
 
-    def enter(self, now: int, ends: int = 0) -> Slot | Both | None:
+    def enter(self, now: int, ends: int = 0) -> WindowQuota | MultiWindowAdmission | None:
         """The same; what gives back, if the request never runs."""
-        if not self.take(now, ends):
+        if not self.try_acquire(now, ends):
             return None
-        return self.slots[0] if len(self.slots) == 1 else Both(self.slots)
+        return self.windows[0] if len(self.windows) == 1 else MultiWindowAdmission(self.windows)
 
     def wait(self, now: int) -> int:
         """When one that was rejected may come again, as far as that is known here."""
-        if self.asks or any(slot.left for slot in self.slots):
+        if self.pending or any(slot.remaining for slot in self.windows):
             return SECOND // 4  # on its way from another member, or to the disk
-        if not self.slots:
+        if not self.windows:
             return SECOND
-        return max(SECOND // 10, self.slots[-1].end * SECOND - self.between(now)[0])
+        return max(SECOND // 10, self.windows[-1].end * SECOND - self.between(now)[0])
 
     # What is needed, and who has it.
 
-    def rate(self, now: int) -> int:
+    def estimate_rate(self, now: int) -> int:
         """Requests a second that ask here."""
         self.wanted.add(now, self.counted)
         self.counted = 0
         return int(self.wanted.rate(now) + 0.999)
 
-    def foreseen(self, slot: Slot, now: int, span: int) -> int:
+    def forecast_demand(self, slot: WindowQuota, now: int, span: int) -> int:
         """Requests that will ask here within a span, while the window lasts."""
         rest = slot.end * SECOND - self.between(now)[0]
-        return self.rate(now) * max(0, min(span, rest)) // SECOND
+        return self.estimate_rate(now) * max(0, min(span, rest)) // SECOND
 
-    def turn(self, now: int, there: Iterable[int]) -> None:
+    def on_timer(self, now: int, there: Iterable[int]) -> None:
         """Once in a while: ask for what will be needed, once more for what has had no answer."""
-        self.settle(now)
-        after = self.slots[-1].end
-        if self.between(now)[1] + SOON > after * SECOND and self.rate(now):
+        self.update_windows(now)
+        after = self.windows[-1].end
+        if self.between(now)[1] + SOON > after * SECOND and self.estimate_rate(now):
             # Guards against the first requests of a window being rejected until its first note
             # is written.
-            self.opened(*self.calendar.bounds(after), now)
-        for nonce, ask in list(self.asks.items()):
-            if now - ask.at > AGAIN and ask.tries < TRIES:
-                ask.at, ask.tries = now, ask.tries + 1
-                self.ask(nonce, ask)
-        for slot in self.slots:
-            if self.rate(now):
-                self.ahead(slot, now)
-            lacking = self.foreseen(slot, now, FORESEEN) - slot.left
+            self.get_window(*self.calendar.bounds(after), now)
+        for nonce, ask in list(self.pending.items()):
+            if now - ask.sent_at > AGAIN and ask.attempts < TRIES:
+                ask.sent_at, ask.attempts = now, ask.attempts + 1
+                self.send_request(nonce, ask)
+        for slot in self.windows:
+            if self.estimate_rate(now):
+                self.write_ahead(slot, now)
+            lacking = self.forecast_demand(slot, now, FORESEEN) - slot.remaining
             lacking -= sum(
                 ask.amount
-                for ask in self.asks.values()
-                if ask.start == slot.start and now - ask.at <= AGAIN
+                for ask in self.pending.values()
+                if ask.start == slot.start and now - ask.sent_at <= AGAIN
             )
-            if lacking > 0 and now >= self.fenced_till:
-                self.look_for(slot, now, lacking, there)
+            if lacking > 0 and now >= self.fenced_until:
+                self.request_from_members(slot, now, lacking, there)
 
-    def look_for(self, slot: Slot, now: int, lacking: int, there: Iterable[int]) -> None:
-        chosen = [one for one in there if now - self.nothing.get(one, -HELD_OFF) >= HELD_OFF]
+    def request_from_members(
+        self, slot: WindowQuota, now: int, lacking: int, there: Iterable[int]
+    ) -> None:
+        chosen = [one for one in there if now - self.declined_at.get(one, -HELD_OFF) >= HELD_OFF]
         self.shuffle(chosen)
-        chosen = chosen[:ASKED]
+        chosen = chosen[:MAX_MEMBERS_ASKED]
         for one in chosen:
-            while len(self.asks) >= MOST_LOANS:
-                del self.asks[next(iter(self.asks))]
+            while len(self.pending) >= MAX_LEASES:
+                del self.pending[next(iter(self.pending))]
             nonce, amount = self.bits(62) | 1, -(-lacking // len(chosen))
-            self.asks[nonce] = Ask(one, amount, slot.start, now)
-            self.ask(nonce, self.asks[nonce])
+            self.pending[nonce] = PendingTransfer(one, amount, slot.start, now)
+            self.send_request(nonce, self.pending[nonce])
 
-    def ask(self, nonce: int, ask: Ask) -> None:
-        deal = Deal(ASK_UNITS, self.limit.mark, nonce, ask.amount, ask.start, self.limit.key)
-        self.out.append((ask.other, deal))
+    def send_request(self, nonce: int, ask: PendingTransfer) -> None:
+        deal = Deal(ASK_UNITS, self.limit.wire_id, nonce, ask.amount, ask.start, self.limit.key)
+        self.out.append((ask.member, deal))
 
     # What others say.
 
-    def deal(self, deal: Deal, other: int, now: int) -> None:
+    def on_message(self, deal: Deal, other: int, now: int) -> None:
         if deal.kind == ASK_UNITS:
-            self.asked_for(deal, other, now)
+            self.on_request(deal, other, now)
         elif deal.kind == UNITS:
-            self.received(deal, other, now)
+            self.on_grant(deal, other, now)
 
-    def asked_for(self, deal: Deal, other: int, now: int) -> None:
+    def on_request(self, deal: Deal, other: int, now: int) -> None:
         """Hand over what is not needed here: off first, on the disk, then on its way."""
-        amount = self.granted.get(deal.nonce)
+        amount = self.grants.get(deal.nonce)
         if amount is None:
-            self.settle(now)
-            slot = next((slot for slot in self.slots if slot.start == deal.turn), None)
-            if slot is None or now < self.fenced_till:
+            self.update_windows(now)
+            slot = next((slot for slot in self.windows if slot.start == deal.turn), None)
+            if slot is None or now < self.fenced_until:
                 return
-            full = len(self.held) >= MOST_LOANS  # the disk does not take them
-            spare = 0 if full else slot.own - slot.used - self.foreseen(slot, now, RESERVED)
+            full = len(self.held_grants) >= MAX_LEASES  # the disk does not take them
+            spare = (
+                0 if full else slot.total - slot.used - self.forecast_demand(slot, now, RESERVED)
+            )
             amount = max(0, min(deal.amount, spare))
-            while len(self.granted) >= MOST_GRANTED:
-                del self.granted[next(iter(self.granted))]
+            while len(self.grants) >= MAX_REMEMBERED_GRANTS:
+                del self.grants[next(iter(self.grants))]
             if amount:
-                self.granted[deal.nonce] = amount
-                slot.moved -= amount
-                self.write(slot)
+                self.grants[deal.nonce] = amount
+                slot.transferred -= amount
+                self.queue_record(slot)
                 if self.lasting:
-                    self.held.append((self.said, other, self.answer(deal, amount)))
+                    self.held_grants.append((self.records_issued, other, self.answer(deal, amount)))
                     return
-        elif any(one[2].nonce == deal.nonce for one in self.held):
+        elif any(one[2].nonce == deal.nonce for one in self.held_grants):
             return  # it goes once it is on the disk
         self.out.append((other, self.answer(deal, amount)))
 
     def answer(self, deal: Deal, amount: int) -> Deal:
-        return Deal(UNITS, self.limit.mark, deal.nonce, amount, deal.turn, self.limit.key)
+        return Deal(UNITS, self.limit.wire_id, deal.nonce, amount, deal.turn, self.limit.key)
 
-    def received(self, deal: Deal, other: int, now: int) -> None:
-        ask = self.asks.pop(deal.nonce, None)
-        if ask is None or ask.other != other or ask.start != deal.turn:
+    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+        ask = self.pending.pop(deal.nonce, None)
+        if ask is None or ask.member != other or ask.start != deal.turn:
             return  # of another window, another run, or come before
         if deal.amount <= 0:
-            self.nothing[other] = now
-            while len(self.nothing) > MOST_LOANS:
-                del self.nothing[next(iter(self.nothing))]
+            self.declined_at[other] = now
+            while len(self.declined_at) > MAX_LEASES:
+                del self.declined_at[next(iter(self.declined_at))]
             return
-        for slot in self.slots:
+        for slot in self.windows:
             if slot.start == ask.start:
-                slot.moved += min(deal.amount, ask.amount)
-                self.ahead(slot, now)
+                slot.transferred += min(deal.amount, ask.amount)
+                self.write_ahead(slot, now)
 
     # Another division.
 
-    def rehome(self, home: int, now: int, at_once: bool) -> None:
+    def set_home_quota(self, home: int, now: int, at_once: bool) -> None:
         """This member's part by another division; if it is larger it may hold from the next window only."""
-        self.home = home
-        for slot in self.known.values():
-            if home < slot.home or at_once and slot.start >= self.blind_till:
-                slot.home = home
-                self.write(slot)
+        self.home_quota = home
+        for slot in self.known_windows.values():
+            if home < slot.home_quota or at_once and slot.start >= self.unknown_before:
+                slot.home_quota = home
+                self.queue_record(slot)
 
-    def within(self, now: int) -> bool:
+    def fits_allocation(self, now: int) -> bool:
         """Whether nothing that another division allows no longer is still out."""
-        return all(slot.used <= slot.own for slot in self.slots)
+        return all(slot.used <= slot.total for slot in self.windows)
 
-    def idle(self, now: int) -> bool:
+    def is_idle(self, now: int) -> bool:
         """Whether nothing is lost if this one is forgotten: it is as it would begin."""
-        self.settle(now)
-        return not (self.asks or self.held or self.notes or self.counted) and not any(
-            slot.used or slot.moved for slot in self.slots
-        )
+        self.update_windows(now)
+        return not (
+            self.pending or self.held_grants or self.pending_records or self.counted
+        ) and not any(slot.used or slot.transferred for slot in self.windows)
 
-    def row(self, now: int) -> dict[str, Any]:
+    def status_row(self, now: int) -> dict[str, Any]:
         """How it stands, for people."""
-        self.settle(now)
-        slot = self.slots[-1]
+        self.update_windows(now)
+        slot = self.windows[-1]
         return {
-            "home": slot.home,
-            "mine": slot.left,
-            "need": self.foreseen(slot, now, FORESEEN),
+            "home": slot.home_quota,
+            "mine": slot.remaining,
+            "need": self.forecast_demand(slot, now, FORESEEN),
             "used": slot.used,
-            "moved": slot.moved,
+            "moved": slot.transferred,
             "window": slot.start,
             "window_ends_s": slot.end - self.between(now)[0] // SECOND,
             "clocks_apart": self.apart,
--- a/whinpier/fleet/quotas/enforcement.py
+++ b/whinpier/fleet/quotas/enforcement.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from whinpier.fleet.quotas.allocation import Said, Shares, Table
-from whinpier.fleet.quotas.leases import CONNECTIONS, Share
+from whinpier.fleet.quotas.allocation import LimitConfig, QuotaAllocation, QuotaTable
+from whinpier.fleet.quotas.leases import CONNECTIONS, LeasedQuota
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.runtime.pool import Gate, Passed, Peer, Pool, hashed
 
@@ -25,21 +25,25 @@
 NOBODY = "none"  # whose requests name no tenant
 
 
-class Door:
+class LimitChain:
     """What requests of one pool pass, by the route they came and the tenant they are of."""
 
-    def __init__(self, gates: Gates, those: list[Said]) -> None:
+    def __init__(self, gates: LimitEnforcer, those: list[LimitConfig]) -> None:
         self.gates = gates
         self.plain: list[tuple[frozenset[str], Gate]] = []  # by which routes (empty: any)
-        self.tenants: list[tuple[frozenset[str], Table]] = []
+        self.tenants: list[tuple[frozenset[str], QuotaTable]] = []
         for said in those:
             routes = frozenset(said.routes)
-            if said.nearly:
-                self.plain.append((routes, gates.shares.nearly[said.limit.name]))
-            elif said.each:
-                self.tenants.append((routes, gates.shares.tables[said.limit.name]))
+            if said.is_approximate:
+                self.plain.append(
+                    (routes, gates.quota_allocation.approximate_quotas[said.limit.name])
+                )
+            elif said.scope:
+                self.tenants.append((routes, gates.quota_allocation.tables[said.limit.name]))
             else:
-                self.plain.append((routes, gates.shares.tables[said.limit.name].one))
+                self.plain.append(
+                    (routes, gates.quota_allocation.tables[said.limit.name].sole_quota)
+                )
 
     def everywhere(self) -> tuple[Gate, ...]:
         """Those that every request passes."""
@@ -47,9 +51,11 @@
 
     def asks(self) -> bool:
         """Whether route or tenant matter."""
-        return bool(self.tenants or self.gates.closed) or any(routes for routes, _ in self.plain)
+        return bool(self.tenants or self.gates.closed_until) or any(
+            routes for routes, _ in self.plain
+        )
 
-    def of(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> list[Gate]:
+    def gates_for(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> list[Gate]:
         """What one request passes beside that; `again`: its client says that it asked for it before."""
         if shut := self.gates.shut(route, tenant):
             return [shut]
@@ -57,16 +63,16 @@
         those = [table for routes, table in self.tenants if not routes or route in routes]
         if those:
             name = tenant.decode("latin-1") or NOBODY
-            once = Once(self.gates, hashed(tenant + b"\0" + ticket)) if ticket else None
+            once = TicketGate(self.gates, hashed(tenant + b"\0" + ticket)) if ticket else None
             if once and again and once.counted():
                 return found
-            found += [table.named(name) for table in those]
+            found += [table.quota_for_name(name) for table in those]
             if once:
                 found.append(once)
         return found
 
 
-class Shut:
+class ClosedGate:
     """What an operator has closed for a while: nothing passes."""
 
     def __init__(self, until: int) -> None:
@@ -79,10 +85,10 @@
         return max(SECOND // 100, self.until - now)
 
 
-class Once:
+class TicketGate:
     """Remembers a ticket that tenants' limits have counted, once it has passed them all."""
 
-    def __init__(self, gates: Gates, key: int) -> None:
+    def __init__(self, gates: LimitEnforcer, key: int) -> None:
         self.tickets, self.key, self.clock = gates.tickets, key, gates.loop.clock
 
     def counted(self) -> bool:
@@ -103,69 +109,75 @@
         return 0
 
 
-class Gates:
+class LimitEnforcer:
     """All limits of the process, at its pools."""
 
-    def __init__(self, shares: Shares, loop: Loop) -> None:
-        self.shares, self.loop = shares, loop
+    def __init__(self, shares: QuotaAllocation, loop: Loop) -> None:
+        self.quota_allocation, self.loop = shares, loop
         self.tickets: dict[int, int] = {}  # hashed: until when
-        self.at_upstreams: dict[str, list[Table]] = {}  # by pool
-        self.closed: dict[
+        self.at_upstreams: dict[str, list[QuotaTable]] = {}  # by pool
+        self.closed_until: dict[
             tuple[str, str], int
         ] = {}  # routes and tenants, by an operator's word: until when
 
-    def put(self, pools: Iterable[Pool], those: Iterable[Said]) -> None:
+    def attach_pools(self, pools: Iterable[Pool], those: Iterable[LimitConfig]) -> None:
         """Where pools look from now on."""
         listed = list(those)
         for pool in pools:
             own = [said for said in listed if pool.name in said.pools]
-            door = Door(self, [said for said in own if said.each != "upstream"])
-            pool.gates, pool.further = door.everywhere(), door.of if door.asks() else None
+            door = LimitChain(self, [said for said in own if said.scope != "upstream"])
+            pool.gates, pool.further = door.everywhere(), door.gates_for if door.asks() else None
             tables = [
-                self.shares.tables[said.limit.name] for said in own if said.each == "upstream"
+                self.quota_allocation.tables[said.limit.name]
+                for said in own
+                if said.scope == "upstream"
             ]
             self.at_upstreams[pool.name] = tables
             pool.met = self.meeter(tables) if tables else None
             for peer in pool.peers():
                 self.meet(peer, tables)
 
-    def shut(self, route: str, tenant: bytes) -> Shut | None:
+    def shut(self, route: str, tenant: bytes) -> ClosedGate | None:
         """What stands before a request whose route or tenant is closed."""
-        if not self.closed:
+        if not self.closed_until:
             return None
         until = max(
-            self.closed.get(("route", route), 0),
-            self.closed.get(("tenant", tenant.decode("latin-1") or NOBODY), 0),
+            self.closed_until.get(("route", route), 0),
+            self.closed_until.get(("tenant", tenant.decode("latin-1") or NOBODY), 0),
         )
-        return Shut(until) if until > self.loop.clock() else None
+        return ClosedGate(until) if until > self.loop.clock() else None
 
     # Upstreams.
 
-    def meeter(self, tables: list[Table]) -> Callable[[Peer], None]:
+    def meeter(self, tables: list[QuotaTable]) -> Callable[[Peer], None]:
         return lambda peer: self.meet(peer, tables)
 
-    def meet(self, peer: Peer, tables: list[Table]) -> None:
+    def meet(self, peer: Peer, tables: list[QuotaTable]) -> None:
         """An upstream is there, or its limits are others."""
         peer.passes = tuple(
-            Narrow(peer, table.named(peer.host))  # type: ignore[arg-type]
+            UpstreamLimit(peer, table.quota_for_name(peer.host))  # type: ignore[arg-type]
             for table in tables
-            if table.said.limit.kind != CONNECTIONS
+            if table.config.limit.kind != CONNECTIONS
         )
-        parts = [table.named(peer.host) for table in tables if table.said.limit.kind == CONNECTIONS]
-        peer.most_links = min((part.home for part in parts), default=None)
+        parts = [
+            table.quota_for_name(peer.host)
+            for table in tables
+            if table.config.limit.kind == CONNECTIONS
+        ]
+        peer.most_links = min((part.home_quota for part in parts), default=None)
         self.settle(peer, self.loop.clock())
 
     def settle(self, peer: Peer, now: int) -> None:
         """How many more it may be sent just now."""
         spare = float("inf")
         for narrow in peer.passes:
-            assert isinstance(narrow, Narrow)
+            assert isinstance(narrow, UpstreamLimit)
             spare = min(spare, narrow.spare(now))
         if peer.most_links is not None:
             spare = min(spare, peer.most_links - peer.out())
         peer.spare = spare
 
-    def turn(self, now: int, pools: Iterable[Pool]) -> None:
+    def on_timer(self, now: int, pools: Iterable[Pool]) -> None:
         """Once in a while, as loans come and end: look anew."""
         listed = list(pools)
         for tables in self.at_upstreams.values():
@@ -179,31 +191,31 @@
                 }
         for pool in listed:
             for table in self.at_upstreams.get(pool.name, ()):
-                if table.said.limit.kind == CONNECTIONS:
+                if table.config.limit.kind == CONNECTIONS:
                     for peer in pool.peers():
-                        peer.most_links = table.named(peer.host).home
+                        peer.most_links = table.quota_for_name(peer.host).home_quota
             for peer in pool.peers() if self.at_upstreams.get(pool.name) else ():
                 if peer.spare <= 0 and peer.seen is not None and peer.seen.share > 0.0:
                     for narrow in peer.passes:
-                        assert isinstance(narrow, Narrow)
+                        assert isinstance(narrow, UpstreamLimit)
                         narrow.lacking()
                 self.settle(peer, now)
 
 
-class Narrow:
+class UpstreamLimit:
     """A limit at one upstream: requests in flight, from all members together."""
 
-    def __init__(self, peer: Peer, part: Share) -> None:
+    def __init__(self, peer: Peer, part: LeasedQuota) -> None:
         self.peer, self.part = peer, part
 
     def spare(self, now: int) -> int:
         timeout = max(
             request_class.timeout for request_class in self.peer.pool.spec.request_classes
         )
-        return self.part.lasting(now, now + timeout) - self.part.used
+        return self.part.lasting(now, now + timeout) - self.part.in_flight
 
     def enter(self, now: int, ends: int) -> Passed | None:
-        if not self.part.take(now, ends):
+        if not self.part.try_acquire(now, ends):
             return None
         self.peer.spare -= 1
         return self
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -40,11 +40,16 @@
     pool_mark,
 )
 from whinpier.fleet.outliers.monitor import OutlierMonitor
-from whinpier.fleet.quotas.allocation import NEVER, Kept, Said, Shares
-from whinpier.fleet.quotas.calendar_quota import Note, Units
-from whinpier.fleet.quotas.enforcement import Gates
-from whinpier.fleet.quotas.fair_share import Nearly
-from whinpier.fleet.quotas.leases import TURN
+from whinpier.fleet.quotas.allocation import (
+    NO_HISTORY,
+    LimitConfig,
+    QuotaAllocation,
+    StoredAllocation,
+)
+from whinpier.fleet.quotas.calendar_quota import CalendarQuota, WindowRecord
+from whinpier.fleet.quotas.enforcement import LimitEnforcer
+from whinpier.fleet.quotas.fair_share import ApproximateQuota
+from whinpier.fleet.quotas.leases import TIMER_INTERVAL
 from whinpier.fleet.spec import FleetSpec
 from whinpier.fleet.state_store import Batch, Records, StateStore
 from whinpier.policy.decaying_sum import SECOND
@@ -92,8 +97,8 @@
         recalled, kept = self.recalled()
         self.clocks = Clocks(time.time_ns() - self.now)
         self.state_store = StateStore(spec.state) if spec.state else None
-        notes, since, sinces = self.taken_up()
-        self.shares = Shares(
+        notes, since, known_since_by_limit = self.taken_up()
+        self.quota_allocation = QuotaAllocation(
             spec.name,
             spec.limits,
             self.now,
@@ -103,11 +108,13 @@
             self.state_store is not None,
             notes,
             since,
-            sinces,
+            known_since_by_limit,
         )
-        self.gates = Gates(self.shares, self.loop)
+        self.limit_enforcer = LimitEnforcer(self.quota_allocation, self.loop)
         self.outlier_monitor: OutlierMonitor | None = None
-        card = msgspec.structs.replace(card, limits=self.shares.epoch if self.shares.tables else 0)
+        card = msgspec.structs.replace(
+            card, limits=self.quota_allocation.epoch if self.quota_allocation.tables else 0
+        )
         self.members = Members(
             card, spec.seeds, Seal(spec.keys), spec.times, chance, self.now, recalled=recalled
         )
@@ -132,19 +139,19 @@
         self.by_mark: dict[int, str] = {}
         self.said: dict[tuple[int, int], bytes] = {}
         self.counts: Counter[str] = Counter()
-        self.nearly_marks: dict[int, Nearly] = {}
+        self.nearly_marks: dict[int, ApproximateQuota] = {}
         self.dealing, self.forget_at = False, 0
         self.attach()
         if sys.platform == "linux":
             sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
 
-    def taken_up(self) -> tuple[list[Note], int, dict[int, int]]:
+    def taken_up(self) -> tuple[list[WindowRecord], int, dict[int, int]]:
         """What the state file holds of windows, and since when it has known of all. Raises AppendLogError."""
         if self.state_store is None:
-            return [], NEVER, {}
+            return [], NO_HISTORY, {}
         self.state_store.collect_batches = self.to_write
         live = self.state_store.open()
-        begun = live.get((BEGUN,), (NEVER,))
+        begun = live.get((BEGUN,), (NO_HISTORY,))
         log.info(
             "state_store_loaded",
             file=self.state_store.journal.path,
@@ -164,23 +171,23 @@
         found: list[Batch] = []
         if first:
             found.append(Batch(first, lambda: None, lambda: self.first_notes.update(first)))
-        for part in self.shares.units():
-            if part.notes:
-                said, notes = part.take_notes()
+        for part in self.quota_allocation.calendar_quotas():
+            if part.pending_records:
+                said, notes = part.take_records()
                 found.append(
                     Batch(
                         {(WINDOW, *note[:3]): note[3:] for note in notes},
                         partial(self.written, part, said, notes),
-                        partial(part.not_written, notes),
+                        partial(part.on_write_failed, notes),
                     )
                 )
         return found
 
-    def written(self, part: Units, said: int, notes: list[Note]) -> None:
-        part.written(said, notes)
+    def written(self, part: CalendarQuota, said: int, notes: list[WindowRecord]) -> None:
+        part.on_records_written(said, notes)
         self.send_deals()
 
-    def recalled(self) -> tuple[list[Address], dict[str, Kept]]:
+    def recalled(self) -> tuple[list[Address], dict[str, StoredAllocation]]:
         try:
             return peer_cache.read(self.spec.recall) if self.spec.recall else ([], {})
         except (OSError, ValueError) as fault:
@@ -192,7 +199,7 @@
         kept, well = None, True
         while True:
             await anyio.sleep(REMEMBER)
-            now = self.members.addresses(), self.shares.keep()
+            now = self.members.addresses(), self.quota_allocation.stored_allocations()
             if now == kept or not any(now):
                 continue
             try:
@@ -206,12 +213,14 @@
     def attach(self) -> None:
         """Connect the pools that the fleet shares."""
         self.by_mark = {pool_mark(name): name for name in self.spec.pools}
-        self.nearly_marks = {one.limit.mark: one for one in self.shares.nearly.values()}
+        self.nearly_marks = {
+            one.limit.wire_id: one for one in self.quota_allocation.approximate_quotas.values()
+        }
         for name, pool in self.life.pools.items():
             pool.speaks = self.speaker(name) if name in self.spec.pools else None
             if name not in self.spec.pools:
                 pool.alone()
-        self.gates.put(self.life.pools.values(), self.spec.limits)
+        self.limit_enforcer.attach_pools(self.life.pools.values(), self.spec.limits)
         if self.outlier_monitor:
             self.outlier_monitor.update_pools(self.life.pools.values(), self.spec.pools)
         # Before the first request: until it knows better, as many as the file lets it expect.
@@ -242,7 +251,7 @@
         keys, self.spec = spec.differs(self.spec), spec
         self.counting.follow(spec.pools)
         if "limits" in keys:
-            self.shares.follow(self.said_limits(), self.loop.clock())
+            self.quota_allocation.apply_configs(self.said_limits(), self.loop.clock())
         self.attach()
         self.members.change(
             self.loop.clock(),
@@ -389,7 +398,7 @@
                 if one.kind == OLD:
                     self.told_old(one, sender)
                 else:
-                    self.shares.deal(one, sender, self.loop.clock())
+                    self.quota_allocation.on_message(one, sender, self.loop.clock())
             self.send_deals()
         if self.members.heard_talks:
             talks, self.members.heard_talks = self.members.heard_talks, []
@@ -416,9 +425,9 @@
         name = event.pairs.get("member", "")
         if event.name in ("member_left", "member_lost"):
             if event.pairs.get("why") != WHY[SILENT]:
-                self.shares.departed.add(name)
+                self.quota_allocation.departed.add(name)
         elif event.name == "member_here":
-            self.shares.departed.discard(name)
+            self.quota_allocation.departed.discard(name)
         for watcher in list(self.watchers):
             watcher({"event": control_name(event.name)} | pairs)
 
@@ -428,8 +437,8 @@
         gone = not any(
             one.card.name == name and one.connected for one in self.members.members.values()
         )
-        if gone and any(name in kept.homes for kept in self.shares.kept.values()):
-            self.shares.departed.add(name)
+        if gone and any(name in kept.homes for kept in self.quota_allocation.stored.values()):
+            self.quota_allocation.departed.add(name)
             struck = max(struck, 1)
         self.pass_on()
         return struck
@@ -460,8 +469,8 @@
             for kind in ("route", "tenant")
             for name in self.members.registry.values_with_prefix(kind + "/")
         }
-        if closed != self.gates.closed:
-            self.gates.closed = closed
+        if closed != self.limit_enforcer.closed_until:
+            self.limit_enforcer.closed_until = closed
             self.attach()
         if self.outlier_monitor:
             self.outlier_monitor.operator_ejections = {
@@ -470,12 +479,12 @@
             }
         if amounts != self.amounts:
             self.amounts = amounts
-            self.shares.follow(self.said_limits(), self.loop.clock())
+            self.quota_allocation.apply_configs(self.said_limits(), self.loop.clock())
             self.attach()
             told = ",".join(f"{name}={amount:g}" for name, amount in amounts.items())
             log.info("quota_overrides_changed", limits=told)
 
-    def said_limits(self) -> tuple[Said, ...]:
+    def said_limits(self) -> tuple[LimitConfig, ...]:
         """The limits of the file, with the amounts that operators have said for a while."""
         amounts = self.amounts
         return tuple(
@@ -512,20 +521,21 @@
                     "name": one.card.name,
                     "run": f"{one.card.run:x}",
                     "holds": one.register == registry.digest,
-                    "limits": one.card.limits == self.shares.epoch or not self.shares.tables,
+                    "limits": one.card.limits == self.quota_allocation.epoch
+                    or not self.quota_allocation.tables,
                 }
                 for one in self.members.members.values()
                 if one.connected
             ],
-            "agreed": self.shares.agreed,
+            "agreed": self.quota_allocation.agreed,
         }
 
     def begin(self, name: str) -> bool:
         """An operator says that nothing was used of the window of a count that is on."""
-        if not self.shares.begin(name, self.loop.clock()):
+        if not self.quota_allocation.mark_window_unused(name, self.loop.clock()):
             return False
-        mark = self.shares.tables[name].said.limit.mark
-        self.first_notes[BEGUN, mark] = (self.shares.sinces[mark],)
+        mark = self.quota_allocation.tables[name].config.limit.wire_id
+        self.first_notes[BEGUN, mark] = (self.quota_allocation.known_since_by_limit[mark],)
         return True
 
     # Limits.
@@ -536,25 +546,27 @@
         if not self.dealing:
             return
         now = self.now = self.loop.clock()
-        self.loop.at(now + TURN, self, self.deal)
-        members, shares = self.members, self.shares
+        self.loop.at(now + TIMER_INTERVAL, self, self.deal)
+        members, shares = self.members, self.quota_allocation
         others = [one for one in members.members.values() if one.kind != GONE]
         self.look_at_clocks(now)
         self.look_at_division(now, others)
         if any(one.card.name == self.spec.name for one in others):
-            shares.fence(now)  # a second process of this name holds the same homes
+            shares.extend_fence(now)  # a second process of this name holds the same homes
         by_name = {one.card.name: one.id for one in others if one.connected}
-        shares.turn(now, lambda limit: [by_name[home] for home in limit.homes if home in by_name])
+        shares.on_timer(
+            now, lambda limit: [by_name[home] for home in limit.homes if home in by_name]
+        )
         self.tell_nearly(now, others)
-        self.gates.turn(now, self.life.pools.values())
+        self.limit_enforcer.on_timer(now, self.life.pools.values())
         if self.outlier_monitor:
             self.outlier_monitor.on_timer(now)
         if self.state_store:
-            if self.first_notes or any(part.notes for part in shares.units()):
+            if self.first_notes or any(part.pending_records for part in shares.calendar_quotas()):
                 self.state_store.wake()
             self.members.carry(STAMP, self.state_store.sequence.to_bytes(8, "big"))
             if now >= self.forget_at:
-                over, self.forget_at = self.shares.over(now), now + FORGET
+                over, self.forget_at = self.quota_allocation.make_expiry_filter(now), now + FORGET
                 self.state_store.discard(lambda key: key[0] == WINDOW and over(key[1], key[3]))
         self.send_deals()
 
@@ -571,10 +583,10 @@
         )
 
     def look_at_division(self, now: int, others: list[Member]) -> None:
-        shares = self.shares
-        if shares.agreed and shares.told == shares.epoch:
+        shares = self.quota_allocation
+        if shares.agreed and shares.announced_epoch == shares.epoch:
             return
-        if shares.tell(now):
+        if shares.announce(now):
             self.members.change(
                 now,
                 self.spec.seeds,
@@ -585,11 +597,11 @@
         heard = [one for one in others if one.connected]
         there = {one.card.name for one in heard if one.card.limits == shares.epoch}
         apart = {one.card.name for one in heard if one.card.limits != shares.epoch}
-        since, silent = shares.since, {one.card.name for one in others if one.unheard}
-        agreed = shares.look(now, there, apart, silent, self.clocks.voices)
-        if self.state_store and shares.since != since:
+        since, silent = shares.known_since, {one.card.name for one in others if one.unheard}
+        agreed = shares.check_agreement(now, there, apart, silent, self.clocks.voices)
+        if self.state_store and shares.known_since != since:
             # From here on the file knows of all that is used; what was before it does not say.
-            self.first_notes[BEGUN,] = (shares.since,)
+            self.first_notes[BEGUN,] = (shares.known_since,)
         if agreed:
             log.info(
                 "quota_allocation_agreed", limits=",".join(shares.tables), epoch=f"{shares.epoch:x}"
@@ -597,20 +609,20 @@
 
     def tell_nearly(self, now: int, others: list[Member]) -> None:
         """Tell what is asked for of limits that are nearly kept, and hear what the others tell."""
-        nearly = self.shares.nearly
+        nearly = self.quota_allocation.approximate_quotas
         if not nearly:
             return
         heard, soon = {one.id: one.connected for one in others}, False
         for one in nearly.values():
-            changed, at_once = one.turn(now, heard, self.counting.floor(now))
+            changed, at_once = one.on_timer(now, heard, self.counting.floor(now))
             if changed:
-                self.members.carry(one.limit.mark, one.word(now))
+                self.members.carry(one.limit.wire_id, one.encode_report(now))
             soon = soon or at_once
         if soon:
             self.members.tell_all_now(now)
 
     def send_deals(self) -> None:
-        deals = self.shares.take_out()
+        deals = self.quota_allocation.take_messages()
         pleas = self.outlier_monitor.take_messages() if self.outlier_monitor else []
         if deals or pleas:
             self.members.send_deals(deals, self.loop.clock(), pleas)
@@ -618,7 +630,7 @@
 
     def limits(self) -> list[dict[str, Any]]:
         """How each limit stands here."""
-        return self.shares.rows(self.loop.clock())
+        return self.quota_allocation.status_rows(self.loop.clock())
 
     def compare(self, member: int, contents: bytes) -> None:
         """A new run whose state file has fewer notes than the last one's: an old copy, or none."""
@@ -647,8 +659,8 @@
         )
         self.begun_stamp = deal.nonce
         self.state_store.sequence = max(self.state_store.sequence, deal.nonce)
-        self.shares.void(self.loop.clock())
-        self.first_notes[BEGUN,] = (self.shares.since,)
+        self.quota_allocation.invalidate_records(self.loop.clock())
+        self.first_notes[BEGUN,] = (self.quota_allocation.known_since,)
 
     # Pools.
 
@@ -662,7 +674,7 @@
                 self.agreed.told_news(member, contents)
             return
         if mark in self.nearly_marks:
-            self.nearly_marks[mark].hear(member, contents, self.loop.clock())
+            self.nearly_marks[mark].on_report(member, contents, self.loop.clock())
             return
         name = self.by_mark.get(mark)
         counted = self.counting.pools.get(name) if name else None
--- a/whinpier/fleet/spec.py
+++ b/whinpier/fleet/spec.py
@@ -6,7 +6,7 @@
 
 from whinpier.fleet.membership.membership import Address, Times
 from whinpier.fleet.outliers.config import EjectionConfig
-from whinpier.fleet.quotas.allocation import Said
+from whinpier.fleet.quotas.allocation import LimitConfig
 from whinpier.fleet.rollouts.commands import BudgetRule
 from whinpier.policy.decaying_sum import SECOND
 
@@ -52,7 +52,7 @@
     zone: str = ""
     times: Times = Times()
     pools: tuple[str, ...] = ()  # that are shared by as many as the fleet says
-    limits: tuple[Said, ...] = ()
+    limits: tuple[LimitConfig, ...] = ()
     verdicts: EjectionConfig | None = None  # None: nothing rests by what the fleet says
     agreement: AgreementSpec | None = None  # None: nothing is agreed
 
--- a/whinpier/model_checking/count_mutants.py
+++ b/whinpier/model_checking/count_mutants.py
@@ -6,151 +6,156 @@
 from typing import Any
 
 from whinpier.fleet.messages import UNITS, Deal
-from whinpier.fleet.quotas.calendar_quota import Note, Slot
+from whinpier.fleet.quotas.calendar_quota import WindowQuota, WindowRecord
 from whinpier.model_checking.counts import Wishful
 
 
 class SendsBeforeItIsWritten(Wishful):
-    def asked_for(self, deal: Deal, other: int, now: int) -> None:
-        super().asked_for(deal, other, now)
-        self.out += [(to, held) for _, to, held in self.held]
-        self.held = []
+    def on_request(self, deal: Deal, other: int, now: int) -> None:
+        super().on_request(deal, other, now)
+        self.out += [(to, held) for _, to, held in self.held_grants]
+        self.held_grants = []
 
 
 class SendsWithWhateverIsWritten(Wishful):
-    def written(self, said: int, notes: Iterable[Note]) -> None:
-        super().written(said + len(self.held), notes)
+    def on_records_written(self, said: int, notes: Iterable[WindowRecord]) -> None:
+        super().on_records_written(said + len(self.held_grants), notes)
 
 
 class HandsOverWithoutTakingOff(Wishful):
-    def asked_for(self, deal: Deal, other: int, now: int) -> None:
-        for slot in self.slots:
-            if slot.start == deal.turn and (spare := min(deal.amount, slot.left - self.wish)) > 0:
+    def on_request(self, deal: Deal, other: int, now: int) -> None:
+        for slot in self.windows:
+            if (
+                slot.start == deal.turn
+                and (spare := min(deal.amount, slot.remaining - self.wish)) > 0
+            ):
                 self.out.append((other, Deal(UNITS, deal.limit, deal.nonce, spare, deal.turn)))
 
 
 class AddsWhatItAskedFor(Wishful):
-    def look_for(self, slot: Slot, now: int, lacking: int, there: Iterable[int]) -> None:
-        super().look_for(slot, now, lacking, there)
-        slot.moved += sum(ask.amount for ask in self.asks.values() if ask.at == now)
+    def request_from_members(
+        self, slot: WindowQuota, now: int, lacking: int, there: Iterable[int]
+    ) -> None:
+        super().request_from_members(slot, now, lacking, there)
+        slot.transferred += sum(ask.amount for ask in self.pending.values() if ask.sent_at == now)
 
 
 class AddsTwice(Wishful):
-    def received(self, deal: Deal, other: int, now: int) -> None:
-        ask = self.asks.get(deal.nonce)
-        super().received(deal, other, now)
+    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+        ask = self.pending.get(deal.nonce)
+        super().on_grant(deal, other, now)
         if ask is not None:
-            self.asks[deal.nonce] = ask
+            self.pending[deal.nonce] = ask
 
 
 class TakesUnitsOfAnotherWindow(Wishful):
-    def settle(self, now: int) -> None:
-        kept = dict(self.asks)
-        super().settle(now)
+    def update_windows(self, now: int) -> None:
+        kept = dict(self.pending)
+        super().update_windows(now)
         for ask in kept.values():
-            ask.start = self.slots[-1].start
-        self.asks = kept
+            ask.start = self.windows[-1].start
+        self.pending = kept
 
-    def received(self, deal: Deal, other: int, now: int) -> None:
-        start = self.slots[-1].start
-        super().received(Deal(deal.kind, deal.limit, deal.nonce, deal.amount, start), other, now)
+    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+        start = self.windows[-1].start
+        super().on_grant(Deal(deal.kind, deal.limit, deal.nonce, deal.amount, start), other, now)
 
 
 class TakesAnybodysUnits(Wishful):
-    def received(self, deal: Deal, other: int, now: int) -> None:
-        for slot in self.slots:
+    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+        for slot in self.windows:
             if slot.start == deal.turn:
-                slot.moved += deal.amount
-        self.asks.pop(deal.nonce, None)
+                slot.transferred += deal.amount
+        self.pending.pop(deal.nonce, None)
 
 
 class UsesBeforeItIsWritten(Wishful):
-    def ahead(self, slot: Slot, now: int) -> None:
-        super().ahead(slot, now)
-        slot.kept = slot.asked
+    def write_ahead(self, slot: WindowQuota, now: int) -> None:
+        super().write_ahead(slot, now)
+        slot.durable_used = slot.pending_used
 
 
 class WritesWhatIsUsedNow(Wishful):
-    def write(self, slot: Slot) -> None:
-        super().write(slot)
-        self.notes[slot.start] = (*self.notes[slot.start][:5], slot.used)
+    def queue_record(self, slot: WindowQuota) -> None:
+        super().queue_record(slot)
+        self.pending_records[slot.start] = (*self.pending_records[slot.start][:5], slot.used)
 
-    def written(self, said: int, notes: Iterable[Note]) -> None:
-        super().written(said, notes)
-        for slot in self.slots:
-            slot.kept = slot.asked
+    def on_records_written(self, said: int, notes: Iterable[WindowRecord]) -> None:
+        super().on_records_written(said, notes)
+        for slot in self.windows:
+            slot.durable_used = slot.pending_used
 
 
 class BelievesAllIsWritten(Wishful):
-    def written(self, said: int, notes: Iterable[Note]) -> None:
-        super().written(said, notes)
-        for slot in self.slots:
-            slot.kept = slot.asked
+    def on_records_written(self, said: int, notes: Iterable[WindowRecord]) -> None:
+        super().on_records_written(said, notes)
+        for slot in self.windows:
+            slot.durable_used = slot.pending_used
 
 
 class TakesAFailureForDone(Wishful):
-    def not_written(self, notes: Iterable[Note]) -> None:
-        self.written(self.said, notes)
+    def on_write_failed(self, notes: Iterable[WindowRecord]) -> None:
+        self.on_records_written(self.records_issued, notes)
 
 
 class ForgetsWhatFailed(Wishful):
     """What could not be written is not tried again, and counts as if it had been."""
 
-    def not_written(self, notes: Iterable[Note]) -> None:
-        for slot in self.slots:
-            slot.kept = slot.asked
+    def on_write_failed(self, notes: Iterable[WindowRecord]) -> None:
+        for slot in self.windows:
+            slot.durable_used = slot.pending_used
 
 
 class ForgetsWhatWasUsed(Wishful):
-    def recall(self, notes: Iterable[Note], since: int) -> None:
-        super().recall([(*note[:5], 0) for note in notes], since)
+    def restore(self, notes: Iterable[WindowRecord], since: int) -> None:
+        super().restore([(*note[:5], 0) for note in notes], since)
 
 
 class ForgetsWhatItHandedOver(Wishful):
-    def recall(self, notes: Iterable[Note], since: int) -> None:
-        super().recall([(*note[:4], 0, note[5]) for note in notes], since)
+    def restore(self, notes: Iterable[WindowRecord], since: int) -> None:
+        super().restore([(*note[:4], 0, note[5]) for note in notes], since)
 
 
 class TakesNoDiskForAnUnusedWindow(Wishful):
-    def recall(self, notes: Iterable[Note], since: int) -> None:
-        super().recall(notes, 0)
+    def restore(self, notes: Iterable[WindowRecord], since: int) -> None:
+        super().restore(notes, 0)
 
 
 class CountsOneWindowOfTwo(Wishful):
-    def settle(self, now: int) -> None:
-        super().settle(now)
-        self.slots = self.slots[:1]
+    def update_windows(self, now: int) -> None:
+        super().update_windows(now)
+        self.windows = self.windows[:1]
 
 
 class CountsTheLaterOfTwo(Wishful):
-    def settle(self, now: int) -> None:
-        super().settle(now)
-        self.slots = self.slots[-1:]
+    def update_windows(self, now: int) -> None:
+        super().update_windows(now)
+        self.windows = self.windows[-1:]
 
 
 class GivesBackInAnyWindow(Wishful):
     """What never ran is counted off in the window that is on by then."""
 
     def enter(self, now: int, ends: int = 0) -> Any:
-        return self if self.take(now, ends) else None
+        return self if self.try_acquire(now, ends) else None
 
     def give(self, now: int, ran: bool = True) -> None:
-        self.slots[-1].used = max(0, self.slots[-1].used - 1)
+        self.windows[-1].used = max(0, self.windows[-1].used - 1)
 
 
 class GivesBackWhatRan(Wishful):
     """What a window has counted is counted off again when it closes for a while, as clocks are unsure."""
 
-    def settle(self, now: int) -> None:
-        super().settle(now)
-        if len(self.slots) > 1:
-            self.slots[0].used = max(0, self.slots[0].used - 1)
+    def update_windows(self, now: int) -> None:
+        super().update_windows(now)
+        if len(self.windows) > 1:
+            self.windows[0].used = max(0, self.windows[0].used - 1)
 
 
 class RoundsItsHomeUp(Wishful):
     def __init__(self, *given: object) -> None:
         super().__init__(*given)  # type: ignore[arg-type]
-        self.home += 1
+        self.home_quota += 1
 
 
 FAULTS: dict[str, type[Wishful]] = {
--- a/whinpier/model_checking/counts.py
+++ b/whinpier/model_checking/counts.py
@@ -12,7 +12,13 @@
 from collections.abc import Hashable
 from typing import Any
 
-from whinpier.fleet.quotas.calendar_quota import Both, Calendar, Note, Slot, Units
+from whinpier.fleet.quotas.calendar_quota import (
+    Calendar,
+    CalendarQuota,
+    MultiWindowAdmission,
+    WindowQuota,
+    WindowRecord,
+)
 from whinpier.fleet.quotas.leases import COUNT, Limit
 from whinpier.model_checking.network import Named, Network
 from whinpier.policy.decaying_sum import SECOND
@@ -22,17 +28,17 @@
 CALENDAR = Calendar("minute")
 
 
-class Wishful(Units):
+class Wishful(CalendarQuota):
     """The real part, but for what is needed: that is the world's choice."""
 
     wish = 0
-    least_ahead = 1
+    min_write_ahead = 1
     clock = (0, 0)
 
-    def rate(self, now: int) -> int:
+    def estimate_rate(self, now: int) -> int:
         return 1 if self.wish else 0
 
-    def foreseen(self, slot: Slot, now: int, span: int) -> int:
+    def forecast_demand(self, slot: WindowQuota, now: int, span: int) -> int:
         return self.wish
 
 
@@ -57,10 +63,10 @@
         self.limit = Limit("x", COUNT, amount, tuple(f"m{n}" for n in range(members)))
         self.make, self.left, self.unsure, self.failures = make, times, unsure, failures
         self.lasting, self.ahead = lasting, ahead
-        self.disks: list[dict[int, Note]] = [{} for _ in range(members)]
-        self.writing: list[tuple[int, list[Note]] | None] = [None] * members
+        self.disks: list[dict[int, WindowRecord]] = [{} for _ in range(members)]
+        self.writing: list[tuple[int, list[WindowRecord]] | None] = [None] * members
         self.passed: Counter[int] = Counter()  # by window
-        self.out: list[list[tuple[int, Slot | Both]]] = [
+        self.out: list[list[tuple[int, WindowQuota | MultiWindowAdmission]]] = [
             [] for _ in range(members)
         ]  # window, what took it
         self.parts: list[Wishful] = [self.started(place, False) for place in range(members)]
@@ -69,7 +75,7 @@
         return self.parts[place]
 
     def deliver(self, place: int, message: Any, sender: int) -> None:
-        self.parts[place].deal(message, sender, self.now)
+        self.parts[place].on_message(message, sender, self.now)
 
     def between(self, now: int) -> tuple[int, int]:
         wall = BEGUN * SECOND + now
@@ -79,11 +85,11 @@
         part = self.make(
             self.limit, CALENDAR, f"m{place}", self.now, self.chance(), self.between, self.lasting
         )
-        part.least_ahead = self.ahead
+        part.min_write_ahead = self.ahead
         if again:
             since = 0 if self.lasting else self.between(self.now)[1] // SECOND + 1
-            part.recall(list(self.disks[place].values()), since)
-        part.settle(self.now)
+            part.restore(list(self.disks[place].values()), since)
+        part.update_windows(self.now)
         return part
 
     def steps(self) -> list[tuple[str, Hashable]]:
@@ -101,7 +107,7 @@
                 found.append((f"m{place} has it on its disk", ("written", place)))
                 if self.failures:
                     found.append((f"the disk of m{place} fails", ("fail", place)))
-            elif part.notes:
+            elif part.pending_records:
                 found.append((f"m{place} begins to write", ("write", place)))
             if self.crashes:
                 found.append((f"m{place} dies and starts", ("crash", place)))
@@ -121,24 +127,24 @@
         self.parts[place].wish = wish
 
     def do_turn(self, place: int) -> None:
-        self.parts[place].turn(self.now, self.others(place))
+        self.parts[place].on_timer(self.now, self.others(place))
         self.send(place)
 
     def do_write(self, place: int) -> None:
-        self.writing[place] = self.parts[place].take_notes()
+        self.writing[place] = self.parts[place].take_records()
 
     def do_written(self, place: int) -> None:
         batch, self.writing[place] = self.writing[place], None
         assert batch is not None
         self.disks[place] |= {note[2]: note for note in batch[1]}
-        self.parts[place].written(*batch)
+        self.parts[place].on_records_written(*batch)
         self.send(place)
 
     def do_fail(self, place: int) -> None:
         self.failures -= 1
         batch, self.writing[place] = self.writing[place], None
         assert batch is not None
-        self.parts[place].not_written(batch[1])
+        self.parts[place].on_write_failed(batch[1])
 
     def do_crash(self, place: int) -> None:
         self.crashes -= 1
@@ -150,7 +156,7 @@
         self.left -= 1
         self.now += STEP
         for part in self.parts:
-            part.edge_high = 0  # it looks at its clock before it does anything
+            part.windows_valid_until = 0  # it looks at its clock before it does anything
 
     def window(self) -> int:
         return CALENDAR.bounds(BEGUN + self.now // SECOND)[0]
@@ -162,8 +168,10 @@
         start = self.window()
         may = self.passed[start]
         for part in self.parts:
-            slot = part.known.get(start)
-            may += slot.left if slot else part.home if start >= part.blind_till else 0
+            slot = part.known_windows.get(start)
+            may += (
+                slot.remaining if slot else part.home_quota if start >= part.unknown_before else 0
+            )
         if may > self.limit.amount:
             return f"{may} have passed or may pass, of {self.limit.amount}"
         return ""
@@ -173,22 +181,36 @@
         parts = tuple(
             (
                 part.wish,
-                part.blind_till,
+                part.unknown_before,
                 tuple(
-                    (slot.start, slot.home, slot.moved, slot.used, slot.kept, slot.asked)
-                    for slot in part.known.values()
+                    (
+                        slot.start,
+                        slot.home_quota,
+                        slot.transferred,
+                        slot.used,
+                        slot.durable_used,
+                        slot.pending_used,
+                    )
+                    for slot in part.known_windows.values()
                 ),
                 tuple(
-                    (name(nonce), ask.other, ask.amount, ask.start, self.now - ask.at, ask.tries)
-                    for nonce, ask in part.asks.items()
+                    (
+                        name(nonce),
+                        ask.member,
+                        ask.amount,
+                        ask.start,
+                        self.now - ask.sent_at,
+                        ask.attempts,
+                    )
+                    for nonce, ask in part.pending.items()
                 ),
-                tuple((name(nonce), amount) for nonce, amount in part.granted.items()),
+                tuple((name(nonce), amount) for nonce, amount in part.grants.items()),
                 tuple(
-                    (said - part.said, other, name(deal.nonce), deal.amount)
-                    for said, other, deal in part.held
+                    (said - part.records_issued, other, name(deal.nonce), deal.amount)
+                    for said, other, deal in part.held_grants
                 ),
-                tuple(part.notes.values()),
-                tuple(sorted(who for who, at in part.nothing.items() if at == self.now)),
+                tuple(part.pending_records.values()),
+                tuple(sorted(who for who, at in part.declined_at.items() if at == self.now)),
             )
             for part in self.parts
         )
@@ -199,12 +221,12 @@
             )
         )
         disks = tuple(
-            (tuple(disk.values()), batch and (part.said - batch[0], tuple(batch[1])))
+            (tuple(disk.values()), batch and (part.records_issued - batch[0], tuple(batch[1])))
             for disk, batch, part in zip(self.disks, self.writing, self.parts)
         )
         out = tuple(
             tuple(
-                (window, tuple(slot.start for slot in getattr(given, "slots", [given])))
+                (window, tuple(slot.start for slot in getattr(given, "windows", [given])))
                 for window, given in those
             )
             for those in self.out
--- a/whinpier/model_checking/quotas.py
+++ b/whinpier/model_checking/quotas.py
@@ -11,21 +11,21 @@
 from collections.abc import Hashable
 from typing import Any
 
-from whinpier.fleet.quotas.leases import IN_FLIGHT, SLACK, SPAN, Limit, Share
+from whinpier.fleet.quotas.leases import IN_FLIGHT, LEASE_DURATION, LEASE_GRACE, LeasedQuota, Limit
 from whinpier.model_checking.network import Named, Network
 
-STEP = SPAN // 8
+STEP = LEASE_DURATION // 8
 LENGTHS = (2, 6)  # steps that a request takes: the longest is its timeout
-FENCE = SPAN + SLACK
+FENCE = LEASE_DURATION + LEASE_GRACE
 
 
-class Wishing(Share):
+class Wishing(LeasedQuota):
     """The real share, but for what is needed: that is the world's choice."""
 
     wish = 0
 
-    def need(self, now: int) -> int:
-        return max(self.wish, self.used)
+    def compute_need(self, now: int) -> int:
+        return max(self.wish, self.in_flight)
 
 
 class Sharing(Network):
@@ -57,7 +57,7 @@
         return self.shares[place]
 
     def deliver(self, place: int, message: Any, sender: int) -> None:
-        self.shares[place].deal(message, sender, self.now)
+        self.shares[place].on_message(message, sender, self.now)
 
     def started(self, place: int, fence: int) -> Wishing:
         return self.make(self.limit, f"m{place}", self.now, self.chance(), fence)
@@ -75,7 +75,7 @@
         found: list[tuple[str, Hashable]] = []
         for place, share in enumerate(self.shares):
             for length in self.lengths:
-                if share.used < self.limit.amount:
+                if share.in_flight < self.limit.amount:
                     found.append((f"m{place} takes a task of {length}", ("take", place, length)))
             if self.requests[place]:
                 found.append((f"m{place} ends a task", ("end", place)))
@@ -90,7 +90,7 @@
 
     def do_take(self, place: int, length: int) -> None:
         ends = self.now + length * STEP
-        if self.shares[place].take(self.now, ends):
+        if self.shares[place].try_acquire(self.now, ends):
             self.requests[place].append(ends)
 
     def do_end(self, place: int) -> None:
@@ -101,7 +101,7 @@
         self.shares[place].wish = wish
 
     def do_turn(self, place: int) -> None:
-        self.shares[place].turn(self.now, self.others(place))
+        self.shares[place].on_timer(self.now, self.others(place))
         self.send(place)
 
     def do_crash(self, place: int) -> None:
@@ -125,7 +125,7 @@
         out = sum(map(len, self.requests)) + len(self.orphans)
         if out > self.limit.amount:
             return f"{out} in flight of {self.limit.amount}"
-        may = sum(max(share.count(self.now), share.used) for share in self.shares)
+        may = sum(max(share.compute_available(self.now), share.in_flight) for share in self.shares)
         if may > self.limit.amount:
             return f"{may} may be used of {self.limit.amount}"
         return ""
@@ -135,27 +135,45 @@
         name = Named()
         shares = tuple(
             (
-                share.used,
+                share.in_flight,
                 share.wish,
-                max(0, share.fenced_till - self.now),
-                max(0, share.last_end - self.now),
+                max(0, share.fenced_until - self.now),
+                max(0, share.last_deadline - self.now),
                 tuple(
-                    (name(nonce), loan.other, loan.amount, loan.until - self.now, loan.turn)
-                    for nonce, loan in share.lent.items()
-                    if loan.until > self.now
+                    (
+                        name(nonce),
+                        lease.member,
+                        lease.amount,
+                        lease.expires_at - self.now,
+                        lease.renewal,
+                    )
+                    for nonce, lease in share.lent.items()
+                    if lease.expires_at > self.now
                 ),
                 tuple(
-                    (name(nonce), loan.other, loan.amount, loan.until - self.now, loan.turn)
-                    for nonce, loan in share.borrowed.items()
-                    if loan.until > self.now
+                    (
+                        name(nonce),
+                        lease.member,
+                        lease.amount,
+                        lease.expires_at - self.now,
+                        lease.renewal,
+                    )
+                    for nonce, lease in share.borrowed.items()
+                    if lease.expires_at > self.now
                 ),
                 tuple(
-                    (name(nonce), asked.other, asked.amount, asked.at - self.now, asked.turn)
-                    for nonce, asked in share.asked.items()
+                    (
+                        name(nonce),
+                        asked.member,
+                        asked.amount,
+                        asked.requested_at - self.now,
+                        asked.renewal,
+                    )
+                    for nonce, asked in share.pending.items()
                 ),
                 tuple(
                     (who, at - self.now)
-                    for who, at in share.nothing.items()
+                    for who, at in share.declined_at.items()
                     if self.now - at <= STEP
                 ),
             )
--- a/whinpier/testbed/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -32,10 +32,14 @@
 
 def share_fault(name: str) -> None:
     from whinpier.fleet.quotas import allocation
-    from whinpier.fleet.quotas.leases import Share
+    from whinpier.fleet.quotas.leases import LeasedQuota
     from whinpier.model_checking.quota_mutants import FAULTS
 
-    swapped(allocation, "Share", type(name, (FAULTS[name],), {"need": Share.need}))
+    swapped(
+        allocation,
+        "LeasedQuota",
+        type(name, (FAULTS[name],), {"compute_need": LeasedQuota.compute_need}),
+    )
 
 
 def permits_without_end() -> None:
