--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -14,7 +14,7 @@
 
 from tests.waiting import until
 from whinpier.fleet.clock_offset import KEPT, MARGIN, Clocks
-from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
+from whinpier.fleet.messages import UNITS_GRANT, UNITS_REQUEST, QuotaMessage
 from whinpier.fleet.quotas.calendar_quota import MOST_GRANTED, Calendar, Units
 from whinpier.fleet.quotas.fair_share import WORD, Nearly, aged, fill
 from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, Limit
@@ -134,7 +134,7 @@
 def test_an_ask_that_comes_again_is_answered_as_it_was_and_a_flood_of_them_gets_no_more_than_there_is():
     one = units(amount=3_000, homes=("a",))
     for nonce in range(1, 2 * MOST_GRANTED):
-        one.deal(Deal(ASK_UNITS, one.limit.mark, nonce, 1, 0), 7, SECOND)
+        one.deal(QuotaMessage(UNITS_REQUEST, one.limit.mark, nonce, 1, 0), 7, SECOND)
     given_away = sum(deal.amount for _, deal in one.out)
     assert (
         given_away == 2 * MOST_GRANTED - 1
@@ -142,7 +142,7 @@
         and len(one.granted) == MOST_GRANTED
     )
     one.out = []
-    one.deal(Deal(ASK_UNITS, one.limit.mark, 1_500, 1, 0), 7, SECOND)
+    one.deal(QuotaMessage(UNITS_REQUEST, one.limit.mark, 1_500, 1, 0), 7, SECOND)
     assert [deal.amount for _, deal in one.out] == [1] and one.slots[0].own == 953
 
 
@@ -152,14 +152,14 @@
         one.take(0)
     one.turn(0, [1])
     _, ask = one.out[0]
-    good = Deal(UNITS, ask.limit, ask.nonce, 1, 0)
-    for deal, other in ((Deal(UNITS, ask.limit, 5, 1, 0), 1), (good, 2)):
+    good = QuotaMessage(UNITS_GRANT, ask.limit, ask.nonce, 1, 0)
+    for deal, other in ((QuotaMessage(UNITS_GRANT, ask.limit, 5, 1, 0), 1), (good, 2)):
         one.deal(deal, other, 1)
     assert one.slots[0].own == 1
     one.turn(1, [1])
     ask = one.out[-1][1]
     for _ in range(2):
-        one.deal(Deal(UNITS, ask.limit, ask.nonce, 1, 0), 1, 2)
+        one.deal(QuotaMessage(UNITS_GRANT, ask.limit, ask.nonce, 1, 0), 1, 2)
     assert one.slots[0].own == 2
 
 
--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -22,18 +22,18 @@
     replayed,
 )
 from whinpier.fleet.messages import (
-    APPEND,
-    ASK_EARLY,
-    FETCH,
-    LINES,
-    MOST_TALK,
-    PIECE,
-    READ,
+    APPEND_ENTRIES,
+    FETCH_ENTRIES,
+    FETCHED_ENTRIES,
+    INSTALL_SNAPSHOT,
+    MAX_CONSENSUS_BYTES,
+    PRE_VOTE_REQUEST,
+    READ_INDEX_REQUEST,
+    ConsensusMessage,
     Datagram,
-    Line,
+    LogEntry,
     Seal,
-    Talk,
-    size_of,
+    encoded_size,
 )
 from whinpier.model_checking.consensus import COMMAND, FAULTS, Lines
 from whinpier.model_checking.consensus_scenarios import SLOW, WALKS, WHOLE, found
@@ -99,7 +99,7 @@
             if not sent:
                 return
             for name, to, talk in sent:
-                self.largest = max(self.largest, size_of(talk))
+                self.largest = max(self.largest, encoded_size(talk))
                 if name not in self.cut and to not in self.cut and to in self.those:
                     self.those[to].hear(talk, name, self.now)
         raise AssertionError("it does not come to rest")
@@ -207,7 +207,7 @@
         assert again.config == leader.config and again.last == one.last
         assert again.machine.all == one.machine.all[: len(again.machine.all)]
     assert four.those[away].counts["states_learned"] and four.those["m3"].counts["states_learned"]
-    assert four.largest <= MOST_TALK + 100
+    assert four.largest <= MAX_CONSENSUS_BYTES + 100
 
 
 def test_a_voter_whose_disk_is_another_is_no_voter_until_it_is_taken_in():
@@ -220,7 +220,9 @@
     three.run(1.0)
     assert leader.match.get(lost, 0) <= leader.last and not fresh.votes_here
     leader.counts_as = lambda talk, sender: Agreement.counts_as(leader, talk, sender)
-    assert not leader.counts_as(Talk(raft.TAKEN, 256, 77, leader.term, 1, 99), lost)
+    assert not leader.counts_as(
+        ConsensusMessage(raft.APPEND_ACCEPTED, 256, 77, leader.term, 1, 99), lost
+    )
     config = leader.config
     assert (
         leader.change_voters({**config, lost: 77}) == "one voter at a time is added or taken away"
@@ -268,7 +270,7 @@
     three.settle()
     assert not leader.read_at
     for nonce in range(200):
-        leader.on_read(Talk(READ, 256, 1, leader.term, nonce), "m9")
+        leader.on_read(ConsensusMessage(READ_INDEX_REQUEST, 256, 1, leader.term, nonce), "m9")
     assert len(leader.reads) <= raft.MOST_READS
 
 
@@ -280,16 +282,16 @@
         three.settle()
     leader = three.leader
     for number in range(200):
-        leader.hear(Talk(FETCH, 256, 9, 0, 1), f"x{number}", three.now)
+        leader.hear(ConsensusMessage(FETCH_ENTRIES, 256, 9, 0, 1), f"x{number}", three.now)
     given_ = leader.take()
-    assert len(given_) == SERVED and all(talk.kind == LINES for _, talk in given_)
+    assert len(given_) == SERVED and all(talk.kind == FETCHED_ENTRIES for _, talk in given_)
 
 
 @settings(max_examples=300, deadline=None)
 @given(
     st.lists(
         st.builds(
-            Talk,
+            ConsensusMessage,
             st.integers(0, 15),
             st.sampled_from((0, 256, 257, 999)),
             st.integers(0, 4),
@@ -299,7 +301,7 @@
             st.integers(0, 2**40),
             st.integers(0, 9),
             st.lists(
-                st.builds(Line, st.integers(0, 6), st.integers(2, 9), st.binary(max_size=9)),
+                st.builds(LogEntry, st.integers(0, 6), st.integers(2, 9), st.binary(max_size=9)),
                 max_size=3,
             ),
             st.binary(max_size=PIECE_SIZE),
@@ -313,14 +315,17 @@
     three.run(2.0)
     one = three.those[f"m{which % 3}"]
     for talk in talks:
-        if talk.kind == raft.APPEND and one.role == LEADER and talk.term == one.term:
+        if talk.kind == raft.APPEND_ENTRIES and one.role == LEADER and talk.term == one.term:
             continue  # only a leader of its own term sends that, and there is one
-        if talk.kind in (APPEND, LINES):
-            talk = Talk(ASK_EARLY, *[getattr(talk, key) for key in Talk.__struct_fields__[1:]])
-        if talk.kind == PIECE and talk.three > 2**22:
+        if talk.kind in (APPEND_ENTRIES, FETCHED_ENTRIES):
+            talk = ConsensusMessage(
+                PRE_VOTE_REQUEST,
+                *[getattr(talk, key) for key in ConsensusMessage.__struct_fields__[1:]],
+            )
+        if talk.kind == INSTALL_SNAPSHOT and talk.arg3 > 2**22:
             assert not one.parts
         one.hear(talk, "m1", three.now)
         one.due()
-        data = Seal((b"0123456789abcdef",)).seal(Datagram(6, 1, 1, talks=[talk]))
-        assert Seal((b"0123456789abcdef",)).open(data).talks == [talk]
+        data = Seal((b"0123456789abcdef",)).seal(Datagram(6, 1, 1, consensus_messages=[talk]))
+        assert Seal((b"0123456789abcdef",)).open(data).consensus_messages == [talk]
     assert len(one.parts) <= 5 and len(one.reads) <= raft.MOST_READS
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -13,8 +13,15 @@
 from whinpier.cli.main import cli
 from whinpier.fleet import messages
 from whinpier.fleet.fleet_size import Counting
-from whinpier.fleet.membership.membership import BURST, KNOCKS, MOST_PROBES, SECOND, Members, Times
-from whinpier.fleet.messages import Card, Datagram, Seal, Unread, Word
+from whinpier.fleet.membership.membership import (
+    BURST_BYTES,
+    JOIN_REPLIES_PER_SECOND,
+    MAX_PROBES,
+    SECOND,
+    Membership,
+    MembershipTiming,
+)
+from whinpier.fleet.messages import Datagram, DatagramError, MemberMetadata, MemberUpdate, Seal
 from whinpier.simulation import fleet_scenarios
 from whinpier.simulation.experiment import shipped
 from whinpier.simulation.fleet import KEY, POOL, Fleet
@@ -25,9 +32,9 @@
 
 HALVES = (tuple(range(6)), tuple(range(6, 12)))
 ids, small, short = st.integers(0, 2**64 - 1), st.integers(0, 2**32 - 1), st.text(max_size=20)
-words = st.builds(Word, ids, small, st.integers(0, 5), st.integers(0, 4), ids)
+words = st.builds(MemberUpdate, ids, small, st.integers(0, 5), st.integers(0, 4), ids)
 cards = st.builds(
-    Card,
+    MemberMetadata,
     st.text(min_size=1, max_size=20),
     ids,
     small,
@@ -54,11 +61,13 @@
 
 
 def card(name="a", run=1, port=7001, **more):
-    return Card(name, run, 1, "127.0.0.1", port, pools=(POOL,), **more)
+    return MemberMetadata(name, run, 1, "127.0.0.1", port, pools=(POOL,), **more)
 
 
 def members(name="a", port=7001, seeds=(), now=0, **more):
-    return Members(card(name, 1, port), seeds, KEY, Times(), Random(f"{name}/{now}"), now, **more)
+    return Membership(
+        card(name, 1, port), seeds, KEY, MembershipTiming(), Random(f"{name}/{now}"), now, **more
+    )
 
 
 def play(*events, count=12, seconds=24.0, **more):
@@ -69,12 +78,14 @@
 def pass_on(*those, now):
     """Carry what each has to send to whom it is for, until all is quiet."""
     for _ in range(50):
-        sent = [(one.card.address, *datagram) for one in those for datagram in one.take()[0]]
+        sent = [
+            (one.metadata.address, *datagram) for one in those for datagram in one.take_output()[0]
+        ]
         if not sent:
             return
         for source, address, data in sent:
             for one in those:
-                if one.card.address == address:
+                if one.metadata.address == address:
                     one.receive(data, source, now)
 
 
@@ -87,9 +98,9 @@
     data = KEY.seal(datagram)
     assert KEY.open(data) == datagram
     at %= len(data)
-    with pytest.raises(Unread):
+    with pytest.raises(DatagramError):
         KEY.open(data[:at] + bytes((data[at] ^ 1 << at % 8,)) + data[at + 1 :])
-    with pytest.raises(Unread):
+    with pytest.raises(DatagramError):
         KEY.open(data[:at])
 
 
@@ -106,7 +117,7 @@
         not one.members
         and sum(count for name, count in one.counts.items() if "unread" in name) == 1
     )
-    if sealed and form != messages.FORM:
+    if sealed and form != messages.FORMAT_VERSION:
         assert one.counts["unread_later_form"] == 1
 
 
@@ -124,28 +135,32 @@
     now = 0
     for number, (datagram, step) in enumerate(zip(those, steps)):
         now += step
-        mine = Word(one.card.id, number, datagram.kind, 1, other.card.id)
-        of_it = Word(other.card.id, 3 - number % 3, datagram.kind, 1, datagram.sender)
+        mine = MemberUpdate(one.metadata.id, number, datagram.kind, 1, other.metadata.id)
+        of_it = MemberUpdate(other.metadata.id, 3 - number % 3, datagram.kind, 1, datagram.sender)
         known = msgspec.structs.replace(
             datagram,
-            sender=other.card.id,
-            count=1_000 + number,
-            words=[*datagram.words, mine, of_it],
+            sender=other.metadata.id,
+            sequence=1_000 + number,
+            updates=[*datagram.updates, mine, of_it],
         )
         for noise in (datagram, known):
             one.receive(KEY.seal(noise), ("127.0.0.1", 7002), now)
-        one.refused(("127.0.0.1", 7002), now)
+        one.on_port_unreachable(("127.0.0.1", 7002), now)
         one.tick(now)
-        list(one.rows()), one.shares(POOL), one.where()
-        assert all(len(data) <= messages.LARGEST for _, data in one.take()[0])
-        assert one.tally[0] + one.tally[1] + one.tally[2] == len(one.members)
+        list(one.rows()), one.pool_members(POOL), one.compute_position()
+        assert all(len(data) <= messages.MAX_DATAGRAM_BYTES for _, data in one.take_output()[0])
+        assert one.reachability_counts[0] + one.reachability_counts[1] + one.reachability_counts[
+            2
+        ] == len(one.members)
 
 
 @pytest.mark.xdist_group("fleet")
 def test_a_hundred_members_are_told_within_a_tenth_of_a_second():
     one = members("a", 7001)
     for number in range(100):
-        one.admit(card(f"x{number}", number, 8000 + number), Word(0, 0, messages.HERE), 0, True)
+        one.admit(
+            card(f"x{number}", number, 8000 + number), MemberUpdate(0, 0, messages.ALIVE), 0, True
+        )
     start = time.perf_counter()
     told = msgspec.json.encode(list(one.rows()))
     assert time.perf_counter() - start < 0.1 and len(msgspec.json.decode(told)) == 101
@@ -155,31 +170,33 @@
     one = members()
     large = card("n" * 63, 2**63, 7002, build="b" * 63, zone="z" * 63, revision="r" * 63)
     large = msgspec.structs.replace(
-        large, pools=tuple(2**32 - 1 - n for n in range(messages.MOST_POOLS))
+        large, pools=tuple(2**32 - 1 - n for n in range(messages.MAX_POOLS))
     )
-    one.card = large
+    one.metadata = large
     for number in range(500):
-        one.spread(Word(2**64 - 1 - number, 2**32 - 1, 2, 1, 2**64 - 1))
-    for number in range(messages.MOST_POOLS + 1):
-        one.carry(number, bytes(messages.MOST_CONTENTS))
-    known = one.admit(card("b", 5, 7003), Word(card("b", 5, 7003).id, 0, messages.HERE), 0, True)
+        one.spread_update(MemberUpdate(2**64 - 1 - number, 2**32 - 1, 2, 1, 2**64 - 1))
+    for number in range(messages.MAX_POOLS + 1):
+        one.publish(number, bytes(messages.MAX_PAYLOAD_BYTES))
+    known = one.admit(
+        card("b", 5, 7003), MemberUpdate(card("b", 5, 7003).id, 0, messages.ALIVE), 0, True
+    )
     for kind in range(6):
         one.send(kind, ("127.0.0.1", 1), known, 2**63, 2**63)
-    sizes = [len(data) for _, data in one.take()[0]]
+    sizes = [len(data) for _, data in one.take_output()[0]]
     assert (
-        len(one.says) == messages.MOST_POOLS
-        and max(sizes) <= messages.LARGEST
+        len(one.own_payloads) == messages.MAX_POOLS
+        and max(sizes) <= messages.MAX_DATAGRAM_BYTES
         and max(sizes) > 1_100
     )
     with pytest.raises(ValueError):
-        KEY.seal(Datagram(0, 1, 1, ids=[2**63] * 140))
+        KEY.seal(Datagram(0, 1, 1, requested_ids=[2**63] * 140))
 
 
 def test_two_keys_hold_while_they_are_changed():
     old, new = b"o" * 32, b"n" * 32
     data = Seal((old,)).seal(Datagram(0, 1, 1))
     assert Seal((new, old)).open(data).sender == 1
-    with pytest.raises(Unread, match="unproved"):
+    with pytest.raises(DatagramError, match="unproved"):
         Seal((new,)).open(data)
 
 
@@ -202,7 +219,7 @@
     fleet, found = play(Fault(10.0, "vanish", (5,)))
     assert found["breaches"] == [] and 1.0 < found["slowest"]["dead"] < 3.0
     for node in (node for node in fleet.nodes.values() if node.alive):
-        assert node.members.position == "larger" and len(node.members.shares(POOL)) == 12
+        assert node.members.position == "larger" and len(node.members.pool_members(POOL)) == 12
 
 
 def test_a_pause_of_a_second_is_no_loss_and_the_one_who_stood_still_accuses_nobody():
@@ -259,14 +276,14 @@
     one, other = acquainted()
     sent = []
     for said in (b"first", b"second"):
-        other.carry(POOL, said)
-        other.tell_all_now(2 * SECOND)
-        sent.append(next(data for address, data in other.take()[0] if address[1] == 7001))
-    one.take()
+        other.publish(POOL, said)
+        other.broadcast_payloads(2 * SECOND)
+        sent.append(next(data for address, data in other.take_output()[0] if address[1] == 7001))
+    one.take_output()
     for data in reversed(sent):  # the first is overtaken on the way
-        one.receive(data, other.card.address, 2 * SECOND)
-    assert [contents for _, mark, contents in one.take()[2] if mark == POOL] == [b"second"]
-    assert one.members[other.card.id].said[POOL] == b"second"
+        one.receive(data, other.metadata.address, 2 * SECOND)
+    assert [contents for _, mark, contents in one.take_output()[2] if mark == POOL] == [b"second"]
+    assert one.members[other.metadata.id].payloads[POOL] == b"second"
 
 
 def test_whoever_suspects_tells_the_suspect_so_at_once_and_hears_it_refute():
@@ -274,18 +291,18 @@
     not at all.
     """
     one, other = acquainted()
-    suspect = one.members[other.card.id]
-    one.suspect(suspect, messages.SILENT)
-    told = [data for address, data in one.take()[0] if address[1] == 7002]
+    suspect = one.members[other.metadata.id]
+    one.suspect(suspect, messages.NO_RESPONSE)
+    told = [data for address, data in one.take_output()[0] if address[1] == 7002]
     assert told and suspect.state == messages.SUSPECT
     now = 2 * SECOND
-    other.receive(told[0], one.card.address, now)
-    for address, data in other.take()[0]:
-        one.receive(data, other.card.address, now)
-    assert suspect.state == messages.HERE and suspect.word.life == 1
-    one.take()
+    other.receive(told[0], one.metadata.address, now)
+    for address, data in other.take_output()[0]:
+        one.receive(data, other.metadata.address, now)
+    assert suspect.state == messages.ALIVE and suspect.last_update.incarnation == 1
+    one.take_output()
     one.remind(suspect.id, 0)  # of a life that is over: nobody is told
-    assert not one.take()[0]
+    assert not one.take_output()[0]
 
 
 def test_a_way_that_works_in_one_direction_only_loses_nobody():
@@ -297,10 +314,10 @@
 
 def test_two_processes_of_one_name_both_count_and_a_moved_one_counts_once():
     fleet, _ = play(Fault(8.0, "twin", (7,)))
-    assert all(len(node.members.shares(POOL)) == 13 for node in fleet.nodes.values())
+    assert all(len(node.members.pool_members(POOL)) == 13 for node in fleet.nodes.values())
     fleet, found = play(Fault(8.0, "move", (7,), span=0.5))
     assert found["breaches"] == []
-    assert all(len(node.members.shares(POOL)) == 12 for node in fleet.nodes.values())
+    assert all(len(node.members.pool_members(POOL)) == 12 for node in fleet.nodes.values())
 
 
 def test_all_die_at_once_and_come_back_while_the_seeds_are_down():
@@ -330,41 +347,44 @@
     for now in range(0, 3 * SECOND, SECOND // 20):
         for one, other in ((a, b), (b, a)):
             one.tick(now)
-            for _, data in one.take()[0]:
+            for _, data in one.take_output()[0]:
                 sent += [data] * (one is b)
-                other.receive(data, one.card.address, now)
+                other.receive(data, one.metadata.address, now)
     assert a.count() == b.count() == 2
-    high = next(iter(a.members.values())).high
+    high = next(iter(a.members.values())).highest_sequence
     for data in sent:
-        a.receive(data, b.card.address, now)
-    assert a.counts["unread_again"] >= len(sent) - 5 and next(iter(a.members.values())).high == high
+        a.receive(data, b.metadata.address, now)
+    assert (
+        a.counts["unread_again"] >= len(sent) - 5
+        and next(iter(a.members.values())).highest_sequence == high
+    )
     restarted = members("a", 7001, now=now)  # knows nobody, and gets an answer from nobody
     for data in sent:
-        restarted.receive(data, b.card.address, now + 1)
-    assert not restarted.members and len(restarted.take()[0]) <= 2 * KNOCKS
+        restarted.receive(data, b.metadata.address, now + 1)
+    assert not restarted.members and len(restarted.take_output()[0]) <= 2 * JOIN_REPLIES_PER_SECOND
 
 
 def test_every_table_is_bounded_and_was_full():
-    one = members(most=3)
+    one = members(max_members=3)
     for number in range(6):
-        other = members(f"x{number}", 7100 + number, [one.card.address], now=SECOND)
+        other = members(f"x{number}", 7100 + number, [one.metadata.address], now=SECOND)
         other.tick(SECOND)
         pass_on(one, other, now=SECOND)
     assert len(one.members) == 3 and one.counts["table_full"]
-    for number in range(2 * MOST_PROBES):
+    for number in range(2 * MAX_PROBES):
         one.ping(("127.0.0.1", 9), None)
-    assert len(one.probes) == MOST_PROBES and one.counts["probes_full"]
-    one.take()
+    assert len(one.probes) == MAX_PROBES and one.counts["probes_full"]
+    one.take_output()
     known = one.others()[0]
     for number in range(4_000):
         one.send(messages.ACK, ("127.0.0.1", 9), known)
     assert (
-        BURST < sum(len(data) for _, data in one.take()[0]) <= 2 * BURST + 1_200
+        BURST_BYTES < sum(len(data) for _, data in one.take_output()[0]) <= 2 * BURST_BYTES + 1_200
         and one.counts["not_sent"]
     )
     for number in range(5_000):
-        one.bury(Word(number, 0, messages.LEFT))
-    assert len(one.tombs) == 4_096
+        one.add_tombstone(MemberUpdate(number, 0, messages.LEFT))
+    assert len(one.tombstones) == 4_096
 
 
 def test_a_hundred_and_fifty_that_start_at_once_from_three_seeds_suspect_nobody():
@@ -381,13 +401,18 @@
     a, b = members("a", 7001), members("b", 7002, [("127.0.0.1", 7001)])
     a.tick(0), b.tick(0)
     pass_on(a, b, now=0)
-    before = b.card.id
-    a.replaced(a.members[before])
-    a.send(messages.PING, b.card.address, None, words=[Word(before, 0, messages.REPLACED)])
+    before = b.metadata.id
+    a.mark_replaced(a.members[before])
+    a.send(
+        messages.PING,
+        b.metadata.address,
+        None,
+        updates=[MemberUpdate(before, 0, messages.REPLACED)],
+    )
     for now in range(0, SECOND, SECOND // 10):
         a.tick(now), b.tick(now)
         pass_on(a, b, now=now)
-    assert b.card.id != before and b.card.id in a.members and a.count() == b.count() == 2
+    assert b.metadata.id != before and b.metadata.id in a.members and a.count() == b.count() == 2
 
 
 # What pools are told.
@@ -402,11 +427,11 @@
         one.tick(now)
     assert not counting.update(now) and one.position == "alone"  # silent seeds may be there
     for seed in seeds[1:]:
-        one.refused(seed, now)
+        one.on_port_unreachable(seed, now)
     assert not counting.update(now)  # fewer: not before it lasts
     assert [told.balancers for told in counting.update(now + 2 * SECOND)] == [1]
-    assert one.where() == "whole"
-    other = members("b", 7002, [one.card.address])
+    assert one.compute_position() == "whole"
+    other = members("b", 7002, [one.metadata.address])
     other.tick(now)
     pass_on(one, other, now=now + 2 * SECOND)
     assert [told.balancers for told in counting.update(now + 2 * SECOND + 1)] == [2]
@@ -505,10 +530,10 @@
 
 
 def test_what_a_mutation_spoils_is_sound_again_after_it():
-    before = Members.judge
+    before = Membership.on_suspicion_timeout
     with spoilt("never_loses"):
-        assert Members.judge is not before
-    assert Members.judge is before
+        assert Membership.on_suspicion_timeout is not before
+    assert Membership.on_suspicion_timeout is before
 
 
 # The lab.
--- a/tests/fleet/test_outlier_ejection.py
+++ b/tests/fleet/test_outlier_ejection.py
@@ -10,7 +10,14 @@
 from tests.waiting import until
 from whinpier.config import operator
 from whinpier.config.model import ConfigFault
-from whinpier.fleet.messages import EVIDENCE, HEARING, REST, VOTE, VOTE_FOR, Plea
+from whinpier.fleet.messages import (
+    EJECTION_NOTICE,
+    EJECTION_VOTE_REPLY,
+    EJECTION_VOTE_REQUEST,
+    OBSERVATION_REPLY,
+    OBSERVATION_REQUEST,
+    EjectionMessage,
+)
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.detector import MAX_LATENCY_RATIO
 from whinpier.fleet.outliers.ejection import (
@@ -267,7 +274,7 @@
     coordinator = make_coordinators(1)[0]
     for number, (kind, key, first, second, third, sender) in enumerate(messages):
         coordinator.on_message(
-            Plea(kind, POOL, 20 + key % 12, number, first, second, third),
+            EjectionMessage(kind, POOL, 20 + key % 12, number, first, second, third),
             sender,
             USUAL,
             number * MS,
@@ -278,23 +285,29 @@
 
 def test_late_messages_and_messages_of_another_round_do_nothing():
     proposer, voter = make_coordinators(2)
-    voter.on_message(Plea(VOTE_FOR, POOL, 23, 5, 0), 1, USUAL, 0)
-    assert voter.out[-1][1].kind == VOTE and voter.out[-1][1].one == 1
-    voter.on_message(Plea(REST, POOL, 23, 4, 0, 1), 1, USUAL, 0)  # another round
-    voter.on_message(Plea(REST, POOL, 23, 5, 0, 1), 3, USUAL, 0)  # another proposer
+    voter.on_message(EjectionMessage(EJECTION_VOTE_REQUEST, POOL, 23, 5, 0), 1, USUAL, 0)
+    assert voter.out[-1][1].kind == EJECTION_VOTE_REPLY and voter.out[-1][1].arg1 == 1
+    voter.on_message(
+        EjectionMessage(EJECTION_NOTICE, POOL, 23, 4, 0, 1), 1, USUAL, 0
+    )  # another round
+    voter.on_message(
+        EjectionMessage(EJECTION_NOTICE, POOL, 23, 5, 0, 1), 3, USUAL, 0
+    )  # another proposer
     assert not voter.ejected_until
-    voter.on_message(Plea(REST, POOL, 23, 5, 2 * SECOND, 1), 1, USUAL, SECOND)
+    voter.on_message(EjectionMessage(EJECTION_NOTICE, POOL, 23, 5, 2 * SECOND, 1), 1, USUAL, SECOND)
     assert voter.ejected_until[POOL, 23] == EjectionConfig().lease_ns - 2 * SECOND
-    proposer.on_message(Plea(VOTE, POOL, 23, 9, 1), 2, USUAL, 0)
-    proposer.on_message(Plea(EVIDENCE, POOL, 23, 9, 900, 900, 1), 2, USUAL, 0)
-    proposer.on_message(Plea(HEARING, 99, 23, 9), 2, USUAL, 0)
+    proposer.on_message(EjectionMessage(EJECTION_VOTE_REPLY, POOL, 23, 9, 1), 2, USUAL, 0)
+    proposer.on_message(EjectionMessage(OBSERVATION_REPLY, POOL, 23, 9, 900, 900, 1), 2, USUAL, 0)
+    proposer.on_message(EjectionMessage(OBSERVATION_REQUEST, 99, 23, 9), 2, USUAL, 0)
     assert not proposer.proposals and not proposer.observation_rounds
     fresh = EjectionCoordinator(
         EjectionConfig(), 9, 0, Random(1), EjectionConfig().lease_ns + LEASE_MARGIN
     )
     fresh.update_endpoints(POOL, {key: 0 for key in range(20, 30)})
-    fresh.on_message(Plea(VOTE_FOR, POOL, 23, 5, 0), 1, USUAL, EjectionConfig().lease_ns)
-    assert fresh.out[-1][1].one == 0  # what its last run voted for may still hold
+    fresh.on_message(
+        EjectionMessage(EJECTION_VOTE_REQUEST, POOL, 23, 5, 0), 1, USUAL, EjectionConfig().lease_ns
+    )
+    assert fresh.out[-1][1].arg1 == 0  # what its last run voted for may still hold
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_outlier_monitor.py
+++ b/tests/fleet/test_outlier_monitor.py
@@ -6,7 +6,15 @@
 
 import pytest
 
-from whinpier.fleet.messages import EVIDENCE, HEARING, REST, VOTE, VOTE_FOR, Plea, pool_mark
+from whinpier.fleet.messages import (
+    EJECTION_NOTICE,
+    EJECTION_VOTE_REPLY,
+    EJECTION_VOTE_REQUEST,
+    OBSERVATION_REPLY,
+    OBSERVATION_REQUEST,
+    EjectionMessage,
+    pool_hash,
+)
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.detector import MAX_LATENCY_RATIO
 from whinpier.fleet.outliers.ejection import LEASE_MARGIN
@@ -55,7 +63,7 @@
 def monitor(pool, told):
     """A fleet of this one member, after the fencing interval of its last run."""
     members = SimpleNamespace(
-        card=SimpleNamespace(id=1), members={}, name_of=lambda member: f"m{member}"
+        metadata=SimpleNamespace(id=1), members={}, name_of=lambda member: f"m{member}"
     )
     loop = FakeLoop()
     found = OutlierMonitor(
@@ -99,7 +107,7 @@
 
 
 def test_a_pool_that_is_no_longer_shared_is_not_observed(monitor, pool):
-    assert pool.attempt_observer is monitor.observers[pool_mark("web")]
+    assert pool.attempt_observer is monitor.observers[pool_hash("web")]
     play(monitor, SECOND)
     assert len(monitor.coordinator.detector.zones) == 10
     monitor.update_pools([pool], ())
@@ -127,17 +135,17 @@
 
 
 def test_a_message_to_all_goes_to_reachable_members_that_share_the_pool(monitor):
-    mark = pool_mark("web")
+    mark = pool_hash("web")
     monitor.members.members = {
         member: SimpleNamespace(
             id=member,
             connected=connected,
-            unheard=not connected,
-            card=SimpleNamespace(pools=pools),
+            unreachable=not connected,
+            metadata=SimpleNamespace(pools=pools),
         )
         for member, connected, pools in [(2, True, (mark,)), (3, False, (mark,)), (4, True, ())]
     }
-    message = Plea(HEARING, mark, 1, 5)
+    message = EjectionMessage(OBSERVATION_REQUEST, mark, 1, 5)
     monitor.coordinator.out = [(0, message), (9, message)]
     assert monitor.take_messages() == [(2, message), (9, message)]
     assert monitor.take_messages() == []
@@ -147,12 +155,12 @@
 @pytest.mark.parametrize(
     "packed",
     [
-        Plea(HEARING, 7, 23, 5),
-        Plea(EVIDENCE, 7, 23, 5, 350, 975, 1),
-        Plea(VOTE_FOR, 7, 23, 5, 1, 88, 2),
-        Plea(VOTE_FOR, 7, 23, 5, 1),
-        Plea(VOTE, 7, 23, 5, 1),
-        Plea(REST, 7, 23, 5, 1_500_000, 3),
+        EjectionMessage(OBSERVATION_REQUEST, 7, 23, 5),
+        EjectionMessage(OBSERVATION_REPLY, 7, 23, 5, 350, 975, 1),
+        EjectionMessage(EJECTION_VOTE_REQUEST, 7, 23, 5, 1, 88, 2),
+        EjectionMessage(EJECTION_VOTE_REQUEST, 7, 23, 5, 1),
+        EjectionMessage(EJECTION_VOTE_REPLY, 7, 23, 5, 1),
+        EjectionMessage(EJECTION_NOTICE, 7, 23, 5, 1_500_000, 3),
     ],
 )
 def test_a_typed_message_is_packed_as_it_was_read(packed):
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -242,10 +242,10 @@
 
 def test_tables_of_loans_are_bounded_and_a_flood_of_asks_lends_no_more_than_there_is():
     those = shares(Limit("x", IN_FLIGHT, 3_000, HOMES))
-    from whinpier.fleet.messages import ASK_FOR, Deal
+    from whinpier.fleet.messages import LEASE_REQUEST, QuotaMessage
 
     for nonce in range(2_000):
-        those["a"].deal(Deal(ASK_FOR, those["a"].limit.mark, nonce + 1, 1, 0), 1, 0)
+        those["a"].deal(QuotaMessage(LEASE_REQUEST, those["a"].limit.mark, nonce + 1, 1, 0), 1, 0)
     assert len(those["a"].lent) == 256 and those["a"].count(0) == 1_000 - 256
     assert len(those["a"].out) == 2_000
 
--- a/tests/fleet/test_registry.py
+++ b/tests/fleet/test_registry.py
@@ -59,7 +59,7 @@
         a.tick(now)
         b.tick(now)
         pass_on(a, b, now=now)
-    a.registry.put("k", b"1", 60 * SECOND, a.card.id, now)
+    a.registry.put("k", b"1", 60 * SECOND, a.metadata.id, now)
     a.registry.pending.clear()  # all that was sent of it got lost
     for now in range(2 * SECOND, 4 * SECOND, SECOND // 10):
         a.tick(now)
@@ -68,4 +68,4 @@
     assert b.registry.values_with_prefix("k") == {"": b"1"}
     assert 57_000 <= b.registry.entries["k"].entry.remaining_ms <= 60_000
     assert b.registry.entries["k"].expires_at <= 62 * SECOND
-    assert a.members[b.card.id].register == a.registry.digest
+    assert a.members[b.metadata.id].registry_digest == a.registry.digest
--- a/tests/fleet/test_rollouts.py
+++ b/tests/fleet/test_rollouts.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from whinpier.fleet.messages import Line
+from whinpier.fleet.messages import LogEntry
 from whinpier.fleet.rollouts import commands, model
 from whinpier.fleet.rollouts.commands import (
     AnalysisResult,
@@ -46,7 +46,7 @@
 
     def line(self, kind, form):
         self.at += 1
-        self.record.apply(self.at, Line(1, kind, commands.encode(form)))
+        self.record.apply(self.at, LogEntry(1, kind, commands.encode(form)))
         return self.at
 
     def say(self, kind, form, *given, based=-1, who="ann", identity=0):
@@ -488,9 +488,9 @@
     assert len(book.record.state.file_chunks) <= commands.MAX_FILES
     before = book.record.snapshot()
     for line in (
-        Line(1, 60, b"x"),
-        Line(1, EntryKind.DRAIN, b"\xc1"),
-        Line(1, EntryKind.OBSERVATIONS, msgspec.msgpack.encode([1, 2])),
+        LogEntry(1, 60, b"x"),
+        LogEntry(1, EntryKind.DRAIN, b"\xc1"),
+        LogEntry(1, EntryKind.OBSERVATIONS, msgspec.msgpack.encode([1, 2])),
     ):
         book.record.apply(book.at + 1, line)
     assert book.record.undecodable_entries == 3 and len(before) < 400_000
@@ -536,7 +536,7 @@
 def put(book, found):
     for kind, data in found:
         book.at += 1
-        book.record.apply(book.at, Line(1, kind, data))
+        book.record.apply(book.at, LogEntry(1, kind, data))
 
 
 def test_a_drain_is_done_once_its_own_run_says_that_nothing_is_out():
--- a/tests/kept_control_stage.py
+++ b/tests/kept_control_stage.py
@@ -15,7 +15,15 @@
 import whinpier.fleet.service as link_module
 from whinpier.config import operator
 from whinpier.fleet.control_socket import Control
-from whinpier.fleet.messages import HERE, LOST, SILENT, SUSPECT, Card, Word, pool_mark
+from whinpier.fleet.messages import (
+    ALIVE,
+    LOST,
+    NO_RESPONSE,
+    SUSPECT,
+    MemberMetadata,
+    MemberUpdate,
+    pool_hash,
+)
 from whinpier.fleet.service import Link
 from whinpier.http.transport import Http1
 from whinpier.runtime.process import Life
@@ -25,7 +33,7 @@
 START = 1_700_000_000 * 10**9  # of the wall clock, in ns; the other clock begins at 1,000 s
 MS = 10**6
 UPSTREAMS = {f"s-{number}": f"127.0.0.1:{10 + number}" for number in range(6)}
-STATES = {"here": (HERE, 0), "suspect": (SUSPECT, 0), "lost": (LOST, SILENT)}
+STATES = {"here": (ALIVE, 0), "suspect": (SUSPECT, 0), "lost": (LOST, NO_RESPONSE)}
 AGREEMENT = {
     "voters": ["m0"],
     "build": "b0",
@@ -144,9 +152,9 @@
     def meet(self, name, state, port):
         """Another member, in a state, by this one's own word."""
         members = self.link.members
-        card = Card(name, port, 1, "127.0.0.1", port, "b1", "z", "rev", (pool_mark("t"),))
+        card = MemberMetadata(name, port, 1, "127.0.0.1", port, "b1", "z", "rev", (pool_hash("t"),))
         number, why = STATES[state]
-        members.admit(card, Word(card.id, 0, number, why, members.card.id), 0, True)
+        members.admit(card, MemberUpdate(card.id, 0, number, why, members.metadata.id), 0, True)
         self.link.pass_on()
 
     def advance(self, span):
--- a/tests/test_forms_kept.py
+++ b/tests/test_forms_kept.py
@@ -8,7 +8,16 @@
 
 from whinpier.fleet import messages
 from whinpier.fleet.consensus.node import replayed
-from whinpier.fleet.messages import DEALS, LEND, VOTE, Line, Plainly, Seal, Unread, pool_mark
+from whinpier.fleet.messages import (
+    APPLICATION_DATA,
+    EJECTION_VOTE_REPLY,
+    LEASE_GRANT,
+    DatagramError,
+    DatagramWithoutConsensus,
+    LogEntry,
+    Seal,
+    pool_hash,
+)
 from whinpier.fleet.rollouts.state_machine import RolloutStateMachine
 from whinpier.storage.append_log import read_records
 
@@ -39,26 +48,47 @@
 def test_a_datagram_of_the_build_before_is_read_and_is_written_the_same():
     data = base64.b85decode(BEFORE)
     found = KEY.open(data)
-    assert (found.kind, found.count, found.talks) == (DEALS, 12, [])
+    assert (found.kind, found.sequence, found.consensus_messages) == (APPLICATION_DATA, 12, [])
+    assert (
+        found.metadata[0].name == "m1"
+        and found.quota_messages[0].kind == LEASE_GRANT
+        and found.ejection_messages[0].kind == EJECTION_VOTE_REPLY
+    )
     assert (
-        found.cards[0].name == "m1" and found.deals[0].kind == LEND and found.pleas[0].kind == VOTE
+        found.payloads == [(pool_hash("t"), b"\x01\x02")]
+        and found.registry_entries[0].key == "limit/all"
     )
-    assert found.said == [(pool_mark("t"), b"\x01\x02")] and found.entries[0].key == "limit/all"
     # Without talks about the record it is, to the byte, what the build before wrote.
-    assert KEY.seal(Plainly(*[getattr(found, key) for key in Plainly.__struct_fields__])) == data
+    assert (
+        KEY.seal(
+            DatagramWithoutConsensus(
+                *[getattr(found, key) for key in DatagramWithoutConsensus.__struct_fields__]
+            )
+        )
+        == data
+    )
 
 
 def test_what_this_build_adds_is_passed_over_by_the_one_before():
     data = base64.b85decode(TALKS)
     found = KEY.open(data)
-    assert found.talks[0].lines == [Line(5, 2, b"line")] and found.talks[0].data == b"more"
-    before = msgspec.msgpack.decode(data[messages.HEAD : -messages.TAG], type=Plainly)
-    assert before.cards == found.cards and before.deals == found.deals
-    body = messages.MAGIC + bytes((messages.FORM + 1,)) + data[messages.HEAD : -messages.TAG]
+    assert (
+        found.consensus_messages[0].lines == [LogEntry(5, 2, b"line")]
+        and found.consensus_messages[0].data == b"more"
+    )
+    before = msgspec.msgpack.decode(
+        data[messages.HEADER_BYTES : -messages.TAG_BYTES], type=DatagramWithoutConsensus
+    )
+    assert before.metadata == found.metadata and before.quota_messages == found.quota_messages
+    body = (
+        messages.MAGIC
+        + bytes((messages.FORMAT_VERSION + 1,))
+        + data[messages.HEADER_BYTES : -messages.TAG_BYTES]
+    )
     try:
         KEY.open(body + KEY.tag(body, KEY.keys[0]))
         raise AssertionError("a later form was read")
-    except Unread as unread:
+    except DatagramError as unread:
         assert unread.reason == "later_form"
 
 
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -34,7 +34,7 @@
 
 # What each typed message says, field by field in the order of its bytes.
 READERS = {
-    messages.Card: lambda it: [
+    messages.MemberMetadata: lambda it: [
         it.name,
         it.run,
         it.version,
@@ -44,42 +44,53 @@
         it.zone,
         it.revision,
         it.pools,
-        it.limits,
+        it.limits_epoch,
     ],
-    messages.Word: lambda it: [it.id, it.life, it.state, it.why, it.by],
-    messages.Deal: lambda it: [it.kind, it.limit, it.nonce, it.amount, it.turn, it.key],
-    messages.Plea: lambda it: [it.kind, it.pool, it.key, it.nonce, it.one, it.two, it.three],
-    messages.Line: lambda it: [it.term, it.kind, it.data],
-    messages.Talk: lambda it: [
+    messages.MemberUpdate: lambda it: [it.id, it.incarnation, it.state, it.reason, it.reporter],
+    messages.QuotaMessage: lambda it: [it.kind, it.limit, it.nonce, it.amount, it.turn, it.key],
+    messages.EjectionMessage: lambda it: [
+        it.kind,
+        it.pool,
+        it.key,
+        it.nonce,
+        it.arg1,
+        it.arg2,
+        it.arg3,
+    ],
+    messages.LogEntry: lambda it: [it.term, it.kind, it.data],
+    messages.ConsensusMessage: lambda it: [
         it.kind,
         it.record,
         it.disk,
         it.term,
-        it.one,
-        it.two,
-        it.three,
-        it.four,
+        it.arg1,
+        it.arg2,
+        it.arg3,
+        it.arg4,
         it.lines,
         it.data,
     ],
-    messages.Plainly: lambda it: [
+    messages.DatagramWithoutConsensus: lambda it: [
         it.kind,
         it.sender,
-        it.count,
+        it.sequence,
         it.nonce,
         it.target,
         it.digest,
-        it.words,
-        it.cards,
-        it.said,
-        it.ids,
-        it.deals,
-        it.wall,
-        it.register,
-        it.entries,
-        it.pleas,
+        it.updates,
+        it.metadata,
+        it.payloads,
+        it.requested_ids,
+        it.quota_messages,
+        it.wall_clock_ns,
+        it.registry_digest,
+        it.registry_entries,
+        it.ejection_messages,
+    ],
+    messages.Datagram: lambda it: [
+        *READERS[messages.DatagramWithoutConsensus](it),
+        it.consensus_messages,
     ],
-    messages.Datagram: lambda it: [*READERS[messages.Plainly](it), it.talks],
     registry.RegistryEntry: lambda it: [it.key, it.value, it.version, it.origin, it.remaining_ms],
     MemberReport: lambda it: [
         it.applied_index,
@@ -255,7 +266,7 @@
 
 def sealed(values):
     """A datagram as it is sent: without consensus messages it has the shorter form."""
-    form = messages.Datagram if len(values) == 16 else messages.Plainly
+    form = messages.Datagram if len(values) == 16 else messages.DatagramWithoutConsensus
     return SEAL.seal(typed(form, values))
 
 
@@ -263,7 +274,7 @@
     """What log entries, from the first on, come to."""
     machine = RolloutStateMachine()
     for index, (kind, data) in enumerate(entries, 1):
-        machine.apply(index, messages.Line(1, kind, data))
+        machine.apply(index, messages.LogEntry(1, kind, data))
     return machine
 
 
@@ -283,53 +294,59 @@
         [
             messages.PING,
             messages.ACK,
-            messages.ASK,
-            messages.STANDS,
-            messages.EXCHANGE,
-            messages.WANT,
-            messages.DEALS,
+            messages.PING_REQUEST,
+            messages.INDIRECT_ACK,
+            messages.STATE_EXCHANGE,
+            messages.METADATA_REQUEST,
+            messages.APPLICATION_DATA,
         ],
         0,
     ),
     "lease": (
         [
-            messages.ASK_FOR,
-            messages.LEND,
-            messages.BACK,
-            messages.ASK_UNITS,
-            messages.UNITS,
-            messages.OLD,
+            messages.LEASE_REQUEST,
+            messages.LEASE_GRANT,
+            messages.LEASE_RETURN,
+            messages.UNITS_REQUEST,
+            messages.UNITS_GRANT,
+            messages.STALE_STATE,
         ],
         0,
     ),
     "ejection": (
-        [messages.HEARING, messages.EVIDENCE, messages.VOTE_FOR, messages.VOTE, messages.REST],
+        [
+            messages.OBSERVATION_REQUEST,
+            messages.OBSERVATION_REPLY,
+            messages.EJECTION_VOTE_REQUEST,
+            messages.EJECTION_VOTE_REPLY,
+            messages.EJECTION_NOTICE,
+        ],
         0,
     ),
     "consensus": (
         [
-            messages.ASK_EARLY,
-            messages.EARLY,
-            messages.ASK_VOTE,
-            messages.VOTED,
-            messages.APPEND,
-            messages.TAKEN,
-            messages.BEHIND,
-            messages.FETCH,
-            messages.LINES,
-            messages.PIECE,
-            messages.FORWARD,
-            messages.READ,
-            messages.READ_AT,
-            messages.HURRY,
-            messages.STALE,
-            messages.REPORT,
+            messages.PRE_VOTE_REQUEST,
+            messages.PRE_VOTE_RESPONSE,
+            messages.VOTE_REQUEST,
+            messages.VOTE_RESPONSE,
+            messages.APPEND_ENTRIES,
+            messages.APPEND_ACCEPTED,
+            messages.APPEND_REJECTED,
+            messages.FETCH_ENTRIES,
+            messages.FETCHED_ENTRIES,
+            messages.INSTALL_SNAPSHOT,
+            messages.FORWARD_COMMAND,
+            messages.READ_INDEX_REQUEST,
+            messages.READ_INDEX_RESPONSE,
+            messages.TIMEOUT_NOW,
+            messages.STALE_DISK,
+            messages.MEMBER_REPORT,
         ],
         0,
     ),
     "member_state": (
         [
-            messages.HERE,
+            messages.ALIVE,
             messages.LEAVING,
             messages.SUSPECT,
             messages.LOST,
@@ -339,7 +356,13 @@
         0,
     ),
     "member_evidence": (
-        [messages.SAID, messages.SILENT, messages.REFUSED, messages.RENAMED, messages.STRUCK],
+        [
+            messages.SELF_REPORTED,
+            messages.NO_RESPONSE,
+            messages.PORT_UNREACHABLE,
+            messages.SUPERSEDED,
+            messages.DECLARED_DEAD,
+        ],
         0,
     ),
     "log_note": ([agreement.WHO, agreement.TERM, agreement.LINE, agreement.BASE], 0),
@@ -382,8 +405,8 @@
 
 
 def test_words_in_snapshots_and_states_keep_their_spelling():
-    assert messages.STATES == ("here", "leaving", "suspect", "lost", "left", "replaced")
-    assert messages.WHY == ("said", "silent", "refused", "renamed", "struck")
+    assert messages.STATE_NAMES == ("here", "leaving", "suspect", "lost", "left", "replaced")
+    assert messages.REASON_NAMES == ("said", "silent", "refused", "renamed", "struck")
     assert (
         commands.BudgetTarget.BALANCERS,
         commands.BudgetTarget.UPSTREAMS,
@@ -423,8 +446,8 @@
     entry = registry.RegistryEntry("limit/all", b"{}", 7, 99, 1_000)
     found = [
         messages.member_id("m1", 0xABC),
-        messages.pool_mark("web"),
-        messages.RECORD_NEWS,
+        messages.pool_hash("web"),
+        messages.LOG_PROGRESS_CHANNEL,
         service.STAMP,
         limit.mark,
         limit.epoch(),
@@ -435,14 +458,20 @@
         hash_file(b"file"),
         compute_digest(b"before", (1, 2, "who", "what", "why", True, "text")).hex(),
         consensus_service.stamp_of(
-            agreement.Copy(256, 7, 3, 8, 20, 2, 20, b"", [messages.Line(3, 0)])
+            agreement.Copy(256, 7, 3, 8, 20, 2, 20, b"", [messages.LogEntry(3, 0)])
         ),
     ]
     assert found == KEPT["marks"]
 
 
 def test_a_datagram_keeps_its_frame():
-    assert (messages.MAGIC, messages.FORM, messages.HEAD, messages.TAG, messages.LARGEST) == (
+    assert (
+        messages.MAGIC,
+        messages.FORMAT_VERSION,
+        messages.HEADER_BYTES,
+        messages.TAG_BYTES,
+        messages.MAX_DATAGRAM_BYTES,
+    ) == (
         b"wB",
         1,
         3,
@@ -450,10 +479,10 @@
         1_200,
     )
     assert (
-        messages.DEAL_SIZE,
-        messages.PLEA_SIZE,
-        messages.WORD_SIZE,
-        messages.EMPTY_SIZE,
+        messages.QUOTA_MESSAGE_BYTES,
+        messages.EJECTION_MESSAGE_BYTES,
+        messages.MEMBER_UPDATE_BYTES,
+        messages.EMPTY_DATAGRAM_BYTES,
     ) == tuple(KEPT["sizes"])
 
 
@@ -466,7 +495,7 @@
     found = SEAL.open(data)
     assert plain(found) == (values if len(values) == 16 else [*values, []])
     assert sealed(values) == data
-    again = messages.Datagram if len(values) == 16 else messages.Plainly
+    again = messages.Datagram if len(values) == 16 else messages.DatagramWithoutConsensus
     assert SEAL.seal(typed(again, plain(found)[: len(values)])) == data
 
 
@@ -490,7 +519,7 @@
 
 @pytest.mark.parametrize("data, reason", kept("refused_datagrams"))
 def test_a_datagram_that_is_not_taken_says_why(data, reason):
-    with pytest.raises(messages.Unread) as fault:
+    with pytest.raises(messages.DatagramError) as fault:
         SEAL.open(bytes.fromhex(data))
     assert fault.value.reason == reason
 
@@ -572,7 +601,7 @@
 
 def log_written(values):
     copy = agreement.Copy(
-        *natural(values)[:-1], [messages.Line(*natural(line)) for line in values[-1]]
+        *natural(values)[:-1], [messages.LogEntry(*natural(line)) for line in values[-1]]
     )
     return consensus_service.MAGIC + b"".join(map(encode_record, agreement.compacted(copy)))
 
@@ -814,7 +843,9 @@
     third = next(name for name in "abc" if name not in (leader.name, other.name))
     data = bytes.fromhex(KEPT["entries"]["drain of an upstream"][1])
     other.say(
-        leader.name, messages.FORWARD, lines=[messages.Line(0, commands.EntryKind.DRAIN, data)]
+        leader.name,
+        messages.FORWARD_COMMAND,
+        lines=[messages.LogEntry(0, commands.EntryKind.DRAIN, data)],
     )
     cluster.settle()
     other.ask_read(77)
@@ -844,7 +875,7 @@
     """Without the beats that say nothing new."""
     found = {}
     for sender, to, values, data in sent:
-        beat = values[0] in (messages.APPEND, messages.TAKEN) and not values[8]
+        beat = values[0] in (messages.APPEND_ENTRIES, messages.APPEND_ACCEPTED) and not values[8]
         found.setdefault((sender, to, str(values[:7]) if beat else data), [sender, to, data])
     return list(found.values())
 
@@ -865,8 +896,8 @@
     sent, now = [], 10 * SECOND
     share = leases.Share(limit, "m1", now, Chance(), 0)
     share.ask(now, 2, 9, 1_001, 0)
-    share.deal(messages.Deal(messages.LEND, limit.mark, 1_001, 9, 0, 0), 2, now)
-    share.deal(messages.Deal(messages.ASK_FOR, limit.mark, 55, 7, 0, 0), 3, now)
+    share.deal(messages.QuotaMessage(messages.LEASE_GRANT, limit.mark, 1_001, 9, 0, 0), 2, now)
+    share.deal(messages.QuotaMessage(messages.LEASE_REQUEST, limit.mark, 55, 7, 0, 0), 3, now)
     share.turn(now + SECOND // 10, [])
     sent += share.out
     window = leases.Limit("day", leases.COUNT, 700, ("m1", "m2"), window="day/UTC", key=3)
@@ -875,7 +906,7 @@
     )
     units.settle(now)
     units.look_for(units.slots[0], now, 12, [4])
-    units.deal(messages.Deal(messages.ASK_UNITS, window.mark, 66, 11, 0, 3), 5, now)
+    units.deal(messages.QuotaMessage(messages.UNITS_REQUEST, window.mark, 66, 11, 0, 3), 5, now)
     sent += units.out
     return [[other, plain(lease), encoded(lease).hex()] for other, lease in sent]
 
@@ -924,10 +955,12 @@
 
 
 def member(name, run, port):
-    card = messages.Card(name, run, 1, "10.0.0.1", port, "0.1.0", "z1", "rev", (7, 8), 9)
-    found = membership.Members(card, [("10.0.0.1", 7001)], SEAL, membership.Times(), Chance(), 0)
-    found.carry(7, b"ways")
-    found.wall = 1_700_000_000 * SECOND
+    card = messages.MemberMetadata(name, run, 1, "10.0.0.1", port, "0.1.0", "z1", "rev", (7, 8), 9)
+    found = membership.Membership(
+        card, [("10.0.0.1", 7001)], SEAL, membership.MembershipTiming(), Chance(), 0
+    )
+    found.publish(7, b"ways")
+    found.wall_offset = 1_700_000_000 * SECOND
     found.registry.put("limit/all", b"{}", 60 * SECOND, card.id, 0)
     return found
 
@@ -947,7 +980,7 @@
         for _ in rounds(lambda: busy):
             busy = False
             for address, one in nodes.items():
-                for to, data in one.take()[0]:
+                for to, data in one.take_output()[0]:
                     busy = True
                     way = address[1], to[1], SEAL.open(data).kind
                     counts[way] = counts.get(way, 0) + 1
@@ -963,7 +996,7 @@
     sent, nodes = membership_run()
     assert sent == KEPT["membership_run"]
     kinds = {SEAL.open(bytes.fromhex(data)).kind for _, _, data in sent}
-    assert {messages.PING, messages.ACK, messages.ASK, messages.EXCHANGE} <= kinds
+    assert {messages.PING, messages.ACK, messages.PING_REQUEST, messages.STATE_EXCHANGE} <= kinds
     first, second, _ = nodes.values()
     third = messages.member_id("m3", 0xA3)
     assert first.members[third].state == second.members[third].state == messages.LOST
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -15,7 +15,7 @@
 from whinpier.config.model import ConfigFault, address
 from whinpier.fleet import messages
 from whinpier.fleet.consensus.node import MOST_VOTERS
-from whinpier.fleet.membership.membership import MS, Times
+from whinpier.fleet.membership.membership import MS, MembershipTiming
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.quotas.allocation import Said
 from whinpier.fleet.quotas.calendar_quota import Calendar
@@ -87,7 +87,7 @@
     wait: Duration = "5s"
     write_off: Duration = "10m"
     cut_off: Duration = "15s"
-    build: Annotated[str, Meta(max_length=63)] = messages.BUILD
+    build: Annotated[str, Meta(max_length=63)] = messages.BUILD_VERSION
 
 
 class FleetTable(Strict, frozen=True):
@@ -108,10 +108,10 @@
     agreement: AgreementTable | None = None
 
 
-def times(table: TimesTable, at: str) -> Times:
+def times(table: TimesTable, at: str) -> MembershipTiming:
     found = {
         one.name: duration(getattr(table, one.name), f"{at}.{one.name}", 10 * MS)
-        for one in fields(Times)
+        for one in fields(MembershipTiming)
     }
     if found["answer"] < found["probe"]:
         raise ConfigFault(f"{at}.answer: is shorter than probe")
@@ -121,7 +121,7 @@
         )
     if found["reckon"] < 10 * found["suspect"]:
         raise ConfigFault(f"{at}.reckon: is shorter than ten times suspect")
-    return Times(**found)
+    return MembershipTiming(**found)
 
 
 def keys(paths: list[str], at: str) -> tuple[bytes, ...]:
@@ -130,10 +130,10 @@
     found = []
     for index, path in enumerate(paths):
         key = kept_secret(path, f"{at}[{index}]")
-        if not messages.KEY_LEAST <= len(key) <= messages.KEY_MOST:
+        if not messages.MIN_KEY_BYTES <= len(key) <= messages.MAX_KEY_BYTES:
             raise ConfigFault(
-                f"{at}[{index}]: {path} holds {len(key)} bytes; {messages.KEY_LEAST} to "
-                f"{messages.KEY_MOST} are a key"
+                f"{at}[{index}]: {path} holds {len(key)} bytes; {messages.MIN_KEY_BYTES} to "
+                f"{messages.MAX_KEY_BYTES} are a key"
             )
         found.append(key)
     return tuple(found)
@@ -294,9 +294,9 @@
     table = part(value, FleetTable, "bank")
     if len(table.seeds) > MOST_SEEDS:
         raise ConfigFault(f"bank.seeds: {len(table.seeds)} of them; {MOST_SEEDS} at most")
-    if len(pools) > messages.MOST_POOLS:
+    if len(pools) > messages.MAX_POOLS:
         raise ConfigFault(
-            f"bank: {len(pools)} pools would be shared by it, {messages.MOST_POOLS} at most; "
+            f"bank: {len(pools)} pools would be shared by it, {messages.MAX_POOLS} at most; "
             "say balancers in the others"
         )
     if len(os.fsencode(table.control)) > LONGEST_PATH or "\0" in table.control:
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -22,25 +22,25 @@
 import msgspec
 
 from whinpier.fleet.messages import (
-    APPEND,
-    ASK_EARLY,
-    ASK_VOTE,
-    BEHIND,
-    EARLY,
-    FETCH,
-    FORWARD,
-    HURRY,
-    LINES,
-    MOST_LINE,
-    MOST_LINES,
-    MOST_TALK,
-    PIECE,
-    READ,
-    READ_AT,
-    TAKEN,
-    VOTED,
-    Line,
-    Talk,
+    APPEND_ACCEPTED,
+    APPEND_ENTRIES,
+    APPEND_REJECTED,
+    FETCH_ENTRIES,
+    FETCHED_ENTRIES,
+    FORWARD_COMMAND,
+    INSTALL_SNAPSHOT,
+    MAX_CONSENSUS_BYTES,
+    MAX_LOG_ENTRIES,
+    MAX_LOG_ENTRY_BYTES,
+    PRE_VOTE_REQUEST,
+    PRE_VOTE_RESPONSE,
+    READ_INDEX_REQUEST,
+    READ_INDEX_RESPONSE,
+    TIMEOUT_NOW,
+    VOTE_REQUEST,
+    VOTE_RESPONSE,
+    ConsensusMessage,
+    LogEntry,
 )
 from whinpier.policy.decaying_sum import SECOND
 
@@ -88,7 +88,7 @@
     start_term: int = 0
     base: int = 0  # the number of the last line that `state` holds
     state: bytes = b""
-    lines: list[Line] = field(default_factory=list)
+    lines: list[LogEntry] = field(default_factory=list)
 
 
 Note = tuple[Any, ...]
@@ -108,7 +108,7 @@
             if not copy.start < index <= copy.start + len(copy.lines) + 1:
                 raise ValueError(f"line {index} behind line {copy.start + len(copy.lines)}")
             del copy.lines[index - copy.start - 1 :]
-            copy.lines.append(Line(term, what, data))
+            copy.lines.append(LogEntry(term, what, data))
         elif kind == BASE:
             base, state, start, start_term = rest
             there = 0 <= start - copy.start <= len(copy.lines) and start >= copy.start
@@ -142,7 +142,7 @@
 class Machine(Protocol):
     """What the lines of the record come to."""
 
-    def apply(self, index: int, line: Line) -> None:
+    def apply(self, index: int, line: LogEntry) -> None:
         """One more line is agreed."""
 
     def snapshot(self) -> bytes:
@@ -191,7 +191,9 @@
             self.last,
             deque[tuple[int, int]](),
         )  # lines on the disk; notes to lines
-        self.waiting: deque[tuple[int, str, Talk]] = deque()  # behind which note, to whom, what
+        self.waiting: deque[tuple[int, str, ConsensusMessage]] = (
+            deque()
+        )  # behind which note, to whom, what
         self.role, self.leader = FOLLOWER, ""
         self.votes: set[str] = set()
         self.next: dict[str, int] = {}  # of each voter: the line that it is sent next
@@ -213,7 +215,7 @@
         self.awake_at = now + fence
         self.beat_at = now
         self.doubt()
-        self.kept, self.most_lines = KEPT, MOST_LINES
+        self.kept, self.most_lines = KEPT, MAX_LOG_ENTRIES
         self.counts: Counter[str] = Counter()
         self.events: list[tuple[str, dict[str, Any]]] = []
         if copy.state:
@@ -229,7 +231,7 @@
     def term_at(self, index: int) -> int:
         return self.start_term if index <= self.start else self.lines[index - self.start - 1].term
 
-    def line(self, index: int) -> Line:
+    def line(self, index: int) -> LogEntry:
         return self.lines[index - self.start - 1]
 
     @property
@@ -260,7 +262,7 @@
         self.noted += 1
         return self.noted
 
-    def put(self, index: int, line: Line) -> None:
+    def put(self, index: int, line: LogEntry) -> None:
         """A line becomes the last one; what was there from it on was never agreed."""
         if index <= self.last:
             self.cut(index)
@@ -296,7 +298,7 @@
             if self.role == LEADER:
                 self.advance()
             elif self.leader and self.matched:
-                self.say(self.leader, TAKEN, 1, self.held(), self.matched)
+                self.say(self.leader, APPEND_ACCEPTED, 1, self.held(), self.matched)
 
     # Out.
 
@@ -308,11 +310,11 @@
         two: int = 0,
         three: int = 0,
         four: int = 0,
-        lines: list[Line] | None = None,
+        lines: list[LogEntry] | None = None,
         data: bytes = b"",
         term: int | None = None,
     ) -> None:
-        talk = Talk(
+        talk = ConsensusMessage(
             kind,
             self.record,
             self.disk,
@@ -330,7 +332,7 @@
         """Behind which note a talk waits: terms and votes are on the disk before anybody hears of them."""
         return self.proof
 
-    def take(self) -> list[tuple[str, Talk]]:
+    def take(self) -> list[tuple[str, ConsensusMessage]]:
         """What may be sent now: to whom, what."""
         found = []
         while self.waiting and self.waiting[0][0] <= self.synced:
@@ -377,7 +379,7 @@
         self.role, self.leader, self.votes = EARLY_ASKED, "", {self.name}
         self.counts["early"] += 1
         for name in self.others():
-            self.say(name, ASK_EARLY, self.last, self.term_at(self.last), term=self.term + 1)
+            self.say(name, PRE_VOTE_REQUEST, self.last, self.term_at(self.last), term=self.term + 1)
         if self.most(self.votes):
             self.campaign()
 
@@ -387,7 +389,7 @@
         self.settle_term(self.term + 1, self.disk)
         self.counts["elections"] += 1
         for name in self.others():
-            self.say(name, ASK_VOTE, self.last, self.term_at(self.last), int(hurried))
+            self.say(name, VOTE_REQUEST, self.last, self.term_at(self.last), int(hurried))
 
     def up_to_date(self, last: int, term: int) -> bool:
         """Whether a log that ends so holds all that this one may know to be agreed."""
@@ -397,50 +399,50 @@
         """Whether a leader was heard of late, so that nobody need ask for votes."""
         return self.role == LEADER or self.now - self.leader_heard < self.pace.timeout
 
-    def on_ask_early(self, talk: Talk, sender: str) -> None:
+    def on_ask_early(self, talk: ConsensusMessage, sender: str) -> None:
         good = (
             talk.term > self.term
-            and self.up_to_date(talk.one, talk.two)
+            and self.up_to_date(talk.arg1, talk.arg2)
             and not self.led()
             and self.now >= self.awake_at
         )
-        self.say(sender, EARLY, int(good), term=talk.term if good else self.term)
+        self.say(sender, PRE_VOTE_RESPONSE, int(good), term=talk.term if good else self.term)
 
-    def on_early(self, talk: Talk, sender: str) -> None:
-        wanted = self.role == EARLY_ASKED and talk.one and talk.term == self.term + 1
+    def on_early(self, talk: ConsensusMessage, sender: str) -> None:
+        wanted = self.role == EARLY_ASKED and talk.arg1 and talk.term == self.term + 1
         if wanted and self.counts_as(talk, sender):
             self.votes.add(sender)
             if self.most(self.votes):
                 self.campaign()
 
-    def on_ask_vote(self, talk: Talk, sender: str) -> None:
+    def on_ask_vote(self, talk: ConsensusMessage, sender: str) -> None:
         if talk.term == self.term and self.may_vote(talk):
             if not self.voted:
                 self.role = FOLLOWER
                 self.settle_term(self.term, talk.disk)
             self.doubt()
-            self.say(sender, VOTED, 1)
+            self.say(sender, VOTE_RESPONSE, 1)
         else:
-            self.say(sender, VOTED, 0)
+            self.say(sender, VOTE_RESPONSE, 0)
 
-    def may_vote(self, talk: Talk) -> bool:
+    def may_vote(self, talk: ConsensusMessage) -> bool:
         return (
             self.voted in (0, talk.disk)
             and self.now >= self.awake_at
-            and self.up_to_date(talk.one, talk.two)
+            and self.up_to_date(talk.arg1, talk.arg2)
         )
 
-    def on_voted(self, talk: Talk, sender: str) -> None:
+    def on_voted(self, talk: ConsensusMessage, sender: str) -> None:
         if (
             self.role == CANDIDATE
             and talk.term == self.term
-            and talk.one
+            and talk.arg1
             and self.counts_as(talk, sender)
         ):
             self.votes.add(sender)
             self.count_votes()
 
-    def counts_as(self, talk: Talk, sender: str) -> bool:
+    def counts_as(self, talk: ConsensusMessage, sender: str) -> bool:
         """Whether a voter's word is that of the disk that votes under its name."""
         return self.config.get(sender) == talk.disk
 
@@ -470,14 +472,14 @@
         if self.role == LEADER and self.match:
             best = max(self.match, key=lambda name: (self.match[name], name))
             if best in self.config:
-                self.say(best, HURRY)
+                self.say(best, TIMEOUT_NOW)
 
     # Copies.
 
     def append(self, kind: int, data: bytes) -> int:
         """A leader's new line; its number."""
         index = self.last + 1
-        self.put(index, Line(self.term, kind, data))
+        self.put(index, LogEntry(self.term, kind, data))
         self.broadcast(False)
         return index
 
@@ -496,12 +498,14 @@
         if lines:
             self.flying[name] = self.now
         self.hinted[name] = self.commit
-        self.say(name, APPEND, first - 1, self.term_at(first - 1), self.commit, self.round, lines)
+        self.say(
+            name, APPEND_ENTRIES, first - 1, self.term_at(first - 1), self.commit, self.round, lines
+        )
 
-    def page(self, first: int, last: int) -> list[Line]:
+    def page(self, first: int, last: int) -> list[LogEntry]:
         """Lines from the first on, as many as fit into one talk: one at least, if there is one."""
-        lines, room = list[Line](), MOST_TALK - 80
-        for index in range(first, min(last, first + MOST_LINES - 1) + 1):
+        lines, room = list[LogEntry](), MAX_CONSENSUS_BYTES - 80
+        for index in range(first, min(last, first + MAX_LOG_ENTRIES - 1) + 1):
             line = self.line(index)
             room -= len(line.data) + 12
             if room < 0 and lines:
@@ -509,9 +513,9 @@
             lines.append(line)
         return lines
 
-    def on_append(self, talk: Talk, sender: str) -> None:
+    def on_append(self, talk: ConsensusMessage, sender: str) -> None:
         if talk.term < self.term:
-            self.say(sender, TAKEN, 0, 0, 0, 0)
+            self.say(sender, APPEND_ACCEPTED, 0, 0, 0, 0)
             return
         if self.leader != sender:
             self.leader = sender
@@ -521,24 +525,24 @@
         self.leader_heard = self.now
         self.doubt()
         if not self.fits(talk):
-            self.say(sender, TAKEN, 0, self.hint(talk.one), 0, talk.four)
+            self.say(sender, APPEND_ACCEPTED, 0, self.hint(talk.arg1), 0, talk.arg4)
             return
-        for index, line in enumerate(talk.lines, talk.one + 1):
+        for index, line in enumerate(talk.lines, talk.arg1 + 1):
             if index <= self.start or index <= self.last and self.term_at(index) == line.term:
                 continue
             self.put(index, line)
-        self.matched = max(self.matched, talk.one + len(talk.lines))
-        self.say(sender, TAKEN, 1, self.held(), self.matched, talk.four)
-        self.agreed(min(talk.three, talk.one + len(talk.lines)))
+        self.matched = max(self.matched, talk.arg1 + len(talk.lines))
+        self.say(sender, APPEND_ACCEPTED, 1, self.held(), self.matched, talk.arg4)
+        self.agreed(min(talk.arg3, talk.arg1 + len(talk.lines)))
 
     def held(self) -> int:
         """Up to which line of the leader's is on the disk here."""
         return min(self.durable, self.matched)
 
-    def fits(self, talk: Talk) -> bool:
+    def fits(self, talk: ConsensusMessage) -> bool:
         """Whether the line before those that come is the one that the leader has."""
-        return talk.one <= self.last and (
-            talk.one < self.start or self.term_at(talk.one) == talk.two
+        return talk.arg1 <= self.last and (
+            talk.arg1 < self.start or self.term_at(talk.arg1) == talk.arg2
         )
 
     def hint(self, index: int) -> int:
@@ -550,23 +554,23 @@
             index -= 1
         return max(index, self.commit + 1)
 
-    def on_taken(self, talk: Talk, sender: str) -> None:
+    def on_taken(self, talk: ConsensusMessage, sender: str) -> None:
         if self.role != LEADER or talk.term != self.term or not self.counts_as(talk, sender):
             return
         self.heard[sender] = self.now
-        self.rounds[sender] = max(self.rounds.get(sender, 0), talk.four)
+        self.rounds[sender] = max(self.rounds.get(sender, 0), talk.arg4)
         self.flying.pop(sender, None)
-        if talk.one:
-            self.match[sender] = max(self.match.get(sender, 0), talk.two)
-            self.next[sender] = max(self.next.get(sender, 1), talk.three + 1)
+        if talk.arg1:
+            self.match[sender] = max(self.match.get(sender, 0), talk.arg2)
+            self.next[sender] = max(self.next.get(sender, 1), talk.arg3 + 1)
             self.advance()
             behind = self.next[sender] <= self.last or self.hinted.get(sender, 0) < self.commit
             if behind and sender not in self.flying:
                 self.send(sender)
-        elif talk.two > self.match.get(sender, 0):
-            self.next[sender] = min(talk.two, self.last + 1)
+        elif talk.arg2 > self.match.get(sender, 0):
+            self.next[sender] = min(talk.arg2, self.last + 1)
             if self.next[sender] <= self.start:
-                self.say(sender, BEHIND, self.commit)
+                self.say(sender, APPEND_REJECTED, self.commit)
             else:
                 self.send(sender)
         self.answer_reads()
@@ -653,7 +657,7 @@
         self.start_anew(record)
         self.settle_term(1, 0)
         for kind, data in [(VOTERS, pack(config)), *first]:
-            self.put(self.last + 1, Line(1, kind, data))
+            self.put(self.last + 1, LogEntry(1, kind, data))
         self.doubt_at = self.now
 
     def recover(self) -> None:
@@ -668,12 +672,16 @@
             self.note(*note)
         self.step_down("recovered")
         self.settle_term(self.term + 1, 0)
-        self.put(self.last + 1, Line(self.term, VOTERS, pack({self.name: self.disk})))
+        self.put(self.last + 1, LogEntry(self.term, VOTERS, pack({self.name: self.disk})))
         self.doubt_at = self.awake_at = self.now
 
     def command(self, kind: int, data: bytes) -> bool:
         """A command of a member; whether this one leads and has room for it."""
-        if self.role != LEADER or self.last - self.commit >= MOST_OPEN or len(data) > MOST_LINE:
+        if (
+            self.role != LEADER
+            or self.last - self.commit >= MOST_OPEN
+            or len(data) > MAX_LOG_ENTRY_BYTES
+        ):
             return False
         if not self.machine.has_applied(data) and not any(
             line.data == data for line in self.lines[self.commit - self.start :]
@@ -681,7 +689,7 @@
             self.append(kind, data)
         return True
 
-    def on_forward(self, talk: Talk, sender: str) -> None:
+    def on_forward(self, talk: ConsensusMessage, sender: str) -> None:
         for line in talk.lines[:1]:
             if line.kind > VOTERS:
                 self.command(line.kind, line.data)
@@ -689,18 +697,21 @@
     def ask_read(self, nonce: int) -> None:
         """Up to which line one has to have learned to know all that is agreed by now: `read_at` will say."""
         if self.role == LEADER:
-            self.on_read(Talk(READ, self.record, self.disk, self.term, nonce), self.name)
+            self.on_read(
+                ConsensusMessage(READ_INDEX_REQUEST, self.record, self.disk, self.term, nonce),
+                self.name,
+            )
         elif self.leader:
-            self.say(self.leader, READ, nonce)
+            self.say(self.leader, READ_INDEX_REQUEST, nonce)
 
-    def on_read(self, talk: Talk, sender: str) -> None:
+    def on_read(self, talk: ConsensusMessage, sender: str) -> None:
         if (
             self.role != LEADER
             or self.term_at(self.commit) != self.term
             or len(self.reads) >= MOST_READS
         ):
             return  # it asks again
-        self.reads.append((self.round + 1, sender, talk.one, self.commit))
+        self.reads.append((self.round + 1, sender, talk.arg1, self.commit))
         self.broadcast(False)
         self.answer_reads()
 
@@ -716,7 +727,7 @@
             elif sender == self.name:
                 self.read_at.append((nonce, index))
             else:
-                self.say(sender, READ_AT, nonce, index)
+                self.say(sender, READ_INDEX_RESPONSE, nonce, index)
         self.reads = left
 
     # Learning.
@@ -785,7 +796,7 @@
         missing = 0
         while missing in self.parts:
             missing += PIECE_SIZE
-        self.say(name, FETCH, self.commit + 1, missing, self.parts_of[0])
+        self.say(name, FETCH_ENTRIES, self.commit + 1, missing, self.parts_of[0])
 
     def may_serve(self) -> bool:
         if self.now - self.served_at >= self.pace.beat:
@@ -793,17 +804,17 @@
         self.served += 1
         return self.served <= SERVED
 
-    def on_fetch(self, talk: Talk, sender: str) -> None:
+    def on_fetch(self, talk: ConsensusMessage, sender: str) -> None:
         """Give what is agreed here: lines, or the whole state in pieces where the lines are gone."""
-        if talk.one > self.commit:
+        if talk.arg1 > self.commit:
             return
-        if talk.one <= self.start:
-            offset = talk.two if talk.three == self.base else 0
+        if talk.arg1 <= self.start:
+            offset = talk.arg2 if talk.arg3 == self.base else 0
             for at in range(offset, min(len(self.state), offset + PIECES * PIECE_SIZE), PIECE_SIZE):
                 if self.may_serve():
                     self.say(
                         sender,
-                        PIECE,
+                        INSTALL_SNAPSHOT,
                         self.base,
                         at,
                         len(self.state),
@@ -811,33 +822,33 @@
                         data=self.state[at : at + PIECE_SIZE],
                     )
             return
-        index, talks = talk.one, 0
+        index, talks = talk.arg1, 0
         while index <= self.commit and talks < PIECES and self.may_serve():
             lines = self.page(index, self.commit)
             index, talks = index + len(lines), talks + 1
             self.say(
                 sender,
-                LINES,
+                FETCHED_ENTRIES,
                 index - len(lines),
                 int(index > self.commit or talks == PIECES),
                 lines=lines,
             )
 
-    def on_lines(self, talk: Talk, sender: str) -> None:
+    def on_lines(self, talk: ConsensusMessage, sender: str) -> None:
         """Lines that are agreed."""
-        if talk.one > self.commit + 1:
+        if talk.arg1 > self.commit + 1:
             return
-        for index, line in enumerate(talk.lines, talk.one):
+        for index, line in enumerate(talk.lines, talk.arg1):
             if index <= self.commit:
                 continue
             if index > self.last or self.term_at(index) != line.term:
                 self.put(index, line)
         self.take_term(talk.lines)
-        self.agreed(talk.one + len(talk.lines) - 1)
-        if talk.two and self.behind():
+        self.agreed(talk.arg1 + len(talk.lines) - 1)
+        if talk.arg2 and self.behind():
             self.fetch()
 
-    def take_term(self, lines: Iterable[Line]) -> None:
+    def take_term(self, lines: Iterable[LogEntry]) -> None:
         """Whoever has learned a later term's lines follows no leader of an earlier one."""
         term = max((line.term for line in lines), default=0)
         if term > self.term:
@@ -845,22 +856,22 @@
             self.step_down("has learned of a later term")
             self.leader = ""
 
-    def on_piece(self, talk: Talk, sender: str) -> None:
+    def on_piece(self, talk: ConsensusMessage, sender: str) -> None:
         """A piece of a state whose lines are gone everywhere."""
-        if talk.one <= self.commit or talk.three > MOST_STATE or talk.two % PIECE_SIZE:
+        if talk.arg1 <= self.commit or talk.arg3 > MOST_STATE or talk.arg2 % PIECE_SIZE:
             return
-        if talk.one != self.parts_of[0]:
-            if talk.one < self.parts_of[0]:
+        if talk.arg1 != self.parts_of[0]:
+            if talk.arg1 < self.parts_of[0]:
                 return
-            self.parts, self.parts_of = {}, (talk.one, 0, talk.three)
-        self.parts[talk.two] = talk.data
+            self.parts, self.parts_of = {}, (talk.arg1, 0, talk.arg3)
+        self.parts[talk.arg2] = talk.data
         self.fetched_at = self.now
         size = sum(map(len, self.parts.values()))
         if size >= self.parts_of[2]:
             state = b"".join(data for _, data in sorted(self.parts.items()))
             self.parts, self.parts_of = {}, (0, 0, 0)
             self.install(state)
-        elif talk.two // PIECE_SIZE % PIECES == PIECES - 1:
+        elif talk.arg2 // PIECE_SIZE % PIECES == PIECES - 1:
             self.fetch()
 
     def install(self, state: bytes) -> None:
@@ -880,11 +891,11 @@
         self.durable = max(index, min(self.durable, self.last)) if fits else index
         self.note(BASE, index, state, index, term)
         self.counts["states_learned"] += 1
-        self.take_term([Line(term, NOTHING)])
+        self.take_term([LogEntry(term, NOTHING)])
 
     # What comes.
 
-    def hear(self, talk: Talk, sender: str, now: int) -> None:
+    def hear(self, talk: ConsensusMessage, sender: str, now: int) -> None:
         """A talk of a member that is proved to be of the fleet."""
         self.now = max(self.now, now)
         if talk.record != self.record:
@@ -894,50 +905,55 @@
                 self.counts["other_record"] += 1
                 return
         if (
-            talk.kind in (ASK_VOTE, VOTED, APPEND, TAKEN, HURRY)
-            or talk.kind == EARLY
-            and not talk.one
+            talk.kind in (VOTE_REQUEST, VOTE_RESPONSE, APPEND_ENTRIES, APPEND_ACCEPTED, TIMEOUT_NOW)
+            or talk.kind == PRE_VOTE_RESPONSE
+            and not talk.arg1
         ):
             if talk.term > self.term and not self.ignores(talk):
                 self.later_term(talk)
         kind = talk.kind
-        if kind == ASK_EARLY:
+        if kind == PRE_VOTE_REQUEST:
             self.on_ask_early(talk, sender)
-        elif kind == EARLY:
+        elif kind == PRE_VOTE_RESPONSE:
             self.on_early(talk, sender)
-        elif kind == ASK_VOTE:
+        elif kind == VOTE_REQUEST:
             self.on_ask_vote(talk, sender)
-        elif kind == VOTED:
+        elif kind == VOTE_RESPONSE:
             self.on_voted(talk, sender)
-        elif kind == APPEND:
+        elif kind == APPEND_ENTRIES:
             self.on_append(talk, sender)
-        elif kind == TAKEN:
+        elif kind == APPEND_ACCEPTED:
             self.on_taken(talk, sender)
-        elif kind == BEHIND:
-            self.told(sender, talk.record, talk.one)
+        elif kind == APPEND_REJECTED:
+            self.told(sender, talk.record, talk.arg1)
             if self.behind():
                 self.fetch()
-        elif kind == FETCH:
+        elif kind == FETCH_ENTRIES:
             self.on_fetch(talk, sender)
-        elif kind == LINES:
+        elif kind == FETCHED_ENTRIES:
             self.on_lines(talk, sender)
-        elif kind == PIECE:
+        elif kind == INSTALL_SNAPSHOT:
             self.on_piece(talk, sender)
-        elif kind == FORWARD:
+        elif kind == FORWARD_COMMAND:
             self.on_forward(talk, sender)
-        elif kind == READ:
+        elif kind == READ_INDEX_REQUEST:
             self.on_read(talk, sender)
-        elif kind == READ_AT:
-            self.read_at.append((talk.one, talk.two))
+        elif kind == READ_INDEX_RESPONSE:
+            self.read_at.append((talk.arg1, talk.arg2))
             del self.read_at[:-MOST_READS]
-        elif kind == HURRY and self.votes_here and talk.term == self.term and sender == self.leader:
+        elif (
+            kind == TIMEOUT_NOW
+            and self.votes_here
+            and talk.term == self.term
+            and sender == self.leader
+        ):
             self.campaign(True)
 
-    def ignores(self, talk: Talk) -> bool:
+    def ignores(self, talk: ConsensusMessage) -> bool:
         """One that asks for votes though a leader is there, and does not say so, was taken out or cut off."""
-        return talk.kind == ASK_VOTE and not talk.three and self.led()
+        return talk.kind == VOTE_REQUEST and not talk.arg3 and self.led()
 
-    def later_term(self, talk: Talk) -> None:
+    def later_term(self, talk: ConsensusMessage) -> None:
         self.settle_term(talk.term, 0)
         self.step_down("a later term")
         self.leader = ""
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -26,7 +26,16 @@
 from whinpier.config.model import ConfigFault, Spec
 from whinpier.fleet.consensus import node as raft
 from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, compacted, replayed, unpack
-from whinpier.fleet.messages import FORWARD, HERE, RECORD_NEWS, REPORT, STALE, SUSPECT, Line, Talk
+from whinpier.fleet.messages import (
+    ALIVE,
+    FORWARD_COMMAND,
+    LOG_PROGRESS_CHANNEL,
+    MEMBER_REPORT,
+    STALE_DISK,
+    SUSPECT,
+    ConsensusMessage,
+    LogEntry,
+)
 from whinpier.fleet.rollouts.commands import CommandHeader, EntryKind, SetBudget, encode
 from whinpier.fleet.rollouts.controller import RolloutController
 from whinpier.fleet.rollouts.model import MemberOrders, MemberReport, MemberView
@@ -51,7 +60,7 @@
 AGAIN = 0.5  # seconds until what could not be written is tried again
 TURN, BUSY = SECOND // 4, SECOND // 10  # between looks; while a drain or release is on
 TELL, TELL_BUSY = 2 * SECOND, 400 * MS  # between reports that say nothing new
-ASKED, ASK_AGAIN, ASK_FOR = (
+ASKED, ASK_AGAIN, LEASE_REQUEST = (
     256,
     250 * MS,
     60 * SECOND,
@@ -257,21 +266,21 @@
 
     # Talks.
 
-    def hear(self, sender: int, talk: Talk) -> None:
+    def hear(self, sender: int, talk: ConsensusMessage) -> None:
         """A talk from another member."""
         member = self.link.members.members.get(sender)
         if member is None:
             return
-        name, now = member.card.name, self.loop.clock()
-        if talk.kind == REPORT:
+        name, now = member.metadata.name, self.loop.clock()
+        if talk.kind == MEMBER_REPORT:
             self.reported_by(name, sender, talk, now)
             return
-        if talk.kind == STALE:
+        if talk.kind == STALE_DISK:
             self.told_stale(talk)
             return
         self.agreement.hear(talk, name, now)
 
-    def reported_by(self, name: str, sender: int, talk: Talk, now: int) -> None:
+    def reported_by(self, name: str, sender: int, talk: ConsensusMessage, now: int) -> None:
         if self.controller is None:
             return
         try:
@@ -280,12 +289,12 @@
             return
         self.controller.on_report(name, sender, report, now)
 
-    def told_stale(self, talk: Talk) -> None:
+    def told_stale(self, talk: ConsensusMessage) -> None:
         """Another knows that this disk has promised more than its file knew when this run began."""
         agreement = self.agreement
-        if talk.two != agreement.disk or talk.one <= self.begun_stamp:
+        if talk.arg2 != agreement.disk or talk.arg1 <= self.begun_stamp:
             return
-        log.warning("consensus_log_stale", disk=f"{agreement.disk:x}", known=talk.one)
+        log.warning("consensus_log_stale", disk=f"{agreement.disk:x}", known=talk.arg1)
         noted, synced, waiting = agreement.noted, agreement.synced, agreement.notes
         self.record.restore(b"")
         self.agreement = Agreement(
@@ -308,14 +317,16 @@
             return
         if there is None or min(record, disk, term, commit, leader, stamp) < 0:
             return
-        name = there.card.name
+        name = there.metadata.name
         self.heard_any = True
         if name in self.told or len(self.told) < 4_096:
             self.told[name] = disk, record
         run, most = self.disks.get(disk, (member, 0))
         if run != member and stamp < most:
-            talk = Talk(STALE, self.agreement.record, self.agreement.disk, 0, most, disk)
-            self.link.members.send_talks([(member, talk)], self.loop.clock())
+            talk = ConsensusMessage(
+                STALE_DISK, self.agreement.record, self.agreement.disk, 0, most, disk
+            )
+            self.link.members.send_consensus_messages([(member, talk)], self.loop.clock())
         elif disk in self.disks or len(self.disks) < 4_096:
             self.disks[disk] = member, max(stamp, most)
         self.agreement.now = max(self.agreement.now, self.loop.clock())
@@ -323,10 +334,10 @@
 
     def by_name(self) -> dict[str, int]:
         members = self.link.members
-        if self.names_at != members.changes:
-            self.names_at = members.changes
+        if self.names_at != members.change_count:
+            self.names_at = members.change_count
             self.names = {
-                one.card.name: one.id for one in members.members.values() if one.connected
+                one.metadata.name: one.id for one in members.members.values() if one.connected
             }
         return self.names
 
@@ -335,7 +346,7 @@
         agreement, names = self.agreement, self.by_name()
         talks = [(names[to], talk) for to, talk in agreement.take() if to in names]
         if talks:
-            self.link.members.send_talks(talks, self.loop.clock())
+            self.link.members.send_consensus_messages(talks, self.loop.clock())
             self.link.pass_on()
         if agreement.notes:
             self.came.set()
@@ -348,7 +359,7 @@
         agreement.events = []
         if agreement.commit != self.seen_commit:
             self.seen_commit = agreement.commit
-            self.link.members.carry(RECORD_NEWS, agreement.news(self.stamp))
+            self.link.members.publish(LOG_PROGRESS_CHANNEL, agreement.news(self.stamp))
         if self.record.changes != self.seen_changes:
             self.seen_changes = self.record.changes
             self.obey()
@@ -379,7 +390,7 @@
         state = self.record.state
         busy = bool(state.rollout or state.drains or self.asks)
         self.loop.at(now + (BUSY if busy else TURN), self, self.turn)
-        self.link.members.carry(RECORD_NEWS, self.agreement.news(self.stamp))
+        self.link.members.publish(LOG_PROGRESS_CHANNEL, self.agreement.news(self.stamp))
         self.look_whether_current(now)
         self.begin()
         if self.agreement.role == LEADER:
@@ -440,7 +451,7 @@
     def lead(self, now: int) -> None:
         assert self.controller
         self.controller.on_report(
-            self.link.spec.name, self.link.members.card.id, weighed(self.own_report()), now
+            self.link.spec.name, self.link.members.metadata.id, weighed(self.own_report()), now
         )
         for kind, data in self.controller.reconcile(now, self.seats(), self.record):
             self.agreement.command(kind, data)
@@ -469,13 +480,13 @@
 
     def seats(self) -> dict[str, MemberView]:
         """Who is there, as this process sees it."""
-        members, own = self.link.members, self.link.members.card
+        members, own = self.link.members, self.link.members.metadata
         found = {own.name: MemberView(own.name, own.id, own.zone, not self.life.stopping)}
         for one in members.members.values():
-            name = one.card.name
-            here = one.state in (HERE, SUSPECT)
+            name = one.metadata.name
+            here = one.state in (ALIVE, SUSPECT)
             if name not in found or here and not found[name].is_present:
-                found[name] = MemberView(name, one.id, one.card.zone, here, one.unheard)
+                found[name] = MemberView(name, one.id, one.metadata.zone, here, one.unreachable)
         return found
 
     # What this process does and reports.
@@ -635,7 +646,7 @@
         if stands(report) == stands(self.reported) and now - self.reported_at < wait:
             return
         self.reported, self.reported_at = report, now
-        agreement.say(agreement.leader, REPORT, data=encode(weighed(report)))
+        agreement.say(agreement.leader, MEMBER_REPORT, data=encode(weighed(report)))
 
     # Commands of operators.
 
@@ -650,14 +661,16 @@
 
     def ask_again(self, now: int) -> None:
         agreement, sent = self.agreement, 0
-        self.asks = [one for one in self.asks if not one.done() and now - one.since < ASK_FOR]
+        self.asks = [one for one in self.asks if not one.done() and now - one.since < LEASE_REQUEST]
         for one in self.asks:
             if now - one.sent < ASK_AGAIN or sent >= 16:
                 continue
             if agreement.role == LEADER:
                 agreement.command(one.kind, one.data)
             elif agreement.leader:
-                agreement.say(agreement.leader, FORWARD, lines=[Line(0, one.kind, one.data)])
+                agreement.say(
+                    agreement.leader, FORWARD_COMMAND, lines=[LogEntry(0, one.kind, one.data)]
+                )
             else:
                 continue
             one.sent, sent = now, sent + 1
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from whinpier.fleet.consensus.node import LEADER
-from whinpier.fleet.messages import MOST_LINE
+from whinpier.fleet.messages import MAX_LOG_ENTRY_BYTES
 from whinpier.fleet.rollouts.commands import (
     ENTRY_TYPES,
     MAX_TEXT,
@@ -150,8 +150,10 @@
         OverflowError,
     ) as fault:
         raise Fault(f"{what}: {fault}") from None
-    if len(data) > MOST_LINE:
-        raise Fault(f"{what}: {len(data)} bytes, {MOST_LINE} at most; name fewer, or say less")
+    if len(data) > MAX_LOG_ENTRY_BYTES:
+        raise Fault(
+            f"{what}: {len(data)} bytes, {MAX_LOG_ENTRY_BYTES} at most; name fewer, or say less"
+        )
     if not agreed.agreement.record:
         raise Fault("there is no record yet: its voters have not all met")
     identity = given.header.id
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -20,7 +20,7 @@
 from msgspec import Struct
 
 from whinpier import log
-from whinpier.fleet.membership.membership import MS, UNHEARD
+from whinpier.fleet.membership.membership import MS, UNREACHABLE
 from whinpier.fleet.registry import MAX_LIFETIME_MS
 from whinpier.fleet.spec import CALLERS
 
@@ -149,13 +149,13 @@
     def found(self, asked: ControlRequest) -> Any:
         link = self.link
         members = link.members
-        members.enter(link.loop.clock())
+        members.advance_clock(link.loop.clock())
         if asked.ask == "members":
             return {
                 "self": link.spec.name,
                 "position": members.position,
                 "here": members.count(),
-                "unheard": members.tally[UNHEARD],
+                "unheard": members.reachability_counts[UNREACHABLE],
                 "shares": {
                     name: {"balancers": one.balancers, "number": one.number}
                     for name, one in link.counting.pools.items()
--- a/whinpier/fleet/fleet_size.py
+++ b/whinpier/fleet/fleet_size.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-from whinpier.fleet.membership.membership import Members
-from whinpier.fleet.messages import pool_mark
+from whinpier.fleet.membership.membership import Membership
+from whinpier.fleet.messages import pool_hash
 from whinpier.policy.decaying_sum import SECOND
 
 LASTING = (
@@ -23,7 +23,7 @@
     __slots__ = ("name", "mark", "balancers", "number", "told_at", "fewer_since", "ids")
 
     def __init__(self, name: str) -> None:
-        self.name, self.mark = name, pool_mark(name)
+        self.name, self.mark = name, pool_hash(name)
         self.balancers, self.number = 0, 0
         self.told_at, self.fewer_since = -APART, 0
         self.ids: dict[int, int] = {}  # members by their number
@@ -32,7 +32,7 @@
 class Counting:
     """Of all pools that the fleet shares."""
 
-    def __init__(self, members: Members, pools: tuple[str, ...]) -> None:
+    def __init__(self, members: Membership, pools: tuple[str, ...]) -> None:
         self.members = members
         self.pools: dict[str, Counted] = {}
         self.follow(pools)
@@ -44,18 +44,20 @@
     def floor(self, now: int) -> int:
         """How many there may be at least, while this one has not heard from all whom it should."""
         members = self.members
-        young = now - members.began < members.times.settle
-        if not young and (members.count() > 1 or now - members.began >= members.times.reckon):
+        young = now - members.started_at < members.times.settle
+        if not young and (members.count() > 1 or now - members.started_at >= members.times.reckon):
             return 1
-        return 1 + (len(members.seeds) if young and not members.joined else members.silent_seeds())
+        return 1 + (
+            len(members.seeds) if young and not members.joined else members.unresponsive_seeds()
+        )
 
     def update(self, now: int) -> list[Counted]:
         """The pools whose numbers change now."""
         found, floor = [], self.floor(now)
         for pool in self.pools.values():
-            shares = self.members.shares(pool.mark)
+            shares = self.members.pool_members(pool.mark)
             number = next(
-                place for place, (_, one) in enumerate(shares) if one == self.members.card.id
+                place for place, (_, one) in enumerate(shares) if one == self.members.metadata.id
             )
             balancers = max(len(shares), floor)
             pool.ids = {one: place for place, (_, one) in enumerate(shares)}
--- a/whinpier/fleet/outliers/ejection.py
+++ b/whinpier/fleet/outliers/ejection.py
@@ -17,12 +17,12 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from whinpier.fleet.messages import Plea
+from whinpier.fleet.messages import EjectionMessage
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.detector import OutlierDetector, summarize
 from whinpier.fleet.outliers.messages import (
-    EjectionMessage,
     EjectionNotice,
+    EjectionPayload,
     ObservationReply,
     ObservationRequest,
     VoteReply,
@@ -83,7 +83,7 @@
         self.ejected_until: dict[UpstreamKey, int] = {}
         self.returning_at: dict[UpstreamKey, int] = {}
         self.ejection_counts: dict[UpstreamKey, EjectionCount] = {}
-        self.out: list[tuple[int, Plea]] = []  # recipient, message
+        self.out: list[tuple[int, EjectionMessage]] = []  # recipient, message
         self.events: list[Event] = []
         self.counts: Counter[str] = Counter()
 
@@ -317,11 +317,11 @@
         """Draw a number that is never 0."""
         return self.getrandbits(NONCE_BITS) | 1
 
-    def send(self, recipient: int, message: EjectionMessage) -> None:
+    def send(self, recipient: int, message: EjectionPayload) -> None:
         """Queue a message."""
         self.out.append((recipient, encode(message)))
 
-    def on_message(self, packed: Plea, sender: int, usual_ns: float, now: int) -> None:
+    def on_message(self, packed: EjectionMessage, sender: int, usual_ns: float, now: int) -> None:
         """Take a message; `usual_ns` is the pool's usual latency as this member has it."""
         message = decode(packed)
         match message:
--- a/whinpier/fleet/outliers/messages.py
+++ b/whinpier/fleet/outliers/messages.py
@@ -10,7 +10,7 @@
 from typing import TypeAlias
 
 from whinpier.fleet import messages
-from whinpier.fleet.messages import Plea
+from whinpier.fleet.messages import EjectionMessage
 from whinpier.fleet.outliers.model import WHOLE_POOL, EjectionSlot, Observation, UpstreamKey
 
 HUNDREDTHS = 100
@@ -70,51 +70,70 @@
     ejection_count: int
 
 
-EjectionMessage: TypeAlias = (
+EjectionPayload: TypeAlias = (
     ObservationRequest | ObservationReply | VoteRequest | VoteReply | EjectionNotice
 )
 
 
-def encode(message: EjectionMessage) -> Plea:
+def encode(message: EjectionPayload) -> EjectionMessage:
     """Pack a message into the form that datagrams carry."""
     pool, key = message.upstream
     nonce = message.nonce
     match message:
         case ObservationRequest():
-            return Plea(messages.HEARING, pool, key, nonce)
+            return EjectionMessage(messages.OBSERVATION_REQUEST, pool, key, nonce)
         case ObservationReply(observation=observed):
             answers = int(observed.answers * HUNDREDTHS)
             ratio = int(observed.latency_ratio * HUNDREDTHS)
-            return Plea(
-                messages.EVIDENCE, pool, key, nonce, answers, ratio, int(observed.in_good_standing)
+            return EjectionMessage(
+                messages.OBSERVATION_REPLY,
+                pool,
+                key,
+                nonce,
+                answers,
+                ratio,
+                int(observed.in_good_standing),
             )
         case VoteRequest():
-            return Plea(
-                messages.VOTE_FOR, pool, key, nonce, message.slot, message.zone, message.zone_slot
+            return EjectionMessage(
+                messages.EJECTION_VOTE_REQUEST,
+                pool,
+                key,
+                nonce,
+                message.slot,
+                message.zone,
+                message.zone_slot,
             )
         case VoteReply():
-            return Plea(messages.VOTE, pool, key, nonce, int(message.is_granted))
+            return EjectionMessage(
+                messages.EJECTION_VOTE_REPLY, pool, key, nonce, int(message.is_granted)
+            )
         case EjectionNotice():
-            return Plea(
-                messages.REST, pool, key, nonce, message.vote_delay_ns, message.ejection_count
+            return EjectionMessage(
+                messages.EJECTION_NOTICE,
+                pool,
+                key,
+                nonce,
+                message.vote_delay_ns,
+                message.ejection_count,
             )
 
 
-def decode(packed: Plea) -> EjectionMessage | None:
+def decode(packed: EjectionMessage) -> EjectionPayload | None:
     """Read a message; None: its kind is unknown here."""
     upstream = UpstreamKey(packed.pool, packed.key)
     match packed.kind:
-        case messages.HEARING:
+        case messages.OBSERVATION_REQUEST:
             return ObservationRequest(upstream, packed.nonce)
-        case messages.EVIDENCE:
+        case messages.OBSERVATION_REPLY:
             observation = Observation(
-                packed.one / HUNDREDTHS, packed.two / HUNDREDTHS, bool(packed.three)
+                packed.arg1 / HUNDREDTHS, packed.arg2 / HUNDREDTHS, bool(packed.arg3)
             )
             return ObservationReply(upstream, packed.nonce, observation)
-        case messages.VOTE_FOR:
-            return VoteRequest(upstream, packed.nonce, packed.one, packed.two, packed.three)
-        case messages.VOTE:
-            return VoteReply(upstream, packed.nonce, bool(packed.one))
-        case messages.REST:
-            return EjectionNotice(upstream, packed.nonce, packed.one, packed.two)
+        case messages.EJECTION_VOTE_REQUEST:
+            return VoteRequest(upstream, packed.nonce, packed.arg1, packed.arg2, packed.arg3)
+        case messages.EJECTION_VOTE_REPLY:
+            return VoteReply(upstream, packed.nonce, bool(packed.arg1))
+        case messages.EJECTION_NOTICE:
+            return EjectionNotice(upstream, packed.nonce, packed.arg1, packed.arg2)
     return None
--- a/whinpier/fleet/outliers/monitor.py
+++ b/whinpier/fleet/outliers/monitor.py
@@ -12,8 +12,8 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING, Any
 
-from whinpier.fleet.membership.membership import Members
-from whinpier.fleet.messages import Plea, pool_mark
+from whinpier.fleet.membership.membership import Membership
+from whinpier.fleet.messages import EjectionMessage, pool_hash
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.detector import MAX_LATENCY_RATIO
 from whinpier.fleet.outliers.ejection import ALL_MEMBERS, LEASE_MARGIN, EjectionCoordinator
@@ -55,7 +55,7 @@
         self.coordinator = coordinator
         self.pool = pool
         self.loop = loop
-        self.mark = pool_mark(pool.name)
+        self.mark = pool_hash(pool.name)
         self.keys: dict[str, int] = {}
         self.hosts: dict[int, str] = {}
         self.endpoints_version = -1
@@ -75,7 +75,7 @@
     def zone_mark(self, endpoint: Peer) -> int:
         """Return the fleet's number for an upstream's zone; 0: it is in none."""
         names = self.pool.spec.zones
-        return pool_mark("zone/" + names[endpoint.zone]) if endpoint.zone < len(names) else 0
+        return pool_hash("zone/" + names[endpoint.zone]) if endpoint.zone < len(names) else 0
 
     def usual_ns(self) -> float:
         """Return the usual latency of the pool, the longest of its request classes."""
@@ -114,7 +114,7 @@
     def __init__(
         self,
         config: EjectionConfig,
-        members: Members,
+        members: Membership,
         loop: Loop,
         chance: Any,
         tell: Callable[[str, dict[str, Any]], None],
@@ -125,7 +125,7 @@
         self.tell = tell
         fencing_interval_ns = config.lease_ns + LEASE_MARGIN
         self.coordinator = EjectionCoordinator(
-            config, members.card.id, loop.clock(), chance, fencing_interval_ns
+            config, members.metadata.id, loop.clock(), chance, fencing_interval_ns
         )
         self.observers: dict[int, PoolObserver] = {}
         # What operators ejected, by pool and host: until when.
@@ -140,7 +140,7 @@
             if pool.name not in shared:
                 pool.attempt_observer = None
                 continue
-            mark = pool_mark(pool.name)
+            mark = pool_hash(pool.name)
             observer = self.observers.get(mark)
             if observer is None or observer.pool is not pool:
                 observer = PoolObserver(self.coordinator, pool, self.loop)
@@ -152,16 +152,18 @@
 
     def member_counts(self, pool: int) -> MemberCounts:
         """Return how many members share a pool, this one among them."""
-        sharing = [member for member in self.members.members.values() if pool in member.card.pools]
+        sharing = [
+            member for member in self.members.members.values() if pool in member.metadata.pools
+        ]
         reachable = 1 + sum(member.connected for member in sharing)
-        unreachable = sum(member.unheard for member in sharing)
+        unreachable = sum(member.unreachable for member in sharing)
         return MemberCounts(reachable + unreachable, reachable)
 
     def usual_ns(self, pool: int) -> float:
         """Return the usual latency of a pool."""
         return self.observers[pool].usual_ns()
 
-    def on_message(self, sender: int, packed: Plea) -> None:
+    def on_message(self, sender: int, packed: EjectionMessage) -> None:
         """Take a message of another member."""
         observer = self.observers.get(packed.pool)
         if observer is not None:
@@ -171,7 +173,7 @@
 
     def on_timer(self, now: int) -> None:
         """Let time pass."""
-        self.coordinator.own_id = self.members.card.id
+        self.coordinator.own_id = self.members.metadata.id
         for observer in self.observers.values():
             observer.update_endpoints()
         self.propose_operator_ejections(now)
@@ -187,7 +189,7 @@
             if name in self.operator_ejections
         }
         for name, until in self.operator_ejections.items():
-            observer = self.observers.get(pool_mark(name[0]))
+            observer = self.observers.get(pool_hash(name[0]))
             key = observer.keys.get(name[1]) if observer else None
             if observer is None or key is None:
                 continue
@@ -240,11 +242,11 @@
         fields["key"] = f"{event.fields['key']:08x}"
         self.tell(event.name, fields)
 
-    def take_messages(self) -> list[tuple[int, Plea]]:
+    def take_messages(self) -> list[tuple[int, EjectionMessage]]:
         """Return the messages to be sent, each with its recipient."""
         queued = self.coordinator.out
         self.coordinator.out = []
-        found: list[tuple[int, Plea]] = []
+        found: list[tuple[int, EjectionMessage]] = []
         for recipient, packed in queued:
             if recipient == ALL_MEMBERS:
                 found += [(member, packed) for member in self.members_sharing(packed.pool)]
@@ -257,7 +259,7 @@
         return [
             member.id
             for member in self.members.members.values()
-            if member.connected and pool in member.card.pools
+            if member.connected and pool in member.metadata.pools
         ]
 
     def rows(self) -> list[dict[str, Any]]:
--- a/whinpier/fleet/quotas/allocation.py
+++ b/whinpier/fleet/quotas/allocation.py
@@ -21,7 +21,7 @@
 
 from msgspec import Struct
 
-from whinpier.fleet.messages import Deal, pool_mark
+from whinpier.fleet.messages import QuotaMessage, pool_hash
 from whinpier.fleet.quotas.calendar_quota import Calendar, Note, Units
 from whinpier.fleet.quotas.fair_share import Nearly
 from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, RATE, SLACK, Limit, Share
@@ -54,7 +54,7 @@
 
     home: int
     fenced_till: int
-    out: list[tuple[int, Deal]]
+    out: list[tuple[int, QuotaMessage]]
 
     def rehome(self, home: int, now: int, at_once: bool) -> None: ...
 
@@ -64,7 +64,7 @@
 
     def turn(self, now: int, there: Iterable[int]) -> None: ...
 
-    def deal(self, deal: Deal, other: int, now: int) -> None: ...
+    def deal(self, deal: QuotaMessage, other: int, now: int) -> None: ...
 
 
 class Kept(Struct, frozen=True, array_like=True):
@@ -150,7 +150,7 @@
         self.live[key] = None
         return part
 
-    def deal(self, deal: Deal, other: int, now: int) -> None:
+    def deal(self, deal: QuotaMessage, other: int, now: int) -> None:
         """What another says of one of them. Who asks for one that is not known here finds it unused."""
         part = self.parts.get(deal.key)
         if part is None:
@@ -176,8 +176,8 @@
             else:
                 self.live[key] = None  # to the end
 
-    def take_out(self) -> list[tuple[int, Deal]]:
-        found: list[tuple[int, Deal]] = []
+    def take_out(self) -> list[tuple[int, QuotaMessage]]:
+        found: list[tuple[int, QuotaMessage]] = []
         for key in self.live if self.said.each else self.parts:
             part = self.parts[key]
             if part.out:
@@ -255,7 +255,7 @@
                 for key, part in table.parts.items():
                     part.limit = replace(said.of(table.names[key]) if key else limit, key=key)
             self.tables[name] = table
-        self.epoch = pool_mark(
+        self.epoch = pool_hash(
             "/".join(sorted(f"{table.said.limit.epoch():x}" for table in self.tables.values()))
         )
         self.sure = self.sure or self.begun and not before
@@ -412,12 +412,12 @@
             if table.said.limit.kind != CONNECTIONS:
                 table.turn(now, there(table.said.limit))
 
-    def deal(self, deal: Deal, other: int, now: int) -> None:
+    def deal(self, deal: QuotaMessage, other: int, now: int) -> None:
         for table in self.tables.values():
             if table.said.limit.mark == deal.limit:
                 table.deal(deal, other, now)
 
-    def take_out(self) -> list[tuple[int, Deal]]:
+    def take_out(self) -> list[tuple[int, QuotaMessage]]:
         """What is to be sent, and to whom."""
         return [message for table in self.tables.values() for message in table.take_out()]
 
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -22,7 +22,7 @@
 from typing import Any, Literal
 from zoneinfo import ZoneInfo
 
-from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
+from whinpier.fleet.messages import UNITS_GRANT, UNITS_REQUEST, QuotaMessage
 from whinpier.fleet.quotas.leases import ASKED, MOST_LOANS, Limit
 from whinpier.policy.decaying_sum import SECOND, Sum
 
@@ -144,9 +144,11 @@
         self.granted: dict[int, int] = {}
         self.nothing: dict[int, int] = {}
         self.wanted, self.counted, self.passed, self.turned_back = Sum(LOOK, now), 0, 0, 0
-        self.out: list[tuple[int, Deal]] = []
+        self.out: list[tuple[int, QuotaMessage]] = []
         self.notes: dict[int, Note] = {}  # to be written, by window
-        self.held: list[tuple[int, int, Deal]] = []  # goes out once so many notes are written
+        self.held: list[
+            tuple[int, int, QuotaMessage]
+        ] = []  # goes out once so many notes are written
         self.said = 0  # notes, in all
         self.blind_till = (
             0  # of windows that began sooner nothing is known: seconds since the epoch
@@ -332,18 +334,20 @@
             self.ask(nonce, self.asks[nonce])
 
     def ask(self, nonce: int, ask: Ask) -> None:
-        deal = Deal(ASK_UNITS, self.limit.mark, nonce, ask.amount, ask.start, self.limit.key)
+        deal = QuotaMessage(
+            UNITS_REQUEST, self.limit.mark, nonce, ask.amount, ask.start, self.limit.key
+        )
         self.out.append((ask.other, deal))
 
     # What others say.
 
-    def deal(self, deal: Deal, other: int, now: int) -> None:
-        if deal.kind == ASK_UNITS:
+    def deal(self, deal: QuotaMessage, other: int, now: int) -> None:
+        if deal.kind == UNITS_REQUEST:
             self.asked_for(deal, other, now)
-        elif deal.kind == UNITS:
+        elif deal.kind == UNITS_GRANT:
             self.received(deal, other, now)
 
-    def asked_for(self, deal: Deal, other: int, now: int) -> None:
+    def asked_for(self, deal: QuotaMessage, other: int, now: int) -> None:
         """Hand over what is not needed here: off first, on the disk, then on its way."""
         amount = self.granted.get(deal.nonce)
         if amount is None:
@@ -367,10 +371,12 @@
             return  # it goes once it is on the disk
         self.out.append((other, self.answer(deal, amount)))
 
-    def answer(self, deal: Deal, amount: int) -> Deal:
-        return Deal(UNITS, self.limit.mark, deal.nonce, amount, deal.turn, self.limit.key)
+    def answer(self, deal: QuotaMessage, amount: int) -> QuotaMessage:
+        return QuotaMessage(
+            UNITS_GRANT, self.limit.mark, deal.nonce, amount, deal.turn, self.limit.key
+        )
 
-    def received(self, deal: Deal, other: int, now: int) -> None:
+    def received(self, deal: QuotaMessage, other: int, now: int) -> None:
         ask = self.asks.pop(deal.nonce, None)
         if ask is None or ask.other != other or ask.start != deal.turn:
             return  # of another window, another run, or come before
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -20,7 +20,13 @@
 from random import Random
 from typing import Any
 
-from whinpier.fleet.messages import ASK_FOR, BACK, LEND, Deal, pool_mark
+from whinpier.fleet.messages import (
+    LEASE_GRANT,
+    LEASE_REQUEST,
+    LEASE_RETURN,
+    QuotaMessage,
+    pool_hash,
+)
 from whinpier.policy.decaying_sum import SECOND, Sum
 
 MS = SECOND // 1000
@@ -51,7 +57,7 @@
 
     @property
     def mark(self) -> int:
-        return pool_mark("limit/" + self.name)
+        return pool_hash("limit/" + self.name)
 
     def home(self, name: str) -> int:
         """This member's own part; they add up to the whole."""
@@ -64,7 +70,7 @@
         """The same number for the same division."""
         window = f"/{self.window}" * bool(self.window)
         span = f"/{self.span}" * (self.span != SPAN)
-        return pool_mark(
+        return pool_hash(
             f"{self.name}/{self.kind}/{self.amount}/{self.burst}/{','.join(self.homes)}"
             f"{window}{span}"
         )
@@ -115,7 +121,7 @@
         self.horizon = limit.span // 3  # of timeout: requests of usual length
         self.nothing: dict[int, int] = {}  # who had nothing to lend: when
         self.passed, self.turned_back = 0, 0
-        self.out: list[tuple[int, Deal]] = []  # to whom, what
+        self.out: list[tuple[int, QuotaMessage]] = []  # to whom, what
 
     @property
     def renew(self) -> int:
@@ -289,7 +295,7 @@
                 surplus -= loan.amount
                 del self.borrowed[nonce]
                 self.asked.pop(nonce, None)
-                self.say(loan.other, BACK, nonce, loan.amount, 0)
+                self.say(loan.other, LEASE_RETURN, nonce, loan.amount, 0)
             elif loan.until - now < self.renew and nonce not in self.asked:
                 # Each time another turn, answered or not: an answer that comes late must not count
                 # from now.
@@ -322,18 +328,20 @@
 
     def ask(self, now: int, other: int, amount: int, nonce: int, turn: int) -> None:
         self.asked[nonce] = Asked(other, amount, now, turn)
-        self.say(other, ASK_FOR, nonce, amount, turn)
+        self.say(other, LEASE_REQUEST, nonce, amount, turn)
 
     def say(self, other: int, kind: int, nonce: int, amount: int, turn: int) -> None:
-        self.out.append((other, Deal(kind, self.limit.mark, nonce, amount, turn, self.limit.key)))
+        self.out.append(
+            (other, QuotaMessage(kind, self.limit.mark, nonce, amount, turn, self.limit.key))
+        )
 
     # What others say.
 
-    def deal(self, deal: Deal, other: int, now: int) -> None:
+    def deal(self, deal: QuotaMessage, other: int, now: int) -> None:
         """A message about this limit."""
-        if deal.kind == ASK_FOR:
+        if deal.kind == LEASE_REQUEST:
             self.asked_for(deal, other, now)
-        elif deal.kind == LEND:
+        elif deal.kind == LEASE_GRANT:
             self.lent_to_us(deal, other, now)
         else:
             loan = self.lent.get(deal.nonce)
@@ -341,7 +349,7 @@
                 del self.lent[deal.nonce]
                 self.changed(now)
 
-    def asked_for(self, deal: Deal, other: int, now: int) -> None:
+    def asked_for(self, deal: QuotaMessage, other: int, now: int) -> None:
         """Lend what can be spared; asked anew, for longer, as far as it is not needed here."""
         loan = self.lent.get(deal.nonce)
         if loan is not None and (loan.other != other or loan.until <= now):
@@ -355,9 +363,9 @@
             self.changed(now)
         else:
             amount = 0
-        self.say(other, LEND, deal.nonce, amount, deal.turn)
+        self.say(other, LEASE_GRANT, deal.nonce, amount, deal.turn)
 
-    def lent_to_us(self, deal: Deal, other: int, now: int) -> None:
+    def lent_to_us(self, deal: QuotaMessage, other: int, now: int) -> None:
         """A loan, if it is the one that was asked for last: its span runs from when it was asked for."""
         asked = self.asked.get(deal.nonce)
         if asked is None or asked.other != other or asked.turn != deal.turn:
--- a/whinpier/fleet/rollouts/state_machine.py
+++ b/whinpier/fleet/rollouts/state_machine.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from whinpier.fleet.messages import Line
+from whinpier.fleet.messages import LogEntry
 from whinpier.fleet.rollouts import disruption_budget, drains, release_files, releases
 from whinpier.fleet.rollouts.commands import (
     COMMAND_WORDS,
@@ -85,7 +85,7 @@
         except (msgspec.DecodeError, IndexError, TypeError, KeyError):
             return False
 
-    def apply(self, index: int, entry: Line) -> None:
+    def apply(self, index: int, entry: LogEntry) -> None:
         """Apply the next committed entry; all members pass alike over one that does not decode."""
         self.changes += 1
         self.state.last_applied = index
@@ -105,7 +105,7 @@
         trial = RolloutStateMachine()
         trial.restore(self.snapshot())
         known_ids = set(trial.state.results)
-        trial.apply(index, Line(0, kind, data))
+        trial.apply(index, LogEntry(0, kind, data))
         for command_id, result in trial.state.results.items():
             if command_id not in known_ids:
                 return result
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -27,17 +27,25 @@
 from whinpier.fleet.control_socket import Control
 from whinpier.fleet.event_names import control_name
 from whinpier.fleet.fleet_size import Counting
-from whinpier.fleet.membership.membership import GONE, MS, UNHEARD, Address, Event, Member, Members
+from whinpier.fleet.membership.membership import (
+    GONE,
+    MS,
+    UNREACHABLE,
+    Address,
+    Event,
+    Member,
+    Membership,
+)
 from whinpier.fleet.messages import (
-    BUILD,
-    OLD,
-    RECORD_NEWS,
-    SILENT,
-    WHY,
-    Card,
-    Deal,
+    BUILD_VERSION,
+    LOG_PROGRESS_CHANNEL,
+    NO_RESPONSE,
+    REASON_NAMES,
+    STALE_STATE,
+    MemberMetadata,
+    QuotaMessage,
     Seal,
-    pool_mark,
+    pool_hash,
 )
 from whinpier.fleet.outliers.monitor import OutlierMonitor
 from whinpier.fleet.quotas.allocation import NEVER, Kept, Said, Shares
@@ -60,7 +68,7 @@
 COUNT = SECOND // 4  # between looks at how many share each pool: what lasts is seen then
 FORGET = 10 * SECOND  # between looks at notes of windows that are over
 REMEMBER = 2.0  # seconds between looks at whether where members are has changed
-STAMP = pool_mark(
+STAMP = pool_hash(
     "state/stamp"
 )  # under which members tell how many notes their state files have had
 BEGUN, WINDOW = "begun", "window"  # notes of the state file: since when it knows all; of one window
@@ -78,8 +86,8 @@
             str, tuple[int, int]
         ] = {}  # of the others' files, by name: whose run, how many
         chance = Random(life.chance.getrandbits(64))
-        build = spec.agreement.build if spec.agreement else BUILD
-        card = Card(
+        build = spec.agreement.build if spec.agreement else BUILD_VERSION
+        card = MemberMetadata(
             spec.name,
             Random().getrandbits(63),
             1,
@@ -87,7 +95,7 @@
             build,
             spec.zone,
             life.spec.revision,
-            tuple(pool_mark(name) for name in spec.pools),
+            tuple(pool_hash(name) for name in spec.pools),
         )
         recalled, kept = self.recalled()
         self.clocks = Clocks(time.time_ns() - self.now)
@@ -107,8 +115,10 @@
         )
         self.gates = Gates(self.shares, self.loop)
         self.outlier_monitor: OutlierMonitor | None = None
-        card = msgspec.structs.replace(card, limits=self.shares.epoch if self.shares.tables else 0)
-        self.members = Members(
+        card = msgspec.structs.replace(
+            card, limits_epoch=self.shares.epoch if self.shares.tables else 0
+        )
+        self.members = Membership(
             card, spec.seeds, Seal(spec.keys), spec.times, chance, self.now, recalled=recalled
         )
         self.counting = Counting(self.members, spec.pools)
@@ -178,7 +188,7 @@
 
     def written(self, part: Units, said: int, notes: list[Note]) -> None:
         part.written(said, notes)
-        self.send_deals()
+        self.send_application_messages()
 
     def recalled(self) -> tuple[list[Address], dict[str, Kept]]:
         try:
@@ -192,7 +202,7 @@
         kept, well = None, True
         while True:
             await anyio.sleep(REMEMBER)
-            now = self.members.addresses(), self.shares.keep()
+            now = self.members.known_addresses(), self.shares.keep()
             if now == kept or not any(now):
                 continue
             try:
@@ -205,7 +215,7 @@
 
     def attach(self) -> None:
         """Connect the pools that the fleet shares."""
-        self.by_mark = {pool_mark(name): name for name in self.spec.pools}
+        self.by_mark = {pool_hash(name): name for name in self.spec.pools}
         self.nearly_marks = {one.limit.mark: one for one in self.shares.nearly.values()}
         for name, pool in self.life.pools.items():
             pool.speaks = self.speaker(name) if name in self.spec.pools else None
@@ -218,8 +228,8 @@
         self.count(self.now)
 
     def speaker(self, name: str) -> Callable[[bytes], None]:
-        mark = pool_mark(name)
-        return lambda contents: self.members.carry(mark, contents)
+        mark = pool_hash(name)
+        return lambda contents: self.members.publish(mark, contents)
 
     # The life of the process.
 
@@ -244,7 +254,7 @@
         if "limits" in keys:
             self.shares.follow(self.said_limits(), self.loop.clock())
         self.attach()
-        self.members.change(
+        self.members.reconfigure(
             self.loop.clock(),
             spec.seeds,
             Seal(spec.keys),
@@ -263,12 +273,12 @@
 
     def marks(self) -> tuple[int, ...]:
         """The pools that others are to count this one among."""
-        return tuple(pool_mark(name) for name in self.spec.pools) if self.shared else ()
+        return tuple(pool_hash(name) for name in self.spec.pools) if self.shared else ()
 
     def share(self, on: bool) -> None:
         """Others count this one among those who share its pools, or no longer."""
         self.shared = on
-        self.members.change(
+        self.members.reconfigure(
             self.loop.clock(),
             self.spec.seeds,
             Seal(self.spec.keys),
@@ -286,8 +296,8 @@
         self.members.leave(self.loop.clock())
         self.pass_on()
 
-    def goodbye(self) -> None:
-        self.members.goodbye(self.loop.clock())
+    def announce_leave(self) -> None:
+        self.members.announce_leave(self.loop.clock())
         self.pass_on()
 
     def figures(self) -> dict[str, int]:
@@ -295,7 +305,7 @@
         members = self.members
         found = {
             "members_reachable": members.count(),
-            "members_unreachable": members.tally[UNHEARD],
+            "members_unreachable": members.reachability_counts[UNREACHABLE],
             **members.counts,
             **self.counts,
         }
@@ -318,7 +328,7 @@
 
     def wanted(self, source: Address) -> bool:
         """Whether there is time for one more of an unknown address in this second."""
-        if source in self.members.at_address:
+        if source in self.members.ids_by_address:
             return True
         if (second := self.loop.clock() // SECOND) != self.second:
             self.second, self.opened = second, 0
@@ -344,7 +354,7 @@
         self.pass_on()
 
     def refused(self, address: Address) -> None:
-        self.members.refused(address, self.now)
+        self.members.on_port_unreachable(address, self.now)
         self.pass_on()
 
     def tick(self, called_at: int) -> None:
@@ -361,7 +371,7 @@
 
     def pass_on(self) -> None:
         """Send what is to be sent, say what has happened, tell pools what others tell."""
-        out, events, said = self.members.take()
+        out, events, said = self.members.take_output()
         for address, data in out:
             try:
                 self.sock.sendto(data, address)
@@ -377,28 +387,34 @@
             self.happened(event)
         for member, mark, contents in said:
             self.hear(member, mark, contents)
-        if self.members.heard_pleas:
-            pleas, self.members.heard_pleas = self.members.heard_pleas, []
+        if self.members.received_ejection_messages:
+            pleas, self.members.received_ejection_messages = (
+                self.members.received_ejection_messages,
+                [],
+            )
             for sender, plea in pleas:
                 if self.outlier_monitor:
                     self.outlier_monitor.on_message(sender, plea)
-            self.send_deals()
-        if self.members.heard_deals:
-            deals, self.members.heard_deals = self.members.heard_deals, []
+            self.send_application_messages()
+        if self.members.received_quota_messages:
+            deals, self.members.received_quota_messages = self.members.received_quota_messages, []
             for sender, one in deals:
-                if one.kind == OLD:
+                if one.kind == STALE_STATE:
                     self.told_old(one, sender)
                 else:
                     self.shares.deal(one, sender, self.loop.clock())
-            self.send_deals()
-        if self.members.heard_talks:
-            talks, self.members.heard_talks = self.members.heard_talks, []
+            self.send_application_messages()
+        if self.members.received_consensus_messages:
+            talks, self.members.received_consensus_messages = (
+                self.members.received_consensus_messages,
+                [],
+            )
             if self.agreed:
                 for sender, talk in talks:
                     self.agreed.hear(sender, talk)
                 self.agreed.pass_on()
-        if self.members.changes != self.seen_changes:
-            self.seen_changes = self.members.changes
+        if self.members.change_count != self.seen_changes:
+            self.seen_changes = self.members.change_count
             self.count(self.loop.clock())
         if self.members.registry.change_count != self.seen_registry_changes:
             self.seen_registry_changes = self.members.registry.change_count
@@ -410,12 +426,12 @@
         at = (
             event.at - self.loop.offset
         )  # on the machine's monotonic clock, as every process has it
-        run = f"{self.members.card.run:x}"
+        run = f"{self.members.metadata.run:x}"
         pairs = {"process": self.spec.name, "process_run": run, "mono_ns": at} | event.pairs
         log.info(event.name, **pairs)
         name = event.pairs.get("member", "")
         if event.name in ("member_left", "member_lost"):
-            if event.pairs.get("why") != WHY[SILENT]:
+            if event.pairs.get("why") != REASON_NAMES[NO_RESPONSE]:
                 self.shares.departed.add(name)
         elif event.name == "member_here":
             self.shares.departed.discard(name)
@@ -424,9 +440,9 @@
 
     def strike(self, name: str) -> int:
         """An operator says that a member is dead: one that is unheard, or a home that was never met."""
-        struck = self.members.strike(name, self.loop.clock())
+        struck = self.members.declare_dead(name, self.loop.clock())
         gone = not any(
-            one.card.name == name and one.connected for one in self.members.members.values()
+            one.metadata.name == name and one.connected for one in self.members.members.values()
         )
         if gone and any(name in kept.homes for kept in self.shares.kept.values()):
             self.shares.departed.add(name)
@@ -439,10 +455,12 @@
     def say(self, key: str, value: dict[str, Any], life: int) -> bool:
         """One word to the whole fleet; without a value it lifts what was said. Whether there was room."""
         data = msgspec.json.encode(value) if value else b""
-        said = self.members.registry.put(key, data, life, self.members.card.id, self.loop.clock())
+        said = self.members.registry.put(
+            key, data, life, self.members.metadata.id, self.loop.clock()
+        )
         if said is not None:
             log.info("registry_entry_changed", key=key, **value)
-            self.members.tell_all_now(self.loop.clock())
+            self.members.broadcast_payloads(self.loop.clock())
             self.pass_on()
         return said is not None
 
@@ -509,10 +527,11 @@
             "words": rows,
             "members": [
                 {
-                    "name": one.card.name,
-                    "run": f"{one.card.run:x}",
-                    "holds": one.register == registry.digest,
-                    "limits": one.card.limits == self.shares.epoch or not self.shares.tables,
+                    "name": one.metadata.name,
+                    "run": f"{one.metadata.run:x}",
+                    "holds": one.registry_digest == registry.digest,
+                    "limits": one.metadata.limits_epoch == self.shares.epoch
+                    or not self.shares.tables,
                 }
                 for one in self.members.members.values()
                 if one.connected
@@ -538,12 +557,12 @@
         now = self.now = self.loop.clock()
         self.loop.at(now + TURN, self, self.deal)
         members, shares = self.members, self.shares
-        others = [one for one in members.members.values() if one.kind != GONE]
+        others = [one for one in members.members.values() if one.reachability != GONE]
         self.look_at_clocks(now)
         self.look_at_division(now, others)
-        if any(one.card.name == self.spec.name for one in others):
+        if any(one.metadata.name == self.spec.name for one in others):
             shares.fence(now)  # a second process of this name holds the same homes
-        by_name = {one.card.name: one.id for one in others if one.connected}
+        by_name = {one.metadata.name: one.id for one in others if one.connected}
         shares.turn(now, lambda limit: [by_name[home] for home in limit.homes if home in by_name])
         self.tell_nearly(now, others)
         self.gates.turn(now, self.life.pools.values())
@@ -552,22 +571,22 @@
         if self.state_store:
             if self.first_notes or any(part.notes for part in shares.units()):
                 self.state_store.wake()
-            self.members.carry(STAMP, self.state_store.sequence.to_bytes(8, "big"))
+            self.members.publish(STAMP, self.state_store.sequence.to_bytes(8, "big"))
             if now >= self.forget_at:
                 over, self.forget_at = self.shares.over(now), now + FORGET
                 self.state_store.discard(lambda key: key[0] == WINDOW and over(key[1], key[3]))
-        self.send_deals()
+        self.send_application_messages()
 
     def look_at_clocks(self, now: int) -> None:
         self.clocks.own = time.time_ns() - now
-        for member, wall, sent, at in self.members.heard_walls:
+        for member, wall, sent, at in self.members.clock_samples:
             self.clocks.heard(member, wall - at, wall - sent, now)
-        self.members.heard_walls.clear()
-        self.members.wall = (
+        self.members.clock_samples.clear()
+        self.members.wall_offset = (
             self.clocks.own if any(said.calendar for said in self.spec.limits) else 0
         )
         self.clocks.settle(
-            now, [one.id for one in self.members.members.values() if one.kind != GONE]
+            now, [one.id for one in self.members.members.values() if one.reachability != GONE]
         )
 
     def look_at_division(self, now: int, others: list[Member]) -> None:
@@ -575,17 +594,17 @@
         if shares.agreed and shares.told == shares.epoch:
             return
         if shares.tell(now):
-            self.members.change(
+            self.members.reconfigure(
                 now,
                 self.spec.seeds,
                 Seal(self.spec.keys),
                 self.spec.times,
-                limits=shares.epoch if shares.tables else 0,
+                limits_epoch=shares.epoch if shares.tables else 0,
             )
         heard = [one for one in others if one.connected]
-        there = {one.card.name for one in heard if one.card.limits == shares.epoch}
-        apart = {one.card.name for one in heard if one.card.limits != shares.epoch}
-        since, silent = shares.since, {one.card.name for one in others if one.unheard}
+        there = {one.metadata.name for one in heard if one.metadata.limits_epoch == shares.epoch}
+        apart = {one.metadata.name for one in heard if one.metadata.limits_epoch != shares.epoch}
+        since, silent = shares.since, {one.metadata.name for one in others if one.unreachable}
         agreed = shares.look(now, there, apart, silent, self.clocks.voices)
         if self.state_store and shares.since != since:
             # From here on the file knows of all that is used; what was before it does not say.
@@ -604,16 +623,16 @@
         for one in nearly.values():
             changed, at_once = one.turn(now, heard, self.counting.floor(now))
             if changed:
-                self.members.carry(one.limit.mark, one.word(now))
+                self.members.publish(one.limit.mark, one.word(now))
             soon = soon or at_once
         if soon:
-            self.members.tell_all_now(now)
+            self.members.broadcast_payloads(now)
 
-    def send_deals(self) -> None:
+    def send_application_messages(self) -> None:
         deals = self.shares.take_out()
         pleas = self.outlier_monitor.take_messages() if self.outlier_monitor else []
         if deals or pleas:
-            self.members.send_deals(deals, self.loop.clock(), pleas)
+            self.members.send_application_messages(deals, self.loop.clock(), pleas)
             self.pass_on()
 
     def limits(self) -> list[dict[str, Any]]:
@@ -625,16 +644,18 @@
         there = self.members.members.get(member)
         if there is None or len(contents) != 8:
             return
-        name, stamp = there.card.name, int.from_bytes(contents, "big")
+        name, stamp = there.metadata.name, int.from_bytes(contents, "big")
         self.counts["state_stamps_received"] += 1
         run, most = self.stamps.pop(name, (member, 0))
         if run != member and stamp < most:
-            self.members.send_deals([(member, Deal(OLD, 0, most, 0, 0))], self.loop.clock())
+            self.members.send_application_messages(
+                [(member, QuotaMessage(STALE_STATE, 0, most, 0, 0))], self.loop.clock()
+            )
         self.stamps[name] = member, max(stamp, most)
-        while len(self.stamps) > self.members.most:
+        while len(self.stamps) > self.members.max_members:
             del self.stamps[next(iter(self.stamps))]
 
-    def told_old(self, deal: Deal, sender: int) -> None:
+    def told_old(self, deal: QuotaMessage, sender: int) -> None:
         """Another knows that this process's last run had written more than its state file holds."""
         if self.state_store is None or deal.nonce <= self.begun_stamp:
             return
@@ -657,7 +678,7 @@
         if mark == STAMP:
             self.compare(member, contents)
             return
-        if mark == RECORD_NEWS:
+        if mark == LOG_PROGRESS_CHANNEL:
             if self.agreed:
                 self.agreed.told_news(member, contents)
             return
@@ -669,7 +690,7 @@
         pool = self.life.pools.get(name) if name else None
         if counted is None or pool is None or (number := counted.ids.get(member)) is None:
             return
-        if len(self.said) > 4 * self.members.most:
+        if len(self.said) > 4 * self.members.max_members:
             self.said.clear()
         if self.said.get((member, mark)) != contents:
             self.said[member, mark] = contents
--- a/whinpier/fleet/spec.py
+++ b/whinpier/fleet/spec.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, fields, replace
 
-from whinpier.fleet.membership.membership import Address, Times
+from whinpier.fleet.membership.membership import Address, MembershipTiming
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.quotas.allocation import Said
 from whinpier.fleet.rollouts.commands import BudgetRule
@@ -50,7 +50,7 @@
     recall: str = ""  # path of a file by which the next run finds the others again; empty: none
     state: str = ""  # path of a file of what must outlive the process; empty: none
     zone: str = ""
-    times: Times = Times()
+    times: MembershipTiming = MembershipTiming()
     pools: tuple[str, ...] = ()  # that are shared by as many as the fleet says
     limits: tuple[Said, ...] = ()
     verdicts: EjectionConfig | None = None  # None: nothing rests by what the fleet says
--- a/whinpier/model_checking/consensus.py
+++ b/whinpier/model_checking/consensus.py
@@ -24,7 +24,7 @@
     replayed,
     unpack,
 )
-from whinpier.fleet.messages import TAKEN, VOTED, Line, Talk
+from whinpier.fleet.messages import APPEND_ACCEPTED, VOTE_RESPONSE, ConsensusMessage, LogEntry
 from whinpier.model_checking.network import Network
 from whinpier.policy.decaying_sum import SECOND
 
@@ -57,7 +57,7 @@
     def __init__(self) -> None:
         self.all: list[tuple[int, bytes]] = []
 
-    def apply(self, index: int, line: Line) -> None:
+    def apply(self, index: int, line: LogEntry) -> None:
         self.all.append((index, line.data))
 
     def snapshot(self) -> bytes:
@@ -98,7 +98,7 @@
         self.changes, self.compacts, self.disks = changes, compacts, disks
         self.voters = members - spare
         config = {f"m{place}": place + 1 for place in range(self.voters)}
-        first = Line(1, VOTERS, pack(config))
+        first = LogEntry(1, VOTERS, pack(config))
         self.disk_notes: list[list[Any]] = [
             [
                 (TERM, 1, 0),
@@ -182,12 +182,10 @@
             if other != place
         ]
 
-    def describe(self, message: Talk) -> str:
-        return (
-            f"{NAMES[message.kind]} {message.term}/{message.one}/{message.two}+{len(message.lines)}"
-        )
+    def describe(self, message: ConsensusMessage) -> str:
+        return f"{NAMES[message.kind]} {message.term}/{message.arg1}/{message.arg2}+{len(message.lines)}"
 
-    def deliver(self, place: int, message: Talk, sender: int) -> None:
+    def deliver(self, place: int, message: ConsensusMessage, sender: int) -> None:
         self.parties[place].hear(message, f"m{(sender - 1) % 100}", self.now)
         self.after(place)
 
@@ -335,10 +333,10 @@
                     to,
                     talk.kind,
                     talk.term,
-                    talk.one,
-                    talk.two,
-                    talk.three,
-                    talk.four,
+                    talk.arg1,
+                    talk.arg2,
+                    talk.arg3,
+                    talk.arg4,
                     talk.data,
                 )
                 for barrier, to, talk in party.waiting
@@ -379,10 +377,10 @@
                     to,
                     talk.kind,
                     talk.term,
-                    talk.one,
-                    talk.two,
-                    talk.three,
-                    talk.four,
+                    talk.arg1,
+                    talk.arg2,
+                    talk.arg3,
+                    talk.arg4,
                     tuple((line.term, line.data) for line in talk.lines),
                     talk.data,
                 )
@@ -499,7 +497,7 @@
     def do_sync(self, place: int) -> None:
         self.sync(place)
         for to, talk in self.parties[place].take():
-            if talk.kind in (TAKEN, VOTED):
+            if talk.kind in (APPEND_ACCEPTED, VOTE_RESPONSE):
                 self.parties[int(to[1:])].hear(talk, f"m{place}", self.now)
                 self.look(int(to[1:]))
             elif len(self.network) < self.messages:
@@ -511,13 +509,13 @@
 
 
 class ForgetsItsVote(Agreement):
-    def may_vote(self, talk: Talk) -> bool:
+    def may_vote(self, talk: ConsensusMessage) -> bool:
         self.voted = 0
         return super().may_vote(talk)
 
 
 class VotesWithoutNote(Agreement):
-    def on_ask_vote(self, talk: Talk, sender: str) -> None:
+    def on_ask_vote(self, talk: ConsensusMessage, sender: str) -> None:
         before, proof = len(self.notes), self.proof
         super().on_ask_vote(talk, sender)
         if len(self.notes) > before:
@@ -577,23 +575,23 @@
 
 
 class LooksAtNothingBefore(Agreement):
-    def fits(self, talk: Talk) -> bool:
-        return talk.one <= self.last
+    def fits(self, talk: ConsensusMessage) -> bool:
+        return talk.arg1 <= self.last
 
 
 class CutsAtOldAppends(Agreement):
     """What comes late and is there already cuts off what has come since."""
 
-    def on_append(self, talk: Talk, sender: str) -> None:
+    def on_append(self, talk: ConsensusMessage, sender: str) -> None:
         if talk.term == self.term and talk.lines and self.fits(talk):
-            end = talk.one + len(talk.lines)
+            end = talk.arg1 + len(talk.lines)
             if self.commit <= end < self.last:
                 self.cut(end + 1)
         super().on_append(talk, sender)
 
 
 class KeepsWhatDiffers(Agreement):
-    def put(self, index: int, line: Line) -> None:
+    def put(self, index: int, line: LogEntry) -> None:
         if index > self.last:
             super().put(index, line)
 
@@ -602,14 +600,14 @@
     def agreed(self, index: int) -> None:
         super().agreed(index)
 
-    def on_append(self, talk: Talk, sender: str) -> None:
+    def on_append(self, talk: ConsensusMessage, sender: str) -> None:
         super().on_append(talk, sender)
         if self.leader == sender:
-            self.agreed(min(talk.three, self.last))
+            self.agreed(min(talk.arg3, self.last))
 
 
 class LeadsOnInLaterTerms(Agreement):
-    def later_term(self, talk: Talk) -> None:
+    def later_term(self, talk: ConsensusMessage) -> None:
         role, leader, votes = self.role, self.leader, self.votes
         super().later_term(talk)
         if role == LEADER:
@@ -617,7 +615,7 @@
 
 
 class NotesNoTerm(Agreement):
-    def later_term(self, talk: Talk) -> None:
+    def later_term(self, talk: ConsensusMessage) -> None:
         super().later_term(talk)
         self.notes.pop()
         self.noted -= 1
@@ -625,8 +623,8 @@
 
 
 class CountsVotesOfBefore(Agreement):
-    def on_voted(self, talk: Talk, sender: str) -> None:
-        if self.role == CANDIDATE and talk.one:
+    def on_voted(self, talk: ConsensusMessage, sender: str) -> None:
+        if self.role == CANDIDATE and talk.arg1:
             self.votes.add(sender)
             self.count_votes()
 
@@ -641,9 +639,9 @@
 
 
 class CountsAVoteAgain(Agreement):
-    def on_voted(self, talk: Talk, sender: str) -> None:
+    def on_voted(self, talk: ConsensusMessage, sender: str) -> None:
         self.again = getattr(self, "again", 0) + (
-            talk.kind == VOTED and talk.one and sender in self.votes
+            talk.kind == VOTE_RESPONSE and talk.arg1 and sender in self.votes
         )
         super().on_voted(talk, sender)
         if self.again and self.role == CANDIDATE:
@@ -651,8 +649,8 @@
 
 
 class CountsRefusals(Agreement):
-    def on_voted(self, talk: Talk, sender: str) -> None:
-        super().on_voted(Talk(talk.kind, talk.record, talk.disk, talk.term, 1), sender)
+    def on_voted(self, talk: ConsensusMessage, sender: str) -> None:
+        super().on_voted(ConsensusMessage(talk.kind, talk.record, talk.disk, talk.term, 1), sender)
 
 
 class ReadsWithoutAsking(Agreement):
@@ -662,9 +660,9 @@
 
 
 class ReadsBeforeItsOwnLine(Agreement):
-    def on_read(self, talk: Talk, sender: str) -> None:
+    def on_read(self, talk: ConsensusMessage, sender: str) -> None:
         if self.role == LEADER:
-            self.reads.append((self.round + 1, sender, talk.one, self.commit))
+            self.reads.append((self.round + 1, sender, talk.arg1, self.commit))
             self.broadcast(False)
             self.answer_reads()
 
@@ -676,27 +674,34 @@
 
 
 class TakesWordOfOtherTerms(Agreement):
-    def on_taken(self, talk: Talk, sender: str) -> None:
+    def on_taken(self, talk: ConsensusMessage, sender: str) -> None:
         super().on_taken(
-            Talk(
-                TAKEN, talk.record, talk.disk, self.term, talk.one, talk.two, talk.three, talk.four
+            ConsensusMessage(
+                APPEND_ACCEPTED,
+                talk.record,
+                talk.disk,
+                self.term,
+                talk.arg1,
+                talk.arg2,
+                talk.arg3,
+                talk.arg4,
             ),
             sender,
         )
 
 
 class TakesOldAppends(Agreement):
-    def on_append(self, talk: Talk, sender: str) -> None:
+    def on_append(self, talk: ConsensusMessage, sender: str) -> None:
         super().on_append(
-            Talk(
+            ConsensusMessage(
                 talk.kind,
                 talk.record,
                 talk.disk,
                 self.term,
-                talk.one,
-                talk.two,
-                talk.three,
-                talk.four,
+                talk.arg1,
+                talk.arg2,
+                talk.arg3,
+                talk.arg4,
                 talk.lines,
             ),
             sender,
@@ -704,7 +709,7 @@
 
 
 class TeachesWhatIsNotAgreed(Agreement):
-    def on_fetch(self, talk: Talk, sender: str) -> None:
+    def on_fetch(self, talk: ConsensusMessage, sender: str) -> None:
         commit, self.commit = self.commit, self.last
         super().on_fetch(talk, sender)
         self.commit = commit
--- a/whinpier/model_checking/count_mutants.py
+++ b/whinpier/model_checking/count_mutants.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 from typing import Any
 
-from whinpier.fleet.messages import UNITS, Deal
+from whinpier.fleet.messages import UNITS_GRANT, QuotaMessage
 from whinpier.fleet.quotas.calendar_quota import Note, Slot
 from whinpier.model_checking.counts import Wishful
 
 
 class SendsBeforeItIsWritten(Wishful):
-    def asked_for(self, deal: Deal, other: int, now: int) -> None:
+    def asked_for(self, deal: QuotaMessage, other: int, now: int) -> None:
         super().asked_for(deal, other, now)
         self.out += [(to, held) for _, to, held in self.held]
         self.held = []
@@ -23,10 +23,12 @@
 
 
 class HandsOverWithoutTakingOff(Wishful):
-    def asked_for(self, deal: Deal, other: int, now: int) -> None:
+    def asked_for(self, deal: QuotaMessage, other: int, now: int) -> None:
         for slot in self.slots:
             if slot.start == deal.turn and (spare := min(deal.amount, slot.left - self.wish)) > 0:
-                self.out.append((other, Deal(UNITS, deal.limit, deal.nonce, spare, deal.turn)))
+                self.out.append(
+                    (other, QuotaMessage(UNITS_GRANT, deal.limit, deal.nonce, spare, deal.turn))
+                )
 
 
 class AddsWhatItAskedFor(Wishful):
@@ -36,7 +38,7 @@
 
 
 class AddsTwice(Wishful):
-    def received(self, deal: Deal, other: int, now: int) -> None:
+    def received(self, deal: QuotaMessage, other: int, now: int) -> None:
         ask = self.asks.get(deal.nonce)
         super().received(deal, other, now)
         if ask is not None:
@@ -51,13 +53,15 @@
             ask.start = self.slots[-1].start
         self.asks = kept
 
-    def received(self, deal: Deal, other: int, now: int) -> None:
+    def received(self, deal: QuotaMessage, other: int, now: int) -> None:
         start = self.slots[-1].start
-        super().received(Deal(deal.kind, deal.limit, deal.nonce, deal.amount, start), other, now)
+        super().received(
+            QuotaMessage(deal.kind, deal.limit, deal.nonce, deal.amount, start), other, now
+        )
 
 
 class TakesAnybodysUnits(Wishful):
-    def received(self, deal: Deal, other: int, now: int) -> None:
+    def received(self, deal: QuotaMessage, other: int, now: int) -> None:
         for slot in self.slots:
             if slot.start == deal.turn:
                 slot.moved += deal.amount
--- a/whinpier/model_checking/ejection.py
+++ b/whinpier/model_checking/ejection.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from typing import Any
 
-from whinpier.fleet.messages import Plea
+from whinpier.fleet.messages import EjectionMessage
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.ejection import LEASE_MARGIN, EjectionCoordinator
 from whinpier.fleet.outliers.messages import EjectionNotice, VoteReply, VoteRequest
@@ -73,11 +73,11 @@
         coordinator.update_endpoints(POOL, dict(self.keys))
         return coordinator
 
-    def deliver(self, place: int, message: Plea, sender: int) -> None:
+    def deliver(self, place: int, message: EjectionMessage, sender: int) -> None:
         self.coordinators[place].on_message(message, sender, 1e7, self.now)
 
-    def describe(self, message: Plea) -> str:
-        return f"{NAMES[message.kind]} {message.key}/{message.one}"
+    def describe(self, message: EjectionMessage) -> str:
+        return f"{NAMES[message.kind]} {message.key}/{message.arg1}"
 
     def narrow(self) -> Voting:
         """One has asked, one ask is lost; only judges look round: what is left is how late things come."""
@@ -186,7 +186,7 @@
         )
         network = tuple(
             sorted(
-                (sender, to, plea.kind, plea.key, name(plea.nonce), plea.one, plea.two)
+                (sender, to, plea.kind, plea.key, name(plea.nonce), plea.arg1, plea.arg2)
                 for sender, to, plea in self.network
             )
         )
--- a/whinpier/model_checking/quota_mutants.py
+++ b/whinpier/model_checking/quota_mutants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from whinpier.fleet.messages import BACK, LEND, Deal
+from whinpier.fleet.messages import LEASE_GRANT, LEASE_RETURN, QuotaMessage
 from whinpier.fleet.quotas.leases import Loan
 from whinpier.model_checking.quotas import Wishing
 
@@ -15,27 +15,29 @@
 
 
 class LendsWithoutTakingOff(Wishing):
-    def asked_for(self, deal: Deal, other: int, now: int) -> None:
+    def asked_for(self, deal: QuotaMessage, other: int, now: int) -> None:
         amount = min(deal.amount, self.spare(now))
-        self.out.append((other, Deal(LEND, deal.limit, deal.nonce, amount, deal.turn)))
+        self.out.append(
+            (other, QuotaMessage(LEASE_GRANT, deal.limit, deal.nonce, amount, deal.turn))
+        )
 
 
 class LendsForTooShort(Wishing):
-    def asked_for(self, deal: Deal, other: int, now: int) -> None:
+    def asked_for(self, deal: QuotaMessage, other: int, now: int) -> None:
         super().asked_for(deal, other, now)
         if (loan := self.lent.get(deal.nonce)) is not None:
             loan.until = now + self.limit.span // 2
 
 
 class CountsFromWhenItCame(Wishing):
-    def lent_to_us(self, deal: Deal, other: int, now: int) -> None:
+    def lent_to_us(self, deal: QuotaMessage, other: int, now: int) -> None:
         if (asked := self.asked.get(deal.nonce)) is not None:
             asked.at = now
         super().lent_to_us(deal, other, now)
 
 
 class ComparesNoTurn(Wishing):
-    def lent_to_us(self, deal: Deal, other: int, now: int) -> None:
+    def lent_to_us(self, deal: QuotaMessage, other: int, now: int) -> None:
         if (asked := self.asked.get(deal.nonce)) is not None:
             asked.turn = deal.turn
         super().lent_to_us(deal, other, now)
@@ -147,9 +149,11 @@
 class AnswersForAnybodysReturn(Wishing):
     """Any return ends the first loan that is out."""
 
-    def deal(self, deal: Deal, other: int, now: int) -> None:
-        if deal.kind == BACK and self.lent:
-            deal = Deal(BACK, deal.limit, next(iter(self.lent)), deal.amount, deal.turn)
+    def deal(self, deal: QuotaMessage, other: int, now: int) -> None:
+        if deal.kind == LEASE_RETURN and self.lent:
+            deal = QuotaMessage(
+                LEASE_RETURN, deal.limit, next(iter(self.lent)), deal.amount, deal.turn
+            )
             other = self.lent[deal.nonce].other
         super().deal(deal, other, now)
 
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -70,7 +70,7 @@
 
     def leave(self) -> None: ...
 
-    def goodbye(self) -> None: ...
+    def announce_leave(self) -> None: ...
 
 
 class Wire(Protocol):
@@ -368,7 +368,7 @@
                 break
             await anyio.sleep(0.01)
         if self.fleet:
-            self.fleet.goodbye()
+            self.fleet.announce_leave()
         log.info("stopped", out=self.out(), **self.total())
         loop.task_group.cancel_scope.cancel()
 
--- a/whinpier/simulation/consensus.py
+++ b/whinpier/simulation/consensus.py
@@ -15,7 +15,7 @@
 from whinpier.fleet.consensus import node as raft
 from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, unpack
 from whinpier.fleet.membership.membership import Address
-from whinpier.fleet.messages import RECORD_NEWS
+from whinpier.fleet.messages import LOG_PROGRESS_CHANNEL
 from whinpier.fleet.rollouts.commands import (
     BudgetRule,
     CommandHeader,
@@ -62,7 +62,7 @@
             return
         now = self.fleet.clock.now
         self.fleet.clock.after(TURN, self.turn)
-        self.members.carry(RECORD_NEWS, self.agreement.news(0))
+        self.members.publish(LOG_PROGRESS_CHANNEL, self.agreement.news(0))
         if self.agreement.due() <= now:
             self.agreement.tick(now)
         self.begin()
@@ -83,29 +83,34 @@
 
     def pass_on(self) -> None:
         agreement, now = self.agreement, self.fleet.clock.now
-        by_id = {one.id: one.card.name for one in self.members.members.values()}
-        heard, self.members.heard_talks = self.members.heard_talks, []
+        by_id = {one.id: one.metadata.name for one in self.members.members.values()}
+        heard, self.members.received_consensus_messages = (
+            self.members.received_consensus_messages,
+            [],
+        )
         for sender, talk in heard:
             if sender in by_id:
                 agreement.hear(talk, by_id[sender], now)
-        for sender, mark, contents in self.members.heard_said:
-            if mark == RECORD_NEWS and sender in by_id:
+        for sender, mark, contents in self.members.received_payloads:
+            if mark == LOG_PROGRESS_CHANNEL and sender in by_id:
                 record, disk, term, commit, leader, _ = unpack(contents)
                 self.told[by_id[sender]] = disk, record
                 agreement.now = max(agreement.now, now)
                 agreement.told(by_id[sender], record, commit, term, leader)
         if agreement.due() <= now:
             agreement.tick(now)
-        names = {one.card.name: one.id for one in self.members.members.values() if one.connected}
+        names = {
+            one.metadata.name: one.id for one in self.members.members.values() if one.connected
+        }
         talks = [(names[to], talk) for to, talk in agreement.take() if to in names]
         if talks:
-            self.members.send_talks(talks, now)
+            self.members.send_consensus_messages(talks, now)
         if agreement.notes and not self.syncing:
             self.syncing = True
             self.fleet.clock.after(SYNC, self.synced, len(agreement.notes), agreement.noted)
         for index in range(len(self.learned) + 1, agreement.applied + 1):
             self.learned[index] = now
-            self.members.carry(RECORD_NEWS, agreement.news(0))
+            self.members.publish(LOG_PROGRESS_CHANNEL, agreement.news(0))
         agreement.events = []
         super().pass_on()
 
--- a/whinpier/simulation/fleet.py
+++ b/whinpier/simulation/fleet.py
@@ -13,15 +13,15 @@
 from typing import Any
 
 from whinpier.fleet.event_names import control_name
-from whinpier.fleet.membership.membership import Address, Members, Times
-from whinpier.fleet.messages import Card, Seal, pool_mark
+from whinpier.fleet.membership.membership import Address, Membership, MembershipTiming
+from whinpier.fleet.messages import MemberMetadata, Seal, pool_hash
 from whinpier.simulation.clock import MS, SECOND, Clock
 from whinpier.testbed.faults import Fault, Schedule
 from whinpier.testbed.referee import Bounds, Breach, Fact, Referee, Said
 
 KEY = Seal((b"only for simulated time, 32 bytes",))
-POOL = pool_mark("all")
-Spoil = Callable[[Members], None]
+POOL = pool_hash("all")
+Spoil = Callable[[Membership], None]
 
 
 class Node:
@@ -41,8 +41,8 @@
         chance = Random(f"member/{fleet.schedule.seed}/{name}/{fleet.clock.now}")
         self.run = chance.getrandbits(63)
         seeds = fleet.seeds()
-        card = Card(name, self.run, 1, *address, build="model", pools=(POOL,))
-        self.members = Members(
+        card = MemberMetadata(name, self.run, 1, *address, build="model", pools=(POOL,))
+        self.members = Membership(
             card, seeds, KEY, fleet.times, chance, fleet.clock.now, recalled=recalled or ()
         )
         fleet.spoil(self.members)
@@ -54,7 +54,7 @@
 
     @property
     def id(self) -> tuple[str, str]:
-        return self.name, f"{self.members.card.run:x}"
+        return self.name, f"{self.members.metadata.run:x}"
 
     def schedule(self) -> None:
         """Have `tick` called when it wants to be, or later if its core is taken."""
@@ -96,11 +96,11 @@
 
     def refused(self, address: Address) -> None:
         if self.alive and self.awake:
-            self.members.refused(address, self.fleet.clock.now)
+            self.members.on_port_unreachable(address, self.fleet.clock.now)
             self.pass_on()
 
     def pass_on(self) -> None:
-        out, events, _ = self.members.take()
+        out, events, _ = self.members.take_output()
         for address, data in out:
             self.fleet.carry(self, address, data)
         for event in events:
@@ -135,7 +135,7 @@
     def __init__(
         self,
         schedule: Schedule,
-        times: Times = Times(),
+        times: MembershipTiming = MembershipTiming(),
         bounds: Bounds | None = None,
         spoil: Spoil = lambda members: None,
     ) -> None:
@@ -182,7 +182,7 @@
 
     def start(self, number: int, address: Address, name: str = "") -> Node:
         before = self.nodes.get(number)
-        recalled = before.members.addresses() if before and not name else None
+        recalled = before.members.known_addresses() if before and not name else None
         node = self.made(number, name or f"m{number}", address, recalled)
         self.at_address[address] = node
         if not name or number not in self.nodes:
@@ -325,7 +325,7 @@
         elif kind == "leave":
             node.members.leave(self.clock.now)
             node.pass_on()
-            self.clock.after(SECOND, self.goodbye, node)
+            self.clock.after(SECOND, self.announce_leave, node)
         elif kind == "stop":
             node.stop()
             self.clock.after(after, node.go_on)
@@ -348,9 +348,9 @@
             self.silent.add(node.address)
         self.fact(kind, node, bad=kind == "dead" and (silently or not self.schedule.refusing))
 
-    def goodbye(self, node: Node) -> None:
+    def announce_leave(self, node: Node) -> None:
         if node.alive:
-            node.members.goodbye(self.clock.now)
+            node.members.announce_leave(self.clock.now)
             node.pass_on()
             self.end(node, False, "left")
 
--- a/whinpier/simulation/fleet_mutants.py
+++ b/whinpier/simulation/fleet_mutants.py
@@ -14,8 +14,8 @@
 
 from whinpier.fleet import messages
 from whinpier.fleet.fleet_size import Counting
-from whinpier.fleet.membership.membership import Member, Members
-from whinpier.fleet.messages import HERE, LOST, SILENT, Word
+from whinpier.fleet.membership.membership import Member, Membership
+from whinpier.fleet.messages import ALIVE, LOST, NO_RESPONSE, MemberUpdate
 from whinpier.simulation.fleet import POOL, Fleet
 from whinpier.testbed.faults import Fault, Schedule, draw
 from whinpier.testbed.referee import Breach
@@ -60,34 +60,42 @@
 
 def never_refutes() -> list[Change]:
     """A member does not answer for itself."""
-    return [(Members, "answer_for", nothing)]
+    return [(Membership, "refute", nothing)]
 
 
 def never_loses() -> list[Change]:
     """The time to refute never ends."""
-    return [(Members, "judge", nothing)]
+    return [(Membership, "on_suspicion_timeout", nothing)]
 
 
 def loses_at_once() -> list[Change]:
     """One ping without an answer, and it is lost."""
 
-    def unanswered(self: Members, nonce: int) -> None:
+    def on_probe_timeout(self: Membership, nonce: int) -> None:
         probe = self.probes.pop(nonce, None)
         member = self.members.get(probe.target) if probe else None
         if member is not None and member.connected:
-            self.adopt(member, Word(member.id, member.word.life, LOST, SILENT, self.card.id))
+            self.adopt(
+                member,
+                MemberUpdate(
+                    member.id, member.last_update.incarnation, LOST, NO_RESPONSE, self.metadata.id
+                ),
+            )
 
-    return [(Members, "unanswered", unanswered)]
+    return [(Membership, "on_probe_timeout", on_probe_timeout)]
 
 
 def gives_up() -> list[Change]:
     """Who is lost is never looked for again."""
-    return [(Members, "retry_lost", nothing), (Members, "try_seeds", once(Members.try_seeds))]
+    return [
+        (Membership, "probe_lost_member", nothing),
+        (Membership, "probe_seeds", once(Membership.probe_seeds)),
+    ]
 
 
-def once(real: Callable[[Members], None]) -> Callable[[Members], None]:
-    def early(self: Members) -> None:
-        if not self.joined or self.now < self.began + 5_000_000_000:
+def once(real: Callable[[Membership], None]) -> Callable[[Membership], None]:
+    def early(self: Membership) -> None:
+        if not self.joined or self.now < self.started_at + 5_000_000_000:
             real(self)
 
     return early
@@ -95,84 +103,88 @@
 
 def silence_is_death() -> list[Change]:
     """An unheard member is taken for dead, without evidence."""
-    return [(Member, "unheard", property(lambda self: False))]
+    return [(Member, "unreachable", property(lambda self: False))]
 
 
 def life_is_ignored() -> list[Change]:
     """A word is not outdone by what its member said since."""
 
-    def rank(self: Word) -> tuple[int, int, int, int]:
-        return self.state >= messages.LEFT, 0, self.state, self.why
+    def rank(self: MemberUpdate) -> tuple[int, int, int, int]:
+        return self.state >= messages.LEFT, 0, self.state, self.reason
 
-    return [(Word, "rank", property(rank))]
+    return [(MemberUpdate, "rank", property(rank))]
 
 
 def asks_nobody() -> list[Change]:
     """Nobody else is asked to ping."""
-    return [(Members, "ask_others", nothing)]
+    return [(Membership, "send_indirect_probes", nothing)]
 
 
 def goes_on_as_if_awake() -> list[Change]:
     """One that stood still believes its own timers, and loses whom it did not hear."""
 
-    def enter(self: Members, now: int) -> None:
+    def advance_clock(self: Membership, now: int) -> None:
         self.now = max(self.now, now)
 
-    return [(Members, "enter", enter), (Members, "hear", silently)]
+    return [(Membership, "advance_clock", advance_clock), (Membership, "mark_heard", silently)]
 
 
-def silently(self: Members, member: Member) -> None:
+def silently(self: Membership, member: Member) -> None:
     member.refusals = 0
 
 
 def tells_no_news() -> list[Change]:
     """Nothing is passed on, and views are not exchanged."""
 
-    def add_news(self: Members, words: Any, cards: Any, room: int) -> int:
-        return room
+    def add_gossip(self: Membership, updates: Any, metadata: Any, capacity: int) -> int:
+        return capacity
 
-    return [(Members, "add_news", add_news), (Members, "tell_all", nothing)]
+    return [(Membership, "add_gossip", add_gossip), (Membership, "send_full_state", nothing)]
 
 
 def keeps_the_old_run() -> list[Change]:
     """A new run at the same address does not take the old one's place."""
-    return [(Members, "replaced", nothing)]
+    return [(Membership, "mark_replaced", nothing)]
 
 
 def half_is_larger() -> list[Change]:
     """Of two halves each takes itself for the larger part."""
 
-    def where(self: Members) -> str:
-        here, unheard = self.count(), self.tally[1]
+    def compute_position(self: Membership) -> str:
+        here, unheard = self.count(), self.reachability_counts[1]
         if here == 1 and unheard:
             return "alone"
         return "whole" if not unheard else "larger" if 2 * here >= here + unheard else "smaller"
 
-    return [(Members, "where", where)]
+    return [(Membership, "compute_position", compute_position)]
 
 
 def believes_anybody() -> list[Change]:
     """Who is not known is taken up on its own word, also a replayed one."""
 
-    def stranger(self: Members, datagram: Any, probe: Any, source: Any) -> Any:
-        card = next((card for card in datagram.cards if card.id == datagram.sender), None)
-        return self.admit(card, Word(card.id, 0, HERE), datagram.count, True) if card else None
+    def on_unknown_sender(self: Membership, datagram: Any, probe: Any, source: Any) -> Any:
+        card = next((card for card in datagram.metadata if card.id == datagram.sender), None)
+        return (
+            self.admit(card, MemberUpdate(card.id, 0, ALIVE), datagram.sequence, True)
+            if card
+            else None
+        )
 
-    return [(Members, "stranger", stranger)]
+    return [(Membership, "on_unknown_sender", on_unknown_sender)]
 
 
 def counts_the_heard() -> list[Change]:
     """Pools are told of those who are heard only."""
 
-    def shares(self: Members, mark: int) -> list[tuple[bytes, int]]:
+    def pool_members(self: Membership, pool: int) -> list[tuple[bytes, int]]:
         found = [
             (b"", one.id)
             for one in self.members.values()
-            if one.connected and mark in one.card.pools
+            if one.connected and pool in one.metadata.pools
         ]
-        return sorted([*found, (b"", self.card.id)])
+        return sorted([*found, (b"", self.metadata.id)])
 
-    return [(Members, "shares", shares)]
+    return [(Membership, "pool_members", pool_members)]
 
 
 MUTATIONS: dict[str, Callable[[], list[Change]]] = {
@@ -225,7 +237,7 @@
                 counting = counted[number] = Counting(node.members, ("all",))
             counting.update(fleet.clock.now)
             told = counting.pools["all"].balancers
-            settled = fleet.clock.now - node.members.began > 5_000_000_000
+            settled = fleet.clock.now - node.members.started_at > 5_000_000_000
             if node.alive and node.awake and settled and told < alive and not broken:
                 broken.append(
                     Breach(
--- a/whinpier/testbed/crash_points.py
+++ b/whinpier/testbed/crash_points.py
@@ -47,10 +47,10 @@
 def main() -> int:
     from whinpier.__main__ import main as start
     from whinpier.fleet.consensus.service import Agreed
-    from whinpier.fleet.membership.membership import Members
+    from whinpier.fleet.membership.membership import Membership
 
     points = Points(Path(sys.argv[1]))
-    Members.send_talks = points.around(Members.send_talks)  # type: ignore[method-assign]
+    Membership.send_consensus_messages = points.around(Membership.send_consensus_messages)  # type: ignore[method-assign]
     write = Agreed.write_once
 
     async def write_once(self: Agreed) -> bool:
--- a/whinpier/testbed/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -68,16 +68,16 @@
 
 def never_lost() -> None:
     """Whoever does not answer is suspected for good."""
-    from whinpier.fleet.membership.membership import Members
+    from whinpier.fleet.membership.membership import Membership
 
-    Members.judge = lambda self, *given: None  # type: ignore[method-assign]
+    Membership.on_suspicion_timeout = lambda self, *given: None  # type: ignore[method-assign]
 
 
 def never_answers_for_itself() -> None:
     """Who is suspected does not refute it."""
-    from whinpier.fleet.membership.membership import Members
+    from whinpier.fleet.membership.membership import Membership
 
-    Members.answer_for = lambda self, word, sender: None  # type: ignore[method-assign]
+    Membership.refute = lambda self, update, sender: None  # type: ignore[method-assign]
 
 
 def own_file_refused() -> None:
