--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -14,7 +14,7 @@
 
 from tests.waiting import until
 from whinpier.fleet.clock_offset import KEPT, MARGIN, Clocks
-from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
+from whinpier.fleet.messages import UNITS_GRANT, UNITS_REQUEST, QuotaMessage
 from whinpier.fleet.quotas.calendar_quota import MAX_REMEMBERED_GRANTS, Calendar, CalendarQuota
 from whinpier.fleet.quotas.fair_share import (
     DEMAND_REPORT,
@@ -139,7 +139,7 @@
 def test_an_ask_that_comes_again_is_answered_as_it_was_and_a_flood_of_them_gets_no_more_than_there_is():
     one = units(amount=3_000, homes=("a",))
     for nonce in range(1, 2 * MAX_REMEMBERED_GRANTS):
-        one.on_message(Deal(ASK_UNITS, one.limit.wire_id, nonce, 1, 0), 7, SECOND)
+        one.on_message(QuotaMessage(UNITS_REQUEST, one.limit.wire_id, nonce, 1, 0), 7, SECOND)
     given_away = sum(deal.amount for _, deal in one.out)
     assert (
         given_away == 2 * MAX_REMEMBERED_GRANTS - 1
@@ -147,7 +147,7 @@
         and len(one.grants) == MAX_REMEMBERED_GRANTS
     )
     one.out = []
-    one.on_message(Deal(ASK_UNITS, one.limit.wire_id, 1_500, 1, 0), 7, SECOND)
+    one.on_message(QuotaMessage(UNITS_REQUEST, one.limit.wire_id, 1_500, 1, 0), 7, SECOND)
     assert [deal.amount for _, deal in one.out] == [1] and one.windows[0].total == 953
 
 
@@ -157,14 +157,14 @@
         one.try_acquire(0)
     one.on_timer(0, [1])
     _, ask = one.out[0]
-    good = Deal(UNITS, ask.limit, ask.nonce, 1, 0)
-    for deal, other in ((Deal(UNITS, ask.limit, 5, 1, 0), 1), (good, 2)):
+    good = QuotaMessage(UNITS_GRANT, ask.limit, ask.nonce, 1, 0)
+    for deal, other in ((QuotaMessage(UNITS_GRANT, ask.limit, 5, 1, 0), 1), (good, 2)):
         one.on_message(deal, other, 1)
     assert one.windows[0].total == 1
     one.on_timer(1, [1])
     ask = one.out[-1][1]
     for _ in range(2):
-        one.on_message(Deal(UNITS, ask.limit, ask.nonce, 1, 0), 1, 2)
+        one.on_message(QuotaMessage(UNITS_GRANT, ask.limit, ask.nonce, 1, 0), 1, 2)
     assert one.windows[0].total == 2
 
 
--- a/whinpier/fleet/quotas/allocation.py
+++ b/whinpier/fleet/quotas/allocation.py
@@ -21,7 +21,7 @@
 
 from msgspec import Struct
 
-from whinpier.fleet.messages import Deal, pool_mark
+from whinpier.fleet.messages import QuotaMessage, pool_hash
 from whinpier.fleet.quotas.calendar_quota import Calendar, CalendarQuota, WindowRecord
 from whinpier.fleet.quotas.fair_share import ApproximateQuota
 from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, LEASE_GRACE, RATE, LeasedQuota, Limit
@@ -54,7 +54,7 @@
 
     home_quota: int
     fenced_until: int
-    out: list[tuple[int, Deal]]
+    out: list[tuple[int, QuotaMessage]]
 
     def set_home_quota(self, home: int, now: int, at_once: bool) -> None: ...
 
@@ -64,7 +64,7 @@
 
     def on_timer(self, now: int, there: Iterable[int]) -> None: ...
 
-    def on_message(self, deal: Deal, other: int, now: int) -> None: ...
+    def on_message(self, deal: QuotaMessage, other: int, now: int) -> None: ...
 
 
 class StoredAllocation(Struct, frozen=True, array_like=True):
@@ -152,7 +152,7 @@
         self.live[key] = None
         return part
 
-    def on_message(self, deal: Deal, other: int, now: int) -> None:
+    def on_message(self, deal: QuotaMessage, other: int, now: int) -> None:
         """What another says of one of them. Who asks for one that is not known here finds it unused."""
         part = self.quotas.get(deal.key)
         if part is None:
@@ -182,8 +182,8 @@
             else:
                 self.live[key] = None  # to the end
 
-    def take_messages(self) -> list[tuple[int, Deal]]:
-        found: list[tuple[int, Deal]] = []
+    def take_messages(self) -> list[tuple[int, QuotaMessage]]:
+        found: list[tuple[int, QuotaMessage]] = []
         for key in self.live if self.config.scope else self.quotas:
             part = self.quotas[key]
             if part.out:
@@ -259,11 +259,7 @@
                 table.config.limit.kind,
                 table.config.calendar,
                 table.config.scope,
-            ) != (
-                limit.kind,
-                said.calendar,
-                said.scope,
-            ):
+            ) != (limit.kind, said.calendar, said.scope):
                 table = QuotaTable(said, self.maker(said, now))
             else:
                 table.config = said
@@ -273,7 +269,7 @@
                         said.limit_for(table.names[key]) if key else limit, key=key
                     )
             self.tables[name] = table
-        self.epoch = pool_mark(
+        self.epoch = pool_hash(
             "/".join(sorted(f"{table.config.limit.epoch():x}" for table in self.tables.values()))
         )
         self.sure = self.sure or self.begun and not before
@@ -444,12 +440,12 @@
             if table.config.limit.kind != CONNECTIONS:
                 table.on_timer(now, there(table.config.limit))
 
-    def on_message(self, deal: Deal, other: int, now: int) -> None:
+    def on_message(self, deal: QuotaMessage, other: int, now: int) -> None:
         for table in self.tables.values():
             if table.config.limit.wire_id == deal.limit:
                 table.on_message(deal, other, now)
 
-    def take_messages(self) -> list[tuple[int, Deal]]:
+    def take_messages(self) -> list[tuple[int, QuotaMessage]]:
         """What is to be sent, and to whom."""
         return [message for table in self.tables.values() for message in table.take_messages()]
 
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -22,7 +22,7 @@
 from typing import Any, Literal
 from zoneinfo import ZoneInfo
 
-from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
+from whinpier.fleet.messages import UNITS_GRANT, UNITS_REQUEST, QuotaMessage
 from whinpier.fleet.quotas.leases import MAX_LEASES, MAX_MEMBERS_ASKED, Limit
 from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
@@ -147,10 +147,10 @@
         self.grants: dict[int, int] = {}
         self.declined_at: dict[int, int] = {}
         self.wanted, self.counted, self.admitted, self.rejected = DecayingSum(LOOK, now), 0, 0, 0
-        self.out: list[tuple[int, Deal]] = []
+        self.out: list[tuple[int, QuotaMessage]] = []
         self.pending_records: dict[int, WindowRecord] = {}  # to be written, by window
         self.held_grants: list[
-            tuple[int, int, Deal]
+            tuple[int, int, QuotaMessage]
         ] = []  # goes out once so many notes are written
         self.records_issued = 0  # notes, in all
         self.unknown_before = (
@@ -351,18 +351,20 @@
             self.send_request(nonce, self.pending[nonce])
 
     def send_request(self, nonce: int, ask: PendingTransfer) -> None:
-        deal = Deal(ASK_UNITS, self.limit.wire_id, nonce, ask.amount, ask.start, self.limit.key)
+        deal = QuotaMessage(
+            UNITS_REQUEST, self.limit.wire_id, nonce, ask.amount, ask.start, self.limit.key
+        )
         self.out.append((ask.member, deal))
 
     # What others say.
 
-    def on_message(self, deal: Deal, other: int, now: int) -> None:
-        if deal.kind == ASK_UNITS:
+    def on_message(self, deal: QuotaMessage, other: int, now: int) -> None:
+        if deal.kind == UNITS_REQUEST:
             self.on_request(deal, other, now)
-        elif deal.kind == UNITS:
+        elif deal.kind == UNITS_GRANT:
             self.on_grant(deal, other, now)
 
-    def on_request(self, deal: Deal, other: int, now: int) -> None:
+    def on_request(self, deal: QuotaMessage, other: int, now: int) -> None:
         """Hand over what is not needed here: off first, on the disk, then on its way."""
         amount = self.grants.get(deal.nonce)
         if amount is None:
@@ -388,10 +390,12 @@
             return  # it goes once it is on the disk
         self.out.append((other, self.answer(deal, amount)))
 
-    def answer(self, deal: Deal, amount: int) -> Deal:
-        return Deal(UNITS, self.limit.wire_id, deal.nonce, amount, deal.turn, self.limit.key)
+    def answer(self, deal: QuotaMessage, amount: int) -> QuotaMessage:
+        return QuotaMessage(
+            UNITS_GRANT, self.limit.wire_id, deal.nonce, amount, deal.turn, self.limit.key
+        )
 
-    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+    def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         ask = self.pending.pop(deal.nonce, None)
         if ask is None or ask.member != other or ask.start != deal.turn:
             return  # of another window, another run, or come before
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -20,7 +20,13 @@
 from random import Random
 from typing import Any
 
-from whinpier.fleet.messages import ASK_FOR, BACK, LEND, Deal, pool_mark
+from whinpier.fleet.messages import (
+    LEASE_GRANT,
+    LEASE_REQUEST,
+    LEASE_RETURN,
+    QuotaMessage,
+    pool_hash,
+)
 from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
 MS = SECOND // 1000
@@ -57,7 +63,7 @@
 
     @property
     def wire_id(self) -> int:
-        return pool_mark("limit/" + self.name)
+        return pool_hash("limit/" + self.name)
 
     def home_quota(self, name: str) -> int:
         """This member's own part; they add up to the whole."""
@@ -70,9 +76,8 @@
         """The same number for the same division."""
         window = f"/{self.window}" * bool(self.window)
         span = f"/{self.lease_duration}" * (self.lease_duration != LEASE_DURATION)
-        return pool_mark(
-            f"{self.name}/{self.kind}/{self.amount}/{self.burst}/{','.join(self.homes)}"
-            f"{window}{span}"
+        return pool_hash(
+            f"{self.name}/{self.kind}/{self.amount}/{self.burst}/{','.join(self.homes)}{window}{span}"
         )
 
 
@@ -128,7 +133,7 @@
         self.horizon = limit.lease_duration // 3  # of timeout: requests of usual length
         self.declined_at: dict[int, int] = {}  # who had nothing to lend: when
         self.admitted, self.rejected = 0, 0
-        self.out: list[tuple[int, Deal]] = []  # to whom, what
+        self.out: list[tuple[int, QuotaMessage]] = []  # to whom, what
 
     @property
     def renewal_threshold(self) -> int:
@@ -312,7 +317,7 @@
                 surplus -= lease.amount
                 del self.borrowed[nonce]
                 self.pending.pop(nonce, None)
-                self.say(lease.member, BACK, nonce, lease.amount, 0)
+                self.say(lease.member, LEASE_RETURN, nonce, lease.amount, 0)
             elif lease.expires_at - now < self.renewal_threshold and nonce not in self.pending:
                 # Each time another turn, answered or not: an answer that comes late must not count
                 # from now.
@@ -351,20 +356,20 @@
 
     def send_request(self, now: int, other: int, amount: int, nonce: int, turn: int) -> None:
         self.pending[nonce] = PendingLease(other, amount, now, turn)
-        self.say(other, ASK_FOR, nonce, amount, turn)
+        self.say(other, LEASE_REQUEST, nonce, amount, turn)
 
     def say(self, other: int, kind: int, nonce: int, amount: int, turn: int) -> None:
         self.out.append(
-            (other, Deal(kind, self.limit.wire_id, nonce, amount, turn, self.limit.key))
+            (other, QuotaMessage(kind, self.limit.wire_id, nonce, amount, turn, self.limit.key))
         )
 
     # What others say.
 
-    def on_message(self, deal: Deal, other: int, now: int) -> None:
+    def on_message(self, deal: QuotaMessage, other: int, now: int) -> None:
         """A message about this limit."""
-        if deal.kind == ASK_FOR:
+        if deal.kind == LEASE_REQUEST:
             self.on_request(deal, other, now)
-        elif deal.kind == LEND:
+        elif deal.kind == LEASE_GRANT:
             self.on_grant(deal, other, now)
         else:
             lease = self.lent.get(deal.nonce)
@@ -372,7 +377,7 @@
                 del self.lent[deal.nonce]
                 self.on_leases_changed(now)
 
-    def on_request(self, deal: Deal, other: int, now: int) -> None:
+    def on_request(self, deal: QuotaMessage, other: int, now: int) -> None:
         """Lend what can be spared; asked anew, for longer, as far as it is not needed here."""
         lease = self.lent.get(deal.nonce)
         if lease is not None and (lease.member != other or lease.expires_at <= now):
@@ -390,9 +395,9 @@
             self.on_leases_changed(now)
         else:
             amount = 0
-        self.say(other, LEND, deal.nonce, amount, deal.turn)
+        self.say(other, LEASE_GRANT, deal.nonce, amount, deal.turn)
 
-    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+    def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         """A loan, if it is the one that was asked for last: its span runs from when it was asked for."""
         asked = self.pending.get(deal.nonce)
         if asked is None or asked.member != other or asked.renewal != deal.turn:
--- a/whinpier/model_checking/count_mutants.py
+++ b/whinpier/model_checking/count_mutants.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 from typing import Any
 
-from whinpier.fleet.messages import UNITS, Deal
+from whinpier.fleet.messages import UNITS_GRANT, QuotaMessage
 from whinpier.fleet.quotas.calendar_quota import WindowQuota, WindowRecord
 from whinpier.model_checking.counts import Wishful
 
 
 class SendsBeforeItIsWritten(Wishful):
-    def on_request(self, deal: Deal, other: int, now: int) -> None:
+    def on_request(self, deal: QuotaMessage, other: int, now: int) -> None:
         super().on_request(deal, other, now)
         self.out += [(to, held) for _, to, held in self.held_grants]
         self.held_grants = []
@@ -23,13 +23,15 @@
 
 
 class HandsOverWithoutTakingOff(Wishful):
-    def on_request(self, deal: Deal, other: int, now: int) -> None:
+    def on_request(self, deal: QuotaMessage, other: int, now: int) -> None:
         for slot in self.windows:
             if (
                 slot.start == deal.turn
                 and (spare := min(deal.amount, slot.remaining - self.wish)) > 0
             ):
-                self.out.append((other, Deal(UNITS, deal.limit, deal.nonce, spare, deal.turn)))
+                self.out.append(
+                    (other, QuotaMessage(UNITS_GRANT, deal.limit, deal.nonce, spare, deal.turn))
+                )
 
 
 class AddsWhatItAskedFor(Wishful):
@@ -41,7 +43,7 @@
 
 
 class AddsTwice(Wishful):
-    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+    def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         ask = self.pending.get(deal.nonce)
         super().on_grant(deal, other, now)
         if ask is not None:
@@ -56,13 +58,15 @@
             ask.start = self.windows[-1].start
         self.pending = kept
 
-    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+    def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         start = self.windows[-1].start
-        super().on_grant(Deal(deal.kind, deal.limit, deal.nonce, deal.amount, start), other, now)
+        super().on_grant(
+            QuotaMessage(deal.kind, deal.limit, deal.nonce, deal.amount, start), other, now
+        )
 
 
 class TakesAnybodysUnits(Wishful):
-    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+    def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         for slot in self.windows:
             if slot.start == deal.turn:
                 slot.transferred += deal.amount
--- a/whinpier/model_checking/quota_mutants.py
+++ b/whinpier/model_checking/quota_mutants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from whinpier.fleet.messages import BACK, LEND, Deal
+from whinpier.fleet.messages import LEASE_GRANT, LEASE_RETURN, QuotaMessage
 from whinpier.fleet.quotas.leases import Lease
 from whinpier.model_checking.quotas import Wishing
 
@@ -15,27 +15,29 @@
 
 
 class LendsWithoutTakingOff(Wishing):
-    def on_request(self, deal: Deal, other: int, now: int) -> None:
+    def on_request(self, deal: QuotaMessage, other: int, now: int) -> None:
         amount = min(deal.amount, self.compute_spare(now))
-        self.out.append((other, Deal(LEND, deal.limit, deal.nonce, amount, deal.turn)))
+        self.out.append(
+            (other, QuotaMessage(LEASE_GRANT, deal.limit, deal.nonce, amount, deal.turn))
+        )
 
 
 class LendsForTooShort(Wishing):
-    def on_request(self, deal: Deal, other: int, now: int) -> None:
+    def on_request(self, deal: QuotaMessage, other: int, now: int) -> None:
         super().on_request(deal, other, now)
         if (lease := self.lent.get(deal.nonce)) is not None:
             lease.expires_at = now + self.limit.lease_duration // 2
 
 
 class CountsFromWhenItCame(Wishing):
-    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+    def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         if (asked := self.pending.get(deal.nonce)) is not None:
             asked.requested_at = now
         super().on_grant(deal, other, now)
 
 
 class ComparesNoTurn(Wishing):
-    def on_grant(self, deal: Deal, other: int, now: int) -> None:
+    def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         if (asked := self.pending.get(deal.nonce)) is not None:
             asked.renewal = deal.turn
         super().on_grant(deal, other, now)
@@ -149,9 +151,11 @@
 class AnswersForAnybodysReturn(Wishing):
     """Any return ends the first loan that is out."""
 
-    def on_message(self, deal: Deal, other: int, now: int) -> None:
-        if deal.kind == BACK and self.lent:
-            deal = Deal(BACK, deal.limit, next(iter(self.lent)), deal.amount, deal.turn)
+    def on_message(self, deal: QuotaMessage, other: int, now: int) -> None:
+        if deal.kind == LEASE_RETURN and self.lent:
+            deal = QuotaMessage(
+                LEASE_RETURN, deal.limit, next(iter(self.lent)), deal.amount, deal.turn
+            )
             other = self.lent[deal.nonce].member
         super().on_message(deal, other, now)
 
