--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -25,8 +25,8 @@
 import msgspec
 
 from benchmarks.common import Report, main
-from whinpier.fleet.consensus.node import Agreement
-from whinpier.fleet.consensus.service import deflated, pieces
+from whinpier.fleet.consensus.node import RaftNode
+from whinpier.fleet.consensus.service import compress_release, release_chunks
 from whinpier.model_checking import consensus_scenarios
 from whinpier.model_checking.consensus import FAULTS
 from whinpier.simulation import consensus as model
@@ -170,8 +170,8 @@
         return found
 
     def put(self, number: int, text: bytes) -> str:
-        content, data = deflated(text)
-        for piece in pieces(data):
+        content, data = compress_release(text)
+        for piece in release_chunks(data):
             self.fleet.ask(number, "put", name=content, value=piece)
         self.fleet.until(lambda: bool(self.fleet.ask(number, "has", name=content)["whole"]), 20.0)
         return content
@@ -239,7 +239,7 @@
         trial.start()
         schedule = drawn(seed, count, list(range(count - 2)), seconds)
         load = trial.load(calm, 30.0, seconds + SETTLED)
-        contents = [deflated(trial.text(agreed=AGREED + step / 1000)) for step in range(3)]
+        contents = [compress_release(trial.text(agreed=AGREED + step / 1000)) for step in range(3)]
         ends = time.monotonic() + seconds
         those = [
             Operator(
@@ -607,12 +607,12 @@
     from whinpier.model_checking.explore import every
 
     days = consensus_scenarios.WHOLE[given[0]]
-    result = every(days.make(Agreement), given[1] or days.depth, days.most)
+    result = every(days.make(RaftNode), given[1] or days.depth, days.most)
     return result.states, result.steps, result.deepest, result.broken
 
 
 def _walked(given: tuple[int, int, int]) -> tuple[int, str, list[str]]:
-    result = consensus_scenarios.WALKS[given[0]].gone_through(Agreement, given[1], given[2])
+    result = consensus_scenarios.WALKS[given[0]].gone_through(RaftNode, given[1], given[2])
     return result.steps, result.broken, result.path
 
 
--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -8,18 +8,18 @@
 
 from whinpier.fleet.consensus import node as raft
 from whinpier.fleet.consensus.node import (
-    COMPACT,
-    KEPT,
+    COMPACTION_THRESHOLD,
+    CONFIG_ENTRY,
     LEADER,
-    MOST_OPEN,
-    PIECE_SIZE,
-    SERVED,
-    VOTERS,
-    Agreement,
-    Copy,
-    compacted,
+    MAX_SERVED_PER_HEARTBEAT,
+    MAX_UNCOMMITTED,
+    RETAINED_ENTRIES,
+    SNAPSHOT_CHUNK_BYTES,
+    PersistentState,
+    RaftNode,
+    compact_journal,
     pack,
-    replayed,
+    replay_journal,
 )
 from whinpier.fleet.messages import (
     APPEND,
@@ -45,13 +45,13 @@
 
 @pytest.mark.parametrize("days", WHOLE, ids=lambda days: days.what)
 def test_every_order_of_a_small_world_keeps_one_order_and_one_leader_a_term(days):
-    result = every(days.make(Agreement), 4)
+    result = every(days.make(RaftNode), 4)
     assert result.deepest == 4 and not result.broken, result
 
 
 @pytest.mark.parametrize("days", WALKS, ids=lambda days: days.what)
 def test_walks_at_random_lose_nothing_that_was_agreed(days):
-    result = days.gone_through(Agreement, steps=20_000)
+    result = days.gone_through(RaftNode, steps=20_000)
     assert not result.broken, (result.broken, result.path)
 
 
@@ -72,36 +72,36 @@
         self.now = 0
         self.disks = copies or [
             [
-                (raft.WHO, 256, n + 1),
-                (raft.TERM, 1, 0),
-                *([(raft.LINE, 1, 1, VOTERS, pack(config))] if n < count else []),
+                (raft.IDENTITY_RECORD, 256, n + 1),
+                (raft.TERM_RECORD, 1, 0),
+                *([(raft.ENTRY_RECORD, 1, 1, CONFIG_ENTRY, pack(config))] if n < count else []),
             ]
             for n in range(count + spare)
         ]
         self.those = {
-            f"m{n}": Agreement(f"m{n}", replayed(disk), Lines(), 0, Random(n))
+            f"m{n}": RaftNode(f"m{n}", replay_journal(disk), Lines(), 0, Random(n))
             for n, disk in enumerate(self.disks)
         }
         self.cut = set()
         self.largest = 0
 
     def sync(self, one):
-        self.disks[int(one.name[1:])] += one.notes
-        one.notes = []
-        one.written(one.noted)
+        self.disks[int(one.name[1:])] += one.pending_records
+        one.pending_records = []
+        one.on_records_synced(one.records_issued)
 
     def settle(self):
         for _ in range(400):
             sent = []
             for one in self.those.values():
                 self.sync(one)
-                sent += [(one.name, to, talk) for to, talk in one.take()]
+                sent += [(one.name, to, talk) for to, talk in one.take_messages()]
             if not sent:
                 return
             for name, to, talk in sent:
                 self.largest = max(self.largest, size_of(talk))
                 if name not in self.cut and to not in self.cut and to in self.those:
-                    self.those[to].hear(talk, name, self.now)
+                    self.those[to].receive(talk, name, self.now)
         raise AssertionError("it does not come to rest")
 
     def run(self, seconds):
@@ -113,11 +113,13 @@
                     for other in self.those.values():
                         if (
                             other.name not in self.cut
-                            and other.commit > one.commit
-                            and not one.votes_here
+                            and other.commit_index > one.commit_index
+                            and not one.is_voter
                         ):
-                            one.told(other.name, other.record, other.commit, other.term, 0)
-                    while one.due() <= self.now:
+                            one.on_commit_announced(
+                                other.name, other.cluster_id, other.commit_index, other.term, 0
+                            )
+                    while one.next_deadline() <= self.now:
                         one.tick(self.now)
                         self.settle()
 
@@ -132,19 +134,20 @@
     three = Voters()
     three.run(2.0)
     first = three.leader
-    first.command(COMMAND, b"one")
+    first.propose(COMMAND, b"one")
     three.settle()
-    assert all(one.machine.all == [(3, b"one")] for one in three.those.values())
+    assert all(one.state_machine.all == [(3, b"one")] for one in three.those.values())
     three.cut.add(first.name)
     three.run(2.0)
     assert three.leader is not first
-    first.command(COMMAND, b"lost")  # it does not know yet
-    three.leader.command(COMMAND, b"two")
+    first.propose(COMMAND, b"lost")  # it does not know yet
+    three.leader.propose(COMMAND, b"two")
     three.settle()
     three.cut.clear()
     three.run(1.0)
     assert all(
-        [data for _, data in one.machine.all] == [b"one", b"two"] for one in three.those.values()
+        [data for _, data in one.state_machine.all] == [b"one", b"two"]
+        for one in three.those.values()
     )
 
 
@@ -165,26 +168,38 @@
     three.run(2.0)
     leader = three.leader
     three.cut |= set(three.those) - {leader.name}
-    for number in range(MOST_OPEN + 10):
-        leader.command(COMMAND, b"%d" % number)
-    assert leader.last - leader.commit == MOST_OPEN
+    for number in range(MAX_UNCOMMITTED + 10):
+        leader.propose(COMMAND, b"%d" % number)
+    assert leader.last_index - leader.commit_index == MAX_UNCOMMITTED
     three.run(3.0)
-    assert leader.role != LEADER and not leader.command(COMMAND, b"more")
+    assert leader.role != LEADER and not leader.propose(COMMAND, b"more")
 
 
 def test_a_disk_is_read_back_as_it_was_and_a_torn_one_up_to_its_tear():
     three = Voters()
     three.run(2.0)
     for number in range(30):
-        three.leader.command(COMMAND, b"c%d" % number)
+        three.leader.propose(COMMAND, b"c%d" % number)
         three.settle()
     for one, disk in zip(three.those.values(), three.disks):
-        assert replayed(disk) == one.copy() == replayed(compacted(one.copy()))
+        assert (
+            replay_journal(disk)
+            == one.persistent_state()
+            == replay_journal(compact_journal(one.persistent_state()))
+        )
         for end in range(3, len(disk)):
-            assert replayed(disk[:end]).lines == one.copy().lines[: len(replayed(disk[:end]).lines)]
-    for wrong in ([(raft.LINE, 5, 1, 2, b"")], [(9, 1)], [(raft.TERM, 1)], [(raft.LINE,)]):
+            assert (
+                replay_journal(disk[:end]).entries
+                == one.persistent_state().entries[: len(replay_journal(disk[:end]).entries)]
+            )
+    for wrong in (
+        [(raft.ENTRY_RECORD, 5, 1, 2, b"")],
+        [(9, 1)],
+        [(raft.TERM_RECORD, 1)],
+        [(raft.ENTRY_RECORD,)],
+    ):
         with pytest.raises((ValueError, TypeError, IndexError)):
-            replayed([(raft.WHO, 256, 1), *wrong])
+            replay_journal([(raft.IDENTITY_RECORD, 256, 1), *wrong])
 
 
 def test_old_lines_are_kept_as_what_they_come_to_and_learned_so_by_who_was_away():
@@ -192,20 +207,25 @@
     four.cut.add("m3")
     four.run(2.0)
     away = next(name for name in ("m0", "m1", "m2") if name != four.leader.name)
-    for number in range(COMPACT + 100):
+    for number in range(COMPACTION_THRESHOLD + 100):
         if number == 50:
             four.cut.add(away)
-        four.leader.command(COMMAND, b"c%d" % number)
+        four.leader.propose(COMMAND, b"c%d" % number)
         four.settle()
     leader = four.leader
-    assert leader.start > KEPT and len(leader.lines) <= COMPACT
+    assert leader.log_offset > RETAINED_ENTRIES and len(leader.entries) <= COMPACTION_THRESHOLD
     four.cut.clear()
     four.run(20.0)
     for one in four.those.values():
-        assert len(one.machine.all) == COMPACT + 100 and one.machine.all == leader.machine.all
-        again = Agreement(one.name, replayed(four.disks[int(one.name[1:])]), Lines(), 0, Random(1))
-        assert again.config == leader.config and again.last == one.last
-        assert again.machine.all == one.machine.all[: len(again.machine.all)]
+        assert (
+            len(one.state_machine.all) == COMPACTION_THRESHOLD + 100
+            and one.state_machine.all == leader.state_machine.all
+        )
+        again = RaftNode(
+            one.name, replay_journal(four.disks[int(one.name[1:])]), Lines(), 0, Random(1)
+        )
+        assert again.config == leader.config and again.last_index == one.last_index
+        assert again.state_machine.all == one.state_machine.all[: len(again.state_machine.all)]
     assert four.those[away].counts["states_learned"] and four.those["m3"].counts["states_learned"]
     assert four.largest <= MOST_TALK + 100
 
@@ -215,12 +235,14 @@
     three.run(2.0)
     leader = three.leader
     lost = next(name for name in three.those if name != leader.name)
-    three.disks[int(lost[1:])] = [(raft.WHO, 0, 77)]
-    fresh = three.those[lost] = Agreement(lost, Copy(disk=77), Lines(), three.now, Random(9))
+    three.disks[int(lost[1:])] = [(raft.IDENTITY_RECORD, 0, 77)]
+    fresh = three.those[lost] = RaftNode(
+        lost, PersistentState(disk_id=77), Lines(), three.now, Random(9)
+    )
     three.run(1.0)
-    assert leader.match.get(lost, 0) <= leader.last and not fresh.votes_here
-    leader.counts_as = lambda talk, sender: Agreement.counts_as(leader, talk, sender)
-    assert not leader.counts_as(Talk(raft.TAKEN, 256, 77, leader.term, 1, 99), lost)
+    assert leader.match_index.get(lost, 0) <= leader.last_index and not fresh.is_voter
+    leader.is_from_voter = lambda talk, sender: RaftNode.is_from_voter(leader, talk, sender)
+    assert not leader.is_from_voter(Talk(raft.TAKEN, 256, 77, leader.term, 1, 99), lost)
     config = leader.config
     assert (
         leader.change_voters({**config, lost: 77}) == "one voter at a time is added or taken away"
@@ -229,17 +251,17 @@
     three.run(0.5)
     assert leader.change_voters({**leader.config, lost: 77}) == ""
     three.run(0.5)
-    assert fresh.votes_here and fresh.commit == leader.commit
+    assert fresh.is_voter and fresh.commit_index == leader.commit_index
 
 
 def test_most_voters_lost_for_good_one_copy_goes_on_by_hand_and_the_others_take_it():
     three = Voters()
     three.run(2.0)
-    three.leader.command(COMMAND, b"kept")
+    three.leader.propose(COMMAND, b"kept")
     three.settle()
     for name in ("m1", "m2"):
-        three.those[name] = Agreement(
-            name, Copy(disk=50 + int(name[1:])), Lines(), three.now, Random(9)
+        three.those[name] = RaftNode(
+            name, PersistentState(disk_id=50 + int(name[1:])), Lines(), three.now, Random(9)
         )
         three.disks[int(name[1:])] = []
     alone = three.those["m0"]
@@ -247,12 +269,15 @@
     assert alone.role != LEADER
     alone.recover()
     three.run(2.0)
-    assert alone.role == LEADER and alone.record == 257 and alone.config == {"m0": 1}
-    alone.command(COMMAND, b"more")
+    assert alone.role == LEADER and alone.cluster_id == 257 and alone.config == {"m0": 1}
+    alone.propose(COMMAND, b"more")
     three.run(3.0)
     for one in three.those.values():
-        assert one.record == 257 and [data for _, data in one.machine.all] == [b"kept", b"more"]
-    assert replayed(compacted(alone.copy())) == alone.copy()
+        assert one.cluster_id == 257 and [data for _, data in one.state_machine.all] == [
+            b"kept",
+            b"more",
+        ]
+    assert replay_journal(compact_journal(alone.persistent_state())) == alone.persistent_state()
 
 
 def test_a_read_is_answered_by_a_leader_that_most_have_answered_since():
@@ -260,29 +285,29 @@
     three.run(2.0)
     leader = three.leader
     follower = next(one for one in three.those.values() if one is not leader)
-    follower.ask_read(7)
+    follower.request_read_index(7)
     three.settle()
-    assert follower.read_at == [(7, leader.commit)]
+    assert follower.read_results == [(7, leader.commit_index)]
     three.cut |= set(three.those) - {leader.name}
-    leader.ask_read(8)
+    leader.request_read_index(8)
     three.settle()
-    assert not leader.read_at
+    assert not leader.read_results
     for nonce in range(200):
-        leader.on_read(Talk(READ, 256, 1, leader.term, nonce), "m9")
-    assert len(leader.reads) <= raft.MOST_READS
+        leader.on_read_index_request(Talk(READ, 256, 1, leader.term, nonce), "m9")
+    assert len(leader.pending_reads) <= raft.MAX_PENDING_READS
 
 
 def test_learners_cannot_drown_whom_they_ask():
     three = Voters()
     three.run(2.0)
     for number in range(100):
-        three.leader.command(COMMAND, b"x" * 800 + b"%d" % number)
+        three.leader.propose(COMMAND, b"x" * 800 + b"%d" % number)
         three.settle()
     leader = three.leader
     for number in range(200):
-        leader.hear(Talk(FETCH, 256, 9, 0, 1), f"x{number}", three.now)
-    given_ = leader.take()
-    assert len(given_) == SERVED and all(talk.kind == LINES for _, talk in given_)
+        leader.receive(Talk(FETCH, 256, 9, 0, 1), f"x{number}", three.now)
+    given_ = leader.take_messages()
+    assert len(given_) == MAX_SERVED_PER_HEARTBEAT and all(talk.kind == LINES for _, talk in given_)
 
 
 @settings(max_examples=300, deadline=None)
@@ -302,7 +327,7 @@
                 st.builds(Line, st.integers(0, 6), st.integers(2, 9), st.binary(max_size=9)),
                 max_size=3,
             ),
-            st.binary(max_size=PIECE_SIZE),
+            st.binary(max_size=SNAPSHOT_CHUNK_BYTES),
         ),
         max_size=12,
     ),
@@ -318,9 +343,9 @@
         if talk.kind in (APPEND, LINES):
             talk = Talk(ASK_EARLY, *[getattr(talk, key) for key in Talk.__struct_fields__[1:]])
         if talk.kind == PIECE and talk.three > 2**22:
-            assert not one.parts
-        one.hear(talk, "m1", three.now)
-        one.due()
+            assert not one.snapshot_chunks
+        one.receive(talk, "m1", three.now)
+        one.next_deadline()
         data = Seal((b"0123456789abcdef",)).seal(Datagram(6, 1, 1, talks=[talk]))
         assert Seal((b"0123456789abcdef",)).open(data).talks == [talk]
-    assert len(one.parts) <= 5 and len(one.reads) <= raft.MOST_READS
+    assert len(one.snapshot_chunks) <= 5 and len(one.pending_reads) <= raft.MAX_PENDING_READS
--- a/tests/kept_control_stage.py
+++ b/tests/kept_control_stage.py
@@ -136,8 +136,10 @@
         self.link = self.life.fleet = Link(self.life, spec.fleet, Datagrams())
         self.link.loop.at(self.link.loop.clock(), self.link, self.link.deal)
         if self.link.agreed:
-            self.link.agreed.judge_pools()
-            self.link.loop.at(self.link.loop.clock(), self.link.agreed, self.link.agreed.turn)
+            self.link.agreed.observe_pools()
+            self.link.loop.at(
+                self.link.loop.clock(), self.link.agreed, self.link.agreed.run_periodic_tasks
+            )
         self.link.schedule()
         self.control = Control(self.link)
 
@@ -162,9 +164,9 @@
     def write(self):
         """What the record has for its disk goes there at once."""
         agreed = self.link.agreed
-        while agreed and agreed.agreement.notes:
-            anyio.run(agreed.write_once)
-            self.link.loop.enter(agreed, agreed.pass_on)
+        while agreed and agreed.node.pending_records:
+            anyio.run(agreed.write_pending_records)
+            self.link.loop.enter(agreed, agreed.flush)
 
     def ask(self, line, after=lambda: None):
         """All lines that are answered, as they come."""
--- a/tests/test_forms_kept.py
+++ b/tests/test_forms_kept.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from whinpier.fleet import messages
-from whinpier.fleet.consensus.node import replayed
+from whinpier.fleet.consensus.node import replay_journal
 from whinpier.fleet.messages import DEALS, LEND, VOTE, Line, Plainly, Seal, Unread, pool_mark
 from whinpier.fleet.rollouts.state_machine import RolloutStateMachine
 from whinpier.storage.append_log import read_records
@@ -64,12 +64,12 @@
 
 def test_a_record_on_a_disk_and_what_it_comes_to_are_read():
     magic = b"whinpier bank record 1\n"
-    copy = replayed(
+    copy = replay_journal(
         note for _, note in read_records("record", magic + base64.b85decode(RECORD), magic)
     )
-    assert (copy.record, copy.disk, copy.term, len(copy.lines)) == (256, 7, 3, 4)
+    assert (copy.cluster_id, copy.disk_id, copy.term, len(copy.entries)) == (256, 7, 3, 4)
     record, restored = RolloutStateMachine(), RolloutStateMachine()
-    for index, line in enumerate(copy.lines[1:], 2):
+    for index, line in enumerate(copy.entries[1:], 2):
         record.apply(index, line)
     restored.restore(base64.b85decode(WHOLE))
     assert record.state == restored.state and not record.undecodable_entries
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -188,16 +188,16 @@
         it.results,
         it.last_applied,
     ],
-    agreement.Copy: lambda it: [
-        it.record,
-        it.disk,
+    agreement.PersistentState: lambda it: [
+        it.cluster_id,
+        it.disk_id,
         it.term,
-        it.voted,
-        it.start,
-        it.start_term,
-        it.base,
-        it.state,
-        it.lines,
+        it.voted_for,
+        it.log_offset,
+        it.log_offset_term,
+        it.snapshot_index,
+        it.snapshot,
+        it.entries,
     ],
 }
 # Which typed message a kept group holds, and which log entry kind carries which.
@@ -342,8 +342,16 @@
         [messages.SAID, messages.SILENT, messages.REFUSED, messages.RENAMED, messages.STRUCK],
         0,
     ),
-    "log_note": ([agreement.WHO, agreement.TERM, agreement.LINE, agreement.BASE], 0),
-    "log_entry_of_the_log_itself": ([agreement.NOTHING, agreement.VOTERS], 0),
+    "log_note": (
+        [
+            agreement.IDENTITY_RECORD,
+            agreement.TERM_RECORD,
+            agreement.ENTRY_RECORD,
+            agreement.SNAPSHOT_RECORD,
+        ],
+        0,
+    ),
+    "log_entry_of_the_log_itself": ([agreement.NO_OP_ENTRY, agreement.CONFIG_ENTRY], 0),
     "log_entry": (
         [
             commands.EntryKind.SET_BUDGET,
@@ -434,8 +442,8 @@
         registry.digest_part(entry),
         hash_file(b"file"),
         compute_digest(b"before", (1, 2, "who", "what", "why", True, "text")).hex(),
-        consensus_service.stamp_of(
-            agreement.Copy(256, 7, 3, 8, 20, 2, 20, b"", [messages.Line(3, 0)])
+        consensus_service.disk_version_of(
+            agreement.PersistentState(256, 7, 3, 8, 20, 2, 20, b"", [messages.Line(3, 0)])
         ),
     ]
     assert found == KEPT["marks"]
@@ -518,8 +526,8 @@
 
 def test_an_announced_place_in_the_log_keeps_its_bytes():
     raft = voter("a", 1)
-    raft.record, raft.term, raft.commit, raft.leader = 256, 3, 17, "b"
-    assert raft.news(99).hex() == KEPT["announced"]["news"]
+    raft.cluster_id, raft.term, raft.commit_index, raft.leader = 256, 3, 17, "b"
+    assert raft.announcement(99).hex() == KEPT["announced"]["news"]
 
 
 # Log entries and their snapshot.
@@ -562,27 +570,29 @@
 
 
 def log_of(data):
-    return agreement.replayed(
+    return agreement.replay_journal(
         note
         for _, note in read_records(
-            "record", data, consensus_service.MAGIC, consensus_service.LONGEST
+            "record", data, consensus_service.JOURNAL_MAGIC, consensus_service.MAX_RECORD_BYTES
         )
     )
 
 
 def log_written(values):
-    copy = agreement.Copy(
+    copy = agreement.PersistentState(
         *natural(values)[:-1], [messages.Line(*natural(line)) for line in values[-1]]
     )
-    return consensus_service.MAGIC + b"".join(map(encode_record, agreement.compacted(copy)))
+    return consensus_service.JOURNAL_MAGIC + b"".join(
+        map(encode_record, agreement.compact_journal(copy))
+    )
 
 
 def test_a_log_file_begins_with_its_magic():
     assert (
-        consensus_service.MAGIC == b"whinpier bank record 1\n"
-        and consensus_service.LONGEST == 6 << 20
+        consensus_service.JOURNAL_MAGIC == b"whinpier bank record 1\n"
+        and consensus_service.MAX_RECORD_BYTES == 6 << 20
     )
-    assert file_of("log").startswith(consensus_service.MAGIC)
+    assert file_of("log").startswith(consensus_service.JOURNAL_MAGIC)
 
 
 def test_a_log_file_with_a_snapshot_is_read_and_written_as_it_was():
@@ -597,21 +607,25 @@
 
 def test_the_state_of_a_log_file_is_taken_up():
     found = log_of(file_of("log"))
-    raft = agreement.Agreement("a", found, RolloutStateMachine(), 0, Chance(), agreement.Pace())
-    applied_to, term, (since, voters), inner = msgspec.msgpack.decode(found.state)
+    raft = agreement.RaftNode(
+        "a", found, RolloutStateMachine(), 0, Chance(), agreement.RaftTiming()
+    )
+    applied_to, term, (since, voters), inner = msgspec.msgpack.decode(found.snapshot)
     assert [applied_to, term, since, voters] == [14, 2, 1, {"a": 11, "b": 12, "c": 13}]
     assert inner.hex() == KEPT["snapshots"]["files, gates and drains"][1]
-    assert (raft.commit, raft.last, raft.config) == (14, 16, {"a": 11, "b": 12})
-    assert plain(raft.copy()) == KEPT["log"]
-    assert raft.machine.state.last_applied == 14
+    assert (raft.commit_index, raft.last_index, raft.config) == (14, 16, {"a": 11, "b": 12})
+    assert plain(raft.persistent_state()) == KEPT["log"]
+    assert raft.state_machine.state.last_applied == 14
 
 
 @pytest.mark.parametrize("cut", [1, 7, 14])
 def test_a_torn_tail_of_a_log_file_is_left_out(tmp_path, cut):
     path = tmp_path / "record"
     path.write_bytes(file_of("log")[:-cut])
-    journal = AppendLog(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
-    found = plain(agreement.replayed(journal.open()))
+    journal = AppendLog(
+        str(path), consensus_service.JOURNAL_MAGIC, consensus_service.MAX_RECORD_BYTES
+    )
+    found = plain(agreement.replay_journal(journal.open()))
     journal.close()
     assert found == [*KEPT["log"][:-1], KEPT["log"][-1][:-1]]
     assert path.read_bytes() == file_of("log")[: journal.size] and journal.torn_bytes > 0
@@ -620,8 +634,10 @@
 def test_a_kept_torn_log_file_is_read_up_to_its_tear(tmp_path):
     path = tmp_path / "record"
     path.write_bytes(file_of("log_torn"))
-    journal = AppendLog(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
-    found = plain(agreement.replayed(journal.open()))
+    journal = AppendLog(
+        str(path), consensus_service.JOURNAL_MAGIC, consensus_service.MAX_RECORD_BYTES
+    )
+    found = plain(agreement.replay_journal(journal.open()))
     journal.close()
     assert found == KEPT["log_torn"] and (journal.size, journal.torn_bytes) == tuple(
         KEPT["log_tear"]
@@ -766,9 +782,9 @@
 
 
 def voter(name, disk):
-    copy = agreement.Copy(disk=disk)
-    return agreement.Agreement(
-        name, copy, RolloutStateMachine(), 0, Chance(disk / 100), agreement.Pace()
+    copy = agreement.PersistentState(disk_id=disk)
+    return agreement.RaftNode(
+        name, copy, RolloutStateMachine(), 0, Chance(disk / 100), agreement.RaftTiming()
     )
 
 
@@ -781,19 +797,19 @@
         }
         self.sent, self.cut_off, self.now = [], set(), 0
         for name in "abc":
-            self.nodes[name].begin(256, {"a": 11, "b": 12, "c": 13})
+            self.nodes[name].bootstrap(256, {"a": 11, "b": 12, "c": 13})
 
     def settle(self):
         busy = True
         for _ in rounds(lambda: busy):
             busy = False
             for name, node in self.nodes.items():
-                node.written(node.noted)
-                for to, message in node.take():
+                node.on_records_synced(node.records_issued)
+                for to, message in node.take_messages():
                     busy = True
                     self.sent.append([name, to, plain(message), encoded(message).hex()])
                     if not {name, to} & self.cut_off:
-                        self.nodes[to].hear(message, name, self.now)
+                        self.nodes[to].receive(message, name, self.now)
 
     def run(self, until):
         while self.now < until:
@@ -813,29 +829,35 @@
     other = next(node for node in nodes.values() if node is not leader and node.name != "d")
     third = next(name for name in "abc" if name not in (leader.name, other.name))
     data = bytes.fromhex(KEPT["entries"]["drain of an upstream"][1])
-    other.say(
+    other.send(
         leader.name, messages.FORWARD, lines=[messages.Line(0, commands.EntryKind.DRAIN, data)]
     )
     cluster.settle()
-    other.ask_read(77)
+    other.request_read_index(77)
     cluster.settle()
-    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    nodes["d"].on_commit_announced(
+        leader.name, 256, leader.commit_index, leader.term, leader.disk_id
+    )
     cluster.run(2 * SECOND)
     cluster.cut_off = {third, "d"}
     for number in range(3):
-        leader.command(commands.EntryKind.HALT, bytes.fromhex(KEPT["halts"][number]))
+        leader.propose(commands.EntryKind.HALT, bytes.fromhex(KEPT["halts"][number]))
     cluster.settle()
     for node in (leader, other):
-        node.kept = 1
+        node.retained_entries = 1
         node.compact()
     cluster.cut_off = set()
     cluster.run(2 * SECOND + SECOND // 2)
-    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    nodes["d"].on_commit_announced(
+        leader.name, 256, leader.commit_index, leader.term, leader.disk_id
+    )
     cluster.run(3 * SECOND)
-    leader.retire()
+    leader.transfer_leadership()
     cluster.run(3 * SECOND + SECOND // 2)
     leader = next(node for node in nodes.values() if node.role == agreement.LEADER)
-    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    nodes["d"].on_commit_announced(
+        leader.name, 256, leader.commit_index, leader.term, leader.disk_id
+    )
     cluster.run(4 * SECOND)
     return cluster
 
@@ -853,8 +875,8 @@
     cluster = consensus_run()
     assert {row[2][0] for row in cluster.sent} == set(range(14))
     assert first_of_each(cluster.sent) == KEPT["consensus_run"]
-    assert len({node.commit for node in cluster.nodes.values()}) == 1
-    assert {encoded(node.machine.state).hex() for node in cluster.nodes.values()} == {
+    assert len({node.commit_index for node in cluster.nodes.values()}) == 1
+    assert {encoded(node.state_machine.state).hex() for node in cluster.nodes.values()} == {
         KEPT["consensus_end"]
     }
 
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -22,7 +22,7 @@
 import msgspec
 import pytest
 
-from whinpier.fleet.consensus.node import Agreement
+from whinpier.fleet.consensus.node import RaftNode
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.ejection import EjectionCoordinator
 from whinpier.fleet.quotas.calendar_quota import LEAST_AHEAD
@@ -761,13 +761,18 @@
         fleet.until(at)
         leader = fleet.leader()
         data = encode(DrainCommand(CommandHeader(100 + number, "seeded", "w" * 20), f"n{number}"))
-        leader.agreement.command(EntryKind.DRAIN, data)
+        leader.agreement.propose(EntryKind.DRAIN, data)
         leader.pass_on()
     fleet.until(45.0)
     for node in fleet.record_nodes():
         agreement = node.agreement
         journal.note(
-            4, node.number, agreement.term, agreement.last, agreement.commit, agreement.applied
+            4,
+            node.number,
+            agreement.term,
+            agreement.last_index,
+            agreement.commit_index,
+            agreement.last_applied,
         )
     return journal_of_bank(fleet, journal)
 
@@ -920,7 +925,7 @@
     "explored limits": lambda: explored(quota_scenarios, Wishing, SHARE_FAULTS, 5),
     "explored windows": lambda: explored(count_scenarios, Wishful, COUNT_FAULTS, 4),
     "explored verdicts": lambda: explored(ejection_scenarios, EjectionCoordinator, VOTE_FAULTS, 4),
-    "explored agreement": lambda: explored(consensus_scenarios, Agreement, RECORD_FAULTS, 3),
+    "explored agreement": lambda: explored(consensus_scenarios, RaftNode, RECORD_FAULTS, 3),
 }
 
 
--- a/whinpier/cli/rollouts.py
+++ b/whinpier/cli/rollouts.py
@@ -297,14 +297,14 @@
     """Release FILE (pools, routes, limits of an operator's file), or a build, in waves, a gate
     after each.
     """
-    from whinpier.fleet.consensus.service import deflated
+    from whinpier.fleet.consensus.service import compress_release
 
     if (file is None) == (not build):
         fail("either FILE or --build is released")
     saying, content = Saying(path, operator, as_json, wait), ""
     if file is not None:
         try:
-            content, data = deflated(file.read_bytes())
+            content, data = compress_release(file.read_bytes())
         except OSError as fault:
             fail(f"{file}: {fault.strerror or fault}")
         put(saying, content, data)
@@ -329,9 +329,9 @@
 
 def put(saying: Saying, content: str, data: bytes) -> None:
     """A file into the record, in pieces, till it is whole there."""
-    from whinpier.fleet.consensus.service import pieces
+    from whinpier.fleet.consensus.service import release_chunks
 
-    for piece in pieces(data):
+    for piece in release_chunks(data):
         saying.call.one("put", name=content, value=piece)
     while not saying.call.one("has", name=content)["whole"]:
         if saying.over():
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -14,7 +14,7 @@
 from whinpier.config.fields import Duration, Strict, duration, kept_secret, named, part
 from whinpier.config.model import ConfigFault, address
 from whinpier.fleet import messages
-from whinpier.fleet.consensus.node import MOST_VOTERS
+from whinpier.fleet.consensus.node import MAX_VOTERS
 from whinpier.fleet.membership.membership import MS, Times
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.quotas.allocation import Said
@@ -257,8 +257,8 @@
     if table is None:
         return None
     at = "bank.agreement"
-    if not 1 <= len(table.voters) <= MOST_VOTERS or len(set(table.voters)) < len(table.voters):
-        raise ConfigFault(f"{at}.voters: 1 to {MOST_VOTERS} members, none twice")
+    if not 1 <= len(table.voters) <= MAX_VOTERS or len(set(table.voters)) < len(table.voters):
+        raise ConfigFault(f"{at}.voters: 1 to {MAX_VOTERS} members, none twice")
     for index, one in enumerate(table.voters):
         named(one, f"{at}.voters[{index}]")
     if not table.folder.startswith("/") or "\0" in table.folder:
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -45,21 +45,28 @@
 from whinpier.policy.decaying_sum import SECOND
 
 MS = SECOND // 1000
-FOLLOWER, EARLY_ASKED, CANDIDATE, LEADER = range(4)
+FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = range(4)
 ROLES = ("follower", "about to ask", "candidate", "leader")
-NOTHING, VOTERS = range(
+NO_OP_ENTRY, CONFIG_ENTRY = range(
     2
 )  # kinds of lines that mean something to the record itself; others are commands
-MOST_VOTERS = 9  # more only make each line wait for more disks
-COMPACT = 768  # lines after which what they come to is kept instead, but for the last `KEPT`
-KEPT = 256  # lines that whoever is behind by less than that may still be given one by one
-MOST_OPEN = 256  # lines that are not agreed yet: a cut must not fill memory
-MOST_READS = 64
-MOST_STATE = 4 << 20  # bytes of a state that is learned as a whole
-PIECE_SIZE, PIECES = 900, 12  # bytes of one, and how many are sent for each that is asked for
+MAX_VOTERS = 9  # more only make each line wait for more disks
+COMPACTION_THRESHOLD = (
+    768  # lines after which what they come to is kept instead, but for the last `RETAINED_ENTRIES`
+)
+RETAINED_ENTRIES = (
+    256  # lines that whoever is behind by less than that may still be given one by one
+)
+MAX_UNCOMMITTED = 256  # lines that are not agreed yet: a cut must not fill memory
+MAX_PENDING_READS = 64
+MAX_SNAPSHOT_BYTES = 4 << 20  # bytes of a state that is learned as a whole
+SNAPSHOT_CHUNK_BYTES, MAX_MESSAGES_PER_FETCH = (
+    900,
+    12,
+)  # bytes of one, and how many are sent for each that is asked for
 # talks with lines that a member gives learners in one beat: 60 kB a second, however many ask
-SERVED = 12
-GENERATIONS = (
+MAX_SERVED_PER_HEARTBEAT = 12
+CLUSTER_ID_STRIDE = (
     256  # a record's number is what it was at first, times this, and how often it was recovered
 )
 
@@ -68,78 +75,86 @@
 
 
 @dataclass(frozen=True)
-class Pace:
+class RaftTiming:
     """How quick it is. A leader that is killed is followed by the next within two seconds."""
 
-    beat: int = 200 * MS  # between a leader's talks
-    timeout: int = 900 * MS  # without a leader till one asks for votes; up to twice that, by chance
-    again: int = 300 * MS  # until what was asked for is asked for again
+    heartbeat_interval: int = 200 * MS  # between a leader's talks
+    election_timeout: int = (
+        900 * MS
+    )  # without a leader till one asks for votes; up to twice that, by chance
+    retry_interval: int = 300 * MS  # until what was asked for is asked for again
 
 
 @dataclass
-class Copy:
+class PersistentState:
     """What one member has on its disk of the record."""
 
-    record: int = 0  # which; 0: none yet
-    disk: int = 0  # drawn with the file: another disk is another voter
+    cluster_id: int = 0  # which; 0: none yet
+    disk_id: int = 0  # drawn with the file: another disk is another voter
     term: int = 0
-    voted: int = 0  # for whose disk in this term; 0: for nobody
-    start: int = 0  # the number of the line before `lines`
-    start_term: int = 0
-    base: int = 0  # the number of the last line that `state` holds
-    state: bytes = b""
-    lines: list[Line] = field(default_factory=list)
+    voted_for: int = 0  # for whose disk in this term; 0: for nobody
+    log_offset: int = 0  # the number of the line before `lines`
+    log_offset_term: int = 0
+    snapshot_index: int = 0  # the number of the last line that `state` holds
+    snapshot: bytes = b""
+    entries: list[Line] = field(default_factory=list)
 
 
-Note = tuple[Any, ...]
-WHO, TERM, LINE, BASE = range(4)
+JournalRecord = tuple[Any, ...]
+IDENTITY_RECORD, TERM_RECORD, ENTRY_RECORD, SNAPSHOT_RECORD = range(4)
 
 
-def replayed(notes: Iterable[Note]) -> Copy:
+def replay_journal(notes: Iterable[JournalRecord]) -> PersistentState:
     """A disk's notes in order come to this. Raises ValueError, TypeError, IndexError for what is none."""
-    copy = Copy()
+    copy = PersistentState()
     for kind, *rest in notes:
-        if kind == WHO:
-            copy = Copy(*rest)
-        elif kind == TERM:
-            copy.term, copy.voted = rest
-        elif kind == LINE:
+        if kind == IDENTITY_RECORD:
+            copy = PersistentState(*rest)
+        elif kind == TERM_RECORD:
+            copy.term, copy.voted_for = rest
+        elif kind == ENTRY_RECORD:
             index, term, what, data = rest
-            if not copy.start < index <= copy.start + len(copy.lines) + 1:
-                raise ValueError(f"line {index} behind line {copy.start + len(copy.lines)}")
-            del copy.lines[index - copy.start - 1 :]
-            copy.lines.append(Line(term, what, data))
-        elif kind == BASE:
+            if not copy.log_offset < index <= copy.log_offset + len(copy.entries) + 1:
+                raise ValueError(f"line {index} behind line {copy.log_offset + len(copy.entries)}")
+            del copy.entries[index - copy.log_offset - 1 :]
+            copy.entries.append(Line(term, what, data))
+        elif kind == SNAPSHOT_RECORD:
             base, state, start, start_term = rest
-            there = 0 <= start - copy.start <= len(copy.lines) and start >= copy.start
-            held = copy.lines[start - copy.start :] if there else []
+            there = 0 <= start - copy.log_offset <= len(copy.entries) and start >= copy.log_offset
+            held = copy.entries[start - copy.log_offset :] if there else []
             if (
-                start > copy.start
+                start > copy.log_offset
                 and there
-                and copy.lines[start - copy.start - 1].term != start_term
+                and copy.entries[start - copy.log_offset - 1].term != start_term
             ):
                 held = []
-            copy.base, copy.state, copy.lines = base, state, held
-            copy.start, copy.start_term = start, start_term
+            copy.snapshot_index, copy.snapshot, copy.entries = base, state, held
+            copy.log_offset, copy.log_offset_term = start, start_term
         else:
             raise ValueError(f"a note of kind {kind}")
     return copy
 
 
-def compacted(copy: Copy) -> list[Note]:
+def compact_journal(copy: PersistentState) -> list[JournalRecord]:
     """The fewest notes that come to the same."""
-    found: list[Note] = [
-        (WHO, copy.record, copy.disk),
-        (TERM, copy.term, copy.voted),
-        (BASE, copy.base, copy.state, copy.start, copy.start_term),
+    found: list[JournalRecord] = [
+        (IDENTITY_RECORD, copy.cluster_id, copy.disk_id),
+        (TERM_RECORD, copy.term, copy.voted_for),
+        (
+            SNAPSHOT_RECORD,
+            copy.snapshot_index,
+            copy.snapshot,
+            copy.log_offset,
+            copy.log_offset_term,
+        ),
     ]
     return found + [
-        (LINE, copy.start + number, line.term, line.kind, line.data)
-        for number, line in enumerate(copy.lines, 1)
+        (ENTRY_RECORD, copy.log_offset + number, line.term, line.kind, line.data)
+        for number, line in enumerate(copy.entries, 1)
     ]
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """What the lines of the record come to."""
 
     def apply(self, index: int, line: Line) -> None:
@@ -155,152 +170,166 @@
         """Whether this command was applied already."""
 
 
-class Agreement:
+class RaftNode:
     """One member's part in the record."""
 
     def __init__(
         self,
         name: str,
-        copy: Copy,
-        machine: Machine,
+        copy: PersistentState,
+        machine: StateMachine,
         now: int,
         chance: Random,
-        pace: Pace = Pace(),
+        pace: RaftTiming = RaftTiming(),
         fence: int = 0,
     ) -> None:
         """`fence`: till then it neither votes nor asks: others may say that its disk is old."""
-        self.name, self.machine, self.pace, self.now = name, machine, pace, now
+        self.name, self.state_machine, self.timing, self.now = name, machine, pace, now
         self.random, self.sample = chance.random, chance.sample
-        self.record, self.disk, self.term, self.voted = (
-            copy.record,
-            copy.disk,
+        self.cluster_id, self.disk_id, self.term, self.voted_for = (
+            copy.cluster_id,
+            copy.disk_id,
             copy.term,
-            copy.voted,
+            copy.voted_for,
+        )
+        self.log_offset, self.log_offset_term, self.entries = (
+            copy.log_offset,
+            copy.log_offset_term,
+            list(copy.entries),
         )
-        self.start, self.start_term, self.lines = copy.start, copy.start_term, list(copy.lines)
-        self.base, self.state = copy.base, copy.state
-        self.commit = self.applied = copy.base
+        self.snapshot_index, self.snapshot = copy.snapshot_index, copy.snapshot
+        self.commit_index = self.last_applied = copy.snapshot_index
         self.configs: list[
             tuple[int, dict[str, int]]
         ] = []  # from which line on who votes, with disk
-        self.notes: list[Note] = []  # for the disk, in order
-        self.noted = self.synced = self.proof = (
+        self.pending_records: list[JournalRecord] = []  # for the disk, in order
+        self.records_issued = self.records_synced = self.term_record = (
             0  # notes given, on the disk; with which terms and votes are
         )
-        self.durable, self.marks = (
-            self.last,
+        self.durable_index, self.unsynced_entries = (
+            self.last_index,
             deque[tuple[int, int]](),
         )  # lines on the disk; notes to lines
-        self.waiting: deque[tuple[int, str, Talk]] = deque()  # behind which note, to whom, what
+        self.outbox: deque[tuple[int, str, Talk]] = deque()  # behind which note, to whom, what
         self.role, self.leader = FOLLOWER, ""
         self.votes: set[str] = set()
-        self.next: dict[str, int] = {}  # of each voter: the line that it is sent next
-        self.match: dict[str, int] = {}  # up to which it holds ours on its disk
-        self.rounds: dict[str, int] = {}  # of which of our rounds it has last answered
-        self.flying: dict[str, int] = {}  # since when an answer is owed
-        self.hinted: dict[str, int] = {}  # up to which line it was told that all is agreed
-        self.heard: dict[str, int] = {}
-        self.round, self.matched, self.told_term = 0, 0, 0
-        self.reads: list[
+        self.next_index: dict[str, int] = {}  # of each voter: the line that it is sent next
+        self.match_index: dict[str, int] = {}  # up to which it holds ours on its disk
+        self.acked_rounds: dict[str, int] = {}  # of which of our rounds it has last answered
+        self.in_flight_since: dict[str, int] = {}  # since when an answer is owed
+        self.sent_commit_index: dict[
+            str, int
+        ] = {}  # up to which line it was told that all is agreed
+        self.last_response_at: dict[str, int] = {}
+        self.round, self.matched_index, self.leader_hint_term = 0, 0, 0
+        self.pending_reads: list[
             tuple[int, str, int, int]
         ] = []  # by which round, whose, its nonce, which line
-        self.read_at: list[tuple[int, int]] = []  # nonce and line of what was asked for here
-        self.ahead: dict[str, int] = {}  # who tells of more agreed lines than are here
-        self.fetched_at, self.parts = now - pace.again, dict[int, bytes]()
-        self.parts_of = (0, 0, 0)  # line, its term, bytes
-        self.served, self.served_at = 0, now
-        self.leader_heard = now - 2 * pace.timeout
-        self.awake_at = now + fence
-        self.beat_at = now
-        self.doubt()
-        self.kept, self.most_lines = KEPT, MOST_LINES
+        self.read_results: list[tuple[int, int]] = []  # nonce and line of what was asked for here
+        self.peers_ahead: dict[str, int] = {}  # who tells of more agreed lines than are here
+        self.last_fetch_at, self.snapshot_chunks = now - pace.retry_interval, dict[int, bytes]()
+        self.incoming_snapshot = (0, 0, 0)  # line, its term, bytes
+        self.served_messages, self.served_since = 0, now
+        self.leader_contact_at = now - 2 * pace.election_timeout
+        self.vote_allowed_at = now + fence
+        self.heartbeat_due = now
+        self.reset_election_timer()
+        self.retained_entries, self.max_entries_per_append = RETAINED_ENTRIES, MOST_LINES
         self.counts: Counter[str] = Counter()
         self.events: list[tuple[str, dict[str, Any]]] = []
-        if copy.state:
-            self.thaw(copy.state)
-        self.read_configs()
+        if copy.snapshot:
+            self.load_snapshot(copy.snapshot)
+        self.load_configs()
 
     # Lines.
 
     @property
-    def last(self) -> int:
-        return self.start + len(self.lines)
+    def last_index(self) -> int:
+        return self.log_offset + len(self.entries)
 
     def term_at(self, index: int) -> int:
-        return self.start_term if index <= self.start else self.lines[index - self.start - 1].term
+        return (
+            self.log_offset_term
+            if index <= self.log_offset
+            else self.entries[index - self.log_offset - 1].term
+        )
 
-    def line(self, index: int) -> Line:
-        return self.lines[index - self.start - 1]
+    def entry(self, index: int) -> Line:
+        return self.entries[index - self.log_offset - 1]
 
     @property
     def config(self) -> dict[str, int]:
         """Who votes: by the latest line that says so, agreed or not."""
         return self.configs[-1][1] if self.configs else {}
 
-    def read_configs(self) -> None:
+    def load_configs(self) -> None:
         """Who votes by lines that are behind the state."""
-        for index, line in enumerate(self.lines, self.start + 1):
-            if line.kind == VOTERS and index > self.base:
+        for index, line in enumerate(self.entries, self.log_offset + 1):
+            if line.kind == CONFIG_ENTRY and index > self.snapshot_index:
                 self.configs.append((index, unpack(line.data)))
 
     @property
-    def votes_here(self) -> bool:
-        return self.config.get(self.name) == self.disk
+    def is_voter(self) -> bool:
+        return self.config.get(self.name) == self.disk_id
 
-    def others(self) -> list[str]:
+    def other_voters(self) -> list[str]:
         return [name for name in self.config if name != self.name]
 
-    def most(self, those: Iterable[str]) -> bool:
+    def is_quorum(self, those: Iterable[str]) -> bool:
         """Whether these are more than half of the voters."""
         config = self.config
         return 2 * sum(name in config for name in set(those)) > len(config)
 
-    def note(self, *note: Any) -> int:
-        self.notes.append(note)
-        self.noted += 1
-        return self.noted
+    def add_record(self, *note: Any) -> int:
+        self.pending_records.append(note)
+        self.records_issued += 1
+        return self.records_issued
 
-    def put(self, index: int, line: Line) -> None:
+    def append_entry(self, index: int, line: Line) -> None:
         """A line becomes the last one; what was there from it on was never agreed."""
-        if index <= self.last:
-            self.cut(index)
-        self.lines.append(line)
-        self.marks.append((self.note(LINE, index, line.term, line.kind, line.data), index))
-        if line.kind == VOTERS:
+        if index <= self.last_index:
+            self.truncate_from(index)
+        self.entries.append(line)
+        self.unsynced_entries.append(
+            (self.add_record(ENTRY_RECORD, index, line.term, line.kind, line.data), index)
+        )
+        if line.kind == CONFIG_ENTRY:
             self.configs.append((index, unpack(line.data)))
 
-    def cut(self, index: int) -> None:
-        assert index > self.commit, "what is agreed stays"
-        del self.lines[index - self.start - 1 :]
-        self.durable = min(self.durable, index - 1)
-        self.marks = deque((seq, min(at, index - 1)) for seq, at in self.marks)
+    def truncate_from(self, index: int) -> None:
+        assert index > self.commit_index, "what is agreed stays"
+        del self.entries[index - self.log_offset - 1 :]
+        self.durable_index = min(self.durable_index, index - 1)
+        self.unsynced_entries = deque(
+            (seq, min(at, index - 1)) for seq, at in self.unsynced_entries
+        )
         while self.configs and self.configs[-1][0] >= index:
             self.configs.pop()
 
-    def settle_term(self, term: int, voted: int) -> None:
+    def set_term_and_vote(self, term: int, voted: int) -> None:
         if term != self.term:
-            self.matched = 0
-        self.term, self.voted = term, voted
-        self.proof = self.note(TERM, term, voted)
+            self.matched_index = 0
+        self.term, self.voted_for = term, voted
+        self.term_record = self.add_record(TERM_RECORD, term, voted)
 
-    def written(self, count: int) -> None:
+    def on_records_synced(self, count: int) -> None:
         """So many notes, of all that were ever given, are on the disk."""
-        self.synced = max(self.synced, count)
-        before = self.durable
-        while self.marks and self.marks[0][0] <= self.synced:
-            self.durable = max(self.durable, self.marks.popleft()[1])
-        if self.role == CANDIDATE and self.proof <= self.synced:
+        self.records_synced = max(self.records_synced, count)
+        before = self.durable_index
+        while self.unsynced_entries and self.unsynced_entries[0][0] <= self.records_synced:
+            self.durable_index = max(self.durable_index, self.unsynced_entries.popleft()[1])
+        if self.role == CANDIDATE and self.term_record <= self.records_synced:
             self.votes.add(self.name)
             self.count_votes()
-        if self.durable > before:
+        if self.durable_index > before:
             if self.role == LEADER:
-                self.advance()
-            elif self.leader and self.matched:
-                self.say(self.leader, TAKEN, 1, self.held(), self.matched)
+                self.advance_commit_index()
+            elif self.leader and self.matched_index:
+                self.send(self.leader, TAKEN, 1, self.durable_match_index(), self.matched_index)
 
     # Out.
 
-    def say(
+    def send(
         self,
         to: str,
         kind: int,
@@ -314,8 +343,8 @@
     ) -> None:
         talk = Talk(
             kind,
-            self.record,
-            self.disk,
+            self.cluster_id,
+            self.disk_id,
             self.term if term is None else term,
             one,
             two,
@@ -324,307 +353,344 @@
             lines or [],
             data,
         )
-        self.waiting.append((self.barrier(), to, talk))
+        self.outbox.append((self.sync_barrier(), to, talk))
 
-    def barrier(self) -> int:
+    def sync_barrier(self) -> int:
         """Behind which note a talk waits: terms and votes are on the disk before anybody hears of them."""
-        return self.proof
+        return self.term_record
 
-    def take(self) -> list[tuple[str, Talk]]:
+    def take_messages(self) -> list[tuple[str, Talk]]:
         """What may be sent now: to whom, what."""
         found = []
-        while self.waiting and self.waiting[0][0] <= self.synced:
-            _, to, talk = self.waiting.popleft()
+        while self.outbox and self.outbox[0][0] <= self.records_synced:
+            _, to, talk = self.outbox.popleft()
             found.append((to, talk))
         return found
 
     # Time.
 
-    def doubt(self) -> None:
+    def reset_election_timer(self) -> None:
         """From now a leader has to be heard of within a while of its own."""
-        self.doubt_at = self.now + int(self.pace.timeout * (1.0 + self.random()))
+        self.election_due = self.now + int(self.timing.election_timeout * (1.0 + self.random()))
 
-    def due(self) -> int:
+    def next_deadline(self) -> int:
         """When `tick` wants to be called."""
         if self.role == LEADER:
-            return self.beat_at
-        found = self.fetched_at + self.pace.again if self.behind() else self.now + SECOND
-        return min(found, max(self.doubt_at, self.awake_at)) if self.votes_here else found
+            return self.heartbeat_due
+        found = (
+            self.last_fetch_at + self.timing.retry_interval
+            if self.is_behind()
+            else self.now + SECOND
+        )
+        return min(found, max(self.election_due, self.vote_allowed_at)) if self.is_voter else found
 
     def tick(self, now: int) -> None:
         self.now = max(self.now, now)
         if self.role == LEADER:
-            if now >= self.beat_at:
-                self.check_most()
-            if self.role == LEADER and now >= self.beat_at:
+            if now >= self.heartbeat_due:
+                self.check_quorum()
+            if self.role == LEADER and now >= self.heartbeat_due:
                 self.broadcast(True)
-        elif self.votes_here and now >= self.doubt_at and now >= self.awake_at:
-            self.ask_early()
-        if self.behind() and now >= self.fetched_at + self.pace.again:
-            self.fetch()
+        elif self.is_voter and now >= self.election_due and now >= self.vote_allowed_at:
+            self.start_pre_vote()
+        if self.is_behind() and now >= self.last_fetch_at + self.timing.retry_interval:
+            self.fetch_missing()
 
-    def check_most(self) -> None:
+    def check_quorum(self) -> None:
         """A leader that most voters do not answer is none: it steps down, as another may be there."""
-        heard = [name for name, at in self.heard.items() if self.now - at <= 2 * self.pace.timeout]
-        if not self.most([self.name, *heard]):
+        heard = [
+            name
+            for name, at in self.last_response_at.items()
+            if self.now - at <= 2 * self.timing.election_timeout
+        ]
+        if not self.is_quorum([self.name, *heard]):
             self.step_down("unheard")
 
     # Elections.
 
-    def ask_early(self) -> None:
+    def start_pre_vote(self) -> None:
         """Would most vote for this one? Only then it stands: one that was cut off disturbs nobody."""
-        self.doubt()
-        self.role, self.leader, self.votes = EARLY_ASKED, "", {self.name}
+        self.reset_election_timer()
+        self.role, self.leader, self.votes = PRE_CANDIDATE, "", {self.name}
         self.counts["early"] += 1
-        for name in self.others():
-            self.say(name, ASK_EARLY, self.last, self.term_at(self.last), term=self.term + 1)
-        if self.most(self.votes):
-            self.campaign()
+        for name in self.other_voters():
+            self.send(
+                name, ASK_EARLY, self.last_index, self.term_at(self.last_index), term=self.term + 1
+            )
+        if self.is_quorum(self.votes):
+            self.start_election()
 
-    def campaign(self, hurried: bool = False) -> None:
+    def start_election(self, hurried: bool = False) -> None:
         self.role, self.leader, self.votes = CANDIDATE, "", set()
-        self.doubt()
-        self.settle_term(self.term + 1, self.disk)
+        self.reset_election_timer()
+        self.set_term_and_vote(self.term + 1, self.disk_id)
         self.counts["elections"] += 1
-        for name in self.others():
-            self.say(name, ASK_VOTE, self.last, self.term_at(self.last), int(hurried))
+        for name in self.other_voters():
+            self.send(name, ASK_VOTE, self.last_index, self.term_at(self.last_index), int(hurried))
 
-    def up_to_date(self, last: int, term: int) -> bool:
+    def is_up_to_date(self, last: int, term: int) -> bool:
         """Whether a log that ends so holds all that this one may know to be agreed."""
-        return (term, last) >= (self.term_at(self.last), self.last)
+        return (term, last) >= (self.term_at(self.last_index), self.last_index)
 
-    def led(self) -> bool:
+    def has_leader_contact(self) -> bool:
         """Whether a leader was heard of late, so that nobody need ask for votes."""
-        return self.role == LEADER or self.now - self.leader_heard < self.pace.timeout
+        return (
+            self.role == LEADER or self.now - self.leader_contact_at < self.timing.election_timeout
+        )
 
-    def on_ask_early(self, talk: Talk, sender: str) -> None:
+    def on_pre_vote_request(self, talk: Talk, sender: str) -> None:
         good = (
             talk.term > self.term
-            and self.up_to_date(talk.one, talk.two)
-            and not self.led()
-            and self.now >= self.awake_at
+            and self.is_up_to_date(talk.one, talk.two)
+            and not self.has_leader_contact()
+            and self.now >= self.vote_allowed_at
         )
-        self.say(sender, EARLY, int(good), term=talk.term if good else self.term)
+        self.send(sender, EARLY, int(good), term=talk.term if good else self.term)
 
-    def on_early(self, talk: Talk, sender: str) -> None:
-        wanted = self.role == EARLY_ASKED and talk.one and talk.term == self.term + 1
-        if wanted and self.counts_as(talk, sender):
+    def on_pre_vote_response(self, talk: Talk, sender: str) -> None:
+        wanted = self.role == PRE_CANDIDATE and talk.one and talk.term == self.term + 1
+        if wanted and self.is_from_voter(talk, sender):
             self.votes.add(sender)
-            if self.most(self.votes):
-                self.campaign()
+            if self.is_quorum(self.votes):
+                self.start_election()
 
-    def on_ask_vote(self, talk: Talk, sender: str) -> None:
-        if talk.term == self.term and self.may_vote(talk):
-            if not self.voted:
+    def on_vote_request(self, talk: Talk, sender: str) -> None:
+        if talk.term == self.term and self.can_grant_vote(talk):
+            if not self.voted_for:
                 self.role = FOLLOWER
-                self.settle_term(self.term, talk.disk)
-            self.doubt()
-            self.say(sender, VOTED, 1)
+                self.set_term_and_vote(self.term, talk.disk)
+            self.reset_election_timer()
+            self.send(sender, VOTED, 1)
         else:
-            self.say(sender, VOTED, 0)
+            self.send(sender, VOTED, 0)
 
-    def may_vote(self, talk: Talk) -> bool:
+    def can_grant_vote(self, talk: Talk) -> bool:
         return (
-            self.voted in (0, talk.disk)
-            and self.now >= self.awake_at
-            and self.up_to_date(talk.one, talk.two)
+            self.voted_for in (0, talk.disk)
+            and self.now >= self.vote_allowed_at
+            and self.is_up_to_date(talk.one, talk.two)
         )
 
-    def on_voted(self, talk: Talk, sender: str) -> None:
+    def on_vote_response(self, talk: Talk, sender: str) -> None:
         if (
             self.role == CANDIDATE
             and talk.term == self.term
             and talk.one
-            and self.counts_as(talk, sender)
+            and self.is_from_voter(talk, sender)
         ):
             self.votes.add(sender)
             self.count_votes()
 
-    def counts_as(self, talk: Talk, sender: str) -> bool:
+    def is_from_voter(self, talk: Talk, sender: str) -> bool:
         """Whether a voter's word is that of the disk that votes under its name."""
         return self.config.get(sender) == talk.disk
 
     def count_votes(self) -> None:
-        if self.role == CANDIDATE and self.most(self.votes):
-            self.lead()
+        if self.role == CANDIDATE and self.is_quorum(self.votes):
+            self.become_leader()
 
-    def lead(self) -> None:
+    def become_leader(self) -> None:
         self.role, self.leader = LEADER, self.name
-        self.next, self.match, self.flying, self.hinted = {}, {}, {}, {}
-        self.rounds, self.reads = {}, []
-        self.heard = {name: self.now for name in self.others()}
+        self.next_index, self.match_index, self.in_flight_since, self.sent_commit_index = (
+            {},
+            {},
+            {},
+            {},
+        )
+        self.acked_rounds, self.pending_reads = {}, []
+        self.last_response_at = {name: self.now for name in self.other_voters()}
         self.counts["led"] += 1
         self.events.append(("consensus_leader_elected", {"term": self.term}))
-        self.append(NOTHING, b"")
+        self.append_as_leader(NO_OP_ENTRY, b"")
 
     def step_down(self, why: str) -> None:
         if self.role == LEADER:
             self.events.append(("agreement_led", {"term": self.term, "why": why}))
         if self.leader == self.name:
             self.leader = ""
-        self.role, self.votes, self.reads = FOLLOWER, set(), []
-        self.doubt()
+        self.role, self.votes, self.pending_reads = FOLLOWER, set(), []
+        self.reset_election_timer()
 
-    def retire(self) -> None:
+    def transfer_leadership(self) -> None:
         """It ends soon: whoever holds most is asked to take over at once."""
-        if self.role == LEADER and self.match:
-            best = max(self.match, key=lambda name: (self.match[name], name))
+        if self.role == LEADER and self.match_index:
+            best = max(self.match_index, key=lambda name: (self.match_index[name], name))
             if best in self.config:
-                self.say(best, HURRY)
+                self.send(best, HURRY)
 
     # Copies.
 
-    def append(self, kind: int, data: bytes) -> int:
+    def append_as_leader(self, kind: int, data: bytes) -> int:
         """A leader's new line; its number."""
-        index = self.last + 1
-        self.put(index, Line(self.term, kind, data))
+        index = self.last_index + 1
+        self.append_entry(index, Line(self.term, kind, data))
         self.broadcast(False)
         return index
 
     def broadcast(self, beat: bool) -> None:
         self.round += 1
         if beat:
-            self.beat_at = self.now + self.pace.beat
-        for name in self.others():
-            if beat or name not in self.flying or self.reads:
-                self.send(name)
+            self.heartbeat_due = self.now + self.timing.heartbeat_interval
+        for name in self.other_voters():
+            if beat or name not in self.in_flight_since or self.pending_reads:
+                self.send_entries(name)
 
-    def send(self, name: str) -> None:
+    def send_entries(self, name: str) -> None:
         """To one voter: its next lines, and what is agreed."""
-        first = max(self.next.setdefault(name, self.last), self.start + 1)
-        lines = self.page(first, min(self.last, first + self.most_lines - 1))
+        first = max(self.next_index.setdefault(name, self.last_index), self.log_offset + 1)
+        lines = self.entries_for_message(
+            first, min(self.last_index, first + self.max_entries_per_append - 1)
+        )
         if lines:
-            self.flying[name] = self.now
-        self.hinted[name] = self.commit
-        self.say(name, APPEND, first - 1, self.term_at(first - 1), self.commit, self.round, lines)
+            self.in_flight_since[name] = self.now
+        self.sent_commit_index[name] = self.commit_index
+        self.send(
+            name, APPEND, first - 1, self.term_at(first - 1), self.commit_index, self.round, lines
+        )
 
-    def page(self, first: int, last: int) -> list[Line]:
+    def entries_for_message(self, first: int, last: int) -> list[Line]:
         """Lines from the first on, as many as fit into one talk: one at least, if there is one."""
         lines, room = list[Line](), MOST_TALK - 80
         for index in range(first, min(last, first + MOST_LINES - 1) + 1):
-            line = self.line(index)
+            line = self.entry(index)
             room -= len(line.data) + 12
             if room < 0 and lines:
                 break
             lines.append(line)
         return lines
 
-    def on_append(self, talk: Talk, sender: str) -> None:
+    def on_append_entries(self, talk: Talk, sender: str) -> None:
         if talk.term < self.term:
-            self.say(sender, TAKEN, 0, 0, 0, 0)
+            self.send(sender, TAKEN, 0, 0, 0, 0)
             return
         if self.leader != sender:
             self.leader = sender
             self.events.append(("agreement_follows", {"leader": sender, "term": self.term}))
         if self.role != FOLLOWER:
             self.role, self.votes = FOLLOWER, set()
-        self.leader_heard = self.now
-        self.doubt()
-        if not self.fits(talk):
-            self.say(sender, TAKEN, 0, self.hint(talk.one), 0, talk.four)
+        self.leader_contact_at = self.now
+        self.reset_election_timer()
+        if not self.matches_previous_entry(talk):
+            self.send(sender, TAKEN, 0, self.conflict_index(talk.one), 0, talk.four)
             return
         for index, line in enumerate(talk.lines, talk.one + 1):
-            if index <= self.start or index <= self.last and self.term_at(index) == line.term:
+            if (
+                index <= self.log_offset
+                or index <= self.last_index
+                and self.term_at(index) == line.term
+            ):
                 continue
-            self.put(index, line)
-        self.matched = max(self.matched, talk.one + len(talk.lines))
-        self.say(sender, TAKEN, 1, self.held(), self.matched, talk.four)
-        self.agreed(min(talk.three, talk.one + len(talk.lines)))
+            self.append_entry(index, line)
+        self.matched_index = max(self.matched_index, talk.one + len(talk.lines))
+        self.send(sender, TAKEN, 1, self.durable_match_index(), self.matched_index, talk.four)
+        self.commit_through(min(talk.three, talk.one + len(talk.lines)))
 
-    def held(self) -> int:
+    def durable_match_index(self) -> int:
         """Up to which line of the leader's is on the disk here."""
-        return min(self.durable, self.matched)
+        return min(self.durable_index, self.matched_index)
 
-    def fits(self, talk: Talk) -> bool:
+    def matches_previous_entry(self, talk: Talk) -> bool:
         """Whether the line before those that come is the one that the leader has."""
-        return talk.one <= self.last and (
-            talk.one < self.start or self.term_at(talk.one) == talk.two
+        return talk.one <= self.last_index and (
+            talk.one < self.log_offset or self.term_at(talk.one) == talk.two
         )
 
-    def hint(self, index: int) -> int:
+    def conflict_index(self, index: int) -> int:
         """From which line on a leader had better send: the first of the term that differs."""
-        if index > self.last:
-            return self.last + 1
+        if index > self.last_index:
+            return self.last_index + 1
         term = self.term_at(index)
-        while index > self.commit + 1 and self.term_at(index - 1) == term:
+        while index > self.commit_index + 1 and self.term_at(index - 1) == term:
             index -= 1
-        return max(index, self.commit + 1)
+        return max(index, self.commit_index + 1)
 
-    def on_taken(self, talk: Talk, sender: str) -> None:
-        if self.role != LEADER or talk.term != self.term or not self.counts_as(talk, sender):
+    def on_append_response(self, talk: Talk, sender: str) -> None:
+        if self.role != LEADER or talk.term != self.term or not self.is_from_voter(talk, sender):
             return
-        self.heard[sender] = self.now
-        self.rounds[sender] = max(self.rounds.get(sender, 0), talk.four)
-        self.flying.pop(sender, None)
+        self.last_response_at[sender] = self.now
+        self.acked_rounds[sender] = max(self.acked_rounds.get(sender, 0), talk.four)
+        self.in_flight_since.pop(sender, None)
         if talk.one:
-            self.match[sender] = max(self.match.get(sender, 0), talk.two)
-            self.next[sender] = max(self.next.get(sender, 1), talk.three + 1)
-            self.advance()
-            behind = self.next[sender] <= self.last or self.hinted.get(sender, 0) < self.commit
-            if behind and sender not in self.flying:
-                self.send(sender)
-        elif talk.two > self.match.get(sender, 0):
-            self.next[sender] = min(talk.two, self.last + 1)
-            if self.next[sender] <= self.start:
-                self.say(sender, BEHIND, self.commit)
+            self.match_index[sender] = max(self.match_index.get(sender, 0), talk.two)
+            self.next_index[sender] = max(self.next_index.get(sender, 1), talk.three + 1)
+            self.advance_commit_index()
+            behind = (
+                self.next_index[sender] <= self.last_index
+                or self.sent_commit_index.get(sender, 0) < self.commit_index
+            )
+            if behind and sender not in self.in_flight_since:
+                self.send_entries(sender)
+        elif talk.two > self.match_index.get(sender, 0):
+            self.next_index[sender] = min(talk.two, self.last_index + 1)
+            if self.next_index[sender] <= self.log_offset:
+                self.send(sender, BEHIND, self.commit_index)
             else:
-                self.send(sender)
-        self.answer_reads()
+                self.send_entries(sender)
+        self.answer_pending_reads()
 
-    def advance(self) -> None:
+    def advance_commit_index(self) -> None:
         """What most voters have on their disks is agreed, once a line of this leader's own is among it."""
-        for index in range(self.last, self.commit, -1):
+        for index in range(self.last_index, self.commit_index, -1):
             if self.term_at(index) != self.term:
                 return
-            holders = [name for name, match in self.match.items() if match >= index]
-            if self.durable >= index:
+            holders = [name for name, match in self.match_index.items() if match >= index]
+            if self.durable_index >= index:
                 holders.append(self.name)
-            if self.most(holders):
-                self.agreed(index)
+            if self.is_quorum(holders):
+                self.commit_through(index)
                 self.broadcast(False)
                 return
 
-    def agreed(self, index: int) -> None:
+    def commit_through(self, index: int) -> None:
         """Lines up to this one are agreed."""
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        self.commit = index
-        while self.applied < self.commit:
-            self.applied += 1
-            line = self.line(self.applied)
-            if line.kind > VOTERS:
-                self.machine.apply(self.applied, line)
+        self.commit_index = index
+        while self.last_applied < self.commit_index:
+            self.last_applied += 1
+            line = self.entry(self.last_applied)
+            if line.kind > CONFIG_ENTRY:
+                self.state_machine.apply(self.last_applied, line)
         if self.role == LEADER and self.name not in self.config:
             self.step_down("votes no longer")
-        self.ahead = {name: line for name, line in self.ahead.items() if line > self.commit}
-        if len(self.lines) > COMPACT:
+        self.peers_ahead = {
+            name: line for name, line in self.peers_ahead.items() if line > self.commit_index
+        }
+        if len(self.entries) > COMPACTION_THRESHOLD:
             self.compact()
 
     def compact(self) -> None:
         """What the lines come to is kept instead of the oldest."""
-        start = min(self.applied, self.last - self.kept)
-        if start <= self.start:
+        start = min(self.last_applied, self.last_index - self.retained_entries)
+        if start <= self.log_offset:
             return
-        known = [config for config in self.configs if config[0] <= self.applied]
+        known = [config for config in self.configs if config[0] <= self.last_applied]
         state = pack(
             (
-                self.applied,
-                self.term_at(self.applied),
+                self.last_applied,
+                self.term_at(self.last_applied),
                 known[-1] if known else (0, {}),
-                self.machine.snapshot(),
+                self.state_machine.snapshot(),
             )
         )
         start_term = self.term_at(start)
-        self.lines = self.lines[start - self.start :]
-        self.start, self.start_term, self.base, self.state = start, start_term, self.applied, state
-        self.note(BASE, self.base, state, start, start_term)
-        self.configs = known[-1:] + [config for config in self.configs if config[0] > self.applied]
+        self.entries = self.entries[start - self.log_offset :]
+        self.log_offset, self.log_offset_term, self.snapshot_index, self.snapshot = (
+            start,
+            start_term,
+            self.last_applied,
+            state,
+        )
+        self.add_record(SNAPSHOT_RECORD, self.snapshot_index, state, start, start_term)
+        self.configs = known[-1:] + [
+            config for config in self.configs if config[0] > self.last_applied
+        ]
 
-    def thaw(self, state: bytes) -> tuple[int, int]:
+    def load_snapshot(self, state: bytes) -> tuple[int, int]:
         """Take up what another's lines came to; the last of them, and its term."""
         index, term, (since, config), inner = unpack(state)
         self.configs = [(since, config)]
-        self.machine.restore(inner)
+        self.state_machine.restore(inner)
         return index, term
 
     # Voters, commands, reads.
@@ -633,263 +699,321 @@
         """Begin to change who votes, by one; why it can't be now, if it can't."""
         if self.role != LEADER:
             return "this member does not lead"
-        if self.term_at(self.commit) != self.term:
+        if self.term_at(self.commit_index) != self.term:
             return "the leader has agreed on nothing yet"
-        if self.configs and self.configs[-1][0] > self.commit:
+        if self.configs and self.configs[-1][0] > self.commit_index:
             return "the last change of voters is not agreed yet"
         before = {(name, disk) for name, disk in self.config.items()}
         if len(before ^ set(config.items())) != 1:
             return "one voter at a time is added or taken away"
-        if not config or len(config) > MOST_VOTERS:
-            return f"1 to {MOST_VOTERS} members vote"
-        self.append(VOTERS, pack(config))
+        if not config or len(config) > MAX_VOTERS:
+            return f"1 to {MAX_VOTERS} members vote"
+        self.append_as_leader(CONFIG_ENTRY, pack(config))
         return ""
 
-    def begin(
+    def bootstrap(
         self, record: int, config: dict[str, int], first: Iterable[tuple[int, bytes]] = ()
     ) -> None:
         """A record begins, with these voters and lines."""
-        assert not self.record and not self.lines
-        self.start_anew(record)
-        self.settle_term(1, 0)
-        for kind, data in [(VOTERS, pack(config)), *first]:
-            self.put(self.last + 1, Line(1, kind, data))
-        self.doubt_at = self.now
+        assert not self.cluster_id and not self.entries
+        self.join_cluster(record)
+        self.set_term_and_vote(1, 0)
+        for kind, data in [(CONFIG_ENTRY, pack(config)), *first]:
+            self.append_entry(self.last_index + 1, Line(1, kind, data))
+        self.election_due = self.now
 
     def recover(self) -> None:
         """By an operator's word, where most voters are lost for good: this member's copy goes on alone.
 
         All that is agreed here stays; who goes by the record as it was takes this one instead.
         """
-        self.record += 1
-        if self.last > self.commit:
-            self.cut(self.commit + 1)
-        for note in compacted(self.copy()):
-            self.note(*note)
+        self.cluster_id += 1
+        if self.last_index > self.commit_index:
+            self.truncate_from(self.commit_index + 1)
+        for note in compact_journal(self.persistent_state()):
+            self.add_record(*note)
         self.step_down("recovered")
-        self.settle_term(self.term + 1, 0)
-        self.put(self.last + 1, Line(self.term, VOTERS, pack({self.name: self.disk})))
-        self.doubt_at = self.awake_at = self.now
+        self.set_term_and_vote(self.term + 1, 0)
+        self.append_entry(
+            self.last_index + 1, Line(self.term, CONFIG_ENTRY, pack({self.name: self.disk_id}))
+        )
+        self.election_due = self.vote_allowed_at = self.now
 
-    def command(self, kind: int, data: bytes) -> bool:
+    def propose(self, kind: int, data: bytes) -> bool:
         """A command of a member; whether this one leads and has room for it."""
-        if self.role != LEADER or self.last - self.commit >= MOST_OPEN or len(data) > MOST_LINE:
+        if (
+            self.role != LEADER
+            or self.last_index - self.commit_index >= MAX_UNCOMMITTED
+            or len(data) > MOST_LINE
+        ):
             return False
-        if not self.machine.has_applied(data) and not any(
-            line.data == data for line in self.lines[self.commit - self.start :]
+        if not self.state_machine.has_applied(data) and not any(
+            line.data == data for line in self.entries[self.commit_index - self.log_offset :]
         ):
-            self.append(kind, data)
+            self.append_as_leader(kind, data)
         return True
 
-    def on_forward(self, talk: Talk, sender: str) -> None:
+    def on_forwarded_command(self, talk: Talk, sender: str) -> None:
         for line in talk.lines[:1]:
-            if line.kind > VOTERS:
-                self.command(line.kind, line.data)
+            if line.kind > CONFIG_ENTRY:
+                self.propose(line.kind, line.data)
 
-    def ask_read(self, nonce: int) -> None:
+    def request_read_index(self, nonce: int) -> None:
         """Up to which line one has to have learned to know all that is agreed by now: `read_at` will say."""
         if self.role == LEADER:
-            self.on_read(Talk(READ, self.record, self.disk, self.term, nonce), self.name)
+            self.on_read_index_request(
+                Talk(READ, self.cluster_id, self.disk_id, self.term, nonce), self.name
+            )
         elif self.leader:
-            self.say(self.leader, READ, nonce)
+            self.send(self.leader, READ, nonce)
 
-    def on_read(self, talk: Talk, sender: str) -> None:
+    def on_read_index_request(self, talk: Talk, sender: str) -> None:
         if (
             self.role != LEADER
-            or self.term_at(self.commit) != self.term
-            or len(self.reads) >= MOST_READS
+            or self.term_at(self.commit_index) != self.term
+            or len(self.pending_reads) >= MAX_PENDING_READS
         ):
             return  # it asks again
-        self.reads.append((self.round + 1, sender, talk.one, self.commit))
+        self.pending_reads.append((self.round + 1, sender, talk.one, self.commit_index))
         self.broadcast(False)
-        self.answer_reads()
+        self.answer_pending_reads()
 
-    def answer_reads(self) -> None:
+    def answer_pending_reads(self) -> None:
         """A read is answered once most voters have answered a round that began after it."""
         left = []
-        for read in self.reads:
+        for read in self.pending_reads:
             by, sender, nonce, index = read
-            if not self.most(
-                [self.name, *(name for name, done in self.rounds.items() if done >= by)]
+            if not self.is_quorum(
+                [self.name, *(name for name, done in self.acked_rounds.items() if done >= by)]
             ):
                 left.append(read)
             elif sender == self.name:
-                self.read_at.append((nonce, index))
+                self.read_results.append((nonce, index))
             else:
-                self.say(sender, READ_AT, nonce, index)
-        self.reads = left
+                self.send(sender, READ_AT, nonce, index)
+        self.pending_reads = left
 
     # Learning.
 
-    def behind(self) -> bool:
-        return bool(self.ahead) and max(self.ahead.values()) > self.commit
+    def is_behind(self) -> bool:
+        return bool(self.peers_ahead) and max(self.peers_ahead.values()) > self.commit_index
 
-    def told(self, sender: str, record: int, commit: int, term: int = 0, leader: int = 0) -> None:
+    def on_commit_announced(
+        self, sender: str, record: int, commit: int, term: int = 0, leader: int = 0
+    ) -> None:
         """Another tells up to which line it has learned the record, and whose disk leads."""
-        if self.outdone(record):
-            self.start_anew(record)
-        if record == self.record and commit > self.commit and len(self.ahead) < 4_096:
-            self.ahead[sender] = commit
-        elif sender in self.ahead:
-            del self.ahead[sender]
-        if record == self.record and not self.votes_here and leader and term >= self.told_term:
-            self.told_term = term
+        if self.is_superseded_by(record):
+            self.join_cluster(record)
+        if (
+            record == self.cluster_id
+            and commit > self.commit_index
+            and len(self.peers_ahead) < 4_096
+        ):
+            self.peers_ahead[sender] = commit
+        elif sender in self.peers_ahead:
+            del self.peers_ahead[sender]
+        if (
+            record == self.cluster_id
+            and not self.is_voter
+            and leader
+            and term >= self.leader_hint_term
+        ):
+            self.leader_hint_term = term
             self.leader = next(
                 (name for name, disk in self.config.items() if disk == leader), self.leader
             )
 
-    def outdone(self, record: int) -> bool:
+    def is_superseded_by(self, record: int) -> bool:
         """Whether another record is to be gone by: any where there is none, or one recovered since."""
-        return record > self.record and self.record // GENERATIONS in (0, record // GENERATIONS)
+        return record > self.cluster_id and self.cluster_id // CLUSTER_ID_STRIDE in (
+            0,
+            record // CLUSTER_ID_STRIDE,
+        )
 
-    def news(self, stamp: int) -> bytes:
+    def announcement(self, stamp: int) -> bytes:
         """What others are told in passing: which record and disk, how far, who leads, what is promised."""
         return pack(
-            (self.record, self.disk, self.term, self.commit, self.config.get(self.leader, 0), stamp)
+            (
+                self.cluster_id,
+                self.disk_id,
+                self.term,
+                self.commit_index,
+                self.config.get(self.leader, 0),
+                stamp,
+            )
         )
 
-    def copy(self) -> Copy:
+    def persistent_state(self) -> PersistentState:
         """What all notes that were given come to."""
-        return Copy(
-            self.record,
-            self.disk,
+        return PersistentState(
+            self.cluster_id,
+            self.disk_id,
             self.term,
-            self.voted,
-            self.start,
-            self.start_term,
-            self.base,
-            self.state,
-            list(self.lines),
+            self.voted_for,
+            self.log_offset,
+            self.log_offset_term,
+            self.snapshot_index,
+            self.snapshot,
+            list(self.entries),
         )
 
-    def start_anew(self, record: int) -> None:
+    def join_cluster(self, record: int) -> None:
         """Go by another record, of which nothing is known here."""
         self.events.append(("consensus_cluster_id", {"record": f"{record:x}"}))
-        fresh = self.record != 0
-        self.record, self.term, self.voted = record, 0, 0
-        self.start = self.start_term = self.base = self.commit = self.applied = self.durable = 0
-        self.lines, self.state, self.configs, self.ahead, self.parts = [], b"", [], {}, {}
-        self.marks.clear()
-        self.waiting.clear()
-        self.role, self.leader, self.matched = FOLLOWER, "", 0
-        self.proof = self.note(WHO, record, self.disk)
+        fresh = self.cluster_id != 0
+        self.cluster_id, self.term, self.voted_for = record, 0, 0
+        self.log_offset = self.log_offset_term = self.snapshot_index = self.commit_index = (
+            self.last_applied
+        ) = self.durable_index = 0
+        self.entries, self.snapshot, self.configs, self.peers_ahead, self.snapshot_chunks = (
+            [],
+            b"",
+            [],
+            {},
+            {},
+        )
+        self.unsynced_entries.clear()
+        self.outbox.clear()
+        self.role, self.leader, self.matched_index = FOLLOWER, "", 0
+        self.term_record = self.add_record(IDENTITY_RECORD, record, self.disk_id)
         if fresh:
-            self.machine.restore(b"")
+            self.state_machine.restore(b"")
 
-    def fetch(self) -> None:
+    def fetch_missing(self) -> None:
         """Ask one that is ahead for what is missing here."""
-        self.fetched_at = self.now
-        those = [one for one, line in self.ahead.items() if line > self.commit]
+        self.last_fetch_at = self.now
+        those = [one for one, line in self.peers_ahead.items() if line > self.commit_index]
         # Who votes has enough to do: another learner is asked where one is ahead.
         name = self.sample([one for one in those if one not in self.config] or those, 1)[0]
         missing = 0
-        while missing in self.parts:
-            missing += PIECE_SIZE
-        self.say(name, FETCH, self.commit + 1, missing, self.parts_of[0])
+        while missing in self.snapshot_chunks:
+            missing += SNAPSHOT_CHUNK_BYTES
+        self.send(name, FETCH, self.commit_index + 1, missing, self.incoming_snapshot[0])
 
-    def may_serve(self) -> bool:
-        if self.now - self.served_at >= self.pace.beat:
-            self.served, self.served_at = 0, self.now
-        self.served += 1
-        return self.served <= SERVED
+    def may_serve_learner(self) -> bool:
+        if self.now - self.served_since >= self.timing.heartbeat_interval:
+            self.served_messages, self.served_since = 0, self.now
+        self.served_messages += 1
+        return self.served_messages <= MAX_SERVED_PER_HEARTBEAT
 
     def on_fetch(self, talk: Talk, sender: str) -> None:
         """Give what is agreed here: lines, or the whole state in pieces where the lines are gone."""
-        if talk.one > self.commit:
+        if talk.one > self.commit_index:
             return
-        if talk.one <= self.start:
-            offset = talk.two if talk.three == self.base else 0
-            for at in range(offset, min(len(self.state), offset + PIECES * PIECE_SIZE), PIECE_SIZE):
-                if self.may_serve():
-                    self.say(
+        if talk.one <= self.log_offset:
+            offset = talk.two if talk.three == self.snapshot_index else 0
+            for at in range(
+                offset,
+                min(len(self.snapshot), offset + MAX_MESSAGES_PER_FETCH * SNAPSHOT_CHUNK_BYTES),
+                SNAPSHOT_CHUNK_BYTES,
+            ):
+                if self.may_serve_learner():
+                    self.send(
                         sender,
                         PIECE,
-                        self.base,
+                        self.snapshot_index,
                         at,
-                        len(self.state),
+                        len(self.snapshot),
                         0,
-                        data=self.state[at : at + PIECE_SIZE],
+                        data=self.snapshot[at : at + SNAPSHOT_CHUNK_BYTES],
                     )
             return
         index, talks = talk.one, 0
-        while index <= self.commit and talks < PIECES and self.may_serve():
-            lines = self.page(index, self.commit)
+        while (
+            index <= self.commit_index
+            and talks < MAX_MESSAGES_PER_FETCH
+            and self.may_serve_learner()
+        ):
+            lines = self.entries_for_message(index, self.commit_index)
             index, talks = index + len(lines), talks + 1
-            self.say(
+            self.send(
                 sender,
                 LINES,
                 index - len(lines),
-                int(index > self.commit or talks == PIECES),
+                int(index > self.commit_index or talks == MAX_MESSAGES_PER_FETCH),
                 lines=lines,
             )
 
-    def on_lines(self, talk: Talk, sender: str) -> None:
+    def on_fetched_entries(self, talk: Talk, sender: str) -> None:
         """Lines that are agreed."""
-        if talk.one > self.commit + 1:
+        if talk.one > self.commit_index + 1:
             return
         for index, line in enumerate(talk.lines, talk.one):
-            if index <= self.commit:
+            if index <= self.commit_index:
                 continue
-            if index > self.last or self.term_at(index) != line.term:
-                self.put(index, line)
-        self.take_term(talk.lines)
-        self.agreed(talk.one + len(talk.lines) - 1)
-        if talk.two and self.behind():
-            self.fetch()
-
-    def take_term(self, lines: Iterable[Line]) -> None:
+            if index > self.last_index or self.term_at(index) != line.term:
+                self.append_entry(index, line)
+        self.adopt_term(talk.lines)
+        self.commit_through(talk.one + len(talk.lines) - 1)
+        if talk.two and self.is_behind():
+            self.fetch_missing()
+
+    def adopt_term(self, lines: Iterable[Line]) -> None:
         """Whoever has learned a later term's lines follows no leader of an earlier one."""
         term = max((line.term for line in lines), default=0)
         if term > self.term:
-            self.settle_term(term, 0)
+            self.set_term_and_vote(term, 0)
             self.step_down("has learned of a later term")
             self.leader = ""
 
-    def on_piece(self, talk: Talk, sender: str) -> None:
+    def on_snapshot_chunk(self, talk: Talk, sender: str) -> None:
         """A piece of a state whose lines are gone everywhere."""
-        if talk.one <= self.commit or talk.three > MOST_STATE or talk.two % PIECE_SIZE:
+        if (
+            talk.one <= self.commit_index
+            or talk.three > MAX_SNAPSHOT_BYTES
+            or talk.two % SNAPSHOT_CHUNK_BYTES
+        ):
             return
-        if talk.one != self.parts_of[0]:
-            if talk.one < self.parts_of[0]:
+        if talk.one != self.incoming_snapshot[0]:
+            if talk.one < self.incoming_snapshot[0]:
                 return
-            self.parts, self.parts_of = {}, (talk.one, 0, talk.three)
-        self.parts[talk.two] = talk.data
-        self.fetched_at = self.now
-        size = sum(map(len, self.parts.values()))
-        if size >= self.parts_of[2]:
-            state = b"".join(data for _, data in sorted(self.parts.items()))
-            self.parts, self.parts_of = {}, (0, 0, 0)
-            self.install(state)
-        elif talk.two // PIECE_SIZE % PIECES == PIECES - 1:
-            self.fetch()
-
-    def install(self, state: bytes) -> None:
+            self.snapshot_chunks, self.incoming_snapshot = {}, (talk.one, 0, talk.three)
+        self.snapshot_chunks[talk.two] = talk.data
+        self.last_fetch_at = self.now
+        size = sum(map(len, self.snapshot_chunks.values()))
+        if size >= self.incoming_snapshot[2]:
+            state = b"".join(data for _, data in sorted(self.snapshot_chunks.items()))
+            self.snapshot_chunks, self.incoming_snapshot = {}, (0, 0, 0)
+            self.install_snapshot(state)
+        elif (
+            talk.two // SNAPSHOT_CHUNK_BYTES % MAX_MESSAGES_PER_FETCH == MAX_MESSAGES_PER_FETCH - 1
+        ):
+            self.fetch_missing()
+
+    def install_snapshot(self, state: bytes) -> None:
         try:
-            index, term = self.thaw(state)
+            index, term = self.load_snapshot(state)
         except (msgspec.DecodeError, ValueError, TypeError):
             self.counts["states_torn"] += 1
             return
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        fits = self.start <= index <= self.last and self.term_at(index) == term
-        self.lines = self.lines[index - self.start :] if fits else []
-        self.start, self.start_term, self.base, self.state = index, term, index, state
-        self.read_configs()
-        self.commit = self.applied = index
-        self.marks = deque((seq, at) for seq, at in self.marks if fits and at > index)
-        self.durable = max(index, min(self.durable, self.last)) if fits else index
-        self.note(BASE, index, state, index, term)
+        fits = self.log_offset <= index <= self.last_index and self.term_at(index) == term
+        self.entries = self.entries[index - self.log_offset :] if fits else []
+        self.log_offset, self.log_offset_term, self.snapshot_index, self.snapshot = (
+            index,
+            term,
+            index,
+            state,
+        )
+        self.load_configs()
+        self.commit_index = self.last_applied = index
+        self.unsynced_entries = deque(
+            (seq, at) for seq, at in self.unsynced_entries if fits and at > index
+        )
+        self.durable_index = max(index, min(self.durable_index, self.last_index)) if fits else index
+        self.add_record(SNAPSHOT_RECORD, index, state, index, term)
         self.counts["states_learned"] += 1
-        self.take_term([Line(term, NOTHING)])
+        self.adopt_term([Line(term, NO_OP_ENTRY)])
 
     # What comes.
 
-    def hear(self, talk: Talk, sender: str, now: int) -> None:
+    def receive(self, talk: Talk, sender: str, now: int) -> None:
         """A talk of a member that is proved to be of the fleet."""
         self.now = max(self.now, now)
-        if talk.record != self.record:
-            if self.outdone(talk.record):
-                self.start_anew(talk.record)
+        if talk.record != self.cluster_id:
+            if self.is_superseded_by(talk.record):
+                self.join_cluster(talk.record)
             else:
                 self.counts["other_record"] += 1
                 return
@@ -898,46 +1022,46 @@
             or talk.kind == EARLY
             and not talk.one
         ):
-            if talk.term > self.term and not self.ignores(talk):
-                self.later_term(talk)
+            if talk.term > self.term and not self.ignores_vote_request(talk):
+                self.on_later_term(talk)
         kind = talk.kind
         if kind == ASK_EARLY:
-            self.on_ask_early(talk, sender)
+            self.on_pre_vote_request(talk, sender)
         elif kind == EARLY:
-            self.on_early(talk, sender)
+            self.on_pre_vote_response(talk, sender)
         elif kind == ASK_VOTE:
-            self.on_ask_vote(talk, sender)
+            self.on_vote_request(talk, sender)
         elif kind == VOTED:
-            self.on_voted(talk, sender)
+            self.on_vote_response(talk, sender)
         elif kind == APPEND:
-            self.on_append(talk, sender)
+            self.on_append_entries(talk, sender)
         elif kind == TAKEN:
-            self.on_taken(talk, sender)
+            self.on_append_response(talk, sender)
         elif kind == BEHIND:
-            self.told(sender, talk.record, talk.one)
-            if self.behind():
-                self.fetch()
+            self.on_commit_announced(sender, talk.record, talk.one)
+            if self.is_behind():
+                self.fetch_missing()
         elif kind == FETCH:
             self.on_fetch(talk, sender)
         elif kind == LINES:
-            self.on_lines(talk, sender)
+            self.on_fetched_entries(talk, sender)
         elif kind == PIECE:
-            self.on_piece(talk, sender)
+            self.on_snapshot_chunk(talk, sender)
         elif kind == FORWARD:
-            self.on_forward(talk, sender)
+            self.on_forwarded_command(talk, sender)
         elif kind == READ:
-            self.on_read(talk, sender)
+            self.on_read_index_request(talk, sender)
         elif kind == READ_AT:
-            self.read_at.append((talk.one, talk.two))
-            del self.read_at[:-MOST_READS]
-        elif kind == HURRY and self.votes_here and talk.term == self.term and sender == self.leader:
-            self.campaign(True)
+            self.read_results.append((talk.one, talk.two))
+            del self.read_results[:-MAX_PENDING_READS]
+        elif kind == HURRY and self.is_voter and talk.term == self.term and sender == self.leader:
+            self.start_election(True)
 
-    def ignores(self, talk: Talk) -> bool:
+    def ignores_vote_request(self, talk: Talk) -> bool:
         """One that asks for votes though a leader is there, and does not say so, was taken out or cut off."""
-        return talk.kind == ASK_VOTE and not talk.three and self.led()
+        return talk.kind == ASK_VOTE and not talk.three and self.has_leader_contact()
 
-    def later_term(self, talk: Talk) -> None:
-        self.settle_term(talk.term, 0)
+    def on_later_term(self, talk: Talk) -> None:
+        self.set_term_and_vote(talk.term, 0)
         self.step_down("a later term")
         self.leader = ""
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -25,7 +25,14 @@
 from whinpier import log
 from whinpier.config.model import ConfigFault, Spec
 from whinpier.fleet.consensus import node as raft
-from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, compacted, replayed, unpack
+from whinpier.fleet.consensus.node import (
+    LEADER,
+    PersistentState,
+    RaftNode,
+    compact_journal,
+    replay_journal,
+    unpack,
+)
 from whinpier.fleet.messages import FORWARD, HERE, RECORD_NEWS, REPORT, STALE, SUSPECT, Line, Talk
 from whinpier.fleet.rollouts.commands import CommandHeader, EntryKind, SetBudget, encode
 from whinpier.fleet.rollouts.controller import RolloutController
@@ -42,27 +49,29 @@
     from whinpier.fleet.service import Link
 
 MS = SECOND // 1000
-MAGIC = b"whinpier bank record 1\n"
-LONGEST = 6 << 20  # bytes of a note: a whole state fits
-LEAST, LIVE = (
+JOURNAL_MAGIC = b"whinpier bank record 1\n"
+MAX_RECORD_BYTES = 6 << 20  # bytes of a note: a whole state fits
+REWRITE_MIN_BYTES, REWRITE_GROWTH_FACTOR = (
     1 << 20,
     2,
 )  # bytes below which the file is not rewritten; times what is live that it may hold
-AGAIN = 0.5  # seconds until what could not be written is tried again
-TURN, BUSY = SECOND // 4, SECOND // 10  # between looks; while a drain or release is on
-TELL, TELL_BUSY = 2 * SECOND, 400 * MS  # between reports that say nothing new
-ASKED, ASK_AGAIN, ASK_FOR = (
+WRITE_RETRY_SECONDS = 0.5  # seconds until what could not be written is tried again
+PERIOD, BUSY_PERIOD = SECOND // 4, SECOND // 10  # between looks; while a drain or release is on
+REPORT_INTERVAL, BUSY_REPORT_INTERVAL = 2 * SECOND, 400 * MS  # between reports that say nothing new
+MAX_PENDING_COMMANDS, COMMAND_RETRY_INTERVAL, COMMAND_TIMEOUT = (
     256,
     250 * MS,
     60 * SECOND,
 )  # commands on their way: how many, how often, how long
-MOST_FILE = 1 << 20  # bytes of a released file
-PIECE = 560  # bytes of a file in one line of the record: with its names it fits into a control line
-FIRST = re.compile(rb"# release ([0-9a-f]{1,64})\n")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+MAX_RELEASE_BYTES = 1 << 20  # bytes of a released file
+RELEASE_CHUNK_BYTES = (
+    560  # bytes of a file in one line of the record: with its names it fits into a control line
+)
+RELEASE_HEADER = re.compile(rb"# release ([0-9a-f]{1,64})\n")
+MEMORY_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class Reader(Protocol):
+class ReleaseReader(Protocol):
     """Reads the process's file, with what was released over it."""
 
     def __call__(self) -> Spec: ...
@@ -71,7 +80,7 @@
         """What the file comes to with another release over it; raises ConfigFault."""
 
 
-class Asked:
+class PendingCommand:
     """A command on its way into the record."""
 
     __slots__ = ("kind", "data", "done", "since", "sent")
@@ -82,77 +91,81 @@
             data,
             done,
             now,
-            now - ASK_AGAIN,
+            now - COMMAND_RETRY_INTERVAL,
         )
 
 
-class Agreed:
+class ConsensusService:
     """This process's part in the record."""
 
     def __init__(self, link: Link, spec: AgreementSpec) -> None:
-        self.link, self.spec, self.loop, self.life = link, spec, link.loop, link.life
-        self.now = self.begun = self.loop.clock()
-        self.chance = Random(
+        self.link, self.spec, self.loop, self.process = link, spec, link.loop, link.life
+        self.now = self.started_at = self.loop.clock()
+        self.random = Random(
             Random().getrandbits(64)
         )  # numbers of disks and commands are nobody else's
-        self.journal = AppendLog(str(Path(spec.folder) / "record"), MAGIC, LONGEST)
-        self.file = Path(spec.folder) / RELEASED
-        copy = self.opened()
-        self.stamp = self.begun_stamp = stamp_of(copy)  # how much this disk has promised
-        self.record = RolloutStateMachine()
-        pace = raft.Pace()
-        self.agreement = Agreement(
+        self.journal = AppendLog(str(Path(spec.folder) / "record"), JOURNAL_MAGIC, MAX_RECORD_BYTES)
+        self.release_file = Path(spec.folder) / RELEASED
+        copy = self.open_journal()
+        self.disk_version = self.disk_version_at_start = disk_version_of(
+            copy
+        )  # how much this disk has promised
+        self.state_machine = RolloutStateMachine()
+        pace = raft.RaftTiming()
+        self.node = RaftNode(
             link.spec.name,
             copy,
-            self.record,
+            self.state_machine,
             self.now,
-            Random(self.chance.random()),
+            Random(self.random.random()),
             pace,
-            pace.timeout if copy.record else 0,
+            pace.election_timeout if copy.cluster_id else 0,
         )
-        if not copy.disk:
-            self.draw_disk()
-        self.came, self.fault = anyio.Event(), ""
-        self.disks: dict[
+        if not copy.disk_id:
+            self.assign_disk_id()
+        self.records_pending, self.disk_error = anyio.Event(), ""
+        self.known_disks: dict[
             int, tuple[int, int]
         ] = {}  # by disk: whose run told of it, how much it has promised
-        self.told: dict[
+        self.announced_disks: dict[
             str, tuple[int, int]
         ] = {}  # by name: which disk a member has, of which record
-        self.heard_any = False
+        self.has_heard_announcement = False
         self.controller: RolloutController | None = None
-        self.asks: list[Asked] = []
-        self.reads: dict[int, int] = {}  # by nonce: up to which line; 0: not known yet
+        self.pending_commands: list[PendingCommand] = []
+        self.read_indexes: dict[int, int] = {}  # by nonce: up to which line; 0: not known yet
         self.seen_changes, self.seen_commit = -1, -1
-        self.running = self.released()
-        self.before, self.switched_at = (
-            self.running,
+        self.running_content = self.read_released_content()
+        self.previous_content, self.switched_at = (
+            self.running_content,
             0,
         )  # what ran before the last switch, and when that was
-        self.switching, self.refusal = False, ""
-        self.avoid: str | None = None  # a file that cut this process off
-        self.refused: str | None = None  # one that it does not take
+        self.switching, self.refusal_reason = False, ""
+        self.avoided_content: str | None = None  # a file that cut this process off
+        self.refused_content: str | None = None  # one that it does not take
         self.first_build: str | None = None
-        self.ended = self.on_time = self.scrapped = self.turned_back = 0
-        self.reported, self.reported_at = MemberReport(), self.now - TELL
-        self.current, self.called_at, self.drained = False, 0, False
-        self.life.aside = True  # till it has learned what it is to do
-        self.names: dict[str, int] = {}
-        self.names_at = -1
+        self.requests_finished = self.requests_on_time = self.requests_scrapped = (
+            self.requests_turned_back
+        ) = 0
+        self.last_report, self.last_report_at = MemberReport(), self.now - REPORT_INTERVAL
+        self.is_current, self.scheduled_tick, self.is_drained = False, 0, False
+        self.process.aside = True  # till it has learned what it is to do
+        self.member_ids: dict[str, int] = {}
+        self.member_ids_version = -1
 
     # The file.
 
-    def draw_disk(self) -> None:
+    def assign_disk_id(self) -> None:
         """From now on this file is another disk than any before."""
-        self.agreement.disk = self.chance.getrandbits(62) | 1
-        self.agreement.note(raft.WHO, 0, self.agreement.disk)
+        self.node.disk_id = self.random.getrandbits(62) | 1
+        self.node.add_record(raft.IDENTITY_RECORD, 0, self.node.disk_id)
 
-    def opened(self) -> Copy:
+    def open_journal(self) -> PersistentState:
         """Open the log and replay it. Raises AppendLogError where it can't be used."""
         Path(self.spec.folder).mkdir(parents=True, exist_ok=True)
         notes = self.journal.open()
         try:
-            copy = replayed(notes)
+            copy = replay_journal(notes)
         except (ValueError, TypeError, IndexError) as fault:
             self.journal.close()
             raise AppendLogError(
@@ -167,111 +180,115 @@
             )
         log.info(
             "agreement",
-            record=f"{copy.record:x}",
-            disk=f"{copy.disk:x}",
+            record=f"{copy.cluster_id:x}",
+            disk=f"{copy.disk_id:x}",
             term=copy.term,
-            lines=copy.start + len(copy.lines),
+            lines=copy.log_offset + len(copy.entries),
         )
         return copy
 
-    def released(self) -> str:
+    def read_released_content(self) -> str:
         """Which released file is in force, by its first line."""
         try:
-            with self.file.open("rb") as file:
-                found = FIRST.match(file.read(100))
+            with self.release_file.open("rb") as file:
+                found = RELEASE_HEADER.match(file.read(100))
         except OSError:
             return ""
         return found[1].decode() if found else ""
 
-    async def write(self) -> None:
+    async def run_journal_writer(self) -> None:
         """Notes to the disk, off the loop, as they come."""
         try:
             while True:
-                await self.came.wait()
-                self.came = anyio.Event()
-                while self.agreement.notes:
-                    if not await self.write_once():
-                        await anyio.sleep(AGAIN)
-                    self.loop.enter(self, self.pass_on)
+                await self.records_pending.wait()
+                self.records_pending = anyio.Event()
+                while self.node.pending_records:
+                    if not await self.write_pending_records():
+                        await anyio.sleep(WRITE_RETRY_SECONDS)
+                    self.loop.enter(self, self.flush)
         finally:
             self.journal.close()
 
-    async def write_once(self) -> bool:
+    async def write_pending_records(self) -> bool:
         """What there is now; whether it is on the disk."""
-        agreement, journal = self.agreement, self.journal
-        notes, count, stamp = list(agreement.notes), agreement.noted, stamp_of(agreement)
-        anew = any(note[0] in (raft.WHO, raft.BASE) for note in notes) or (
-            journal.size > LEAST + LIVE * len(agreement.state)
+        agreement, journal = self.node, self.journal
+        notes, count, stamp = (
+            list(agreement.pending_records),
+            agreement.records_issued,
+            disk_version_of(agreement),
         )
-        whole = compacted(agreement.copy()) if anew else []
+        anew = any(note[0] in (raft.IDENTITY_RECORD, raft.SNAPSHOT_RECORD) for note in notes) or (
+            journal.size > REWRITE_MIN_BYTES + REWRITE_GROWTH_FACTOR * len(agreement.snapshot)
+        )
+        whole = compact_journal(agreement.persistent_state()) if anew else []
         try:
             if anew:
                 await anyio.to_thread.run_sync(journal.compact, whole)
             else:
                 await anyio.to_thread.run_sync(journal.append, b"".join(map(encode_record, notes)))
         except OSError as fault:
-            if not self.fault:
+            if not self.disk_error:
                 log.warning("consensus_log_failed", file=journal.path, fault=fault)
-            self.fault = str(fault)
+            self.disk_error = str(fault)
             return False
-        if self.fault:
+        if self.disk_error:
             log.info("consensus_log_recovered", file=journal.path)
-            self.fault = ""
-        del agreement.notes[: len(notes)]
-        self.stamp = stamp
-        agreement.written(count)
+            self.disk_error = ""
+        del agreement.pending_records[: len(notes)]
+        self.disk_version = stamp
+        agreement.on_records_synced(count)
         return True
 
     # The life of the process.
 
     def start(self) -> None:
-        self.judge_pools()
-        self.loop.spawn(self.write, lambda: None)
-        self.loop.at(self.now, self, self.turn)
-        self.pass_on()
+        self.observe_pools()
+        self.loop.spawn(self.run_journal_writer, lambda: None)
+        self.loop.at(self.now, self, self.run_periodic_tasks)
+        self.flush()
 
-    def follow(self) -> None:
+    def on_pools_changed(self) -> None:
         """Pools may be others now."""
-        self.judge_pools()
-        self.obey()
+        self.observe_pools()
+        self.apply_orders()
 
-    def judge_pools(self) -> None:
-        for pool in self.life.pools.values():
-            pool.judge = self.judge
+    def observe_pools(self) -> None:
+        for pool in self.process.pools.values():
+            pool.judge = self.on_request_finished
 
     def leave(self) -> None:
-        self.agreement.retire()
-        self.pass_on()
+        self.node.transfer_leadership()
+        self.flush()
 
-    def judge(self, request: PendingRequest, how: str) -> None:
+    def on_request_finished(self, request: PendingRequest, how: str) -> None:
         """A request has its final answer."""
-        self.ended += 1
+        self.requests_finished += 1
         if how == Outcome.SUCCEEDED:
-            self.on_time += (
+            self.requests_on_time += (
                 request.pool.now - request.came <= request.request_class.latency_objective
             )
         elif how == "scrapped":
-            self.scrapped += 1
+            self.requests_scrapped += 1
         else:
-            self.turned_back += 1
+            self.requests_turned_back += 1
 
     # Talks.
 
-    def hear(self, sender: int, talk: Talk) -> None:
+    def receive(self, sender: int, talk: Talk) -> None:
         """A talk from another member."""
         member = self.link.members.members.get(sender)
         if member is None:
             return
         name, now = member.card.name, self.loop.clock()
         if talk.kind == REPORT:
-            self.reported_by(name, sender, talk, now)
+            self.on_member_report(name, sender, talk, now)
             return
         if talk.kind == STALE:
-            self.told_stale(talk)
+            self.on_stale_disk(talk)
             return
-        self.agreement.hear(talk, name, now)
+        self.node.receive(talk, name, now)
 
-    def reported_by(self, name: str, sender: int, talk: Talk, now: int) -> None:
+    def on_member_report(self, name: str, sender: int, talk: Talk, now: int) -> None:
         if self.controller is None:
             return
         try:
@@ -280,27 +297,35 @@
             return
         self.controller.on_report(name, sender, report, now)
 
-    def told_stale(self, talk: Talk) -> None:
+    def on_stale_disk(self, talk: Talk) -> None:
         """Another knows that this disk has promised more than its file knew when this run began."""
-        agreement = self.agreement
-        if talk.two != agreement.disk or talk.one <= self.begun_stamp:
+        agreement = self.node
+        if talk.two != agreement.disk_id or talk.one <= self.disk_version_at_start:
             return
-        log.warning("consensus_log_stale", disk=f"{agreement.disk:x}", known=talk.one)
-        noted, synced, waiting = agreement.noted, agreement.synced, agreement.notes
-        self.record.restore(b"")
-        self.agreement = Agreement(
+        log.warning("consensus_log_stale", disk=f"{agreement.disk_id:x}", known=talk.one)
+        noted, synced, waiting = (
+            agreement.records_issued,
+            agreement.records_synced,
+            agreement.pending_records,
+        )
+        self.state_machine.restore(b"")
+        self.node = RaftNode(
             self.link.spec.name,
-            Copy(),
-            self.record,
+            PersistentState(),
+            self.state_machine,
             self.loop.clock(),
-            Random(self.chance.random()),
+            Random(self.random.random()),
         )
-        self.agreement.noted, self.agreement.synced, self.agreement.notes = noted, synced, waiting
-        self.draw_disk()
-        self.begun_stamp = 0
-        self.came.set()
+        self.node.records_issued, self.node.records_synced, self.node.pending_records = (
+            noted,
+            synced,
+            waiting,
+        )
+        self.assign_disk_id()
+        self.disk_version_at_start = 0
+        self.records_pending.set()
 
-    def told_news(self, member: int, contents: bytes) -> None:
+    def on_announcement(self, member: int, contents: bytes) -> None:
         there = self.link.members.members.get(member)
         try:
             record, disk, term, commit, leader, stamp = map(int, unpack(contents))
@@ -309,168 +334,178 @@
         if there is None or min(record, disk, term, commit, leader, stamp) < 0:
             return
         name = there.card.name
-        self.heard_any = True
-        if name in self.told or len(self.told) < 4_096:
-            self.told[name] = disk, record
-        run, most = self.disks.get(disk, (member, 0))
+        self.has_heard_announcement = True
+        if name in self.announced_disks or len(self.announced_disks) < 4_096:
+            self.announced_disks[name] = disk, record
+        run, most = self.known_disks.get(disk, (member, 0))
         if run != member and stamp < most:
-            talk = Talk(STALE, self.agreement.record, self.agreement.disk, 0, most, disk)
+            talk = Talk(STALE, self.node.cluster_id, self.node.disk_id, 0, most, disk)
             self.link.members.send_talks([(member, talk)], self.loop.clock())
-        elif disk in self.disks or len(self.disks) < 4_096:
-            self.disks[disk] = member, max(stamp, most)
-        self.agreement.now = max(self.agreement.now, self.loop.clock())
-        self.agreement.told(name, record, commit, term, leader)
+        elif disk in self.known_disks or len(self.known_disks) < 4_096:
+            self.known_disks[disk] = member, max(stamp, most)
+        self.node.now = max(self.node.now, self.loop.clock())
+        self.node.on_commit_announced(name, record, commit, term, leader)
 
-    def by_name(self) -> dict[str, int]:
+    def connected_members(self) -> dict[str, int]:
         members = self.link.members
-        if self.names_at != members.changes:
-            self.names_at = members.changes
-            self.names = {
+        if self.member_ids_version != members.changes:
+            self.member_ids_version = members.changes
+            self.member_ids = {
                 one.card.name: one.id for one in members.members.values() if one.connected
             }
-        return self.names
+        return self.member_ids
 
-    def pass_on(self) -> None:
+    def flush(self) -> None:
         """Send what may be sent, write what is to be written, act on what is agreed."""
-        agreement, names = self.agreement, self.by_name()
-        talks = [(names[to], talk) for to, talk in agreement.take() if to in names]
+        agreement, names = self.node, self.connected_members()
+        talks = [(names[to], talk) for to, talk in agreement.take_messages() if to in names]
         if talks:
             self.link.members.send_talks(talks, self.loop.clock())
             self.link.pass_on()
-        if agreement.notes:
-            self.came.set()
-        for nonce, index in agreement.read_at:
-            if nonce in self.reads:
-                self.reads[nonce] = index
-        agreement.read_at = []
+        if agreement.pending_records:
+            self.records_pending.set()
+        for nonce, index in agreement.read_results:
+            if nonce in self.read_indexes:
+                self.read_indexes[nonce] = index
+        agreement.read_results = []
         for name, pairs in agreement.events:
-            self.tell(name, **pairs)
+            self.emit_event(name, **pairs)
         agreement.events = []
-        if agreement.commit != self.seen_commit:
-            self.seen_commit = agreement.commit
-            self.link.members.carry(RECORD_NEWS, agreement.news(self.stamp))
-        if self.record.changes != self.seen_changes:
-            self.seen_changes = self.record.changes
-            self.obey()
-            self.report()
+        if agreement.commit_index != self.seen_commit:
+            self.seen_commit = agreement.commit_index
+            self.link.members.carry(RECORD_NEWS, agreement.announcement(self.disk_version))
+        if self.state_machine.changes != self.seen_changes:
+            self.seen_changes = self.state_machine.changes
+            self.apply_orders()
+            self.send_report()
         self.schedule()
 
-    def tell(self, name: str, **pairs: Any) -> None:
+    def emit_event(self, name: str, **pairs: Any) -> None:
         """To the log, and to whoever watches."""
         self.link.say_event(name, pairs)
 
     def schedule(self) -> None:
-        due = self.agreement.due()
-        if not self.called_at or due < self.called_at:
-            self.called_at = due
+        due = self.node.next_deadline()
+        if not self.scheduled_tick or due < self.scheduled_tick:
+            self.scheduled_tick = due
             self.loop.at(due, self, self.tick, due)
 
     def tick(self, due: int) -> None:
-        if due == self.called_at:
-            self.called_at = 0
-            self.agreement.tick(self.now)
-            self.pass_on()
+        if due == self.scheduled_tick:
+            self.scheduled_tick = 0
+            self.node.tick(self.now)
+            self.flush()
 
     # Looking round.
 
-    def turn(self) -> None:
+    def run_periodic_tasks(self) -> None:
         """Once in a while: begin a record, lead, report, ask again."""
         now = self.now = self.loop.clock()
-        state = self.record.state
-        busy = bool(state.rollout or state.drains or self.asks)
-        self.loop.at(now + (BUSY if busy else TURN), self, self.turn)
-        self.link.members.carry(RECORD_NEWS, self.agreement.news(self.stamp))
-        self.look_whether_current(now)
-        self.begin()
-        if self.agreement.role == LEADER:
+        state = self.state_machine.state
+        busy = bool(state.rollout or state.drains or self.pending_commands)
+        self.loop.at(now + (BUSY_PERIOD if busy else PERIOD), self, self.run_periodic_tasks)
+        self.link.members.carry(RECORD_NEWS, self.node.announcement(self.disk_version))
+        self.update_is_current(now)
+        self.bootstrap_if_ready()
+        if self.node.role == LEADER:
             if self.controller is None:
                 self.controller = RolloutController(now, self.spec.write_off)
                 self.controller.known_zones = {
-                    name: seat.zone for name, seat in self.seats().items() if seat.is_present
+                    name: seat.zone for name, seat in self.member_views().items() if seat.is_present
                 }
-            self.lead(now)
+            self.run_as_leader(now)
         else:
             self.controller = None
-        self.report()
-        self.ask_again(now)
-        self.watch_the_release(now)
-        self.pass_on()
+        self.send_report()
+        self.resend_commands(now)
+        self.check_release_connectivity(now)
+        self.flush()
 
-    def look_whether_current(self, now: int) -> None:
-        if self.current:
+    def update_is_current(self, now: int) -> None:
+        if self.is_current:
             return
-        waited, agreement = now - self.begun >= self.spec.wait, self.agreement
-        if agreement.record:
-            known = bool(agreement.leader) and agreement.commit > 0 and not agreement.behind()
+        waited, agreement = now - self.started_at >= self.spec.wait, self.node
+        if agreement.cluster_id:
+            known = (
+                bool(agreement.leader) and agreement.commit_index > 0 and not agreement.is_behind()
+            )
         else:
-            known = self.heard_any and all(record == 0 for _, record in self.told.values())
+            known = self.has_heard_announcement and all(
+                record == 0 for _, record in self.announced_disks.values()
+            )
         if waited or known:
-            self.current = True
+            self.is_current = True
             if waited:
                 log.warning(
                     "consensus_quorum_lost",
-                    waited_ms=(now - self.begun) // MS,
-                    lines=self.agreement.commit,
+                    waited_ms=(now - self.started_at) // MS,
+                    lines=self.node.commit_index,
                 )
-            self.obey()
+            self.apply_orders()
 
-    def begin(self) -> None:
+    def bootstrap_if_ready(self) -> None:
         """Begin a record where none is: the first voter does, once all of them are there, all blank."""
-        agreement, voters = self.agreement, self.spec.voters
-        if agreement.record or not voters or voters[0] != self.link.spec.name:
+        agreement, voters = self.node, self.spec.voters
+        if agreement.cluster_id or not voters or voters[0] != self.link.spec.name:
             return
-        there = self.by_name()
-        disks = {self.link.spec.name: agreement.disk}
+        there = self.connected_members()
+        disks = {self.link.spec.name: agreement.disk_id}
         for name in voters[1:]:
-            disk, record = self.told.get(name, (0, 1))
+            disk, record = self.announced_disks.get(name, (0, 1))
             if name not in there or record or not disk:
                 return
             disks[name] = disk
         said = CommandHeader(
-            self.chance.getrandbits(62) | 1, self.link.spec.name, "as its file has it", wall_ms()
+            self.random.getrandbits(62) | 1,
+            self.link.spec.name,
+            "as its file has it",
+            wall_clock_ms(),
         )
-        number = (self.chance.getrandbits(40) | 1) * raft.GENERATIONS
-        agreement.begin(
+        number = (self.random.getrandbits(40) | 1) * raft.CLUSTER_ID_STRIDE
+        agreement.bootstrap(
             number,
             disks,
             [(EntryKind.SET_BUDGET, encode(SetBudget(said, list(self.spec.permits))))],
         )
         log.info("consensus_bootstrapped", record=f"{number:x}", voters=",".join(disks))
 
-    def lead(self, now: int) -> None:
+    def run_as_leader(self, now: int) -> None:
         assert self.controller
         self.controller.on_report(
-            self.link.spec.name, self.link.members.card.id, weighed(self.own_report()), now
+            self.link.spec.name,
+            self.link.members.card.id,
+            with_memory_usage(self.build_report()),
+            now,
         )
-        for kind, data in self.controller.reconcile(now, self.seats(), self.record):
-            self.agreement.command(kind, data)
-        self.mend_voters()
+        for kind, data in self.controller.reconcile(now, self.member_views(), self.state_machine):
+            self.node.propose(kind, data)
+        self.reconcile_voters()
 
-    def mend_voters(self) -> None:
+    def reconcile_voters(self) -> None:
         """A voter whose disk is another is taken out; one that the file names, and is there, is taken in."""
-        agreement, there = self.agreement, self.by_name()
+        agreement, there = self.node, self.connected_members()
         config = agreement.config
         for name, disk in config.items():
-            known, record = self.told.get(name, (disk, 0))
+            known, record = self.announced_disks.get(name, (disk, 0))
             if name != agreement.name and name in there and known != disk:
                 self.change_voters({one: at for one, at in config.items() if one != name})
                 return
         for name in self.spec.voters:
-            known, record = self.told.get(name, (0, 0))
-            if name not in config and name in there and known and record == agreement.record:
+            known, record = self.announced_disks.get(name, (0, 0))
+            if name not in config and name in there and known and record == agreement.cluster_id:
                 self.change_voters({**config, name: known})
                 return
 
     def change_voters(self, config: dict[str, int]) -> str:
-        fault = self.agreement.change_voters(config)
+        fault = self.node.change_voters(config)
         if not fault:
-            self.tell("consensus_voters_changed", voters=",".join(config))
+            self.emit_event("consensus_voters_changed", voters=",".join(config))
         return fault
 
-    def seats(self) -> dict[str, MemberView]:
+    def member_views(self) -> dict[str, MemberView]:
         """Who is there, as this process sees it."""
         members, own = self.link.members, self.link.members.card
-        found = {own.name: MemberView(own.name, own.id, own.zone, not self.life.stopping)}
+        found = {own.name: MemberView(own.name, own.id, own.zone, not self.process.stopping)}
         for one in members.members.values():
             name = one.card.name
             here = one.state in (HERE, SUSPECT)
@@ -482,108 +517,116 @@
 
     @property
     def orders(self) -> MemberOrders:
-        return self.record.orders_for(self.link.spec.name)
+        return self.state_machine.orders_for(self.link.spec.name)
 
-    def obey(self) -> None:
+    def apply_orders(self) -> None:
         """Do what is agreed, as far as it is this process's."""
         orders = self.orders
-        self.life.aside = orders.is_drained or not self.current
-        if self.current and orders.is_drained != self.drained:
-            self.drained = orders.is_drained
-            self.tell(
-                "drain_started" if self.drained else "drain_finished",
-                revision=self.record.state.revision,
+        self.process.aside = orders.is_drained or not self.is_current
+        if self.is_current and orders.is_drained != self.is_drained:
+            self.is_drained = orders.is_drained
+            self.emit_event(
+                "drain_started" if self.is_drained else "drain_finished",
+                revision=self.state_machine.state.revision,
             )
-            self.link.share(not self.drained)
-        for pool in self.life.pools.values():
-            pool.drain(frozenset(self.record.drained_upstreams(pool.name)))
-        if self.avoid is not None and orders.content_hash != self.avoid:
-            self.avoid = None
-        if self.refused is not None and orders.content_hash != self.refused:
-            self.refused, self.refusal = None, ""
+            self.link.share(not self.is_drained)
+        for pool in self.process.pools.values():
+            pool.drain(frozenset(self.state_machine.drained_upstreams(pool.name)))
+        if self.avoided_content is not None and orders.content_hash != self.avoided_content:
+            self.avoided_content = None
+        if self.refused_content is not None and orders.content_hash != self.refused_content:
+            self.refused_content, self.refusal_reason = None, ""
         wanted = orders.content_hash
         if (
-            self.current
+            self.is_current
             and not self.switching
-            and wanted not in (self.running, self.avoid, self.refused)
+            and wanted not in (self.running_content, self.avoided_content, self.refused_content)
         ):
-            data = self.record.read_file(wanted) if wanted else b""
+            data = self.state_machine.read_file(wanted) if wanted else b""
             if data is not None:
-                self.begin_switch(wanted, data)
-        self.obey_build(orders)
+                self.start_switch(wanted, data)
+        self.apply_build_order(orders)
 
-    def obey_build(self, orders: MemberOrders) -> None:
+    def apply_build_order(self, orders: MemberOrders) -> None:
         """End for another build: whoever keeps this process up starts that one."""
-        if not self.current:
+        if not self.is_current:
             return
         if self.first_build is None:
             # Guards against ending for a build that whoever starts this process does not have.
             self.first_build = orders.build
         known = orders.build in ("", self.spec.build, self.first_build)
-        if not known and not self.life.stopping:
-            self.tell("release_finished", build=self.spec.build, wanted=orders.build)
-            self.life.stop()
+        if not known and not self.process.stopping:
+            self.emit_event("release_finished", build=self.spec.build, wanted=orders.build)
+            self.process.stop()
         if orders.build == self.spec.build:
             self.first_build = orders.build
 
-    def begin_switch(self, wanted: str, data: bytes) -> None:
+    def start_switch(self, wanted: str, data: bytes) -> None:
         self.switching = True
-        self.loop.spawn(lambda: self.switch(wanted, data), self.switch_ended)
+        self.loop.spawn(lambda: self.switch_release(wanted, data), self.on_switch_ended)
 
-    def switch_ended(self) -> None:
+    def on_switch_ended(self) -> None:
         self.switching = False
 
-    def refuse(self, wanted: str, fault: object) -> None:
+    def refuse_release(self, wanted: str, fault: object) -> None:
         """This file is not taken, till another is wanted."""
-        self.refused, self.refusal, self.switching = wanted, str(fault)[:200], False
+        self.refused_content, self.refusal_reason, self.switching = wanted, str(fault)[:200], False
 
-    async def switch(self, wanted: str, data: bytes) -> None:
+    async def switch_release(self, wanted: str, data: bytes) -> None:
         """Go on by another released file: all of it, or none."""
         try:
-            text = file_of(wanted, data)
-            reader = cast(Reader, self.life.reread)
+            text = release_file_text(wanted, data)
+            reader = cast(ReleaseReader, self.process.reread)
             spec = await anyio.to_thread.run_sync(reader.check, text)
         except (ConfigFault, ValueError, zlib.error) as fault:
-            self.refuse(wanted, fault)
-            self.tell("release_refused", content=wanted, fault=self.refusal)
-            self.loop.enter(self, self.report)
+            self.refuse_release(wanted, fault)
+            self.emit_event("release_refused", content=wanted, fault=self.refusal_reason)
+            self.loop.enter(self, self.send_report)
             return
         try:
-            await anyio.to_thread.run_sync(self.put_file, text)
+            await anyio.to_thread.run_sync(self.write_release_file, text)
         except OSError as fault:
-            self.refuse(wanted, fault)
-            log.warning("release_file_failed", file=self.file, fault=fault)
+            self.refuse_release(wanted, fault)
+            log.warning("release_file_failed", file=self.release_file, fault=fault)
             return
-        self.before = self.running
-        await self.life.configure()
+        self.previous_content = self.running_content
+        await self.process.configure()
         self.switching = False
-        if self.life.spec.revision != spec.revision:
-            self.refuse(wanted, "could not be applied")
-            held = self.record.read_file(self.before) if self.before else None
-            await anyio.to_thread.run_sync(self.put_file, file_of(self.before, held or b""))
+        if self.process.spec.revision != spec.revision:
+            self.refuse_release(wanted, "could not be applied")
+            held = (
+                self.state_machine.read_file(self.previous_content)
+                if self.previous_content
+                else None
+            )
+            await anyio.to_thread.run_sync(
+                self.write_release_file, release_file_text(self.previous_content, held or b"")
+            )
         else:
-            self.running, self.switched_at = wanted, self.loop.clock()
-            self.tell("release_applied", content=wanted or "own", before=self.before or "own")
-        self.loop.enter(self, self.after_switch)
+            self.running_content, self.switched_at = wanted, self.loop.clock()
+            self.emit_event(
+                "release_applied", content=wanted or "own", before=self.previous_content or "own"
+            )
+        self.loop.enter(self, self.on_release_switched)
 
-    def after_switch(self) -> None:
-        self.obey()
-        self.report()
-        self.pass_on()
+    def on_release_switched(self) -> None:
+        self.apply_orders()
+        self.send_report()
+        self.flush()
 
-    def put_file(self, text: bytes | None) -> None:
+    def write_release_file(self, text: bytes | None) -> None:
         """The released file in place of the old one, or none."""
         if text is None:
-            self.file.unlink(missing_ok=True)
+            self.release_file.unlink(missing_ok=True)
             return
-        other = self.file.with_suffix(".new")
+        other = self.release_file.with_suffix(".new")
         with other.open("wb") as file:
             file.write(text)
             file.flush()
             os.fdatasync(file.fileno())
-        other.replace(self.file)
+        other.replace(self.release_file)
 
-    def watch_the_release(self, now: int) -> None:
+    def check_release_connectivity(self, now: int) -> None:
         """A file that cuts this process off from the others is taken back here, as nobody can tell it to."""
         if not self.switched_at or self.switching:
             return
@@ -593,125 +636,138 @@
             return
         if now - self.switched_at > self.spec.cut_off:
             log.warning(
-                "release_rolled_back", content=self.running, position=self.link.members.position
+                "release_rolled_back",
+                content=self.running_content,
+                position=self.link.members.position,
             )
-            self.avoid, self.switched_at = self.running, 0
-            data = self.record.read_file(self.before) if self.before else b""
-            self.begin_switch(self.before, data or b"")
+            self.avoided_content, self.switched_at = self.running_content, 0
+            data = (
+                self.state_machine.read_file(self.previous_content)
+                if self.previous_content
+                else b""
+            )
+            self.start_switch(self.previous_content, data or b"")
 
-    def own_report(self) -> MemberReport:
-        life, orders = self.life, self.orders
+    def build_report(self) -> MemberReport:
+        life, orders = self.process, self.orders
         idle = not life.out() and not any(front.has_pending_responses() for front in life.fronts)
         clean: list[int] = []
         for pool in life.pools.values():
             clean += [
                 number
-                for host, number in self.record.drained_upstreams(pool.name).items()
+                for host, number in self.state_machine.drained_upstreams(pool.name).items()
                 if not pool.out_at(host)
             ]
         return MemberReport(
-            self.agreement.commit,
-            self.running,
+            self.node.commit_index,
+            self.running_content,
             self.spec.build,
             life.ready(),
             orders.is_drained,
             orders.is_drained and life.aside and idle,
-            self.refused or "",
-            self.refusal,
+            self.refused_content or "",
+            self.refusal_reason,
             tuple(clean[:64]),
-            self.ended,
-            self.on_time,
-            self.scrapped,
-            self.turned_back,
+            self.requests_finished,
+            self.requests_on_time,
+            self.requests_scrapped,
+            self.requests_turned_back,
         )
 
-    def report(self) -> None:
-        """Tell the leader how this process stands, when something is new, and now and then."""
-        agreement, now, state = self.agreement, self.loop.clock(), self.record.state
-        if not agreement.leader or agreement.leader == agreement.name or not agreement.record:
+    def send_report(self) -> None:
+        """Tell the leader how this process report_signature, when something is new, and now and then."""
+        agreement, now, state = self.node, self.loop.clock(), self.state_machine.state
+        if not agreement.leader or agreement.leader == agreement.name or not agreement.cluster_id:
             return
-        report = self.own_report()
-        wait = TELL_BUSY if state.rollout or state.drains else TELL
-        if stands(report) == stands(self.reported) and now - self.reported_at < wait:
+        report = self.build_report()
+        wait = BUSY_REPORT_INTERVAL if state.rollout or state.drains else REPORT_INTERVAL
+        if (
+            report_signature(report) == report_signature(self.last_report)
+            and now - self.last_report_at < wait
+        ):
             return
-        self.reported, self.reported_at = report, now
-        agreement.say(agreement.leader, REPORT, data=encode(weighed(report)))
+        self.last_report, self.last_report_at = report, now
+        agreement.send(agreement.leader, REPORT, data=encode(with_memory_usage(report)))
 
     # Commands of operators.
 
-    def ask(self, kind: int, data: bytes, done: Callable[[], bool]) -> bool:
+    def submit_command(self, kind: int, data: bytes, done: Callable[[], bool]) -> bool:
         """Bring a command to whoever leads, until it is in the record; whether there is room."""
-        if len(self.asks) >= ASKED:
+        if len(self.pending_commands) >= MAX_PENDING_COMMANDS:
             return False
-        self.asks.append(Asked(kind, data, done, self.loop.clock()))
-        self.ask_again(self.loop.clock())
-        self.pass_on()
+        self.pending_commands.append(PendingCommand(kind, data, done, self.loop.clock()))
+        self.resend_commands(self.loop.clock())
+        self.flush()
         return True
 
-    def ask_again(self, now: int) -> None:
-        agreement, sent = self.agreement, 0
-        self.asks = [one for one in self.asks if not one.done() and now - one.since < ASK_FOR]
-        for one in self.asks:
-            if now - one.sent < ASK_AGAIN or sent >= 16:
+    def resend_commands(self, now: int) -> None:
+        agreement, sent = self.node, 0
+        self.pending_commands = [
+            one
+            for one in self.pending_commands
+            if not one.done() and now - one.since < COMMAND_TIMEOUT
+        ]
+        for one in self.pending_commands:
+            if now - one.sent < COMMAND_RETRY_INTERVAL or sent >= 16:
                 continue
             if agreement.role == LEADER:
-                agreement.command(one.kind, one.data)
+                agreement.propose(one.kind, one.data)
             elif agreement.leader:
-                agreement.say(agreement.leader, FORWARD, lines=[Line(0, one.kind, one.data)])
+                agreement.send(agreement.leader, FORWARD, lines=[Line(0, one.kind, one.data)])
             else:
                 continue
             one.sent, sent = now, sent + 1
 
-    def read(self, nonce: int) -> None:
+    def request_read(self, nonce: int) -> None:
         """Ask what is agreed by now; `reads` will say up to which line."""
-        if len(self.reads) >= 64:
-            del self.reads[next(iter(self.reads))]
-        self.reads.setdefault(nonce, 0)
-        if not self.reads[nonce]:
-            self.agreement.ask_read(nonce)
-            self.pass_on()
-
-    def is_read(self, nonce: int) -> bool:
+        if len(self.read_indexes) >= 64:
+            del self.read_indexes[next(iter(self.read_indexes))]
+        self.read_indexes.setdefault(nonce, 0)
+        if not self.read_indexes[nonce]:
+            self.node.request_read_index(nonce)
+            self.flush()
+
+    def is_read_complete(self, nonce: int) -> bool:
         """Whether all that was agreed when it was asked for is known here."""
-        index = self.reads.get(nonce, 0)
-        return bool(index) and self.agreement.applied >= index
+        index = self.read_indexes.get(nonce, 0)
+        return bool(index) and self.node.last_applied >= index
 
     def recover(self) -> None:
         """An operator says that most voters are lost for good, and that this copy is to go on."""
-        log.warning("consensus_recovered", lines=self.agreement.commit, term=self.agreement.term)
-        self.agreement.recover()
-        self.pass_on()
+        log.warning("consensus_recovered", lines=self.node.commit_index, term=self.node.term)
+        self.node.recover()
+        self.flush()
 
-    def standing(self) -> dict[str, Any]:
-        """How the record stands, for people."""
-        agreement, state = self.agreement, self.record.state
+    def status(self) -> dict[str, Any]:
+        """How the record report_signature, for people."""
+        agreement, state = self.node, self.state_machine.state
         return {
-            "record": f"{agreement.record:x}",
+            "record": f"{agreement.cluster_id:x}",
             "role": raft.ROLES[agreement.role],
             "leader": agreement.leader,
             "term": agreement.term,
-            "line": agreement.commit,
+            "line": agreement.commit_index,
             "revision": state.revision,
             "voters": sorted(agreement.config),
-            "votes": agreement.votes_here,
-            "disk": self.fault or "well",
-            "digest": hash_file(self.record.snapshot()),
-            "runs": self.running,
+            "votes": agreement.is_voter,
+            "disk": self.disk_error or "well",
+            "digest": hash_file(self.state_machine.snapshot()),
+            "runs": self.running_content,
             "build": self.spec.build,
-            "current": self.current,
-            "aside": self.life.aside,
+            "current": self.is_current,
+            "aside": self.process.aside,
         }
 
 
-def stamp_of(copy: Copy | Agreement) -> int:
+def disk_version_of(copy: PersistentState | RaftNode) -> int:
     """How much a disk has promised: rises with each vote, term and line; an old copy of its file
     has less.
     """
-    last = copy.start + len(copy.lines)
-    return copy.term << 32 | min(2 * last + bool(copy.voted), 2**32 - 1)
+    last = copy.log_offset + len(copy.entries)
+    return copy.term << 32 | min(2 * last + bool(copy.voted_for), 2**32 - 1)
 
 
-def stands(report: MemberReport) -> tuple[Any, ...]:
+def report_signature(report: MemberReport) -> tuple[Any, ...]:
     """What of a report the leader is told at once where it changes."""
     return (
         report.applied_index,
@@ -724,52 +780,52 @@
     )
 
 
-def weighed(report: MemberReport) -> MemberReport:
+def with_memory_usage(report: MemberReport) -> MemberReport:
     """A report that goes out, with what the process holds now: that is read only for it."""
-    return msgspec.structs.replace(report, memory_bytes=memory())
+    return msgspec.structs.replace(report, memory_bytes=resident_memory_bytes())
 
 
-def wall_ms() -> int:
+def wall_clock_ms() -> int:
     """For people to read; nothing is decided by it."""
     return int(time.time() * 1000)
 
 
-def inflated(data: bytes) -> bytes:
+def decompress_release(data: bytes) -> bytes:
     """A released file as it was. Raises ValueError for one that is too large, zlib.error for none."""
     engine = zlib.decompressobj()
-    text = engine.decompress(data, MOST_FILE)
+    text = engine.decompress(data, MAX_RELEASE_BYTES)
     if engine.unconsumed_tail or not engine.eof:
-        raise ValueError(f"the file is over {MOST_FILE} bytes, or not whole")
+        raise ValueError(f"the file is over {MAX_RELEASE_BYTES} bytes, or not whole")
     return text
 
 
-def file_of(content: str, data: bytes) -> bytes | None:
+def release_file_text(content: str, data: bytes) -> bytes | None:
     """A released file as it lies on the disk, its name in the first line; None without one. As
-    `inflated`.
+    `decompress_release`.
     """
-    return b"# release %s\n" % content.encode() + inflated(data) if data else None
+    return b"# release %s\n" % content.encode() + decompress_release(data) if data else None
 
 
-def deflated(text: bytes) -> tuple[str, bytes]:
+def compress_release(text: bytes) -> tuple[str, bytes]:
     """A file as it goes into the record, and its name there."""
     data = zlib.compress(text, 9)
     return hash_file(data), data
 
 
-def pieces(data: bytes) -> Iterator[dict[str, str | int]]:
-    """A file, as `deflated` gives it, as a control socket takes it in: piece by piece."""
-    for at in range(0, len(data), PIECE):
+def release_chunks(data: bytes) -> Iterator[dict[str, str | int]]:
+    """A file, as `compress_release` gives it, as a control socket takes it in: piece by piece."""
+    for at in range(0, len(data), RELEASE_CHUNK_BYTES):
         yield {
             "at": at,
             "size": len(data),
-            "data": base64.b64encode(data[at : at + PIECE]).decode(),
+            "data": base64.b64encode(data[at : at + RELEASE_CHUNK_BYTES]).decode(),
         }
 
 
-def memory() -> int:
+def resident_memory_bytes() -> int:
     """Bytes that this process holds; 0 where the system does not say."""
     try:
         with open("/proc/self/statm", "rb") as file:
-            return int(file.read().split()[1]) * PAGE
+            return int(file.read().split()[1]) * MEMORY_PAGE_BYTES
     except (OSError, IndexError, ValueError):
         return 0
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -34,7 +34,7 @@
 from whinpier.fleet.rollouts.release_files import hash_file
 
 if TYPE_CHECKING:
-    from whinpier.fleet.consensus.service import Agreed
+    from whinpier.fleet.consensus.service import ConsensusService
 
 KINDS = {
     "drain": EntryKind.DRAIN,
@@ -63,7 +63,7 @@
     """What is asked can't be done; the text says why."""
 
 
-def found(agreed: Agreed, ask: str, name: str, value: dict[str, Any]) -> Any:
+def found(agreed: ConsensusService, ask: str, name: str, value: dict[str, Any]) -> Any:
     """The answer to one question. Raises Fault."""
     if ask == "status":
         return status(agreed)
@@ -74,9 +74,9 @@
     if ask == "put":
         return put(agreed, name, value)
     if ask == "has":
-        return {"whole": agreed.record.read_file(name) is not None}
+        return {"whole": agreed.state_machine.read_file(name) is not None}
     if ask == "history":
-        history = agreed.record.state.history
+        history = agreed.state_machine.state.history
         return {"checked": is_intact(history), "items": [row_of(item) for item in history]}
     if ask == "file":
         return file(agreed, name)
@@ -84,14 +84,17 @@
         return permits(agreed)
     if ask == "read":
         nonce = number(name)
-        agreed.read(nonce)
-        return {"read": agreed.is_read(nonce), "revision": agreed.record.state.revision}
+        agreed.request_read(nonce)
+        return {
+            "read": agreed.is_read_complete(nonce),
+            "revision": agreed.state_machine.state.revision,
+        }
     if ask == "voters":
         return voters(agreed, name, value)
-    if agreed.agreement.record == 0:
+    if agreed.node.cluster_id == 0:
         raise Fault("this process has no record to go on from")
     agreed.recover()
-    return agreed.standing()
+    return agreed.status()
 
 
 def number(text: str) -> int:
@@ -133,7 +136,7 @@
         )
 
 
-def command(agreed: Agreed, what: str, value: dict[str, Any]) -> Any:
+def command(agreed: ConsensusService, what: str, value: dict[str, Any]) -> Any:
     """Bring a command into the record, or say what it would come to (`dry`)."""
     kind = KINDS.get(what)
     if kind is None:
@@ -152,18 +155,22 @@
         raise Fault(f"{what}: {fault}") from None
     if len(data) > MOST_LINE:
         raise Fault(f"{what}: {len(data)} bytes, {MOST_LINE} at most; name fewer, or say less")
-    if not agreed.agreement.record:
+    if not agreed.node.cluster_id:
         raise Fault("there is no record yet: its voters have not all met")
     identity = given.header.id
     if value.get("dry"):
-        result = agreed.record.dry_run(agreed.record.state.last_applied + 1, kind, data)
+        result = agreed.state_machine.dry_run(
+            agreed.state_machine.state.last_applied + 1, kind, data
+        )
         return {"id": identity, "dry": True, "good": result.succeeded, "text": result.text}
-    if not agreed.ask(kind, data, lambda: identity in agreed.record.state.results):
+    if not agreed.submit_command(
+        kind, data, lambda: identity in agreed.state_machine.state.results
+    ):
         raise Fault("too many commands are on their way; ask again")
-    return {"id": identity, "leader": agreed.agreement.leader}
+    return {"id": identity, "leader": agreed.node.leader}
 
 
-def made(agreed: Agreed, kind: int, value: dict[str, Any], who: CommandHeader) -> Any:
+def made(agreed: ConsensusService, kind: int, value: dict[str, Any], who: CommandHeader) -> Any:
     """A command's form, with what this process knows of whom it names."""
     if kind in (EntryKind.DRAIN, EntryKind.UNDRAIN):
         return drain(agreed, str(value.get("name", "")), str(value.get("pool", "")), who)
@@ -195,32 +202,32 @@
     return BudgetRule(name, of, int(out), pool, zone)
 
 
-def drain(agreed: Agreed, name: str, pool: str, who: CommandHeader) -> DrainCommand:
+def drain(agreed: ConsensusService, name: str, pool: str, who: CommandHeader) -> DrainCommand:
     if pool:
-        known = agreed.life.pools.get(pool)
+        known = agreed.process.pools.get(pool)
         if known is None:
             raise Fault(f"{pool!r} is no pool of this process")
         peer = known.held.get(name)
-        if peer is None and f"u/{pool}/{name}" not in agreed.record.state.drains:
+        if peer is None and f"u/{pool}/{name}" not in agreed.state_machine.state.drains:
             raise Fault(f"{name!r} is no upstream of pool {pool}")
         names = known.spec.zones
         zone = names[peer.zone] if peer and peer.zone < len(names) else ""
         return DrainCommand(who, name, pool, zone)
-    seats = agreed.seats()
-    if name not in seats and f"b/{name}" not in agreed.record.state.drains:
+    seats = agreed.member_views()
+    if name not in seats and f"b/{name}" not in agreed.state_machine.state.drains:
         raise Fault(f"{name!r} is no member that is known here")
     return DrainCommand(who, name, "", seats[name].zone if name in seats else "")
 
 
-def outcome(agreed: Agreed, name: str) -> Any:
+def outcome(agreed: ConsensusService, name: str) -> Any:
     """What became of a command, by its id."""
-    result = agreed.record.state.results.get(number(name))
+    result = agreed.state_machine.state.results.get(number(name))
     if result is None:
-        return {"known": False, "leader": agreed.agreement.leader}
+        return {"known": False, "leader": agreed.node.leader}
     return {"known": True, "line": result[0], "good": result[1], "text": result[2]}
 
 
-def put(agreed: Agreed, name: str, value: dict[str, Any]) -> Any:
+def put(agreed: ConsensusService, name: str, value: dict[str, Any]) -> Any:
     """A piece of a file, in base 64, on its way into the record."""
     try:
         data = base64.b64decode(str(value["data"]), validate=True)
@@ -231,24 +238,24 @@
         raise Fault(f"put: {fault}") from None
 
     def there() -> bool:
-        return piece.offset in agreed.record.state.file_chunks.get(name, {})
+        return piece.offset in agreed.state_machine.state.file_chunks.get(name, {})
 
-    if not there() and not agreed.ask(EntryKind.FILE_CHUNK, line, there):
+    if not there() and not agreed.submit_command(EntryKind.FILE_CHUNK, line, there):
         raise Fault("too many pieces are on their way; ask again")
     return {"put": piece.offset}
 
 
-def voters(agreed: Agreed, name: str, value: dict[str, Any]) -> Any:
+def voters(agreed: ConsensusService, name: str, value: dict[str, Any]) -> Any:
     """Who votes; with `do` = add or remove, one is changed, at the member that leads."""
-    agreement, config = agreed.agreement, dict(agreed.agreement.config)
+    agreement, config = agreed.node, dict(agreed.node.config)
     if what := value.get("do"):
         if agreement.role != LEADER:
             raise Fault(
                 f"voters are changed at the member that leads: {agreement.leader or 'none is known'}"
             )
         if what == "add":
-            disk, told = agreed.told.get(name, (0, 0))
-            if not disk or told != agreement.record:
+            disk, told = agreed.announced_disks.get(name, (0, 0))
+            if not disk or told != agreement.cluster_id:
                 raise Fault(f"{name!r} is not here, or has not learned the record")
             config[name] = disk
         elif name in agreed.spec.voters:
@@ -259,15 +266,15 @@
             config.pop(name, None)
         if fault := agreed.change_voters(config):
             raise Fault(fault)
-        agreed.pass_on()
+        agreed.flush()
     return {
         "leader": agreement.leader,
         "voters": [
             {
                 "name": one,
                 "disk": f"{disk:x}",
-                "here": one == agreement.name or one in agreed.by_name(),
-                "same_disk": agreed.told.get(one, (disk, 0))[0] == disk,
+                "here": one == agreement.name or one in agreed.connected_members(),
+                "same_disk": agreed.announced_disks.get(one, (disk, 0))[0] == disk,
             }
             for one, disk in sorted(config.items())
         ],
@@ -311,10 +318,10 @@
     }
 
 
-def status(agreed: Agreed) -> Any:
+def status(agreed: ConsensusService) -> Any:
     """All that is agreed and not done, as this process knows it."""
-    state, controller = agreed.record.state, agreed.controller
-    seats = agreed.seats() if controller else {}
+    state, controller = agreed.state_machine.state, agreed.controller
+    seats = agreed.member_views() if controller else {}
     rows = []
     for key, drain in state.drains.items():
         left = drain.pending
@@ -332,20 +339,20 @@
                 "left": left,
             }
         )
-    return agreed.standing() | {
+    return agreed.status() | {
         "drains": rows,
         "release": release_row(state.rollout) if state.rollout else None,
         "closed": [release_row(one) for one in state.closed_rollouts],
         "good": state.default_content,
         "good_build": state.default_build,
         "lost": sorted(state.lost),
-        "on_their_way": len(agreed.asks),
+        "on_their_way": len(agreed.pending_commands),
     }
 
 
-def permits(agreed: Agreed) -> Any:
+def permits(agreed: ConsensusService) -> Any:
     """Who may be out, and who is."""
-    record = agreed.record
+    record = agreed.state_machine
     outside = find_unavailable(record.state)
     rules = [
         {
@@ -374,12 +381,12 @@
     return {"rules": rules, "out": outs}
 
 
-def file(agreed: Agreed, name: str) -> Any:
+def file(agreed: ConsensusService, name: str) -> Any:
     """A released file: by its name, or the one that is good."""
-    from whinpier.fleet.consensus.service import inflated
+    from whinpier.fleet.consensus.service import decompress_release
 
-    name = name or agreed.record.state.default_content
-    data = agreed.record.read_file(name) if name else None
+    name = name or agreed.state_machine.state.default_content
+    data = agreed.state_machine.read_file(name) if name else None
     if data is None:
         raise Fault(f"the record holds no file {name!r}" if name else "nothing was released yet")
-    return {"name": hash_file(data), "text": inflated(data).decode("utf-8", "replace")}
+    return {"name": hash_file(data), "text": decompress_release(data).decode("utf-8", "replace")}
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -50,7 +50,7 @@
 from whinpier.policy.decaying_sum import SECOND
 
 if TYPE_CHECKING:
-    from whinpier.fleet.consensus.service import Agreed
+    from whinpier.fleet.consensus.service import ConsensusService
     from whinpier.runtime.pool import Pool
     from whinpier.runtime.process import Life
 
@@ -116,12 +116,14 @@
             self.outlier_monitor = OutlierMonitor(
                 spec.verdicts, self.members, self.loop, chance, self.say_event
             )
-        self.agreed: Agreed | None = None
+        self.agreed: ConsensusService | None = None
         self.shared = True  # whether others count this one among those who share the pools
         if spec.agreement:
-            from whinpier.fleet.consensus.service import Agreed  # only where a file has it
+            from whinpier.fleet.consensus.service import (
+                ConsensusService,
+            )  # only where a file has it
 
-            self.agreed = Agreed(self, spec.agreement)
+            self.agreed = ConsensusService(self, spec.agreement)
         self.control = Control(self) if spec.control else None
         self.called_at = 0
         self.second, self.opened = 0, 0
@@ -259,7 +261,7 @@
             self.loop.enter(self, self.deal)
         self.pass_on()
         if self.agreed:
-            self.agreed.follow()
+            self.agreed.on_pools_changed()
 
     def marks(self) -> tuple[int, ...]:
         """The pools that others are to count this one among."""
@@ -395,8 +397,8 @@
             talks, self.members.heard_talks = self.members.heard_talks, []
             if self.agreed:
                 for sender, talk in talks:
-                    self.agreed.hear(sender, talk)
-                self.agreed.pass_on()
+                    self.agreed.receive(sender, talk)
+                self.agreed.flush()
         if self.members.changes != self.seen_changes:
             self.seen_changes = self.members.changes
             self.count(self.loop.clock())
@@ -659,7 +661,7 @@
             return
         if mark == RECORD_NEWS:
             if self.agreed:
-                self.agreed.told_news(member, contents)
+                self.agreed.on_announcement(member, contents)
             return
         if mark in self.nearly_marks:
             self.nearly_marks[mark].hear(member, contents, self.loop.clock())
--- a/whinpier/model_checking/consensus.py
+++ b/whinpier/model_checking/consensus.py
@@ -12,16 +12,16 @@
 
 from whinpier.fleet.consensus.node import (
     CANDIDATE,
+    CONFIG_ENTRY,
+    ENTRY_RECORD,
+    IDENTITY_RECORD,
     LEADER,
-    LINE,
-    TERM,
-    VOTERS,
-    WHO,
-    Agreement,
-    Copy,
-    Pace,
+    TERM_RECORD,
+    PersistentState,
+    RaftNode,
+    RaftTiming,
     pack,
-    replayed,
+    replay_journal,
     unpack,
 )
 from whinpier.fleet.messages import TAKEN, VOTED, Line, Talk
@@ -29,7 +29,7 @@
 from whinpier.policy.decaying_sum import SECOND
 
 STEP = SECOND
-PACE = Pace(STEP, STEP, STEP)
+PACE = RaftTiming(STEP, STEP, STEP)
 RECORD, COMMAND = 256, 9
 NAMES = (
     "asks early",
@@ -85,7 +85,7 @@
         spare: int = 0,
         changes: int = 0,
         compacts: int = 0,
-        make: type[Agreement] = Agreement,
+        make: type[RaftNode] = RaftNode,
         led: bool = False,
         disks: bool = True,
         losing: bool = True,
@@ -98,11 +98,15 @@
         self.changes, self.compacts, self.disks = changes, compacts, disks
         self.voters = members - spare
         config = {f"m{place}": place + 1 for place in range(self.voters)}
-        first = Line(1, VOTERS, pack(config))
+        first = Line(1, CONFIG_ENTRY, pack(config))
         self.disk_notes: list[list[Any]] = [
             [
-                (TERM, 1, 0),
-                *([(LINE, 1, first.term, first.kind, first.data)] if place < self.voters else []),
+                (TERM_RECORD, 1, 0),
+                *(
+                    [(ENTRY_RECORD, 1, first.term, first.kind, first.data)]
+                    if place < self.voters
+                    else []
+                ),
             ]
             for place in range(members)
         ]
@@ -120,20 +124,20 @@
     def party(self, place: int) -> Any:
         return self.parties[place]
 
-    def started(self, place: int) -> Agreement:
+    def started(self, place: int) -> RaftNode:
         party = self.make(f"m{place}", self.on_disk(place), Lines(), self.now, self.chance(), PACE)
-        party.most_lines = self.lines
+        party.max_entries_per_append = self.lines
         return party
 
-    def on_disk(self, place: int) -> Copy:
-        return replayed([(WHO, RECORD, place + 1), *self.disk_notes[place]])
+    def on_disk(self, place: int) -> PersistentState:
+        return replay_journal([(IDENTITY_RECORD, RECORD, place + 1), *self.disk_notes[place]])
 
     def lead_first(self) -> None:
         """The first has been voted for by all; nothing else has come yet."""
         self.now += 2 * STEP
         for party in self.parties[: self.voters]:
             party.now = self.now
-            party.settle_term(2, 1)
+            party.set_term_and_vote(2, 1)
         for place in range(len(self.parties)):
             self.sync(place)
         leader = self.parties[0]
@@ -155,21 +159,21 @@
                     found += self.change_steps(place)
                 if self.left and not full:
                     found.append((f"m{place} beats", ("beat", place)))
-            elif self.left and party.votes_here and party.doubt_at <= self.now and not full:
+            elif self.left and party.is_voter and party.election_due <= self.now and not full:
                 found.append((f"m{place} doubts", ("doubt", place)))
             if self.reads and not full and (party.role == LEADER or party.leader):
                 found.append((f"m{place} is asked what is agreed", ("read", place)))
-            if party.behind() and not full:
+            if party.is_behind() and not full:
                 found.append((f"m{place} asks for what is missing", ("fetch", place)))
             found += self.own_steps(place, party)
         return found + self.usual_steps()
 
-    def own_steps(self, place: int, party: Agreement) -> list[tuple[str, Hashable]]:
+    def own_steps(self, place: int, party: RaftNode) -> list[tuple[str, Hashable]]:
         """What may happen to a member's disk and process."""
         found: list[tuple[str, Hashable]] = []
-        if self.disks and party.noted > party.synced:
+        if self.disks and party.records_issued > party.records_synced:
             found.append((f"m{place}'s disk has it", ("sync", place)))
-        if self.compacts and min(party.applied, party.last - 1) > party.start:
+        if self.compacts and min(party.last_applied, party.last_index - 1) > party.log_offset:
             found.append((f"m{place} compacts", ("compact", place)))
         if self.crashes:
             found.append((f"m{place} dies and starts", ("crash", place)))
@@ -188,7 +192,7 @@
         )
 
     def deliver(self, place: int, message: Talk, sender: int) -> None:
-        self.parties[place].hear(message, f"m{(sender - 1) % 100}", self.now)
+        self.parties[place].receive(message, f"m{(sender - 1) % 100}", self.now)
         self.after(place)
 
     def do_come(self, index: int) -> None:
@@ -197,7 +201,7 @@
 
     def do_command(self, place: int) -> None:
         self.commands -= 1
-        self.parties[place].command(COMMAND, b"c%d" % self.commands)
+        self.parties[place].propose(COMMAND, b"c%d" % self.commands)
         self.after(place)
 
     def do_change(self, place: int, other: int) -> None:
@@ -214,7 +218,7 @@
     def do_beat(self, place: int) -> None:
         self.left -= 1
         party = self.parties[place]
-        party.beat_at = self.now
+        party.heartbeat_due = self.now
         party.tick(self.now)
         self.after(place)
 
@@ -225,22 +229,22 @@
 
     def do_fetch(self, place: int) -> None:
         party = self.parties[place]
-        party.fetch()
-        party.ahead.clear()
+        party.fetch_missing()
+        party.peers_ahead.clear()
         self.after(place)
 
     def do_read(self, place: int) -> None:
         self.reads -= 1
         self.floors[self.reads] = max(self.chosen, default=0)
-        self.parties[place].ask_read(self.reads)
+        self.parties[place].request_read_index(self.reads)
         self.after(place)
 
     def do_compact(self, place: int) -> None:
         self.compacts -= 1
         party = self.parties[place]
-        kept, party.kept = party.kept, 1
+        kept, party.retained_entries = party.retained_entries, 1
         party.compact()
-        party.kept = kept
+        party.retained_entries = kept
         self.after(place)
 
     def do_sync(self, place: int) -> None:
@@ -249,9 +253,9 @@
 
     def sync(self, place: int) -> None:
         party = self.parties[place]
-        notes, party.notes = party.notes, []
+        notes, party.pending_records = party.pending_records, []
         self.disk_notes[place] += notes
-        party.written(party.noted)
+        party.on_records_synced(party.records_issued)
 
     def do_crash(self, place: int) -> None:
         self.crashes -= 1
@@ -265,16 +269,20 @@
     def after(self, place: int) -> None:
         """Send what may go, and see what has become of it."""
         party = self.parties[place]
-        if not self.disks and party.notes:
+        if not self.disks and party.pending_records:
             self.sync(place)
-        for to, talk in party.take():
+        for to, talk in party.take_messages():
             where = int(to[1:])
             if len(self.network) < self.messages + 2:
                 self.network.append((self.runs[place], self.runs[where], talk))
         # Others tell in their pings how far they are.
         for other in self.parties:
-            if other is not party and other.commit < party.commit and not other.votes_here:
-                other.told(party.name, RECORD, party.commit, party.term, 0)
+            if (
+                other is not party
+                and other.commit_index < party.commit_index
+                and not other.is_voter
+            ):
+                other.on_commit_announced(party.name, RECORD, party.commit_index, party.term, 0)
         self.look(place)
 
     def look(self, place: int) -> None:
@@ -287,32 +295,34 @@
                 if self.agreed_in[index] >= party.term:
                     continue  # it may lead no more and not know it
                 if (
-                    index > party.last
-                    or index > party.start
-                    and (party.line(index).term, party.line(index).data) != (term, data)
+                    index > party.last_index
+                    or index > party.log_offset
+                    and (party.entry(index).term, party.entry(index).data) != (term, data)
                 ):
                     self.fault = (
                         f"{party.name} leads in term {party.term} without agreed line {index}"
                     )
-        for index in range(max(party.start, 0) + 1, min(party.applied, party.last) + 1):
-            line = party.line(index)
+        for index in range(
+            max(party.log_offset, 0) + 1, min(party.last_applied, party.last_index) + 1
+        ):
+            line = party.entry(index)
             self.agreed_in.setdefault(index, party.term)  # whoever led is the first to know
             if self.chosen.setdefault(index, (line.term, line.data)) != (line.term, line.data):
                 self.fault = f"line {index} is one thing at {party.name} and was another"
-        if party.applied > party.last:
+        if party.last_applied > party.last_index:
             self.fault = f"{party.name} has applied what it does not hold"
-        own = party.machine.all  # type: ignore[attr-defined]
+        own = party.state_machine.all  # type: ignore[attr-defined]
         for index, data in own:
             if index in self.chosen and self.chosen[index][1] != data:
                 self.fault = f"{party.name} acts on another line {index} than was agreed"
         numbers = [
             index
             for index, line in sorted(self.chosen.items())
-            if line[1][:1] == b"c" and index <= party.applied
+            if line[1][:1] == b"c" and index <= party.last_applied
         ]
         if [index for index, _ in own] != numbers:
             self.fault = f"{party.name} has not acted on each agreed command once, in order"
-        for nonce, index in party.read_at:
+        for nonce, index in party.read_results:
             if index < self.floors.get(nonce, 0):
                 self.fault = f"a read was told line {index} when {self.floors[nonce]} was agreed"
         party.events = []
@@ -331,7 +341,7 @@
         for party in self.parties:
             waiting = tuple(
                 (
-                    barrier - party.synced,
+                    sync_barrier - party.records_synced,
                     to,
                     talk.kind,
                     talk.term,
@@ -341,35 +351,35 @@
                     talk.four,
                     talk.data,
                 )
-                for barrier, to, talk in party.waiting
+                for sync_barrier, to, talk in party.outbox
             )
             parties.append(
                 (
                     party.role,
                     party.term,
-                    party.voted,
+                    party.voted_for,
                     party.leader,
                     tuple(sorted(party.votes)),
-                    tuple((line.term, line.data) for line in party.lines),
-                    party.start,
-                    party.base,
-                    party.commit,
-                    party.durable,
-                    party.matched,
-                    party.noted - party.synced,
-                    party.proof - party.synced,
-                    tuple((seq - party.synced, at) for seq, at in party.marks),
-                    tuple(sorted(party.next.items())),
-                    tuple(sorted(party.match.items())),
-                    tuple(sorted(party.rounds.items())) if self.floors else (),
+                    tuple((line.term, line.data) for line in party.entries),
+                    party.log_offset,
+                    party.snapshot_index,
+                    party.commit_index,
+                    party.durable_index,
+                    party.matched_index,
+                    party.records_issued - party.records_synced,
+                    party.term_record - party.records_synced,
+                    tuple((seq - party.records_synced, at) for seq, at in party.unsynced_entries),
+                    tuple(sorted(party.next_index.items())),
+                    tuple(sorted(party.match_index.items())),
+                    tuple(sorted(party.acked_rounds.items())) if self.floors else (),
                     party.round if self.floors else 0,
-                    tuple(party.reads),
-                    tuple(sorted(party.flying)),
-                    tuple(sorted(party.hinted.items())),
-                    max(0, party.doubt_at - self.now),
-                    max(-PACE.timeout, party.leader_heard - self.now),
+                    tuple(party.pending_reads),
+                    tuple(sorted(party.in_flight_since)),
+                    tuple(sorted(party.sent_commit_index.items())),
+                    max(0, party.election_due - self.now),
+                    max(-PACE.election_timeout, party.leader_contact_at - self.now),
                     waiting,
-                    tuple(sorted(party.ahead.items())),
+                    tuple(sorted(party.peers_ahead.items())),
                 )
             )
         network = tuple(
@@ -406,10 +416,10 @@
             tuple(
                 (
                     copy.term,
-                    copy.voted,
-                    copy.start,
-                    copy.base,
-                    tuple((line.term, line.data) for line in copy.lines),
+                    copy.voted_for,
+                    copy.log_offset,
+                    copy.snapshot_index,
+                    tuple((line.term, line.data) for line in copy.entries),
                 )
                 for copy in disks
             ),
@@ -431,17 +441,17 @@
             for other in those:
                 if other == place or not self.left:
                     continue
-                if party.role != LEADER and party.votes_here and f"m{other}" in party.config:
+                if party.role != LEADER and party.is_voter and f"m{other}" in party.config:
                     found.append(
                         (f"m{place} stands, m{other} hears of it", ("elect", place, other))
                     )
                 if party.role == LEADER and f"m{other}" in party.config:
                     found.append((f"m{place} copies to m{other}", ("copy_to", place, other)))
-                if party.commit < self.parties[other].commit and not party.votes_here:
+                if party.commit_index < self.parties[other].commit_index and not party.is_voter:
                     found.append((f"m{place} learns from m{other}", ("learn", place, other)))
             if party.role == LEADER and self.commands:
                 found.append((f"m{place} is given a command", ("command", place)))
-            if party.role == LEADER and party.match and self.left:
+            if party.role == LEADER and party.match_index and self.left:
                 found.append((f"m{place} ends soon", ("retire", place)))
             if party.role == LEADER and self.changes:
                 found += self.change_steps(place)
@@ -454,11 +464,11 @@
         """What two say to each other, so many times each."""
         for _ in range(rounds):
             for place, other in ((one, two), (two, one)):
-                if not self.disks and self.parties[place].notes:
+                if not self.disks and self.parties[place].pending_records:
                     self.sync(place)
-                for to, talk in self.parties[place].take():
+                for to, talk in self.parties[place].take_messages():
                     if to == f"m{other}":
-                        self.parties[other].hear(talk, f"m{place}", self.now)
+                        self.parties[other].receive(talk, f"m{place}", self.now)
                         self.look(other)
                     elif len(self.network) < self.messages:
                         self.network.append((self.runs[place], self.runs[int(to[1:])], talk))
@@ -469,7 +479,7 @@
         self.left -= 1
         self.now += 4 * STEP
         party = self.parties[place]
-        party.doubt_at = self.now
+        party.election_due = self.now
         party.tick(self.now)
         for _ in range(3):
             self.sync(place)
@@ -478,29 +488,29 @@
     def do_retire(self, place: int) -> None:
         self.left -= 1
         party = self.parties[place]
-        party.retire()
-        for to, talk in party.take():
-            self.parties[int(to[1:])].hear(talk, party.name, self.now)
+        party.transfer_leadership()
+        for to, talk in party.take_messages():
+            self.parties[int(to[1:])].receive(talk, party.name, self.now)
             self.sync(int(to[1:]))
             self.after(int(to[1:]))
 
     def do_copy_to(self, place: int, other: int) -> None:
         self.left -= 1
-        self.parties[place].send(f"m{other}")
+        self.parties[place].send_entries(f"m{other}")
         self.exchange(place, other, 1)
 
     def do_learn(self, place: int, other: int) -> None:
         self.left -= 1
         party, there = self.parties[place], self.parties[other]
-        party.ahead = {there.name: there.commit}
-        party.fetch()
+        party.peers_ahead = {there.name: there.commit_index}
+        party.fetch_missing()
         self.exchange(place, other, 2)
 
     def do_sync(self, place: int) -> None:
         self.sync(place)
-        for to, talk in self.parties[place].take():
+        for to, talk in self.parties[place].take_messages():
             if talk.kind in (TAKEN, VOTED):
-                self.parties[int(to[1:])].hear(talk, f"m{place}", self.now)
+                self.parties[int(to[1:])].receive(talk, f"m{place}", self.now)
                 self.look(int(to[1:]))
             elif len(self.network) < self.messages:
                 self.network.append((self.runs[place], self.runs[int(to[1:])], talk))
@@ -510,174 +520,174 @@
 # Faults, put in one by one.
 
 
-class ForgetsItsVote(Agreement):
-    def may_vote(self, talk: Talk) -> bool:
-        self.voted = 0
-        return super().may_vote(talk)
+class ForgetsItsVote(RaftNode):
+    def can_grant_vote(self, talk: Talk) -> bool:
+        self.voted_for = 0
+        return super().can_grant_vote(talk)
 
 
-class VotesWithoutNote(Agreement):
-    def on_ask_vote(self, talk: Talk, sender: str) -> None:
-        before, proof = len(self.notes), self.proof
-        super().on_ask_vote(talk, sender)
-        if len(self.notes) > before:
-            self.notes.pop()
-            self.noted -= 1
-            self.proof = proof
+class VotesWithoutNote(RaftNode):
+    def on_vote_request(self, talk: Talk, sender: str) -> None:
+        before, proof = len(self.pending_records), self.term_record
+        super().on_vote_request(talk, sender)
+        if len(self.pending_records) > before:
+            self.pending_records.pop()
+            self.records_issued -= 1
+            self.term_record = proof
 
 
-class SaysBeforeTheDisk(Agreement):
-    def barrier(self) -> int:
+class SaysBeforeTheDisk(RaftNode):
+    def sync_barrier(self) -> int:
         return 0
 
 
-class VotesForAnyLog(Agreement):
-    def up_to_date(self, last: int, term: int) -> bool:
+class VotesForAnyLog(RaftNode):
+    def is_up_to_date(self, last: int, term: int) -> bool:
         return True
 
 
-class VotesByLength(Agreement):
-    def up_to_date(self, last: int, term: int) -> bool:
-        return last >= self.last
+class VotesByLength(RaftNode):
+    def is_up_to_date(self, last: int, term: int) -> bool:
+        return last >= self.last_index
 
 
-class VotesByTerm(Agreement):
-    def up_to_date(self, last: int, term: int) -> bool:
-        return term >= self.term_at(self.last)
+class VotesByTerm(RaftNode):
+    def is_up_to_date(self, last: int, term: int) -> bool:
+        return term >= self.term_at(self.last_index)
 
 
-class CountsOlderTerms(Agreement):
+class CountsOlderTerms(RaftNode):
     """What most hold of an earlier term is taken for agreed (figure 8 of the paper)."""
 
-    def advance(self) -> None:
-        for index in range(self.last, self.commit, -1):
-            holders = [name for name, match in self.match.items() if match >= index]
-            if self.most([*holders, *([self.name] if self.durable >= index else [])]):
-                self.agreed(index)
+    def advance_commit_index(self) -> None:
+        for index in range(self.last_index, self.commit_index, -1):
+            holders = [name for name, match in self.match_index.items() if match >= index]
+            if self.is_quorum([*holders, *([self.name] if self.durable_index >= index else [])]):
+                self.commit_through(index)
                 self.broadcast(False)
                 return
 
 
-class HalfIsMost(Agreement):
-    def most(self, those: Any) -> bool:
+class HalfIsMost(RaftNode):
+    def is_quorum(self, those: Any) -> bool:
         config = self.config
         return 2 * sum(name in config for name in set(those)) >= len(config) - 1
 
 
-class TellsWhatIsNotSynced(Agreement):
-    def held(self) -> int:
-        return self.matched
+class TellsWhatIsNotSynced(RaftNode):
+    def durable_match_index(self) -> int:
+        return self.matched_index
 
 
-class CountsItselfUnsynced(Agreement):
-    def advance(self) -> None:
-        durable, self.durable = self.durable, self.last
-        super().advance()
-        self.durable = min(durable, self.last)
+class CountsItselfUnsynced(RaftNode):
+    def advance_commit_index(self) -> None:
+        durable, self.durable_index = self.durable_index, self.last_index
+        super().advance_commit_index()
+        self.durable_index = min(durable, self.last_index)
 
 
-class LooksAtNothingBefore(Agreement):
-    def fits(self, talk: Talk) -> bool:
-        return talk.one <= self.last
+class LooksAtNothingBefore(RaftNode):
+    def matches_previous_entry(self, talk: Talk) -> bool:
+        return talk.one <= self.last_index
 
 
-class CutsAtOldAppends(Agreement):
+class CutsAtOldAppends(RaftNode):
     """What comes late and is there already cuts off what has come since."""
 
-    def on_append(self, talk: Talk, sender: str) -> None:
-        if talk.term == self.term and talk.lines and self.fits(talk):
+    def on_append_entries(self, talk: Talk, sender: str) -> None:
+        if talk.term == self.term and talk.lines and self.matches_previous_entry(talk):
             end = talk.one + len(talk.lines)
-            if self.commit <= end < self.last:
-                self.cut(end + 1)
-        super().on_append(talk, sender)
+            if self.commit_index <= end < self.last_index:
+                self.truncate_from(end + 1)
+        super().on_append_entries(talk, sender)
 
 
-class KeepsWhatDiffers(Agreement):
-    def put(self, index: int, line: Line) -> None:
-        if index > self.last:
-            super().put(index, line)
+class KeepsWhatDiffers(RaftNode):
+    def append_entry(self, index: int, line: Line) -> None:
+        if index > self.last_index:
+            super().append_entry(index, line)
 
 
-class AgreesBeyondWhatCame(Agreement):
-    def agreed(self, index: int) -> None:
-        super().agreed(index)
+class AgreesBeyondWhatCame(RaftNode):
+    def commit_through(self, index: int) -> None:
+        super().commit_through(index)
 
-    def on_append(self, talk: Talk, sender: str) -> None:
-        super().on_append(talk, sender)
+    def on_append_entries(self, talk: Talk, sender: str) -> None:
+        super().on_append_entries(talk, sender)
         if self.leader == sender:
-            self.agreed(min(talk.three, self.last))
+            self.commit_through(min(talk.three, self.last_index))
 
 
-class LeadsOnInLaterTerms(Agreement):
-    def later_term(self, talk: Talk) -> None:
+class LeadsOnInLaterTerms(RaftNode):
+    def on_later_term(self, talk: Talk) -> None:
         role, leader, votes = self.role, self.leader, self.votes
-        super().later_term(talk)
+        super().on_later_term(talk)
         if role == LEADER:
             self.role, self.leader, self.votes = role, leader, votes
 
 
-class NotesNoTerm(Agreement):
-    def later_term(self, talk: Talk) -> None:
-        super().later_term(talk)
-        self.notes.pop()
-        self.noted -= 1
-        self.proof = 0
+class NotesNoTerm(RaftNode):
+    def on_later_term(self, talk: Talk) -> None:
+        super().on_later_term(talk)
+        self.pending_records.pop()
+        self.records_issued -= 1
+        self.term_record = 0
 
 
-class CountsVotesOfBefore(Agreement):
-    def on_voted(self, talk: Talk, sender: str) -> None:
+class CountsVotesOfBefore(RaftNode):
+    def on_vote_response(self, talk: Talk, sender: str) -> None:
         if self.role == CANDIDATE and talk.one:
             self.votes.add(sender)
             self.count_votes()
 
 
-class CountsEarlyVotes(Agreement):
+class CountsEarlyVotes(RaftNode):
     """Who would vote has voted."""
 
-    def campaign(self, hurried: bool = False) -> None:
+    def start_election(self, hurried: bool = False) -> None:
         votes = set(self.votes)
-        super().campaign(hurried)
+        super().start_election(hurried)
         self.votes |= votes - {self.name}
 
 
-class CountsAVoteAgain(Agreement):
-    def on_voted(self, talk: Talk, sender: str) -> None:
+class CountsAVoteAgain(RaftNode):
+    def on_vote_response(self, talk: Talk, sender: str) -> None:
         self.again = getattr(self, "again", 0) + (
             talk.kind == VOTED and talk.one and sender in self.votes
         )
-        super().on_voted(talk, sender)
+        super().on_vote_response(talk, sender)
         if self.again and self.role == CANDIDATE:
-            self.lead()
+            self.become_leader()
 
 
-class CountsRefusals(Agreement):
-    def on_voted(self, talk: Talk, sender: str) -> None:
-        super().on_voted(Talk(talk.kind, talk.record, talk.disk, talk.term, 1), sender)
+class CountsRefusals(RaftNode):
+    def on_vote_response(self, talk: Talk, sender: str) -> None:
+        super().on_vote_response(Talk(talk.kind, talk.record, talk.disk, talk.term, 1), sender)
 
 
-class ReadsWithoutAsking(Agreement):
-    def answer_reads(self) -> None:
-        self.rounds = {name: self.round for name in self.config}
-        super().answer_reads()
+class ReadsWithoutAsking(RaftNode):
+    def answer_pending_reads(self) -> None:
+        self.acked_rounds = {name: self.round for name in self.config}
+        super().answer_pending_reads()
 
 
-class ReadsBeforeItsOwnLine(Agreement):
-    def on_read(self, talk: Talk, sender: str) -> None:
+class ReadsBeforeItsOwnLine(RaftNode):
+    def on_read_index_request(self, talk: Talk, sender: str) -> None:
         if self.role == LEADER:
-            self.reads.append((self.round + 1, sender, talk.one, self.commit))
+            self.pending_reads.append((self.round + 1, sender, talk.one, self.commit_index))
             self.broadcast(False)
-            self.answer_reads()
+            self.answer_pending_reads()
 
 
-class ReadsByOldRounds(Agreement):
-    def answer_reads(self) -> None:
-        self.reads = [(min(read[0], 1), *read[1:]) for read in self.reads]
-        super().answer_reads()
+class ReadsByOldRounds(RaftNode):
+    def answer_pending_reads(self) -> None:
+        self.pending_reads = [(min(read[0], 1), *read[1:]) for read in self.pending_reads]
+        super().answer_pending_reads()
 
 
-class TakesWordOfOtherTerms(Agreement):
-    def on_taken(self, talk: Talk, sender: str) -> None:
-        super().on_taken(
+class TakesWordOfOtherTerms(RaftNode):
+    def on_append_response(self, talk: Talk, sender: str) -> None:
+        super().on_append_response(
             Talk(
                 TAKEN, talk.record, talk.disk, self.term, talk.one, talk.two, talk.three, talk.four
             ),
@@ -685,9 +695,9 @@
         )
 
 
-class TakesOldAppends(Agreement):
-    def on_append(self, talk: Talk, sender: str) -> None:
-        super().on_append(
+class TakesOldAppends(RaftNode):
+    def on_append_entries(self, talk: Talk, sender: str) -> None:
+        super().on_append_entries(
             Talk(
                 talk.kind,
                 talk.record,
@@ -703,53 +713,53 @@
         )
 
 
-class TeachesWhatIsNotAgreed(Agreement):
+class TeachesWhatIsNotAgreed(RaftNode):
     def on_fetch(self, talk: Talk, sender: str) -> None:
-        commit, self.commit = self.commit, self.last
+        commit, self.commit_index = self.commit_index, self.last_index
         super().on_fetch(talk, sender)
-        self.commit = commit
+        self.commit_index = commit
 
 
-class LearnsWithoutTheTerm(Agreement):
+class LearnsWithoutTheTerm(RaftNode):
     """The code was so at first: one that had learned term 3 still followed a leader of term 2."""
 
-    def take_term(self, lines: Any) -> None:
+    def adopt_term(self, lines: Any) -> None:
         pass
 
 
-class ChangesVotersAtOnce(Agreement):
+class ChangesVotersAtOnce(RaftNode):
     """A second change begins before the first is agreed."""
 
     def change_voters(self, config: dict[str, int]) -> str:
         if self.role == LEADER and config:
-            self.append(VOTERS, pack(config))
+            self.append_as_leader(CONFIG_ENTRY, pack(config))
         return ""
 
 
-class GoesByAgreedVotersOnly(Agreement):
+class GoesByAgreedVotersOnly(RaftNode):
     """A change of voters counts once it is agreed, by whoever voted before."""
 
     @property
     def config(self) -> dict[str, int]:
-        agreed = [config for index, config in self.configs if index <= self.commit]
+        agreed = [config for index, config in self.configs if index <= self.commit_index]
         return agreed[-1] if agreed else self.configs[0][1] if self.configs else {}
 
 
-class ForgetsVotersWhenItCompacts(Agreement):
+class ForgetsVotersWhenItCompacts(RaftNode):
     def compact(self) -> None:
         super().compact()
         self.configs = self.configs[:1]
 
 
-class StartsBehindItsState(Agreement):
+class StartsBehindItsState(RaftNode):
     """A state is taken up with the lines that led to it once more."""
 
     def __init__(self, *given: Any, **more: Any) -> None:
         super().__init__(*given, **more)
-        self.applied = self.commit = self.start
+        self.last_applied = self.commit_index = self.log_offset
 
 
-FAULTS: dict[str, type[Agreement]] = {
+FAULTS: dict[str, type[RaftNode]] = {
     fault.__name__: fault
     for fault in (
         ForgetsItsVote,
--- a/whinpier/simulation/consensus.py
+++ b/whinpier/simulation/consensus.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from whinpier.fleet.consensus import node as raft
-from whinpier.fleet.consensus.node import LEADER, Agreement, Copy, unpack
+from whinpier.fleet.consensus.node import LEADER, PersistentState, RaftNode, unpack
 from whinpier.fleet.membership.membership import Address
 from whinpier.fleet.messages import RECORD_NEWS
 from whinpier.fleet.rollouts.commands import (
@@ -47,10 +47,14 @@
     ) -> None:
         self.record_fleet, self.machine = fleet, RolloutStateMachine()
         chance = Random(f"record/{fleet.schedule.seed}/{name}")
-        self.agreement = Agreement(
-            name, Copy(disk=chance.getrandbits(62) | 1), self.machine, fleet.clock.now, chance
+        self.agreement = RaftNode(
+            name,
+            PersistentState(disk_id=chance.getrandbits(62) | 1),
+            self.machine,
+            fleet.clock.now,
+            chance,
         )
-        self.agreement.note(raft.WHO, 0, self.agreement.disk)
+        self.agreement.add_record(raft.IDENTITY_RECORD, 0, self.agreement.disk_id)
         self.told: dict[str, tuple[int, int]] = {}
         self.syncing = False
         self.learned: dict[int, int] = {}  # when it had applied each line
@@ -62,24 +66,26 @@
             return
         now = self.fleet.clock.now
         self.fleet.clock.after(TURN, self.turn)
-        self.members.carry(RECORD_NEWS, self.agreement.news(0))
-        if self.agreement.due() <= now:
+        self.members.carry(RECORD_NEWS, self.agreement.announcement(0))
+        if self.agreement.next_deadline() <= now:
             self.agreement.tick(now)
         self.begin()
         self.pass_on()
 
     def begin(self) -> None:
         voters = self.record_fleet.voters
-        if self.agreement.record or self.name != voters[0]:
+        if self.agreement.cluster_id or self.name != voters[0]:
             return
-        disks = {self.name: self.agreement.disk}
+        disks = {self.name: self.agreement.disk_id}
         for name in voters[1:]:
             disk, record = self.told.get(name, (0, 1))
             if record or not disk:
                 return
             disks[name] = disk
         rules = SetBudget(CommandHeader(1, "model"), [BudgetRule("all", "balancers", 9)])
-        self.agreement.begin(raft.GENERATIONS, disks, [(EntryKind.SET_BUDGET, encode(rules))])
+        self.agreement.bootstrap(
+            raft.CLUSTER_ID_STRIDE, disks, [(EntryKind.SET_BUDGET, encode(rules))]
+        )
 
     def pass_on(self) -> None:
         agreement, now = self.agreement, self.fleet.clock.now
@@ -87,33 +93,35 @@
         heard, self.members.heard_talks = self.members.heard_talks, []
         for sender, talk in heard:
             if sender in by_id:
-                agreement.hear(talk, by_id[sender], now)
+                agreement.receive(talk, by_id[sender], now)
         for sender, mark, contents in self.members.heard_said:
             if mark == RECORD_NEWS and sender in by_id:
                 record, disk, term, commit, leader, _ = unpack(contents)
                 self.told[by_id[sender]] = disk, record
                 agreement.now = max(agreement.now, now)
-                agreement.told(by_id[sender], record, commit, term, leader)
-        if agreement.due() <= now:
+                agreement.on_commit_announced(by_id[sender], record, commit, term, leader)
+        if agreement.next_deadline() <= now:
             agreement.tick(now)
         names = {one.card.name: one.id for one in self.members.members.values() if one.connected}
-        talks = [(names[to], talk) for to, talk in agreement.take() if to in names]
+        talks = [(names[to], talk) for to, talk in agreement.take_messages() if to in names]
         if talks:
             self.members.send_talks(talks, now)
-        if agreement.notes and not self.syncing:
+        if agreement.pending_records and not self.syncing:
             self.syncing = True
-            self.fleet.clock.after(SYNC, self.synced, len(agreement.notes), agreement.noted)
-        for index in range(len(self.learned) + 1, agreement.applied + 1):
+            self.fleet.clock.after(
+                SYNC, self.synced, len(agreement.pending_records), agreement.records_issued
+            )
+        for index in range(len(self.learned) + 1, agreement.last_applied + 1):
             self.learned[index] = now
-            self.members.carry(RECORD_NEWS, agreement.news(0))
+            self.members.carry(RECORD_NEWS, agreement.announcement(0))
         agreement.events = []
         super().pass_on()
 
     def synced(self, count: int, noted: int) -> None:
         self.syncing = False
         if self.alive:
-            del self.agreement.notes[:count]
-            self.agreement.written(noted)
+            del self.agreement.pending_records[:count]
+            self.agreement.on_records_synced(noted)
             self.pass_on()
 
 
@@ -162,15 +170,15 @@
             DrainCommand(CommandHeader(100 + number, "model", "w" * 200), "n" * 100 + str(number))
         )
         size = len(data)
-        leader.agreement.command(EntryKind.DRAIN, data)
+        leader.agreement.propose(EntryKind.DRAIN, data)
         leader.pass_on()
         if number == 0:
-            first = leader.agreement.last
+            first = leader.agreement.last_index
             fleet.until(24.0)
     fleet.until(32.0)
     agreed = (leader.learned[first] - begun) / SECOND
     everywhere = max(node.learned[first] for node in nodes) - begun
-    last = leader.agreement.commit
+    last = leader.agreement.commit_index
     fleet.until(58.0)
     came = [node for node in fleet.record_nodes() if node.number in late]
     learned = max(node.learned.get(last, 10**18) for node in came) - fleet.clock.start
--- a/whinpier/testbed/crash_points.py
+++ b/whinpier/testbed/crash_points.py
@@ -46,20 +46,20 @@
 
 def main() -> int:
     from whinpier.__main__ import main as start
-    from whinpier.fleet.consensus.service import Agreed
+    from whinpier.fleet.consensus.service import ConsensusService
     from whinpier.fleet.membership.membership import Members
 
     points = Points(Path(sys.argv[1]))
     Members.send_talks = points.around(Members.send_talks)  # type: ignore[method-assign]
-    write = Agreed.write_once
+    write = ConsensusService.write_pending_records
 
-    async def write_once(self: Agreed) -> bool:
+    async def write_pending_records(self: ConsensusService) -> bool:
         points.come()
         found = await write(self)
         points.come()
         return found
 
-    Agreed.write_once = write_once  # type: ignore[method-assign]
+    ConsensusService.write_pending_records = write_pending_records  # type: ignore[method-assign]
     return start()
 
 
--- a/whinpier/testbed/fault_scenario.py
+++ b/whinpier/testbed/fault_scenario.py
@@ -23,7 +23,7 @@
 import msgspec
 from msgspec import Struct
 
-from whinpier.fleet.consensus.service import deflated
+from whinpier.fleet.consensus.service import compress_release
 from whinpier.testbed import faults as faults_
 from whinpier.testbed import files
 from whinpier.testbed.clients import Asks, Gateway
@@ -298,7 +298,7 @@
         begun = time.monotonic()
         loads = self.load(begun)
         contents = [
-            deflated(files.document(self.service(agreed=AGREED + step / 1000)).encode())
+            compress_release(files.document(self.service(agreed=AGREED + step / 1000)).encode())
             for step in range(3)
         ]
         ends = begun + day.schedule.seconds
