--- a/whinpier/testbed/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -20,7 +20,7 @@
     from whinpier.fleet.consensus import service
     from whinpier.model_checking.consensus import FAULTS
 
-    swapped(service, "Agreement", FAULTS[name])
+    swapped(service, "RaftNode", FAULTS[name])
 
 
 def vote_fault(name: str) -> None:
@@ -82,16 +82,16 @@
 
 def own_file_refused() -> None:
     """A release could not be taken back to each one's own file (mended in this project)."""
-    from whinpier.fleet.consensus.service import Agreed
+    from whinpier.fleet.consensus.service import ConsensusService
 
-    obey = Agreed.obey
+    apply_orders = ConsensusService.apply_orders
 
-    def obeyed(self: Agreed) -> None:
-        if self.refused is None:
-            self.refused = ""
-        obey(self)
+    def obeyed(self: ConsensusService) -> None:
+        if self.refused_content is None:
+            self.refused_content = ""
+        apply_orders(self)
 
-    Agreed.obey = obeyed  # type: ignore[method-assign]
+    ConsensusService.apply_orders = obeyed  # type: ignore[method-assign]
 
 
 FAULTS: dict[str, Callable[[], None]] = {
--- a/whinpier/testbed/operators.py
+++ b/whinpier/testbed/operators.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from whinpier.fleet.consensus.service import pieces
+from whinpier.fleet.consensus.service import release_chunks
 from whinpier.testbed.fleet import Fleet
 from whinpier.testbed.upstream_fleet import UpstreamFleet
 
@@ -112,7 +112,7 @@
         return None
 
     def put(self, content: str, data: bytes) -> bool:
-        for piece in pieces(data):
+        for piece in release_chunks(data):
             self.ask("put", name=content, value=piece)
         until = time.monotonic() + 2.0
         while time.monotonic() < min(until, self.ends):
