--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -14,7 +14,7 @@
 from whinpier.config.fields import Duration, Strict, duration, kept_secret, named, part
 from whinpier.config.model import ConfigFault, address
 from whinpier.fleet import messages
-from whinpier.fleet.consensus.node import MOST_VOTERS
+from whinpier.fleet.consensus.node import MAX_VOTERS
 from whinpier.fleet.membership.membership import MS, MembershipTiming
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.quotas.allocation import LimitConfig
@@ -132,8 +132,7 @@
         key = kept_secret(path, f"{at}[{index}]")
         if not messages.MIN_KEY_BYTES <= len(key) <= messages.MAX_KEY_BYTES:
             raise ConfigFault(
-                f"{at}[{index}]: {path} holds {len(key)} bytes; {messages.MIN_KEY_BYTES} to "
-                f"{messages.MAX_KEY_BYTES} are a key"
+                f"{at}[{index}]: {path} holds {len(key)} bytes; {messages.MIN_KEY_BYTES} to {messages.MAX_KEY_BYTES} are a key"
             )
         found.append(key)
     return tuple(found)
@@ -176,13 +175,11 @@
         raise ConfigFault(f"{at}.each: connections are limited at each upstream")
     if table.each == "upstream" and (table.kind not in (IN_FLIGHT, CONNECTIONS) or table.routes):
         raise ConfigFault(
-            f"{at}.each: at each upstream what is in flight and connections are limited, "
-            "whatever route they come by"
+            f"{at}.each: at each upstream what is in flight and connections are limited, whatever route they come by"
         )
     if table.each and nearly:
         raise ConfigFault(
-            f"{at}.promise: each tenant's and upstream's limit is never_over; nearly is for "
-            "all together"
+            f"{at}.promise: each tenant's and upstream's limit is never_over; nearly is for all together"
         )
     if table.tenants and table.each != "tenant":
         raise ConfigFault(f'{at}.tenants: only with each = "tenant"')
@@ -257,8 +254,8 @@
     if table is None:
         return None
     at = "bank.agreement"
-    if not 1 <= len(table.voters) <= MOST_VOTERS or len(set(table.voters)) < len(table.voters):
-        raise ConfigFault(f"{at}.voters: 1 to {MOST_VOTERS} members, none twice")
+    if not 1 <= len(table.voters) <= MAX_VOTERS or len(set(table.voters)) < len(table.voters):
+        raise ConfigFault(f"{at}.voters: 1 to {MAX_VOTERS} members, none twice")
     for index, one in enumerate(table.voters):
         named(one, f"{at}.voters[{index}]")
     if not table.folder.startswith("/") or "\0" in table.folder:
@@ -296,8 +293,7 @@
         raise ConfigFault(f"bank.seeds: {len(table.seeds)} of them; {MOST_SEEDS} at most")
     if len(pools) > messages.MAX_POOLS:
         raise ConfigFault(
-            f"bank: {len(pools)} pools would be shared by it, {messages.MAX_POOLS} at most; "
-            "say balancers in the others"
+            f"bank: {len(pools)} pools would be shared by it, {messages.MAX_POOLS} at most; say balancers in the others"
         )
     if len(os.fsencode(table.control)) > LONGEST_PATH or "\0" in table.control:
         raise ConfigFault(
@@ -307,8 +303,7 @@
     advertise = address(table.advertise, "bank.advertise") if table.advertise else listen
     if advertise[0] == "0.0.0.0":
         raise ConfigFault(
-            f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is where nobody is "
-            "reached; say an address in bank.advertise"
+            f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is where nobody is reached; say an address in bank.advertise"
         )
     if len(table.zone) > 63:
         raise ConfigFault("bank.zone: has over 63 characters")
