--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -150,9 +150,9 @@
 def test_what_never_ran_is_given_back_and_a_rejection_says_a_true_time():
     one = LeasedQuota(rate(10, 1, ("a",)), "a", 0, Random(1), 0)
     assert not one.try_acquire(0) and one.try_acquire(SECOND // 10)
-    one.give(SECOND // 10, ran=False)
+    one.release(SECOND // 10, ran=False)
     assert one.try_acquire(SECOND // 10) and not one.try_acquire(SECOND // 10)
-    wait = one.wait(SECOND // 10)
+    wait = one.retry_after(SECOND // 10)
     assert SECOND // 20 <= wait <= SECOND // 4
     assert one.try_acquire(SECOND // 10 + wait) and one.tokens < REQUEST_TOKENS
 
@@ -255,16 +255,16 @@
     one = division("a", old)
     one.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set())
     start = LEASE_DURATION + LEASE_GRACE
-    taken = [one.tables["x"].sole_quota.enter(start, start + SECOND) for _ in range(10)]
+    taken = [one.tables["x"].sole_quota.acquire(start, start + SECOND) for _ in range(10)]
     assert all(taken)
     one.apply_configs([LimitConfig(new, ("t",))], start)
     assert (
         home(one) == 1
         and not one.announce(start)
-        and one.tables["x"].sole_quota.enter(start, start + SECOND) is None
+        and one.tables["x"].sole_quota.acquire(start, start + SECOND) is None
     )
     for passed in taken[:9]:
-        passed.give(start)
+        passed.release(start)
     assert one.announce(start) and one.check_agreement(start, {"b", "c"}, set(), set())
 
 
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -108,7 +108,7 @@
     """This process's part in the record."""
 
     def __init__(self, link: Link, spec: AgreementSpec) -> None:
-        self.link, self.spec, self.loop, self.process = link, spec, link.loop, link.life
+        self.link, self.spec, self.loop, self.process = link, spec, link.loop, link.process
         self.now = self.started_at = self.loop.clock()
         self.random = Random(
             Random().getrandbits(64)
@@ -158,7 +158,7 @@
         ) = 0
         self.last_report, self.last_report_at = MemberReport(), self.now - REPORT_INTERVAL
         self.is_current, self.scheduled_tick, self.is_drained = False, 0, False
-        self.process.aside = True  # till it has learned what it is to do
+        self.process.out_of_rotation = True  # till it has learned what it is to do
         self.member_ids: dict[str, int] = {}
         self.member_ids_version = -1
 
@@ -214,7 +214,7 @@
                 while self.node.pending_records:
                     if not await self.write_pending_records():
                         await anyio.sleep(WRITE_RETRY_SECONDS)
-                    self.loop.enter(self, self.flush)
+                    self.loop.dispatch(self, self.flush)
         finally:
             self.journal.close()
 
@@ -253,7 +253,7 @@
     def start(self) -> None:
         self.observe_pools()
         self.loop.spawn(self.run_journal_writer, lambda: None)
-        self.loop.at(self.now, self, self.run_periodic_tasks)
+        self.loop.call_at(self.now, self, self.run_periodic_tasks)
         self.flush()
 
     def on_pools_changed(self) -> None:
@@ -263,7 +263,7 @@
 
     def observe_pools(self) -> None:
         for pool in self.process.pools.values():
-            pool.judge = self.on_request_finished
+            pool.on_request_finished = self.on_request_finished
 
     def leave(self) -> None:
         self.node.transfer_leadership()
@@ -401,7 +401,7 @@
         due = self.node.next_deadline()
         if not self.scheduled_tick or due < self.scheduled_tick:
             self.scheduled_tick = due
-            self.loop.at(due, self, self.tick, due)
+            self.loop.call_at(due, self, self.tick, due)
 
     def tick(self, due: int) -> None:
         if due == self.scheduled_tick:
@@ -416,7 +416,7 @@
         now = self.now = self.loop.clock()
         state = self.state_machine.state
         busy = bool(state.rollout or state.drains or self.pending_commands)
-        self.loop.at(now + (BUSY_PERIOD if busy else PERIOD), self, self.run_periodic_tasks)
+        self.loop.call_at(now + (BUSY_PERIOD if busy else PERIOD), self, self.run_periodic_tasks)
         self.link.members.publish(LOG_PROGRESS_CHANNEL, self.node.announcement(self.disk_version))
         self.update_is_current(now)
         self.bootstrap_if_ready()
@@ -535,7 +535,7 @@
     def apply_orders(self) -> None:
         """Do what is agreed, as far as it is this process's."""
         orders = self.orders
-        self.process.aside = orders.is_drained or not self.is_current
+        self.process.out_of_rotation = orders.is_drained or not self.is_current
         if self.is_current and orders.is_drained != self.is_drained:
             self.is_drained = orders.is_drained
             self.emit_event(
@@ -544,7 +544,7 @@
             )
             self.link.share(not self.is_drained)
         for pool in self.process.pools.values():
-            pool.drain(frozenset(self.state_machine.drained_upstreams(pool.name)))
+            pool.set_drained(frozenset(self.state_machine.drained_upstreams(pool.name)))
         if self.avoided_content is not None and orders.content_hash != self.avoided_content:
             self.avoided_content = None
         if self.refused_content is not None and orders.content_hash != self.refused_content:
@@ -589,12 +589,12 @@
         """Go on by another released file: all of it, or none."""
         try:
             text = release_file_text(wanted, data)
-            reader = cast(ReleaseReader, self.process.reread)
+            reader = cast(ReleaseReader, self.process.read_config)
             spec = await anyio.to_thread.run_sync(reader.check, text)
         except (ConfigFault, ValueError, zlib.error) as fault:
             self.refuse_release(wanted, fault)
             self.emit_event("release_refused", content=wanted, fault=self.refusal_reason)
-            self.loop.enter(self, self.send_report)
+            self.loop.dispatch(self, self.send_report)
             return
         try:
             await anyio.to_thread.run_sync(self.write_release_file, text)
@@ -603,7 +603,7 @@
             log.warning("release_file_failed", file=self.release_file, fault=fault)
             return
         self.previous_content = self.running_content
-        await self.process.configure()
+        await self.process.reload()
         self.switching = False
         if self.process.spec.revision != spec.revision:
             self.refuse_release(wanted, "could not be applied")
@@ -620,7 +620,7 @@
             self.emit_event(
                 "release_applied", content=wanted or "own", before=self.previous_content or "own"
             )
-        self.loop.enter(self, self.on_release_switched)
+        self.loop.dispatch(self, self.on_release_switched)
 
     def on_release_switched(self) -> None:
         self.apply_orders()
@@ -662,22 +662,24 @@
             self.start_switch(self.previous_content, data or b"")
 
     def build_report(self) -> MemberReport:
-        life, orders = self.process, self.orders
-        idle = not life.out() and not any(front.has_pending_responses() for front in life.fronts)
+        process, orders = self.process, self.orders
+        idle = not process.in_flight() and not any(
+            front.has_pending_responses() for front in process.frontends
+        )
         clean: list[int] = []
-        for pool in life.pools.values():
+        for pool in process.pools.values():
             clean += [
                 number
                 for host, number in self.state_machine.drained_upstreams(pool.name).items()
-                if not pool.out_at(host)
+                if not pool.in_flight_at(host)
             ]
         return MemberReport(
             self.node.commit_index,
             self.running_content,
             self.spec.build,
-            life.ready(),
+            process.ready(),
             orders.is_drained,
-            orders.is_drained and life.aside and idle,
+            orders.is_drained and process.out_of_rotation and idle,
             self.refused_content or "",
             self.refusal_reason,
             tuple(clean[:64]),
@@ -770,7 +772,7 @@
             "runs": self.running_content,
             "build": self.spec.build,
             "current": self.is_current,
-            "aside": self.process.aside,
+            "aside": self.process.out_of_rotation,
         }
 
 
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -209,7 +209,7 @@
         known = agreed.process.pools.get(pool)
         if known is None:
             raise Fault(f"{pool!r} is no pool of this process")
-        peer = known.held.get(name)
+        peer = known.endpoints.get(name)
         if peer is None and f"u/{pool}/{name}" not in agreed.state_machine.state.drains:
             raise Fault(f"{name!r} is no upstream of pool {pool}")
         names = known.spec.zones
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -86,7 +86,7 @@
     def remaining(self) -> int:
         return max(0, self.total - self.used)
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         """A request that was counted here is over: what never ran gives back what it took."""
         self.used -= not ran
 
@@ -97,9 +97,9 @@
 
     windows: list[WindowQuota]
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         for slot in self.windows:
-            slot.give(now, ran)
+            slot.release(now, ran)
 
 
 @dataclass(slots=True)
@@ -286,13 +286,13 @@
             slot.pending_used = most
             self.queue_record(slot)
 
-    def enter(self, now: int, ends: int = 0) -> WindowQuota | MultiWindowAdmission | None:
+    def acquire(self, now: int, ends: int = 0) -> WindowQuota | MultiWindowAdmission | None:
         """The same; what gives back, if the request never runs."""
         if not self.try_acquire(now, ends):
             return None
         return self.windows[0] if len(self.windows) == 1 else MultiWindowAdmission(self.windows)
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         """When one that was rejected may come again, as far as that is known here."""
         if self.pending or any(slot.remaining for slot in self.windows):
             return SECOND // 4  # on its way from another member, or to the disk
--- a/whinpier/fleet/quotas/enforcement.py
+++ b/whinpier/fleet/quotas/enforcement.py
@@ -13,10 +13,10 @@
 from whinpier.fleet.quotas.allocation import LimitConfig, QuotaAllocation, QuotaTable
 from whinpier.fleet.quotas.leases import CONNECTIONS, LeasedQuota
 from whinpier.policy.decaying_sum import SECOND
-from whinpier.runtime.pool import Gate, Passed, Peer, Pool, hashed
+from whinpier.runtime.pool import Endpoint, Limiter, Permit, Pool, stable_hash
 
 if TYPE_CHECKING:
-    from whinpier.runtime.event_loop import Loop
+    from whinpier.runtime.event_loop import EventLoop
 
 MOST_TICKETS = (
     65_536  # of requests that tenants' limits have counted, remembered to know their repeats
@@ -30,7 +30,7 @@
 
     def __init__(self, gates: LimitEnforcer, those: list[LimitConfig]) -> None:
         self.gates = gates
-        self.plain: list[tuple[frozenset[str], Gate]] = []  # by which routes (empty: any)
+        self.plain: list[tuple[frozenset[str], Limiter]] = []  # by which routes (empty: any)
         self.tenants: list[tuple[frozenset[str], QuotaTable]] = []
         for said in those:
             routes = frozenset(said.routes)
@@ -45,7 +45,7 @@
                     (routes, gates.quota_allocation.tables[said.limit.name].sole_quota)
                 )
 
-    def everywhere(self) -> tuple[Gate, ...]:
+    def everywhere(self) -> tuple[Limiter, ...]:
         """Those that every request passes."""
         return tuple(gate for routes, gate in self.plain if not routes)
 
@@ -55,7 +55,7 @@
             routes for routes, _ in self.plain
         )
 
-    def gates_for(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> list[Gate]:
+    def gates_for(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> list[Limiter]:
         """What one request passes beside that; `again`: its client says that it asked for it before."""
         if shut := self.gates.shut(route, tenant):
             return [shut]
@@ -63,7 +63,7 @@
         those = [table for routes, table in self.tenants if not routes or route in routes]
         if those:
             name = tenant.decode("latin-1") or NOBODY
-            once = TicketGate(self.gates, hashed(tenant + b"\0" + ticket)) if ticket else None
+            once = TicketGate(self.gates, stable_hash(tenant + b"\0" + ticket)) if ticket else None
             if once and again and once.counted():
                 return found
             found += [table.quota_for_name(name) for table in those]
@@ -78,10 +78,10 @@
     def __init__(self, until: int) -> None:
         self.until = until
 
-    def enter(self, now: int, ends: int) -> Passed | None:
+    def acquire(self, now: int, ends: int) -> Permit | None:
         return None
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         return max(SECOND // 100, self.until - now)
 
 
@@ -94,25 +94,25 @@
     def counted(self) -> bool:
         return self.tickets.get(self.key, 0) > self.clock()
 
-    def enter(self, now: int, ends: int) -> Passed:
+    def acquire(self, now: int, ends: int) -> Permit:
         self.tickets.pop(self.key, None)
         self.tickets[self.key] = now + REMEMBERED
         while len(self.tickets) > MOST_TICKETS:
             del self.tickets[next(iter(self.tickets))]
         return self
 
-    def give(self, now: int, ran: bool) -> None:
+    def release(self, now: int, ran: bool) -> None:
         if not ran:  # it was given back, so that its repeat counts
             self.tickets.pop(self.key, None)
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         return 0
 
 
 class LimitEnforcer:
     """All limits of the process, at its pools."""
 
-    def __init__(self, shares: QuotaAllocation, loop: Loop) -> None:
+    def __init__(self, shares: QuotaAllocation, loop: EventLoop) -> None:
         self.quota_allocation, self.loop = shares, loop
         self.tickets: dict[int, int] = {}  # hashed: until when
         self.at_upstreams: dict[str, list[QuotaTable]] = {}  # by pool
@@ -126,15 +126,18 @@
         for pool in pools:
             own = [said for said in listed if pool.name in said.pools]
             door = LimitChain(self, [said for said in own if said.scope != "upstream"])
-            pool.gates, pool.further = door.everywhere(), door.gates_for if door.asks() else None
+            pool.limiters, pool.request_limiters = (
+                door.everywhere(),
+                door.gates_for if door.asks() else None,
+            )
             tables = [
                 self.quota_allocation.tables[said.limit.name]
                 for said in own
                 if said.scope == "upstream"
             ]
             self.at_upstreams[pool.name] = tables
-            pool.met = self.meeter(tables) if tables else None
-            for peer in pool.peers():
+            pool.on_endpoint_added = self.meeter(tables) if tables else None
+            for peer in pool.all_endpoints():
                 self.meet(peer, tables)
 
     def shut(self, route: str, tenant: bytes) -> ClosedGate | None:
@@ -149,12 +152,12 @@
 
     # Upstreams.
 
-    def meeter(self, tables: list[QuotaTable]) -> Callable[[Peer], None]:
+    def meeter(self, tables: list[QuotaTable]) -> Callable[[Endpoint], None]:
         return lambda peer: self.meet(peer, tables)
 
-    def meet(self, peer: Peer, tables: list[QuotaTable]) -> None:
+    def meet(self, peer: Endpoint, tables: list[QuotaTable]) -> None:
         """An upstream is there, or its limits are others."""
-        peer.passes = tuple(
+        peer.limiters = tuple(
             UpstreamLimit(peer, table.quota_for_name(peer.host))  # type: ignore[arg-type]
             for table in tables
             if table.config.limit.kind != CONNECTIONS
@@ -164,17 +167,17 @@
             for table in tables
             if table.config.limit.kind == CONNECTIONS
         ]
-        peer.most_links = min((part.home_quota for part in parts), default=None)
+        peer.max_connections = min((part.home_quota for part in parts), default=None)
         self.settle(peer, self.loop.clock())
 
-    def settle(self, peer: Peer, now: int) -> None:
+    def settle(self, peer: Endpoint, now: int) -> None:
         """How many more it may be sent just now."""
         spare = float("inf")
-        for narrow in peer.passes:
+        for narrow in peer.limiters:
             assert isinstance(narrow, UpstreamLimit)
             spare = min(spare, narrow.spare(now))
-        if peer.most_links is not None:
-            spare = min(spare, peer.most_links - peer.out())
+        if peer.max_connections is not None:
+            spare = min(spare, peer.max_connections - peer.in_flight())
         peer.spare = spare
 
     def on_timer(self, now: int, pools: Iterable[Pool]) -> None:
@@ -187,16 +190,16 @@
                     peer.host
                     for pool in listed
                     if table in self.at_upstreams.get(pool.name, ())
-                    for peer in pool.peers()
+                    for peer in pool.all_endpoints()
                 }
         for pool in listed:
             for table in self.at_upstreams.get(pool.name, ()):
                 if table.config.limit.kind == CONNECTIONS:
-                    for peer in pool.peers():
-                        peer.most_links = table.quota_for_name(peer.host).home_quota
-            for peer in pool.peers() if self.at_upstreams.get(pool.name) else ():
+                    for peer in pool.all_endpoints():
+                        peer.max_connections = table.quota_for_name(peer.host).home_quota
+            for peer in pool.all_endpoints() if self.at_upstreams.get(pool.name) else ():
                 if peer.spare <= 0 and peer.statistics is not None and peer.statistics.share > 0.0:
-                    for narrow in peer.passes:
+                    for narrow in peer.limiters:
                         assert isinstance(narrow, UpstreamLimit)
                         narrow.lacking()
                 self.settle(peer, now)
@@ -205,7 +208,7 @@
 class UpstreamLimit:
     """A limit at one upstream: requests in flight, from all members together."""
 
-    def __init__(self, peer: Peer, part: LeasedQuota) -> None:
+    def __init__(self, peer: Endpoint, part: LeasedQuota) -> None:
         self.peer, self.part = peer, part
 
     def spare(self, now: int) -> int:
@@ -214,18 +217,18 @@
         )
         return self.part.lasting(now, now + timeout) - self.part.in_flight
 
-    def enter(self, now: int, ends: int) -> Passed | None:
+    def acquire(self, now: int, ends: int) -> Permit | None:
         if not self.part.try_acquire(now, ends):
             return None
         self.peer.spare -= 1
         return self
 
-    def give(self, now: int, ran: bool) -> None:
-        self.part.give(now, ran)
+    def release(self, now: int, ran: bool) -> None:
+        self.part.release(now, ran)
         self.peer.spare += 1
 
-    def wait(self, now: int) -> int:
-        return self.part.wait(now)
+    def retry_after(self, now: int) -> int:
+        return self.part.retry_after(now)
 
     def lacking(self) -> None:
         """More would be sent there if it might."""
--- a/whinpier/fleet/quotas/fair_share.py
+++ b/whinpier/fleet/quotas/fair_share.py
@@ -127,11 +127,11 @@
             self.refusals += 1
         return good
 
-    def enter(self, now: int, ends: int = 0) -> ApproximateQuota | None:
+    def acquire(self, now: int, ends: int = 0) -> ApproximateQuota | None:
         """The same; what gives back once the request is over."""
         return self if self.try_acquire(now, ends) else None
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         if self.limit.kind == IN_FLIGHT:
             self.used -= 1
         elif not ran and self.limit.kind == RATE:
@@ -139,7 +139,7 @@
         elif not ran:
             self.window_used = max(0, self.window_used - 1)
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         if self.limit.kind == COUNT and self.left() <= 0:
             return max(SECOND // 10, self.window_end - now)
         if self.limit.kind == RATE and self.allowance:
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -237,7 +237,7 @@
             self.sure_till = min(changes, default=now + LEASE_DURATION)
         return self.sure
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         """A request is over; of a rate, what never ran gives back what it took."""
         if self.limit.kind == IN_FLIGHT:
             self.in_flight -= 1
@@ -246,11 +246,11 @@
             self.refill(now)
             self.tokens = min(self.tokens + REQUEST_TOKENS, self.cap)
 
-    def enter(self, now: int, ends: int = 0) -> LeasedQuota | None:
+    def acquire(self, now: int, ends: int = 0) -> LeasedQuota | None:
         """The same; what gives back once the request is over."""
         return self if self.try_acquire(now, ends) else None
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         """When one that was rejected may come again, as far as that is known here."""
         if self.limit.kind == IN_FLIGHT:
             return SECOND // 4
--- a/whinpier/model_checking/count_mutants.py
+++ b/whinpier/model_checking/count_mutants.py
@@ -140,10 +140,10 @@
 class GivesBackInAnyWindow(Wishful):
     """What never ran is counted off in the window that is on by then."""
 
-    def enter(self, now: int, ends: int = 0) -> Any:
+    def acquire(self, now: int, ends: int = 0) -> Any:
         return self if self.try_acquire(now, ends) else None
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         self.windows[-1].used = max(0, self.windows[-1].used - 1)
 
 
