--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -44,7 +44,8 @@
     """The bytes of a request: `charge` is non-idempotent, `settle` keyed."""
     key = f"Idempotency-Key: {key or next(ids)}\r\n" if lane == "settle" else ""
     return (
-        f"POST /{lane} HTTP/1.1\r\nHost: a\r\nX-Txn: {next(ids):x}\r\nX-Remaining: {remaining}\r\n{key}Content-Length: 2\r\n\r\n{{}}"
+        f"POST /{lane} HTTP/1.1\r\nHost: a\r\nX-Txn: {next(ids):x}\r\nX-Remaining: "
+        f"{remaining}\r\n{key}Content-Length: 2\r\n\r\n{{}}"
     ).encode()
 
 
--- a/tests/test_forms_kept.py
+++ b/tests/test_forms_kept.py
@@ -23,10 +23,25 @@
 
 KEY = Seal((b"0123456789abcdef",))
 # Written by the build before there was a record, and by the one that brought it.
-BEFORE = "cR~T52G1zD=j2z&LRkzA4iAx)&nUU)<X6Z-Spot936YwjZ86V40000000034sWCD)E-)@IE-}p;S*0*8F)lEnVWVMUW0B4)5fkADk&@0U5fkCW0s#V%1(B8k0nZQs00000000C70?!Zt00000002#qm8ooLZE18bVQg%~4|^hEZEtmMbRs$+H7+oH1PjgTV3C&t0RjU7001b%uL4MG{NXi=q8zPIq;~"
-TALKS = "cR~T&01yVxD7ok4SI9zH3=Iwsk(JLVx##3p$U<2H0s#q;nxbtn&p-eG000000RyQqGB++TE-)@J%^O*zFfK7JFri_iVPa#E&MOfU;RlhD&MOfU;lu&~0+9ugmH`3J5C8xG000001Oo!k5C8xG00000O_7zUY-w$2bT46SY{U<HB4KTBb#8PbIv_PJFnt6I&FWy0mjeL;0|5X4k(vX|0RRLA0RjUAk&^`i!~|?<Ze_#-ZEtdATrmTE5$B?uUwER9b&ez#"
-RECORD = "00006F|iB*lK{;D00#g700cTZJpq#e0|x*A01V-PY~_^#0RaKT1%aY%Fb4nt04Fb)GQyPt0s{iXAd-~@qhW4tqjzX|0soPeqhV}psbXPlVQyn(a&rQppa1{>7e1#Io|OUv0|Ueml$8dfVsB!g0RN(GF`%Jg0000KmRJR7l>!6<1;h=K0Fjgcq+%~^G611r"
-WHOLE = "+yD{-k(HxiY;37wVQgV;V`Xx40-&IQq+%~^F_i%WrDSqpX>Ormpn;-oGNECBfuv$DZ84VtsAO_sX>Mt5XQN_oVxRy6pn!m&pn!k@z>t!d0s*68Zf>n`WpZt4baNnKY-~L;qjzX|!>2JIa&>HFbHotVmbkeq6SR?3Kil9a^o9tS0|299Z(^uqa$#w1AZ;<A!>Dj&a&2jJATh)c?M29Ze>&??US+1fFh!kjf(4TT!>2JIa&>HFa|V+G!>Dj&a&2jJATb0"
+BEFORE = (
+    "cR~T52G1zD=j2z&LRkzA4iAx)&nUU)<X6Z-Spot936YwjZ86V40000000034sWCD)E-)@IE-}p;S*0*8F)lEnVWVMUW0B4)5"
+    "fkADk&@0U5fkCW0s#V%1(B8k0nZQs00000000C70?!Zt00000002#qm8ooLZE18bVQg%~4|^hEZEtmMbRs$+H7+oH1PjgTV3"
+    "C&t0RjU7001b%uL4MG{NXi=q8zPIq;~"
+)
+TALKS = (
+    "cR~T&01yVxD7ok4SI9zH3=Iwsk(JLVx##3p$U<2H0s#q;nxbtn&p-eG000000RyQqGB++TE-)@J%^O*zFfK7JFri_iVPa#E&"
+    "MOfU;RlhD&MOfU;lu&~0+9ugmH`3J5C8xG000001Oo!k5C8xG00000O_7zUY-w$2bT46SY{U<HB4KTBb#8PbIv_PJFnt6I&F"
+    "Wy0mjeL;0|5X4k(vX|0RRLA0RjUAk&^`i!~|?<Ze_#-ZEtdATrmTE5$B?uUwER9b&ez#"
+)
+RECORD = (
+    "00006F|iB*lK{;D00#g700cTZJpq#e0|x*A01V-PY~_^#0RaKT1%aY%Fb4nt04Fb)GQyPt0s{iXAd-~@qhW4tqjzX|0soPeq"
+    "hV}psbXPlVQyn(a&rQppa1{>7e1#Io|OUv0|Ueml$8dfVsB!g0RN(GF`%Jg0000KmRJR7l>!6<1;h=K0Fjgcq+%~^G611r"
+)
+WHOLE = (
+    "+yD{-k(HxiY;37wVQgV;V`Xx40-&IQq+%~^F_i%WrDSqpX>Ormpn;-oGNECBfuv$DZ84VtsAO_sX>Mt5XQN_oVxRy6pn!m&p"
+    "n!k@z>t!d0s*68Zf>n`WpZt4baNnKY-~L;qjzX|!>2JIa&>HFbHotVmbkeq6SR?3Kil9a^o9tS0|299Z(^uqa$#w1AZ;<A!>"
+    "Dj&a&2jJATh)c?M29Ze>&??US+1fFh!kjf(4TT!>2JIa&>HFa|V+G!>Dj&a&2jJATb0"
+)
 STATE = "0000N>bh>Nla!`+X>Me1cg-+4&Sg{a005H(2?7HE000k4W{p>qk)>i~XLW9o&Sg{a00a"
 
 
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -132,7 +132,8 @@
         key = kept_secret(path, f"{at}[{index}]")
         if not messages.MIN_KEY_BYTES <= len(key) <= messages.MAX_KEY_BYTES:
             raise ConfigFault(
-                f"{at}[{index}]: {path} holds {len(key)} bytes; {messages.MIN_KEY_BYTES} to {messages.MAX_KEY_BYTES} are a key"
+                f"{at}[{index}]: {path} holds {len(key)} bytes; {messages.MIN_KEY_BYTES} to "
+                f"{messages.MAX_KEY_BYTES} are a key"
             )
         found.append(key)
     return tuple(found)
@@ -175,7 +176,8 @@
         raise ConfigFault(f"{at}.each: connections are limited at each upstream")
     if table.each == "upstream" and (table.kind not in (IN_FLIGHT, CONNECTIONS) or table.routes):
         raise ConfigFault(
-            f"{at}.each: at each upstream what is in flight and connections are limited, whatever route they come by"
+            f"{at}.each: at each upstream what is in flight and connections are limited, "
+            "whatever route they come by"
         )
     if table.each and nearly:
         raise ConfigFault(
@@ -293,7 +295,8 @@
         raise ConfigFault(f"bank.seeds: {len(table.seeds)} of them; {MOST_SEEDS} at most")
     if len(pools) > messages.MAX_POOLS:
         raise ConfigFault(
-            f"bank: {len(pools)} pools would be shared by it, {messages.MAX_POOLS} at most; say balancers in the others"
+            f"bank: {len(pools)} pools would be shared by it, {messages.MAX_POOLS} at most; "
+            "say balancers in the others"
         )
     if len(os.fsencode(table.control)) > LONGEST_PATH or "\0" in table.control:
         raise ConfigFault(
@@ -303,7 +306,8 @@
     advertise = address(table.advertise, "bank.advertise") if table.advertise else listen
     if advertise[0] == "0.0.0.0":
         raise ConfigFault(
-            f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is where nobody is reached; say an address in bank.advertise"
+            f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is where nobody "
+            "is reached; say an address in bank.advertise"
         )
     if len(table.zone) > 63:
         raise ConfigFault("bank.zone: has over 63 characters")
--- a/whinpier/simulation/invariants.py
+++ b/whinpier/simulation/invariants.py
@@ -131,5 +131,6 @@
             if balancer.up and balancer.out != balancer.pool.policy.selector.in_flight:
                 self.breach(
                     PICTURE,
-                    f"balancer {balancer.number} counts {balancer.pool.policy.selector.in_flight} out, {balancer.out} are",
+                    f"balancer {balancer.number} counts "
+                    f"{balancer.pool.policy.selector.in_flight} out, {balancer.out} are",
                 )
