--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -700,9 +700,7 @@
         anyio.run(story, config, listener)
 
 
-def test_however_attempts_end_what_is_counted_is_what_is_on_the_sockets_and_nothing_stays(
-    tmp_path,
-):
+def test_however_attempts_end_what_is_counted_is_what_is_on_the_sockets_and_nothing_stays(tmp_path):
     ways = cycle([good, silent, error, reset, raw(b"noise\r\n\r\n"), turned_away, silent])
     banks = [Upstream(lambda request: next(ways)(request)) for _ in range(3)]
 
@@ -718,9 +716,13 @@
                 await stream.send(f"{request}Content-Length: 2\r\n\r\n{{}}".encode())
                 if number % 5:  # each fifth leaves at once
                     await stream.receive()
-            split = pool.policy.split
+            split = pool.policy.selector
             pictures.append(
-                (sum(seen.out for seen in split.ready), split.total, pool.count_in_flight())
+                (
+                    sum(seen.in_flight for seen in split.ready),
+                    split.in_flight,
+                    pool.count_in_flight(),
+                )
             )
 
         async with anyio.create_task_group() as task_group:
@@ -731,7 +733,9 @@
                 async with anyio.create_task_group() as clients:
                     for number in range(40):
                         clients.start_soon(client, number)
-                while balancer.ids or balancer.frontends[0].clients or pool.policy.split.total:
+                while (
+                    balancer.ids or balancer.frontends[0].clients or pool.policy.selector.in_flight
+                ):
                     await anyio.sleep(0.01)
             assert all(seen == total == sockets for seen, total, sockets in pictures)
             assert (pool.in_flight, len(balancer.frontends[0].strangers)) == (0, 0)
@@ -742,7 +746,7 @@
                 0,
             )
             assert pool.count_in_flight() == 0 and all(
-                seen.out == 0 for seen in pool.policy.split.ready
+                seen.in_flight == 0 for seen in pool.policy.selector.ready
             )
             task_group.cancel_scope.cancel()
 
@@ -781,7 +785,7 @@
 
     async def story(config, listener):
         balancer = new_process(config)
-        held(balancer).policy.arrive = lambda request: 1 / 0
+        held(balancer).policy.on_request = lambda request: 1 / 0
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(balancer.serve, [listener])
             async with await anyio.connect_tcp(*config.listen[0]) as client:
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -27,30 +27,43 @@
 from whinpier.fleet.control_socket import Control
 from whinpier.fleet.event_names import control_name
 from whinpier.fleet.fleet_size import Counting
-from whinpier.fleet.membership.membership import GONE, MS, UNHEARD, Address, Event, Member, Members
+from whinpier.fleet.membership.membership import (
+    GONE,
+    MS,
+    UNREACHABLE,
+    Address,
+    Event,
+    Member,
+    Membership,
+)
 from whinpier.fleet.messages import (
-    BUILD,
-    OLD,
-    RECORD_NEWS,
-    SILENT,
-    WHY,
-    Card,
-    Deal,
+    BUILD_VERSION,
+    LOG_PROGRESS_CHANNEL,
+    NO_RESPONSE,
+    REASON_NAMES,
+    STALE_STATE,
+    MemberMetadata,
+    QuotaMessage,
     Seal,
-    pool_mark,
+    pool_hash,
 )
 from whinpier.fleet.outliers.monitor import OutlierMonitor
-from whinpier.fleet.quotas.allocation import NEVER, Kept, Said, Shares
-from whinpier.fleet.quotas.calendar_quota import Note, Units
-from whinpier.fleet.quotas.enforcement import Gates
-from whinpier.fleet.quotas.fair_share import Nearly
-from whinpier.fleet.quotas.leases import TURN
+from whinpier.fleet.quotas.allocation import (
+    NO_HISTORY,
+    LimitConfig,
+    QuotaAllocation,
+    StoredAllocation,
+)
+from whinpier.fleet.quotas.calendar_quota import CalendarQuota, WindowRecord
+from whinpier.fleet.quotas.enforcement import LimitEnforcer
+from whinpier.fleet.quotas.fair_share import ApproximateQuota
+from whinpier.fleet.quotas.leases import TIMER_INTERVAL
 from whinpier.fleet.spec import FleetSpec
 from whinpier.fleet.state_store import Batch, Records, StateStore
 from whinpier.policy.decaying_sum import SECOND
 
 if TYPE_CHECKING:
-    from whinpier.fleet.consensus.service import Agreed
+    from whinpier.fleet.consensus.service import ConsensusService
     from whinpier.runtime.pool import Pool
     from whinpier.runtime.process import Process
 
@@ -60,7 +73,7 @@
 COUNT = SECOND // 4  # between looks at how many share each pool: what lasts is seen then
 FORGET = 10 * SECOND  # between looks at notes of windows that are over
 REMEMBER = 2.0  # seconds between looks at whether where members are has changed
-STAMP = pool_mark(
+STAMP = pool_hash(
     "state/stamp"
 )  # under which members tell how many notes their state files have had
 BEGUN, WINDOW = "begun", "window"  # notes of the state file: since when it knows all; of one window
@@ -78,8 +91,8 @@
             str, tuple[int, int]
         ] = {}  # of the others' files, by name: whose run, how many
         chance = Random(process.seed_source.getrandbits(64))
-        build = spec.agreement.build if spec.agreement else BUILD
-        card = Card(
+        build = spec.agreement.build if spec.agreement else BUILD_VERSION
+        card = MemberMetadata(
             spec.name,
             Random().getrandbits(63),
             1,
@@ -87,13 +100,13 @@
             build,
             spec.zone,
             process.spec.revision,
-            tuple(pool_mark(name) for name in spec.pools),
+            tuple(pool_hash(name) for name in spec.pools),
         )
         recalled, kept = self.recalled()
         self.clocks = Clocks(time.time_ns() - self.now)
         self.state_store = StateStore(spec.state) if spec.state else None
-        notes, since, sinces = self.taken_up()
-        self.shares = Shares(
+        notes, since, known_since_by_limit = self.taken_up()
+        self.quota_allocation = QuotaAllocation(
             spec.name,
             spec.limits,
             self.now,
@@ -103,12 +116,14 @@
             self.state_store is not None,
             notes,
             since,
-            sinces,
+            known_since_by_limit,
         )
-        self.gates = Gates(self.shares, self.loop)
+        self.limit_enforcer = LimitEnforcer(self.quota_allocation, self.loop)
         self.outlier_monitor: OutlierMonitor | None = None
-        card = msgspec.structs.replace(card, limits=self.shares.epoch if self.shares.tables else 0)
-        self.members = Members(
+        card = msgspec.structs.replace(
+            card, limits_epoch=self.quota_allocation.epoch if self.quota_allocation.tables else 0
+        )
+        self.members = Membership(
             card, spec.seeds, Seal(spec.keys), spec.times, chance, self.now, recalled=recalled
         )
         self.counting = Counting(self.members, spec.pools)
@@ -116,12 +131,14 @@
             self.outlier_monitor = OutlierMonitor(
                 spec.verdicts, self.members, self.loop, chance, self.say_event
             )
-        self.agreed: Agreed | None = None
+        self.agreed: ConsensusService | None = None
         self.shared = True  # whether others count this one among those who share the pools
         if spec.agreement:
-            from whinpier.fleet.consensus.service import Agreed  # only where a file has it
+            from whinpier.fleet.consensus.service import (
+                ConsensusService,
+            )  # only where a file has it
 
-            self.agreed = Agreed(self, spec.agreement)
+            self.agreed = ConsensusService(self, spec.agreement)
         self.control = Control(self) if spec.control else None
         self.called_at = 0
         self.second, self.opened = 0, 0
@@ -132,19 +149,19 @@
         self.by_mark: dict[int, str] = {}
         self.said: dict[tuple[int, int], bytes] = {}
         self.counts: Counter[str] = Counter()
-        self.nearly_marks: dict[int, Nearly] = {}
+        self.nearly_marks: dict[int, ApproximateQuota] = {}
         self.dealing, self.forget_at = False, 0
         self.attach()
         if sys.platform == "linux":
             sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
 
-    def taken_up(self) -> tuple[list[Note], int, dict[int, int]]:
+    def taken_up(self) -> tuple[list[WindowRecord], int, dict[int, int]]:
         """What the state file holds of windows, and since when it has known of all. Raises AppendLogError."""
         if self.state_store is None:
-            return [], NEVER, {}
+            return [], NO_HISTORY, {}
         self.state_store.collect_batches = self.to_write
         live = self.state_store.open()
-        begun = live.get((BEGUN,), (NEVER,))
+        begun = live.get((BEGUN,), (NO_HISTORY,))
         log.info(
             "state_store_loaded",
             file=self.state_store.journal.path,
@@ -164,23 +181,23 @@
         found: list[Batch] = []
         if first:
             found.append(Batch(first, lambda: None, lambda: self.first_notes.update(first)))
-        for part in self.shares.units():
-            if part.notes:
-                said, notes = part.take_notes()
+        for part in self.quota_allocation.calendar_quotas():
+            if part.pending_records:
+                said, notes = part.take_records()
                 found.append(
                     Batch(
                         {(WINDOW, *note[:3]): note[3:] for note in notes},
                         partial(self.written, part, said, notes),
-                        partial(part.not_written, notes),
+                        partial(part.on_write_failed, notes),
                     )
                 )
         return found
 
-    def written(self, part: Units, said: int, notes: list[Note]) -> None:
-        part.written(said, notes)
-        self.send_deals()
+    def written(self, part: CalendarQuota, said: int, notes: list[WindowRecord]) -> None:
+        part.on_records_written(said, notes)
+        self.send_application_messages()
 
-    def recalled(self) -> tuple[list[Address], dict[str, Kept]]:
+    def recalled(self) -> tuple[list[Address], dict[str, StoredAllocation]]:
         try:
             return peer_cache.read(self.spec.recall) if self.spec.recall else ([], {})
         except (OSError, ValueError) as fault:
@@ -192,7 +209,7 @@
         kept, well = None, True
         while True:
             await anyio.sleep(REMEMBER)
-            now = self.members.addresses(), self.shares.keep()
+            now = self.members.known_addresses(), self.quota_allocation.stored_allocations()
             if now == kept or not any(now):
                 continue
             try:
@@ -205,21 +222,23 @@
 
     def attach(self) -> None:
         """Connect the pools that the fleet shares."""
-        self.by_mark = {pool_mark(name): name for name in self.spec.pools}
-        self.nearly_marks = {one.limit.mark: one for one in self.shares.nearly.values()}
+        self.by_mark = {pool_hash(name): name for name in self.spec.pools}
+        self.nearly_marks = {
+            one.limit.wire_id: one for one in self.quota_allocation.approximate_quotas.values()
+        }
         for name, pool in self.process.pools.items():
             pool.broadcast = self.speaker(name) if name in self.spec.pools else None
             if name not in self.spec.pools:
                 pool.clear_fleet_size()
-        self.gates.put(self.process.pools.values(), self.spec.limits)
+        self.limit_enforcer.attach_pools(self.process.pools.values(), self.spec.limits)
         if self.outlier_monitor:
             self.outlier_monitor.update_pools(self.process.pools.values(), self.spec.pools)
         # Before the first request: until it knows better, as many as the file lets it expect.
         self.count(self.now)
 
     def speaker(self, name: str) -> Callable[[bytes], None]:
-        mark = pool_mark(name)
-        return lambda contents: self.members.carry(mark, contents)
+        mark = pool_hash(name)
+        return lambda contents: self.members.publish(mark, contents)
 
     # The life of the process.
 
@@ -242,9 +261,9 @@
         keys, self.spec = spec.differs(self.spec), spec
         self.counting.follow(spec.pools)
         if "limits" in keys:
-            self.shares.follow(self.said_limits(), self.loop.clock())
+            self.quota_allocation.apply_configs(self.said_limits(), self.loop.clock())
         self.attach()
-        self.members.change(
+        self.members.reconfigure(
             self.loop.clock(),
             spec.seeds,
             Seal(spec.keys),
@@ -259,16 +278,16 @@
             self.loop.dispatch(self, self.deal)
         self.pass_on()
         if self.agreed:
-            self.agreed.follow()
+            self.agreed.on_pools_changed()
 
     def marks(self) -> tuple[int, ...]:
         """The pools that others are to count this one among."""
-        return tuple(pool_mark(name) for name in self.spec.pools) if self.shared else ()
+        return tuple(pool_hash(name) for name in self.spec.pools) if self.shared else ()
 
     def share(self, on: bool) -> None:
         """Others count this one among those who share its pools, or no longer."""
         self.shared = on
-        self.members.change(
+        self.members.reconfigure(
             self.loop.clock(),
             self.spec.seeds,
             Seal(self.spec.keys),
@@ -286,8 +305,8 @@
         self.members.leave(self.loop.clock())
         self.pass_on()
 
-    def goodbye(self) -> None:
-        self.members.goodbye(self.loop.clock())
+    def announce_leave(self) -> None:
+        self.members.announce_leave(self.loop.clock())
         self.pass_on()
 
     def figures(self) -> dict[str, int]:
@@ -295,7 +314,7 @@
         members = self.members
         found = {
             "members_reachable": members.count(),
-            "members_unreachable": members.tally[UNHEARD],
+            "members_unreachable": members.reachability_counts[UNREACHABLE],
             **members.counts,
             **self.counts,
         }
@@ -318,7 +337,7 @@
 
     def wanted(self, source: Address) -> bool:
         """Whether there is time for one more of an unknown address in this second."""
-        if source in self.members.at_address:
+        if source in self.members.ids_by_address:
             return True
         if (second := self.loop.clock() // SECOND) != self.second:
             self.second, self.opened = second, 0
@@ -344,7 +363,7 @@
         self.pass_on()
 
     def refused(self, address: Address) -> None:
-        self.members.refused(address, self.now)
+        self.members.on_port_unreachable(address, self.now)
         self.pass_on()
 
     def tick(self, called_at: int) -> None:
@@ -361,7 +380,7 @@
 
     def pass_on(self) -> None:
         """Send what is to be sent, say what has happened, tell pools what others tell."""
-        out, events, said = self.members.take()
+        out, events, said = self.members.take_output()
         for address, data in out:
             try:
                 self.sock.sendto(data, address)
@@ -377,28 +396,34 @@
             self.happened(event)
         for member, mark, contents in said:
             self.hear(member, mark, contents)
-        if self.members.heard_pleas:
-            pleas, self.members.heard_pleas = self.members.heard_pleas, []
+        if self.members.received_ejection_messages:
+            pleas, self.members.received_ejection_messages = (
+                self.members.received_ejection_messages,
+                [],
+            )
             for sender, plea in pleas:
                 if self.outlier_monitor:
                     self.outlier_monitor.on_message(sender, plea)
-            self.send_deals()
-        if self.members.heard_deals:
-            deals, self.members.heard_deals = self.members.heard_deals, []
+            self.send_application_messages()
+        if self.members.received_quota_messages:
+            deals, self.members.received_quota_messages = self.members.received_quota_messages, []
             for sender, one in deals:
-                if one.kind == OLD:
+                if one.kind == STALE_STATE:
                     self.told_old(one, sender)
                 else:
-                    self.shares.deal(one, sender, self.loop.clock())
-            self.send_deals()
-        if self.members.heard_talks:
-            talks, self.members.heard_talks = self.members.heard_talks, []
+                    self.quota_allocation.on_message(one, sender, self.loop.clock())
+            self.send_application_messages()
+        if self.members.received_consensus_messages:
+            talks, self.members.received_consensus_messages = (
+                self.members.received_consensus_messages,
+                [],
+            )
             if self.agreed:
                 for sender, talk in talks:
-                    self.agreed.hear(sender, talk)
-                self.agreed.pass_on()
-        if self.members.changes != self.seen_changes:
-            self.seen_changes = self.members.changes
+                    self.agreed.receive(sender, talk)
+                self.agreed.flush()
+        if self.members.change_count != self.seen_changes:
+            self.seen_changes = self.members.change_count
             self.count(self.loop.clock())
         if self.members.registry.change_count != self.seen_registry_changes:
             self.seen_registry_changes = self.members.registry.change_count
@@ -410,26 +435,26 @@
         at = (
             event.at - self.loop.offset
         )  # on the machine's monotonic clock, as every process has it
-        run = f"{self.members.card.run:x}"
+        run = f"{self.members.metadata.run:x}"
         pairs = {"process": self.spec.name, "process_run": run, "mono_ns": at} | event.pairs
         log.info(event.name, **pairs)
         name = event.pairs.get("member", "")
         if event.name in ("member_left", "member_lost"):
-            if event.pairs.get("why") != WHY[SILENT]:
-                self.shares.departed.add(name)
+            if event.pairs.get("why") != REASON_NAMES[NO_RESPONSE]:
+                self.quota_allocation.departed.add(name)
         elif event.name == "member_here":
-            self.shares.departed.discard(name)
+            self.quota_allocation.departed.discard(name)
         for watcher in list(self.watchers):
             watcher({"event": control_name(event.name)} | pairs)
 
     def strike(self, name: str) -> int:
         """An operator says that a member is dead: one that is unheard, or a home that was never met."""
-        struck = self.members.strike(name, self.loop.clock())
+        struck = self.members.declare_dead(name, self.loop.clock())
         gone = not any(
-            one.card.name == name and one.connected for one in self.members.members.values()
+            one.metadata.name == name and one.connected for one in self.members.members.values()
         )
-        if gone and any(name in kept.homes for kept in self.shares.kept.values()):
-            self.shares.departed.add(name)
+        if gone and any(name in kept.homes for kept in self.quota_allocation.stored.values()):
+            self.quota_allocation.departed.add(name)
             struck = max(struck, 1)
         self.pass_on()
         return struck
@@ -439,10 +464,12 @@
     def say(self, key: str, value: dict[str, Any], life: int) -> bool:
         """One word to the whole fleet; without a value it lifts what was said. Whether there was room."""
         data = msgspec.json.encode(value) if value else b""
-        said = self.members.registry.put(key, data, life, self.members.card.id, self.loop.clock())
+        said = self.members.registry.put(
+            key, data, life, self.members.metadata.id, self.loop.clock()
+        )
         if said is not None:
             log.info("registry_entry_changed", key=key, **value)
-            self.members.tell_all_now(self.loop.clock())
+            self.members.broadcast_payloads(self.loop.clock())
             self.pass_on()
         return said is not None
 
@@ -460,8 +487,8 @@
             for kind in ("route", "tenant")
             for name in self.members.registry.values_with_prefix(kind + "/")
         }
-        if closed != self.gates.closed:
-            self.gates.closed = closed
+        if closed != self.limit_enforcer.closed_until:
+            self.limit_enforcer.closed_until = closed
             self.attach()
         if self.outlier_monitor:
             self.outlier_monitor.operator_ejections = {
@@ -470,12 +497,12 @@
             }
         if amounts != self.amounts:
             self.amounts = amounts
-            self.shares.follow(self.said_limits(), self.loop.clock())
+            self.quota_allocation.apply_configs(self.said_limits(), self.loop.clock())
             self.attach()
             told = ",".join(f"{name}={amount:g}" for name, amount in amounts.items())
             log.info("quota_overrides_changed", limits=told)
 
-    def said_limits(self) -> tuple[Said, ...]:
+    def said_limits(self) -> tuple[LimitConfig, ...]:
         """The limits of the file, with the amounts that operators have said for a while."""
         amounts = self.amounts
         return tuple(
@@ -509,23 +536,24 @@
             "words": rows,
             "members": [
                 {
-                    "name": one.card.name,
-                    "run": f"{one.card.run:x}",
-                    "holds": one.register == registry.digest,
-                    "limits": one.card.limits == self.shares.epoch or not self.shares.tables,
+                    "name": one.metadata.name,
+                    "run": f"{one.metadata.run:x}",
+                    "holds": one.registry_digest == registry.digest,
+                    "limits": one.metadata.limits_epoch == self.quota_allocation.epoch
+                    or not self.quota_allocation.tables,
                 }
                 for one in self.members.members.values()
                 if one.connected
             ],
-            "agreed": self.shares.agreed,
+            "agreed": self.quota_allocation.agreed,
         }
 
     def begin(self, name: str) -> bool:
         """An operator says that nothing was used of the window of a count that is on."""
-        if not self.shares.begin(name, self.loop.clock()):
+        if not self.quota_allocation.mark_window_unused(name, self.loop.clock()):
             return False
-        mark = self.shares.tables[name].said.limit.mark
-        self.first_notes[BEGUN, mark] = (self.shares.sinces[mark],)
+        mark = self.quota_allocation.tables[name].config.limit.wire_id
+        self.first_notes[BEGUN, mark] = (self.quota_allocation.known_since_by_limit[mark],)
         return True
 
     # Limits.
@@ -536,60 +564,62 @@
         if not self.dealing:
             return
         now = self.now = self.loop.clock()
-        self.loop.call_at(now + TURN, self, self.deal)
-        members, shares = self.members, self.shares
-        others = [one for one in members.members.values() if one.kind != GONE]
+        self.loop.call_at(now + TIMER_INTERVAL, self, self.deal)
+        members, shares = self.members, self.quota_allocation
+        others = [one for one in members.members.values() if one.reachability != GONE]
         self.look_at_clocks(now)
         self.look_at_division(now, others)
-        if any(one.card.name == self.spec.name for one in others):
-            shares.fence(now)  # a second process of this name holds the same homes
-        by_name = {one.card.name: one.id for one in others if one.connected}
-        shares.turn(now, lambda limit: [by_name[home] for home in limit.homes if home in by_name])
+        if any(one.metadata.name == self.spec.name for one in others):
+            shares.extend_fence(now)  # a second process of this name holds the same homes
+        by_name = {one.metadata.name: one.id for one in others if one.connected}
+        shares.on_timer(
+            now, lambda limit: [by_name[home] for home in limit.homes if home in by_name]
+        )
         self.tell_nearly(now, others)
-        self.gates.turn(now, self.process.pools.values())
+        self.limit_enforcer.on_timer(now, self.process.pools.values())
         if self.outlier_monitor:
             self.outlier_monitor.on_timer(now)
         if self.state_store:
-            if self.first_notes or any(part.notes for part in shares.units()):
+            if self.first_notes or any(part.pending_records for part in shares.calendar_quotas()):
                 self.state_store.wake()
-            self.members.carry(STAMP, self.state_store.sequence.to_bytes(8, "big"))
+            self.members.publish(STAMP, self.state_store.sequence.to_bytes(8, "big"))
             if now >= self.forget_at:
-                over, self.forget_at = self.shares.over(now), now + FORGET
+                over, self.forget_at = self.quota_allocation.make_expiry_filter(now), now + FORGET
                 self.state_store.discard(lambda key: key[0] == WINDOW and over(key[1], key[3]))
-        self.send_deals()
+        self.send_application_messages()
 
     def look_at_clocks(self, now: int) -> None:
         self.clocks.own = time.time_ns() - now
-        for member, wall, sent, at in self.members.heard_walls:
+        for member, wall, sent, at in self.members.clock_samples:
             self.clocks.heard(member, wall - at, wall - sent, now)
-        self.members.heard_walls.clear()
-        self.members.wall = (
+        self.members.clock_samples.clear()
+        self.members.wall_offset = (
             self.clocks.own if any(said.calendar for said in self.spec.limits) else 0
         )
         self.clocks.settle(
-            now, [one.id for one in self.members.members.values() if one.kind != GONE]
+            now, [one.id for one in self.members.members.values() if one.reachability != GONE]
         )
 
     def look_at_division(self, now: int, others: list[Member]) -> None:
-        shares = self.shares
-        if shares.agreed and shares.told == shares.epoch:
+        shares = self.quota_allocation
+        if shares.agreed and shares.announced_epoch == shares.epoch:
             return
-        if shares.tell(now):
-            self.members.change(
+        if shares.announce(now):
+            self.members.reconfigure(
                 now,
                 self.spec.seeds,
                 Seal(self.spec.keys),
                 self.spec.times,
-                limits=shares.epoch if shares.tables else 0,
+                limits_epoch=shares.epoch if shares.tables else 0,
             )
         heard = [one for one in others if one.connected]
-        there = {one.card.name for one in heard if one.card.limits == shares.epoch}
-        apart = {one.card.name for one in heard if one.card.limits != shares.epoch}
-        since, silent = shares.since, {one.card.name for one in others if one.unheard}
-        agreed = shares.look(now, there, apart, silent, self.clocks.voices)
-        if self.state_store and shares.since != since:
+        there = {one.metadata.name for one in heard if one.metadata.limits_epoch == shares.epoch}
+        apart = {one.metadata.name for one in heard if one.metadata.limits_epoch != shares.epoch}
+        since, silent = shares.known_since, {one.metadata.name for one in others if one.unreachable}
+        agreed = shares.check_agreement(now, there, apart, silent, self.clocks.voices)
+        if self.state_store and shares.known_since != since:
             # From here on the file knows of all that is used; what was before it does not say.
-            self.first_notes[BEGUN,] = (shares.since,)
+            self.first_notes[BEGUN,] = (shares.known_since,)
         if agreed:
             log.info(
                 "quota_allocation_agreed", limits=",".join(shares.tables), epoch=f"{shares.epoch:x}"
@@ -597,44 +627,46 @@
 
     def tell_nearly(self, now: int, others: list[Member]) -> None:
         """Tell what is asked for of limits that are nearly kept, and hear what the others tell."""
-        nearly = self.shares.nearly
+        nearly = self.quota_allocation.approximate_quotas
         if not nearly:
             return
         heard, soon = {one.id: one.connected for one in others}, False
         for one in nearly.values():
-            changed, at_once = one.turn(now, heard, self.counting.floor(now))
+            changed, at_once = one.on_timer(now, heard, self.counting.floor(now))
             if changed:
-                self.members.carry(one.limit.mark, one.word(now))
+                self.members.publish(one.limit.wire_id, one.encode_report(now))
             soon = soon or at_once
         if soon:
-            self.members.tell_all_now(now)
+            self.members.broadcast_payloads(now)
 
-    def send_deals(self) -> None:
-        deals = self.shares.take_out()
+    def send_application_messages(self) -> None:
+        deals = self.quota_allocation.take_messages()
         pleas = self.outlier_monitor.take_messages() if self.outlier_monitor else []
         if deals or pleas:
-            self.members.send_deals(deals, self.loop.clock(), pleas)
+            self.members.send_application_messages(deals, self.loop.clock(), pleas)
             self.pass_on()
 
     def limits(self) -> list[dict[str, Any]]:
         """How each limit stands here."""
-        return self.shares.rows(self.loop.clock())
+        return self.quota_allocation.status_rows(self.loop.clock())
 
     def compare(self, member: int, contents: bytes) -> None:
         """A new run whose state file has fewer notes than the last one's: an old copy, or none."""
         there = self.members.members.get(member)
         if there is None or len(contents) != 8:
             return
-        name, stamp = there.card.name, int.from_bytes(contents, "big")
+        name, stamp = there.metadata.name, int.from_bytes(contents, "big")
         self.counts["state_stamps_received"] += 1
         run, most = self.stamps.pop(name, (member, 0))
         if run != member and stamp < most:
-            self.members.send_deals([(member, Deal(OLD, 0, most, 0, 0))], self.loop.clock())
+            self.members.send_application_messages(
+                [(member, QuotaMessage(STALE_STATE, 0, most, 0, 0))], self.loop.clock()
+            )
         self.stamps[name] = member, max(stamp, most)
-        while len(self.stamps) > self.members.most:
+        while len(self.stamps) > self.members.max_members:
             del self.stamps[next(iter(self.stamps))]
 
-    def told_old(self, deal: Deal, sender: int) -> None:
+    def told_old(self, deal: QuotaMessage, sender: int) -> None:
         """Another knows that this process's last run had written more than its state file holds."""
         if self.state_store is None or deal.nonce <= self.begun_stamp:
             return
@@ -647,8 +679,8 @@
         )
         self.begun_stamp = deal.nonce
         self.state_store.sequence = max(self.state_store.sequence, deal.nonce)
-        self.shares.void(self.loop.clock())
-        self.first_notes[BEGUN,] = (self.shares.since,)
+        self.quota_allocation.invalidate_records(self.loop.clock())
+        self.first_notes[BEGUN,] = (self.quota_allocation.known_since,)
 
     # Pools.
 
@@ -657,19 +689,19 @@
         if mark == STAMP:
             self.compare(member, contents)
             return
-        if mark == RECORD_NEWS:
+        if mark == LOG_PROGRESS_CHANNEL:
             if self.agreed:
-                self.agreed.told_news(member, contents)
+                self.agreed.on_announcement(member, contents)
             return
         if mark in self.nearly_marks:
-            self.nearly_marks[mark].hear(member, contents, self.loop.clock())
+            self.nearly_marks[mark].on_report(member, contents, self.loop.clock())
             return
         name = self.by_mark.get(mark)
         counted = self.counting.pools.get(name) if name else None
         pool = self.process.pools.get(name) if name else None
         if counted is None or pool is None or (number := counted.ids.get(member)) is None:
             return
-        if len(self.said) > 4 * self.members.most:
+        if len(self.said) > 4 * self.members.max_members:
             self.said.clear()
         if self.said.get((member, mark)) != contents:
             self.said[member, mark] = contents
--- a/whinpier/http/transport.py
+++ b/whinpier/http/transport.py
@@ -38,7 +38,7 @@
 
     def create_watch(self, pool: Pool) -> EndpointWatch:
         assert pool.spec.discovery
-        chance = pool.policy.split.random
+        chance = pool.policy.selector.random
         return Discovery(
             pool.spec.discovery, pool.spec.seq, pool.update_endpoints, chance, pool.log_fields
         )
--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -27,7 +27,7 @@
     Upstream,
     UpstreamState,
 )
-from whinpier.policy.policy import Choice
+from whinpier.policy.policy import Policy
 from whinpier.runtime.event_loop import EventLoop
 from whinpier.runtime.resource_budget import Budget, PoolBudget
 
@@ -232,7 +232,7 @@
         self.broadcast: Callable[[bytes], None] | None = None  # to the pool's other balancers
         self.fleet_settings: dict[str, Any] = {}  # replace those of the file
         self.apply_names(spec)
-        self.policy = Choice(self, spec.settings, list(spec.request_classes), seed)
+        self.policy = Policy(self, spec.settings, list(spec.request_classes), seed)
         self.endpoint_watch = context.create_watch(self)
 
     def apply_names(self, spec: PoolSpec) -> None:
@@ -263,7 +263,7 @@
             # they never follow a mixture of two files; only its statistics go to the new one.
             old = old_classes.get(new.name)
             if old and (old.kind, old.group, old.streamed) == (new.kind, new.group, new.streamed):
-                new.known = old.known
+                new.statistics = old.statistics
         self.apply_names(spec)
         self.budget.reconfigure(spec.limits)
         for endpoint in self.all_endpoints():
@@ -302,7 +302,7 @@
         )
         # A late loop decides before it reads that the client has disconnected.
         limiters = () if request.client_disconnected() else upstream.limiters
-        permits = self.acquire_permits(limiters, self.now, request.ends) if limiters else ()
+        permits = self.acquire_permits(limiters, self.now, request.deadline) if limiters else ()
         if permits is None or request.ended:
             # A limit has been reached, or the request has ended, since the policy decided.
             sent = PoolAttempt(request, upstream, self.now)
@@ -318,7 +318,7 @@
             sent.permits = permits
         if self.attempt_observer:
             self.attempt_observer.on_attempt_started(sent)
-        if stop_at and stop_at < request.ends:
+        if stop_at and stop_at < request.deadline:
             self.loop.call_at(stop_at, self, self.stop_waiting, sent, Outcome.TIMED_OUT)
         return sent
 
@@ -356,7 +356,7 @@
         assert isinstance(upstream, Endpoint)
         upstream.close_idle()
 
-    def tell(self, balancer: int | None, contents: bytes) -> None:
+    def send_peer_message(self, balancer: int | None, contents: bytes) -> None:
         """Send a message to the pool's other balancers, if there is a fleet to carry it."""
         if self.broadcast:
             self.broadcast(contents)
@@ -376,21 +376,21 @@
         """Give the policy its present settings."""
         self.loop.dispatch(
             self,
-            self.policy.change,
+            self.policy.reconfigure,
             self.spec.settings | self.fleet_settings,
             list(self.spec.request_classes),
         )
 
     def receive_peer_message(self, balancer: int, contents: bytes) -> None:
         """Pass on a message from another balancer's policy."""
-        self.loop.dispatch(self, self.policy.told, balancer, contents)
+        self.loop.dispatch(self, self.policy.on_peer_message, balancer, contents)
 
-    def follow_list(self, on: bool) -> None:
+    def follow_endpoint_list(self, on: bool) -> None:
         """Start or stop watching for changes of the endpoint list."""
         if self.endpoint_watch:
             self.endpoint_watch.set_watching(on)
 
-    def fetch_list(self) -> None:
+    def fetch_endpoint_list(self) -> None:
         """Ask discovery once for the whole list."""
         if self.endpoint_watch:
             self.endpoint_watch.fetch()
@@ -437,8 +437,8 @@
         self.counts["tasks"] += 1
         request.pool = self
         self.context.ids[request.client_id or request.id] = request
-        self.loop.call_at(request.ends, self, self.on_deadline, request)
-        self.loop.dispatch(self, self.policy.arrive, request)
+        self.loop.call_at(request.deadline, self, self.on_deadline, request)
+        self.loop.dispatch(self, self.policy.on_request, request)
 
     def finish(self, request: PendingRequest, how: str) -> bool:
         """End a request as `how`; return whether its final response is to be written now."""
@@ -489,8 +489,8 @@
 
     def shorten_deadline(self, request: PendingRequest, ends: int) -> None:
         """End a request earlier than its client's deadline, since the process stops then."""
-        if request.ends > ends:
-            request.ends = ends
+        if request.deadline > ends:
+            request.deadline = ends
             self.loop.call_at(ends, self, self.on_deadline, request)
 
     def stop_waiting(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -523,7 +523,7 @@
     ) -> None:
         """Respond to the client if the attempt is its request's first success; tell the policy."""
         sent.outcome = outcome
-        sent.took = self.now - sent.sent
+        sent.duration = self.now - sent.sent_at
         if self.attempt_observer:
             self.attempt_observer.on_attempt_finished(sent)
         request = sent.request
@@ -539,14 +539,14 @@
         first = outcome == Outcome.SUCCEEDED and not request.ended
         if first and self.finish(request, "fulfilled"):
             request.respond(answer)
-        self.policy.came_back(sent, load, first)
+        self.policy.on_attempt_finished(sent, load, first)
 
     def on_client_disconnected(self, request: PendingRequest) -> None:
         """End a request whose client no longer waits."""
         if not request.ended:
             self.end_request(request)
             self.counts["clients_left"] += 1
-            self.loop.dispatch(self, self.policy.left, request)
+            self.loop.dispatch(self, self.policy.on_client_disconnected, request)
 
     # Endpoints.
 
@@ -578,7 +578,7 @@
                     self, entry, stable_hash(entry.host.encode())
                 )
                 self.ejected_hosts.discard(entry.host)  # it was for an earlier run of the upstream
-                endpoint.turn = self.context.shared_warm_up_turn(entry)
+                endpoint.warm_up_pacer = self.context.shared_warm_up_turn(entry)
                 if self.on_endpoint_added:
                     self.on_endpoint_added(endpoint)
             endpoint.listed_state = entry.state
@@ -611,7 +611,7 @@
             for endpoint in self.endpoints.values()
             if endpoint.state in (UpstreamState.READY, UpstreamState.DRAINING)
         ]
-        self.loop.dispatch(self, self.policy.listed, usable)
+        self.loop.dispatch(self, self.policy.on_endpoints_updated, usable)
 
     def state_of(self, endpoint: Endpoint) -> UpstreamState:
         """Return the listed state, or draining for a ready one that is ejected or drained."""
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -28,7 +28,7 @@
     Spec,
     differs,
 )
-from whinpier.policy.decaying_sum import SECOND, Turn
+from whinpier.policy.decaying_sum import SECOND, Pacer
 from whinpier.runtime.event_loop import MS, EventLoop
 from whinpier.runtime.pool import Endpoint, EndpointWatch, PendingRequest, Pool
 from whinpier.runtime.resource_budget import Budget, PoolBudget, reserved_descriptors
@@ -87,7 +87,7 @@
     def leave(self) -> None:
         """Tell the fleet that this process is shutting down."""
 
-    def goodbye(self) -> None:
+    def announce_leave(self) -> None:
         """Tell the fleet that this process has finished its requests."""
 
 
@@ -130,7 +130,7 @@
         # Requests by their id, until their deadline, with or without a final response.
         self.ids: dict[bytes | int, PendingRequest] = {}
         # Warm-up schedules by address and start time of an upstream, shared by all pools.
-        self.warm_up_turns: dict[tuple[Address, int], Turn] = {}
+        self.warm_up_turns: dict[tuple[Address, int], Pacer] = {}
         self.stopping = False
         self.closing = False
         self.stop_deadline = 0
@@ -144,7 +144,7 @@
         for pool in spec.pools.values():
             self.add_pool(pool)
         first = next(iter(self.pools.values()))
-        self.random = self.seed_source.random if spec.routed else first.policy.split.random
+        self.random = self.seed_source.random if spec.routed else first.policy.selector.random
         self.budget.list_idle = self.idle_connections
         self.frontends = transport.create_frontends(self)
         self.fleet: Fleet | None = None
@@ -166,12 +166,12 @@
         """Make the pool's connection to discovery; None if its endpoints are configured."""
         return self.transport.create_watch(pool) if pool.spec.discovery else None
 
-    def shared_warm_up_turn(self, entry: Entry) -> Turn | None:
+    def shared_warm_up_turn(self, entry: Entry) -> Pacer | None:
         """Return the warm-up schedule of an upstream for all pools, or None if there is one pool."""
         # Two pools that each keep to the bound of an upstream that warms up overload it together.
         if not self.spec.routed:
             return None
-        return self.warm_up_turns.setdefault((entry.dial, entry.started), Turn(self.loop.clock()))
+        return self.warm_up_turns.setdefault((entry.dial, entry.started), Pacer(self.loop.clock()))
 
     def first_seen_at(self, dial: Address) -> int:
         """Return the start time of an upstream that is new in a file: another pool's, or now."""
@@ -339,7 +339,7 @@
         pools = (*self.pools.values(), *self.draining_pools)
         for pool in pools:
             log.invariant(
-                pool.count_in_flight() == pool.policy.split.total,
+                pool.count_in_flight() == pool.policy.selector.in_flight,
                 "the policy's count of attempts is that of the connections",
             )
             if self.spec.routed:
@@ -421,7 +421,7 @@
                 break
             await anyio.sleep(0.01)
         if self.fleet:
-            self.fleet.goodbye()
+            self.fleet.announce_leave()
         log.info("stopped", out=self.in_flight(), **self.counters())
         loop.task_group.cancel_scope.cancel()
 
--- a/whinpier/runtime/resource_budget.py
+++ b/whinpier/runtime/resource_budget.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from whinpier.config.model import Limits, Spec
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 from whinpier.runtime.event_loop import MAX_LAG
 
 # Standard streams, listener, discovery and the event loop's own take a dozen.
@@ -138,7 +138,7 @@
         self.reconfigure(limits)
         self.clients = 0  # client connections whose last request was for this pool
         self.shed_ratio = 0.0  # fraction of its requests that is rejected on arrival
-        self.cpu_time = Sum(CPU_WINDOW, 0)  # nanoseconds of the event loop
+        self.cpu_time = DecayingSum(CPU_WINDOW, 0)  # nanoseconds of the event loop
         budget.pools.append(self)
 
     def reconfigure(self, limits: Limits) -> None:
--- a/whinpier/testbed/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -20,7 +20,7 @@
     from whinpier.fleet.consensus import service
     from whinpier.model_checking.consensus import FAULTS
 
-    swapped(service, "Agreement", FAULTS[name])
+    swapped(service, "RaftNode", FAULTS[name])
 
 
 def vote_fault(name: str) -> None:
@@ -32,10 +32,14 @@
 
 def share_fault(name: str) -> None:
     from whinpier.fleet.quotas import allocation
-    from whinpier.fleet.quotas.leases import Share
+    from whinpier.fleet.quotas.leases import LeasedQuota
     from whinpier.model_checking.quota_mutants import FAULTS
 
-    swapped(allocation, "Share", type(name, (FAULTS[name],), {"need": Share.need}))
+    swapped(
+        allocation,
+        "LeasedQuota",
+        type(name, (FAULTS[name],), {"compute_need": LeasedQuota.compute_need}),
+    )
 
 
 def permits_without_end() -> None:
@@ -68,30 +72,30 @@
 
 def never_lost() -> None:
     """Whoever does not answer is suspected for good."""
-    from whinpier.fleet.membership.membership import Members
+    from whinpier.fleet.membership.membership import Membership
 
-    Members.judge = lambda self, *given: None  # type: ignore[method-assign]
+    Membership.on_suspicion_timeout = lambda self, *given: None  # type: ignore[method-assign]
 
 
 def never_answers_for_itself() -> None:
     """Who is suspected does not refute it."""
-    from whinpier.fleet.membership.membership import Members
+    from whinpier.fleet.membership.membership import Membership
 
-    Members.answer_for = lambda self, word, sender: None  # type: ignore[method-assign]
+    Membership.refute = lambda self, update, sender: None  # type: ignore[method-assign]
 
 
 def own_file_refused() -> None:
     """A release could not be taken back to each one's own file (mended in this project)."""
-    from whinpier.fleet.consensus.service import Agreed
+    from whinpier.fleet.consensus.service import ConsensusService
 
-    obey = Agreed.obey
+    apply_orders = ConsensusService.apply_orders
 
-    def obeyed(self: Agreed) -> None:
-        if self.refused is None:
-            self.refused = ""
-        obey(self)
+    def obeyed(self: ConsensusService) -> None:
+        if self.refused_content is None:
+            self.refused_content = ""
+        apply_orders(self)
 
-    Agreed.obey = obeyed  # type: ignore[method-assign]
+    ConsensusService.apply_orders = obeyed  # type: ignore[method-assign]
 
 
 FAULTS: dict[str, Callable[[], None]] = {
