--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -180,7 +180,7 @@
     def create_watch(self, pool: Pool) -> EndpointWatch | None:
         """Make the pool's connection to discovery; None if its endpoints are configured."""
 
-    def shared_warm_up_turn(self, entry: Entry) -> Any:
+    def shared_warm_up_pacer(self, entry: Entry) -> Any:
         """Return the warm-up schedule that all pools with this upstream share; None if none."""
 
     def first_seen_at(self, dial: Address) -> int:
@@ -578,7 +578,7 @@
                     self, entry, stable_hash(entry.host.encode())
                 )
                 self.ejected_hosts.discard(entry.host)  # it was for an earlier run of the upstream
-                endpoint.warm_up_pacer = self.context.shared_warm_up_turn(entry)
+                endpoint.warm_up_pacer = self.context.shared_warm_up_pacer(entry)
                 if self.on_endpoint_added:
                     self.on_endpoint_added(endpoint)
             endpoint.listed_state = entry.state
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -129,8 +129,8 @@
         self.loop = EventLoop(self.budget.update_shedding)
         # Requests by their id, until their deadline, with or without a final response.
         self.ids: dict[bytes | int, PendingRequest] = {}
-        # Warm-up schedules by address and start time of an upstream, shared by all pools.
-        self.warm_up_turns: dict[tuple[Address, int], Pacer] = {}
+        # Of upstreams that warm up, by address and start time; shared by all pools.
+        self.warm_up_pacers: dict[tuple[Address, int], Pacer] = {}
         self.stopping = False
         self.closing = False
         self.stop_deadline = 0
@@ -166,12 +166,12 @@
         """Make the pool's connection to discovery; None if its endpoints are configured."""
         return self.transport.create_watch(pool) if pool.spec.discovery else None
 
-    def shared_warm_up_turn(self, entry: Entry) -> Pacer | None:
+    def shared_warm_up_pacer(self, entry: Entry) -> Pacer | None:
         """Return the warm-up schedule of an upstream for all pools, or None if there is one pool."""
         # Two pools that each keep to the bound of an upstream that warms up overload it together.
         if not self.spec.routed:
             return None
-        return self.warm_up_turns.setdefault((entry.dial, entry.started), Pacer(self.loop.clock()))
+        return self.warm_up_pacers.setdefault((entry.dial, entry.started), Pacer(self.loop.clock()))
 
     def first_seen_at(self, dial: Address) -> int:
         """Return the start time of an upstream that is new in a file: another pool's, or now."""
@@ -361,7 +361,9 @@
             for pool in pools
             for endpoint in pool.endpoints.values()
         }
-        self.warm_up_turns = {run: sent for run, sent in self.warm_up_turns.items() if run in used}
+        self.warm_up_pacers = {
+            run: sent for run, sent in self.warm_up_pacers.items() if run in used
+        }
 
     # Signals and shutdown.
 
--- a/whinpier/simulation/balancers.py
+++ b/whinpier/simulation/balancers.py
@@ -274,7 +274,7 @@
     def create_watch(self, pool: Pool) -> EndpointWatch | None:
         return None
 
-    def shared_warm_up_turn(self, entry: Entry) -> DecayingSum | None:
+    def shared_warm_up_pacer(self, entry: Entry) -> DecayingSum | None:
         return None
 
     def first_seen_at(self, dial: Address) -> int:
