--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -55,8 +55,8 @@
 class Limiter(Protocol):
     """A limit on the requests of a pool, or on the attempts at one upstream."""
 
-    def acquire(self, now: int, ends: int) -> Permit | None:
-        """Grant a permit for use until `ends` at the latest, or None if the limit is reached."""
+    def acquire(self, now: int, deadline: int) -> Permit | None:
+        """Grant a permit for use until `deadline` at the latest, or None if the limit is reached."""
 
     def retry_after(self, now: int) -> int:
         """Return the nanoseconds after which a refused request may try again."""
@@ -404,11 +404,11 @@
     def admit(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> bool:
         """Acquire the permits of a new request; without them `retry_after` says when to retry."""
         now, self.retry_after = self.loop.clock(), 0
-        ends = now + max(request_class.timeout for request_class in self.spec.request_classes)
+        deadline = now + max(request_class.timeout for request_class in self.spec.request_classes)
         limiters = self.limiters
         if self.request_limiters is not None:
             limiters = (*limiters, *self.request_limiters(route, tenant, ticket, again))
-        permits = self.acquire_permits(limiters, now, ends)
+        permits = self.acquire_permits(limiters, now, deadline)
         self.granted_permits = permits or ()
         if permits is None:
             assert self.refusing_limiter
@@ -416,12 +416,12 @@
         return permits is not None
 
     def acquire_permits(
-        self, limiters: tuple[Limiter, ...], now: int, ends: int
+        self, limiters: tuple[Limiter, ...], now: int, deadline: int
     ) -> tuple[Permit, ...] | None:
         """Acquire a permit of each limiter, or of none and return None."""
         permits: list[Permit] = []
         for limiter in limiters:
-            permit = limiter.acquire(now, ends)
+            permit = limiter.acquire(now, deadline)
             if permit is None:
                 self.refusing_limiter = limiter
                 for granted in permits:
@@ -487,11 +487,11 @@
         request.attempts.clear()
         self.context.ids.pop(request.client_id or request.id, None)
 
-    def shorten_deadline(self, request: PendingRequest, ends: int) -> None:
+    def shorten_deadline(self, request: PendingRequest, deadline: int) -> None:
         """End a request earlier than its client's deadline, since the process stops then."""
-        if request.deadline > ends:
-            request.deadline = ends
-            self.loop.call_at(ends, self, self.on_deadline, request)
+        if request.deadline > deadline:
+            request.deadline = deadline
+            self.loop.call_at(deadline, self, self.on_deadline, request)
 
     def stop_waiting(self, attempt: Attempt, outcome: Outcome) -> None:
         """Abandon an attempt and settle it, unless it is settled."""
--- a/whinpier/runtime/process.py
+++ b/whinpier/runtime/process.py
@@ -221,13 +221,13 @@
             return True
         return False
 
-    def deadline(self, came: int, timeout: int) -> int:
+    def deadline(self, arrived_at: int, timeout: int) -> int:
         """Return when a request must end, so that its client has the response in time.
 
         No request outlives the process.
         """
         margin = self.loop.deadline_margin()
-        return min(came + timeout, self.stop_deadline or came + timeout) - margin
+        return min(arrived_at + timeout, self.stop_deadline or arrived_at + timeout) - margin
 
     # Reload.
 
