--- a/whinpier/config/platform.py
+++ b/whinpier/config/platform.py
@@ -180,7 +180,7 @@
         raise ConfigFault(f"seed: {given.get('seed')!r} is not a hexadecimal number") from None
     if "settings" not in given:
         raise ConfigFault("settings: is missing")
-    found = common.settings(flat(checked(given, "settings", dict, {})))
+    found = common.parse_settings(flat(checked(given, "settings", dict, {})))
     request_classes = check_settings(found)
     refused = honoured(found)
     pool = PoolSpec(
--- a/whinpier/policy/decaying_sum.py
+++ b/whinpier/policy/decaying_sum.py
@@ -1,56 +1,65 @@
-"""What is measured and dealt out over time: sums that fade, turns. Plain arithmetic, no decisions."""
+"""Exponentially decaying sums and a pacer: plain arithmetic over time, no decisions."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from math import exp
 
-SECOND = 1_000_000_000  # in nanoseconds, as all times are
+SECOND = 1_000_000_000  # nanoseconds, the unit of all times
 
 
 class DecayingSum:
-    """A sum whose parts fade with age; brought up to date when read."""
+    """A sum whose parts decay exponentially with age, by 1/e in each `span` nanoseconds."""
 
-    __slots__ = ("span", "value", "at", "begun")
+    __slots__ = ("span", "started_at", "updated_at", "value")
 
     def __init__(self, span: int, now: int) -> None:
-        self.span, self.value, self.at, self.begun = span, 0.0, now, now
+        """Start an empty sum at `now`."""
+        self.span = span
+        self.value = 0.0
+        self.updated_at = now
+        self.started_at = now
 
     def read(self, now: int) -> float:
-        if now > self.at:
-            self.value *= exp((self.at - now) / self.span)
-            self.at = now
+        """Return the sum, decayed up to `now`."""
+        if now > self.updated_at:
+            self.value *= exp((self.updated_at - now) / self.span)
+            self.updated_at = now
         return self.value
 
     def add(self, now: int, amount: float = 1.0) -> None:
-        if now > self.at:
-            self.value = self.value * exp((self.at - now) / self.span) + amount
-            self.at = now
+        """Add a part that is as old as `now`; parts from the past count as new."""
+        if now > self.updated_at:
+            self.value = self.value * exp((self.updated_at - now) / self.span) + amount
+            self.updated_at = now
         else:
             self.value += amount
 
     def rate(self, now: int) -> float:
-        """Parts a second, made up for the time before the first one could come."""
-        seen = max(now - self.begun, SECOND // 10)
-        return self.read(now) * SECOND / (self.span * (1.0 - exp(-seen / self.span)))
+        """Return the parts per second, corrected for the sum having started empty."""
+        # At least 100 ms: a first part right after the start is no high rate.
+        elapsed = max(now - self.started_at, SECOND // 10)
+        return self.read(now) * SECOND / (self.span * (1.0 - exp(-elapsed / self.span)))
 
 
 class Pacer:
-    """Deals out a stated number over each span of time, one by one; of a part of one, one comes
-    by chance.
+    """Issues permits one by one, a given number in each span of time.
 
-    Many that deal out parts of one number independently keep their sum, which each rounding up
-    would not. What is not used by the next turn lapses: no store is left to be used by all at
-    once.
+    Of a number below one, a permit is issued with that probability, so that many pacers that
+    share a number independently keep to their total; rounding up at each would not. A permit that
+    isn't used by the time of the next one lapses: they can't be saved up for a burst.
     """
 
-    __slots__ = ("open", "ends")
+    __slots__ = ("has_permit", "next_at")
 
-    def __init__(self, ends: int) -> None:
-        self.open, self.ends = False, ends
+    def __init__(self, next_at: int) -> None:
+        """Issue the first permit at `next_at`."""
+        self.has_permit = False
+        self.next_at = next_at
 
-    def due(self, now: int, span: int, number: float, chance: Callable[[], float]) -> bool:
-        """Whether one may be taken now; whoever takes it closes the turn."""
-        if now >= self.ends:
-            self.open, self.ends = chance() < number, now + int(span / max(1.0, number))
-        return self.open
+    def poll(self, now: int, span: int, number: float, random: Callable[[], float]) -> bool:
+        """Return whether there is a permit at `now`; whoever uses it sets `has_permit` to False."""
+        if now >= self.next_at:
+            self.has_permit = random() < number
+            self.next_at = now + int(span / max(1.0, number))
+        return self.has_permit
--- a/whinpier/policy/model.py
+++ b/whinpier/policy/model.py
@@ -1,5 +1,4 @@
-"""Plain types shared by the decisions and whatever hosts them, and the Host they call. No decisions
-here.
+"""Types shared by the policy and its hosts, and the Host that the policy calls; no decisions.
 
 All times are whole nanoseconds on the host's clock.
 """
@@ -38,14 +37,15 @@
     CANCELLED = "withdrawn"
     OVERLOADED = "full"  # rejected by the upstream before it ran
     CONNECT_FAILED = "no connection"
-    NOT_SENT = "moot"
+    NOT_SENT = "moot"  # no longer needed before anything of it was sent
 
 
+# Outcomes after which a request has certainly not run.
 NEVER_RAN = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 class WireError(Exception):
-    """What came in cannot be understood; the text says what and where."""
+    """Input that can't be understood; the text says what was got and what is allowed."""
 
 
 @dataclass(slots=True, eq=False)
@@ -57,15 +57,17 @@
     latency_objective: int
     timeout: int
     priority_weight: float
-    late_priority_weight: float = 0.0
+    late_priority_weight: float = 0.0  # of an answer after the latency objective
+    # Which upstreams recognise each other's idempotency keys: "all", those of a "zone" or "cell".
     group: str = "all"
-    window: int = 0
+    window: int = 0  # how long upstreams remember an idempotency key
     streamed: bool = False
-    stretch: float = 0.0
-    statistics: Any = None  # what the decisions have observed of it
-    max_attempts: int = 1  # attempts of one request, by the settings it came under
-    hedging: bool = False  # whether a second one may be sent while the first is out
-    cancellation: bool = False  # whether one that is out may be called off
+    stretch: float = 0.0  # not used by the policy
+    statistics: Any = None  # RequestClassStatistics of the policy
+    # Set by the policy from the settings that were in force when the request arrived.
+    max_attempts: int = 1  # of one request
+    hedging: bool = False  # whether a second attempt may be sent while the first is in flight
+    cancellation: bool = False  # whether an attempt in flight may be cancelled
 
 
 @dataclass(slots=True, eq=False)
@@ -76,19 +78,18 @@
     state: UpstreamState
     zone: int
     cell: int
-    started: int  # 0: long ago
+    started: int  # 0: long ago, so it is warm
     size: float = 1.0
-    shape: int = 0
-    statistics: Any = None  # what the decisions have observed of it
-    warm_up_pacer: Any = (
-        None  # when it is due a request while cold, where other pools of this process list it too
-    )
-    spare: float = inf  # how many more it may be sent just now, by limits beside the decisions' own
+    shape: int = 0  # number of its kind of machine
+    statistics: Any = None  # UpstreamStatistics of the policy
+    # Pacer while it warms up, shared with the other pools of this process that list it.
+    warm_up_pacer: Any = None
+    spare: float = inf  # how many more attempts limits outside the policy allow just now
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """What a client asked for once; a client's next try is another request."""
+    """What a client asked for once; a retry by the client is another request."""
 
     id: int
     request_class: RequestClass
@@ -97,16 +98,16 @@
     key: int = 0
     tenant: int = 0
     work_hint: int | None = None
-    repeat: bool = False
+    repeat: bool = False  # a retry by the client
     write: bool = False
     attempts: list[Attempt] = field(default_factory=list)
     ended: bool = False
-    queued_until: int = 0  # by the decisions, at the latest
+    queued_until: int = 0  # at the latest, by the policy
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to an upstream; `outcome` is None while it is out."""
+    """One sending of a request to an upstream; `outcome` is None while it is in flight."""
 
     request: Request
     upstream: Upstream
@@ -114,11 +115,11 @@
     sent_at: int
     outcome: Outcome | None = None
     duration: int = 0
-    expected_rate: float = 0.0  # answers due of it in a nanosecond, by the decisions' count
+    expected_rate: float = 0.0  # answers per nanosecond, if it takes the mean latency
 
 
 class Host(Protocol):
-    """What the decisions may ask of the program around them."""
+    """What the policy may ask of the program around it."""
 
     now: int
 
@@ -126,31 +127,31 @@
         """Send the request; 0 as `stop_at` means until the client gives up."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt; its outcome still comes back."""
+        """Stop waiting for an attempt; its outcome is still reported."""
 
     def reject(self, request: Request, wait: int = 0) -> None:
-        """Final answer: not done, trying again is harmless, best after `wait`."""
+        """Give the final answer: not done, a retry is harmless, best after `wait` nanoseconds."""
 
     def fail(self, request: Request) -> None:
-        """Final answer: not fulfilled, nothing promised."""
+        """Give the final answer: failed, and it may have run."""
 
     def set_timer(self, at: int, token: int = 0) -> None:
-        """Call `Choice.bell(token)` at or soon after `at`."""
+        """Call `Policy.on_timer(token)` at or soon after `at`."""
 
     def probe(self, upstream: Upstream) -> None:
-        """Ask an upstream for its load; what it says comes as `Choice.reported`."""
+        """Ask an upstream for its load, to be passed to `Policy.on_load_report`."""
 
     def close_idle(self, upstream: Upstream) -> None:
         """Close idle connections to an upstream."""
 
     def send_peer_message(self, balancer: int | None, contents: bytes) -> None:
-        """Send a few bytes to one other balancer, or to all (None); they come as `Choice.told`."""
+        """Send a message to `Policy.on_peer_message` of one other balancer, or of all (None)."""
 
     def follow_endpoint_list(self, on: bool) -> None:
-        """Ask for changes of the upstream list from now on, or no longer."""
+        """Subscribe to changes of the endpoint list, or unsubscribe."""
 
     def fetch_endpoint_list(self) -> None:
-        """Ask once for the whole list."""
+        """Ask once for the whole endpoint list."""
 
     def log(self, text: str) -> None:
-        """Leave a line for the people on call."""
+        """Write a line to the log for operators."""
--- a/whinpier/simhost/wire.py
+++ b/whinpier/simhost/wire.py
@@ -9,8 +9,7 @@
 
 from whinpier.policy import model
 from whinpier.policy.model import WireError
-from whinpier.settings import NS_PER_US
-from whinpier.settings import settings as in_our_words
+from whinpier.settings import NS_PER_US, parse_settings
 
 BATCH = Struct("<IIIQ")
 REPLY = Struct("<III")
@@ -138,4 +137,4 @@
 def settings(text: str) -> dict[str, Any]:
     """The settings map of a text with one path=value on each line."""
     split = (line.partition("=") for line in text.splitlines())
-    return in_our_words((name, value(content)) for name, mark, content in split if mark)
+    return parse_settings((name, value(content)) for name, mark, content in split if mark)
