--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -1,4 +1,4 @@
-"""The tiny fake host that the stories are told against."""
+"""A minimal host of the policy for tests: records its calls, and plays upstreams and time."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from whinpier.policy.policy import SECOND, Policy
 
 MS = SECOND // 1000
+TIMEOUT = 3000 * MS
 SETTINGS = {
     "balancers": 1,
     "limits.max_hand_offs": 3,
@@ -18,22 +19,22 @@
 
 
 class FakeHost:
-    """Keeps what the decisions ask for and lets a story say what happens next."""
+    """Records what the policy asks for; a test says what happens next."""
 
     def __init__(self, kind: str = "exclusive", count: int = 3, **settings) -> None:
         self.now = 100 * SECOND
         self.sent: list[Attempt] = []
         self.answers: dict[int, str] = {}
-        self.withdrawn: list[Attempt] = []
+        self.cancelled: list[Attempt] = []
         self.timers: list[tuple[int, int]] = []
-        self.waits: list[int] = []  # that clients were told
+        self.waits: list[int] = []  # of rejections, as clients are told
         self.peer_messages: list[bytes] = []
         self.probed: list[Upstream] = []
-        self.asked: list[int] = []  # when the list was asked for
+        self.list_requests: list[int] = []  # times at which the endpoint list was asked for
         self.requests = 0
         group = settings.pop("group", "all")
         self.request_class = RequestClass(
-            "any", kind, 800 * MS, 3000 * MS, 5.0, group=group, window=2 * SECOND
+            "any", kind, 800 * MS, TIMEOUT, 5.0, group=group, window=2 * SECOND
         )
         self.policy = Policy(
             self, SETTINGS | settings, [self.request_class], settings.pop("seed", 7)
@@ -42,7 +43,7 @@
         if count:
             self.policy.on_endpoints_updated(self.upstreams)
 
-    # What the decisions ask for.
+    # Calls of the policy.
 
     def start_attempt(self, request, upstream, stop_at=0):
         assert not request.ended and upstream.state == UpstreamState.READY
@@ -62,13 +63,13 @@
         self._answer(request, "scrapped")
 
     def cancel(self, attempt):
-        self.withdrawn.append(attempt)
+        self.cancelled.append(attempt)
 
     def set_timer(self, at, token=0):
         self.timers.append((max(at, self.now + 1), token))
 
     def follow_endpoint_list(self, on):
-        self.asked.append(self.now)
+        self.list_requests.append(self.now)
 
     def send_peer_message(self, balancer, contents):
         self.peer_messages.append(contents)
@@ -79,13 +80,14 @@
     def close_idle(self, upstream):
         pass
 
-    # What the story tells.
+    # Calls of tests.
 
-    def request(self, timeout: int = 3000 * MS) -> Request:
+    def request(self, timeout: int = TIMEOUT) -> Request:
+        """A new request arrives."""
         self.requests += 1
-        made = Request(self.requests, self.request_class, self.now, self.now + timeout)
-        self.policy.on_request(made)
-        return made
+        request = Request(self.requests, self.request_class, self.now, self.now + timeout)
+        self.policy.on_request(request)
+        return request
 
     def finish_attempt(self, attempt, outcome=Outcome.SUCCEEDED, load=None):
         attempt.outcome, attempt.duration = outcome, self.now - attempt.sent_at
@@ -94,11 +96,11 @@
             self._answer(attempt.request, "fulfilled")
         self.policy.on_attempt_finished(attempt, load, first)
 
-    def out(self):
+    def in_flight(self):
         return [attempt for attempt in self.sent if not attempt.outcome]
 
     def wait(self, span: int) -> None:
-        """Let time pass, ringing what falls due."""
+        """Let time pass, with the timers that expire."""
         until = self.now + span
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
@@ -108,17 +110,17 @@
         self.now = until
 
     def traffic(
-        self, span: int, every: int = 20 * MS, takes=lambda upstream: 50 * MS, load=None
+        self, span: int, every: int = 20 * MS, latency=lambda upstream: 50 * MS, load=None
     ) -> None:
-        """Steady requests; each upstream answers after what `takes` says, or never where that is None."""
+        """Send requests steadily; an upstream whose `latency` is None never answers."""
         until, next_request = self.now + span, self.now
         while self.now < until:
             if self.now >= next_request:
                 self.request()
                 next_request += every
-            for attempt in self.out():
-                time = takes(attempt.upstream)
-                if attempt.sent_at + 3000 * MS <= self.now:
+            for attempt in self.in_flight():
+                time = latency(attempt.upstream)
+                if attempt.sent_at + TIMEOUT <= self.now:
                     self.finish_attempt(attempt, "timed out")
                 elif time is not None and attempt.sent_at + time <= self.now:
                     self.finish_attempt(attempt, load=load)
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -1,11 +1,11 @@
-"""A seeded day of every host: the same seed gives the same journal, before and after a commit.
-
-Each day is scripted by `random.Random(seed)` alone and digested with SHA-256. What is digested are
-wire bytes, numbers and the external words of settings, so that a rename of identifiers leaves every
-digest as it is; outcomes go in as the small integers of OUTCOME_CODES, other words by the order in
-which they are met. Each day is compared whole with tests/data/kept/seeded_day.json: the counts by
-a digest say where a difference began. Where a change of behaviour is meant,
-`python -m tests.test_seeded_day` prints the days as they are now.
+"""A seeded run of every host gives the same actions before and after a change.
+
+Each run, called a day, is scripted by `random.Random(seed)` alone, and its actions are digested
+with SHA-256: wire bytes, numbers and the external names of settings, so that renaming identifiers
+leaves every digest as it is. Outcomes are digested as the integers of OUTCOME_CODES, other words
+by the order in which they first occur. Each day is compared with its entry in
+tests/data/kept/seeded_day.json; the counts beside a digest show where a difference began. After an
+intended change of behaviour, `python -m tests.test_seeded_day` prints the new entries.
 """
 
 import hashlib
@@ -69,17 +69,17 @@
     Outcome.NOT_SENT: 114,
     Outcome.CANCELLED: 125,
 }
-HAND_OFF, WITHDRAW, REJECT, FAIL, ALARM, PROBE, CLOSE_IDLE, TELL, FOLLOW, FETCH, LOG = range(1, 12)
+START, CANCEL, REJECT, FAIL, SET_TIMER, PROBE, CLOSE_IDLE, SEND, FOLLOW, FETCH, LOG = range(1, 12)
 
 
-class Journal:
-    """Digests actions as they come, and counts them."""
+class ActionLog:
+    """Digests and counts actions in the order in which they happen."""
 
     def __init__(self):
         self.sha, self.counts = hashlib.sha256(), Counter()
 
     def note(self, code, *values):
-        """Only numbers and bytes: nothing whose text a rename changes."""
+        """Digest an action: numbers and bytes only, which no rename changes."""
         assert all(type(value) in (int, float, bytes) for value in values), values
         self.sha.update(repr((code, *values)).encode())
 
@@ -90,8 +90,8 @@
         return {"digest": self.sha.hexdigest()} | dict(sorted(self.counts.items()))
 
 
-class Agenda:
-    """What falls due, in order of time and then as it was put in."""
+class EventQueue:
+    """Events by time, and in the order of insertion at the same time."""
 
     def __init__(self):
         self.queue, self.number = [], 0
@@ -105,7 +105,7 @@
         return at, what
 
 
-# The decisions, on a host that records.
+# The policy, on a host that records its calls.
 
 WORKLOADS = """workloads.count=5
 workloads.0.semantics=once
@@ -165,21 +165,21 @@
 )
 
 
-def understood(text):
-    """Settings and request classes of a text in the external words."""
+def parsed(text):
+    """Settings and request classes of a text with external names."""
     found = wire.settings(text + WORKLOADS)
     return found, request_classes(found)
 
 
 class RecordingHost(Host):
-    """Scripted upstreams, clients and peers around the decisions; every call they make is noted."""
+    """Scripted upstreams, clients and peers around the policy; digests every call of the policy."""
 
     def __init__(self, seed, texts, requests, rate, upstreams):
-        self.now, self.chance = 100 * SECOND, Random(seed)
-        self.journal, self.agenda = Journal(), Agenda()
+        self.now, self.generator = 100 * SECOND, Random(seed)
+        self.actions, self.events = ActionLog(), EventQueue()
         self.texts, self.requests, self.rate = texts, requests, rate
         self.number, self.next_id = 0, upstreams
-        found, self.request_classes = understood(texts[0])
+        found, self.request_classes = parsed(texts[0])
         self.behaviour = {}
         self.upstreams = []
         self.policy = Policy(self, found, self.request_classes, seed)
@@ -193,221 +193,226 @@
         self.behaviour[upstream] = 0
         return upstream
 
-    # What the decisions ask for.
+    # Calls of the policy.
 
     def start_attempt(self, request, upstream, stop_at=0):
         made = Attempt(request, upstream, len(request.attempts), self.now)
         hedged = any(not other.outcome for other in request.attempts)
         request.attempts.append(made)
-        self.journal.note(HAND_OFF, self.now, request.id, upstream.id, made.number, stop_at)
-        self.journal.count(
+        self.actions.note(START, self.now, request.id, upstream.id, made.number, stop_at)
+        self.actions.count(
             attempts=1, hedged=int(hedged), retries=int(made.number > 0 and not hedged)
         )
-        self.agenda.put(*self.fate(made))
+        self.events.put(*self.plan(made))
         return made
 
-    def fate(self, attempt):
-        """When an attempt comes back, and how."""
-        drawn, behaviour = self.chance.random, self.behaviour[attempt.upstream]
-        at, ends = self.now + int(MS * (4 + 60 * drawn() ** 3)), attempt.request.deadline
+    def plan(self, attempt):
+        """When an attempt finishes, and with which outcome."""
+        random, behaviour = self.generator.random, self.behaviour[attempt.upstream]
+        at, ends = self.now + int(MS * (4 + 60 * random() ** 3)), attempt.request.deadline
         outcome = Outcome.SUCCEEDED
         if behaviour == 1:
-            at = self.now + int(MS * (200 + 900 * drawn()))
+            at = self.now + int(MS * (200 + 900 * random()))
         elif behaviour == 2:
             at = ends
-        elif behaviour == 3 and drawn() < 0.8:
+        elif behaviour == 3 and random() < 0.8:
             outcome = Outcome.FAILED
-        elif behaviour == 4 and drawn() < 0.7:
+        elif behaviour == 4 and random() < 0.7:
             outcome = Outcome.RESET
         elif behaviour == 5:
             at, outcome = self.now + MS, Outcome.CONNECT_FAILED
-        elif behaviour == 6 and drawn() < 0.6:
+        elif behaviour == 6 and random() < 0.6:
             at, outcome = self.now + 2 * MS, Outcome.OVERLOADED
-        elif drawn() < 0.004:
+        elif random() < 0.004:
             outcome = Outcome.NOT_SENT
         if at >= ends:
             at, outcome = max(ends, self.now), Outcome.TIMED_OUT
-        return at, self.come_back, attempt, outcome
+        return at, self.finish_attempt, attempt, outcome
 
     def cancel(self, attempt):
         request, upstream = attempt.request, attempt.upstream
-        self.journal.note(WITHDRAW, self.now, request.id, upstream.id, attempt.number)
-        self.journal.count(withdrawn=1)
-        self.agenda.put(self.now + MS, self.come_back, attempt, Outcome.CANCELLED)
+        self.actions.note(CANCEL, self.now, request.id, upstream.id, attempt.number)
+        self.actions.count(withdrawn=1)
+        self.events.put(self.now + MS, self.finish_attempt, attempt, Outcome.CANCELLED)
 
     def reject(self, request, wait=0):
         assert not request.ended, "two final answers"
         request.ended = True
-        self.journal.note(REJECT, self.now, request.id, wait)
-        self.journal.count(rejections=1)
+        self.actions.note(REJECT, self.now, request.id, wait)
+        self.actions.count(rejections=1)
 
     def fail(self, request):
         assert not request.ended, "two final answers"
         request.ended = True
-        self.journal.note(FAIL, self.now, request.id)
-        self.journal.count(failures=1)
+        self.actions.note(FAIL, self.now, request.id)
+        self.actions.count(failures=1)
 
     def set_timer(self, at, token=0):
-        self.journal.note(ALARM, self.now, at, token)
-        self.journal.count(alarms=1)
-        self.agenda.put(max(at, self.now + 1), self.ring, token)
+        self.actions.note(SET_TIMER, self.now, at, token)
+        self.actions.count(alarms=1)
+        self.events.put(max(at, self.now + 1), self.expire_timer, token)
 
     def probe(self, upstream):
-        self.journal.note(PROBE, self.now, upstream.id)
-        self.journal.count(probes=1)
-        if self.chance.random() < 0.9:
-            self.agenda.put(self.now + 2 * MS, self.report, upstream)
+        self.actions.note(PROBE, self.now, upstream.id)
+        self.actions.count(probes=1)
+        if self.generator.random() < 0.9:
+            self.events.put(self.now + 2 * MS, self.report, upstream)
 
     def close_idle(self, upstream):
-        self.journal.note(CLOSE_IDLE, self.now, upstream.id)
-        self.journal.count(closed=1)
+        self.actions.note(CLOSE_IDLE, self.now, upstream.id)
+        self.actions.count(closed=1)
 
     def send_peer_message(self, balancer, contents):
-        self.journal.note(TELL, self.now, -1 if balancer is None else balancer, bytes(contents))
-        self.journal.count(told=1)
+        self.actions.note(SEND, self.now, -1 if balancer is None else balancer, bytes(contents))
+        self.actions.count(told=1)
 
     def follow_endpoint_list(self, on):
-        self.journal.note(FOLLOW, self.now, int(on))
-        self.journal.count(list_calls=1)
-        if self.chance.random() < 0.6:
-            self.agenda.put(self.now + 100 * MS, self.tell_list)
+        self.actions.note(FOLLOW, self.now, int(on))
+        self.actions.count(list_calls=1)
+        if self.generator.random() < 0.6:
+            self.events.put(self.now + 100 * MS, self.update_endpoints)
         else:
-            self.agenda.put(self.now + 50 * MS, self.lose_list)
+            self.events.put(self.now + 50 * MS, self.lose_endpoint_list)
 
     def fetch_endpoint_list(self):
-        self.journal.note(FETCH, self.now)
+        self.actions.note(FETCH, self.now)
 
     def log(self, text):
-        self.journal.note(LOG, self.now)
+        self.actions.note(LOG, self.now)
 
-    # What the script has happen.
+    # Events of the script.
 
     def load(self):
-        drawn = self.chance.random
+        random = self.generator.random
         return {
-            REPORT_COLUMNS["busy_reqs"]: float(int(8 * drawn())),
-            REPORT_COLUMNS["cpu_share"]: 1.2 * drawn(),
-            REPORT_COLUMNS["served_ps"]: 40 + 40 * drawn(),
+            REPORT_COLUMNS["busy_reqs"]: float(int(8 * random())),
+            REPORT_COLUMNS["cpu_share"]: 1.2 * random(),
+            REPORT_COLUMNS["served_ps"]: 40 + 40 * random(),
         }
 
-    def ring(self, token):
+    def expire_timer(self, token):
         self.policy.on_timer(token)
 
     def report(self, upstream):
         self.policy.on_load_report(upstream, self.load())
 
-    def tell_list(self):
+    def update_endpoints(self):
         self.policy.on_endpoints_updated(
             [one for one in self.upstreams if one.state != UpstreamState.REMOVED]
         )
 
-    def lose_list(self):
+    def lose_endpoint_list(self):
         self.policy.on_endpoint_list_lost()
 
-    def come_back(self, attempt, outcome):
+    def finish_attempt(self, attempt, outcome):
         if attempt.outcome:
             return
         request = attempt.request
         attempt.outcome, attempt.duration = outcome, self.now - attempt.sent_at
         first = outcome == Outcome.SUCCEEDED and not request.ended
         request.ended = request.ended or first
-        self.journal.count(fulfilled=int(first), **{f"outcome_{OUTCOME_CODES[outcome]}": 1})
-        load = self.load() if outcome == Outcome.SUCCEEDED and self.chance.random() < 0.5 else None
+        self.actions.count(fulfilled=int(first), **{f"outcome_{OUTCOME_CODES[outcome]}": 1})
+        load = (
+            self.load() if outcome == Outcome.SUCCEEDED and self.generator.random() < 0.5 else None
+        )
         self.policy.on_attempt_finished(attempt, load, first)
 
     def arrive(self):
         self.number += 1
-        drawn = self.chance.random
-        request_class = self.request_classes[int(len(self.request_classes) * drawn())]
+        random = self.generator.random
+        request_class = self.request_classes[int(len(self.request_classes) * random())]
         request = Request(self.number, request_class, self.now, self.now + request_class.timeout)
-        self.journal.count(requests=1)
-        if drawn() < 0.02:
-            self.agenda.put(self.now + int(300 * MS * drawn()), self.leave, request)
+        self.actions.count(requests=1)
+        if random() < 0.02:
+            self.events.put(self.now + int(300 * MS * random()), self.leave, request)
         self.policy.on_request(request)
         if self.number < self.requests:
             surge = 4.0 if self.number // 500 % 7 == 6 else 1.0
-            self.agenda.put(
-                self.now + int(self.chance.expovariate(self.rate * surge) * SECOND) + 1, self.arrive
+            self.events.put(
+                self.now + int(self.generator.expovariate(self.rate * surge) * SECOND) + 1,
+                self.arrive,
             )
 
     def leave(self, request):
         if not request.ended:
             request.ended = True
-            self.journal.count(departures=1)
+            self.actions.count(departures=1)
             self.policy.on_client_disconnected(request)
 
     def disturb(self):
-        """Something happens to an upstream, the list, the peers or the settings."""
-        drawn = self.chance.random
+        """Change an upstream, the endpoint list or the settings, or send a peer message."""
+        random = self.generator.random
         here = [one for one in self.upstreams if one.state == UpstreamState.READY]
-        one = here[int(len(here) * drawn())] if here else None
-        kind = int(16 * drawn())
+        one = here[int(len(here) * random())] if here else None
+        kind = int(16 * random())
         if kind < 7 and one:
             self.behaviour[one] = kind
-            self.agenda.put(self.now + int((1 + 4 * drawn()) * SECOND), self.heal, one)
+            self.events.put(self.now + int((1 + 4 * random()) * SECOND), self.recover, one)
         elif kind == 7 and len(here) > 3:
             one.state = UpstreamState.DRAINING
-            self.agenda.put(self.now + 2 * SECOND, self.go, one)
-            self.tell_list()
-        elif kind == 8 and len(here) > 3:  # restarts cold: another run
-            self.go(one)
-            self.agenda.put(self.now + SECOND, self.restart, one.id)
+            self.events.put(self.now + 2 * SECOND, self.remove, one)
+            self.update_endpoints()
+        elif kind == 8 and len(here) > 3:  # restarts cold, as another run of the upstream
+            self.remove(one)
+            self.events.put(self.now + SECOND, self.restart, one.id)
         elif kind == 9:
             self.restart(self.next_id)
             self.next_id += 1
         elif kind == 10:
-            self.lose_list()
+            self.lose_endpoint_list()
         elif kind == 11 and one:
             one.spare = 0
-            self.agenda.put(self.now + SECOND // 2, self.unlimit, one)
+            self.events.put(self.now + SECOND // 2, self.lift_limit, one)
         elif kind == 12:
-            text = self.texts[int(len(self.texts) * drawn())]
-            found, now_asked = understood(text)
-            if drawn() < 0.5:
-                now_asked = self.request_classes  # settings alone, the request classes stay
-            self.request_classes = now_asked
-            self.policy.reconfigure(found, now_asked)
+            text = self.texts[int(len(self.texts) * random())]
+            found, request_classes_now = parsed(text)
+            if random() < 0.5:
+                request_classes_now = (
+                    self.request_classes
+                )  # only settings change, not request classes
+            self.request_classes = request_classes_now
+            self.policy.reconfigure(found, request_classes_now)
         elif kind == 13 and one:
             self.report(one)
         else:
-            contents = PeerRates.pack(50 + 200 * drawn()) if drawn() < 0.9 else b"other"
-            self.policy.on_peer_message(int(5 * drawn()), contents)
+            contents = PeerRates.pack(50 + 200 * random()) if random() < 0.9 else b"other"
+            self.policy.on_peer_message(int(5 * random()), contents)
         if self.number < self.requests:
-            self.agenda.put(self.now + int(250 * MS * (0.2 + drawn())), self.disturb)
+            self.events.put(self.now + int(250 * MS * (0.2 + random())), self.disturb)
 
-    def heal(self, upstream):
+    def recover(self, upstream):
         self.behaviour[upstream] = 0
 
-    def unlimit(self, upstream):
+    def lift_limit(self, upstream):
         upstream.spare = float("inf")
 
-    def go(self, upstream):
+    def remove(self, upstream):
         upstream.state = UpstreamState.REMOVED
         self.behaviour[upstream] = 5
         self.upstreams = [one for one in self.upstreams if one is not upstream]
-        self.tell_list()
+        self.update_endpoints()
 
     def restart(self, number):
         self.join(number, self.now)
-        self.tell_list()
+        self.update_endpoints()
 
     def play(self):
-        self.agenda.put(self.now, self.arrive)
-        self.agenda.put(self.now + SECOND, self.disturb)
+        self.events.put(self.now, self.arrive)
+        self.events.put(self.now + SECOND, self.disturb)
         after = 0
-        while not after or self.agenda.queue[0][0] < after:
-            self.now, (call, *args) = self.agenda.pop()
+        while not after or self.events.queue[0][0] < after:
+            self.now, (call, *args) = self.events.pop()
             call(*args)
             if self.number >= self.requests and not after:
                 after = self.now + 6 * SECOND
-        return self.journal.result()
+        return self.actions.result()
 
 
 def day_of_decisions(texts, seed, requests=9_000, rate=250.0):
     return RecordingHost(seed, texts, requests, rate, 14).play()
 
 
-# The simulator's wire.
+# The wire protocol of the simulator.
 
 WIRE_SETTINGS = MANY + WORKLOADS
 
@@ -417,14 +422,14 @@
 
 
 class WireDay:
-    """Two instances of one process, fed frames; what comes out decides what is fed next."""
+    """Two instances in one process that are fed frames; their replies decide the next frames."""
 
     def __init__(self, seed, requests):
-        self.chance, self.agenda, self.process = Random(seed), Agenda(), Process()
+        self.generator, self.events, self.process = Random(seed), EventQueue(), Process()
         self.now, self.number, self.frames = 5_000_000, 0, 0  # in microseconds
         self.requests = requests
-        self.given, self.replies, self.journal = bytearray(), bytearray(), Journal()
-        self.attempts, self.kinds, self.began = Counter(), [1] * 14, [0] * 14
+        self.given, self.replies, self.actions = bytearray(), bytearray(), ActionLog()
+        self.attempts, self.states, self.started_at = Counter(), [1] * 14, [0] * 14
         self.over, self.ends = set(), {}
 
     def settings(self, who):
@@ -433,14 +438,14 @@
 
     def roster(self, who):
         entries = b""
-        for number, state in enumerate(self.kinds):
+        for number, state in enumerate(self.states):
             if state:
                 entries += struct.pack(
                     "<BIHQfHH",
                     2 if state == 2 else 1,
                     500 + number,
                     number % 2,
-                    self.began[number],
+                    self.started_at[number],
                     1.0,
                     number % 3,
                     0,
@@ -462,49 +467,49 @@
             at += 5 + size
 
     def acted(self, code, fields):
-        drawn = self.chance.random
-        self.journal.count(**{f"action_{code}": 1})
+        random = self.generator.random
+        self.actions.count(**{f"action_{code}": 1})
         if code == 10:
             who, token, at = struct.unpack("<IQQ", fields)
-            self.agenda.put(max(at, self.now + 1), record(60, struct.pack("<IQ", who, token)), 1)
+            self.events.put(max(at, self.now + 1), record(60, struct.pack("<IQ", who, token)), 1)
         elif code == 60:
             who, number, upstream, _ = struct.unpack("<IIIQ", fields)
             trial = self.attempts[who, number]
             self.attempts[who, number] += 1
-            self.journal.count(attempts=1, retries=int(trial > 0))
-            reason = (5, 11, 104, 111, 114)[int(5 * drawn())] if drawn() < 0.08 else 0
-            took = int(5_000 + 60_000 * drawn() ** 3)
-            if drawn() < 0.01 or self.now + took > self.ends[who, number]:
+            self.actions.count(attempts=1, retries=int(trial > 0))
+            reason = (5, 11, 104, 111, 114)[int(5 * random())] if random() < 0.08 else 0
+            took = int(5_000 + 60_000 * random() ** 3)
+            if random() < 0.01 or self.now + took > self.ends[who, number]:
                 reason, took = 110, max(0, self.ends[who, number] - self.now)
             at = self.now + max(1, took)
-            self.agenda.put(at, self.resolved, who, number, trial, reason, took)
+            self.events.put(at, self.resolved, who, number, trial, reason, took)
         elif code == 120:
             who, number, trial = struct.unpack("<IIH", fields)
-            self.agenda.put(self.now + 500, self.resolved, who, number, trial, 125, 500)
+            self.events.put(self.now + 500, self.resolved, who, number, trial, 125, 500)
         elif code in (80, 110):
             self.over.add(struct.unpack_from("<II", fields))
-            self.journal.count(**{"rejections" if code == 80 else "failures": 1})
+            self.actions.count(**{"rejections" if code == 80 else "failures": 1})
         elif code == 40:
             who, _, size = struct.unpack_from("<IIH", fields)
             told = struct.pack("<IHH", 3 - who, who, size) + fields[10:]
-            self.agenda.put(self.now + 700, record(20, told), 1)
+            self.events.put(self.now + 700, record(20, told), 1)
         elif code == 100:
             who, upstream = struct.unpack("<II", fields)
-            load = struct.pack("<3f", int(6 * drawn()), drawn(), 50 * drawn())
+            load = struct.pack("<3f", int(6 * random()), random(), 50 * random())
             found = struct.pack("<IHIIB", who, 0, 900, upstream, 3) + load
-            self.agenda.put(self.now + 900, record(30, found), 1)
-        elif code == 20 and drawn() < 0.7:
-            self.agenda.put(self.now + 90_000, self.listed, fields[0])
+            self.events.put(self.now + 900, record(30, found), 1)
+        elif code == 20 and random() < 0.7:
+            self.events.put(self.now + 90_000, self.listed, fields[0])
         elif code == 20:
             lost = struct.pack("<IBII", fields[0], 1, 0, 0)
-            self.agenda.put(self.now + 40_000, record(100, lost), 1)
+            self.events.put(self.now + 40_000, record(100, lost), 1)
 
     def resolved(self, who, number, trial, reason, took):
         over = reason == 0 and (who, number) not in self.over
         if over:
             self.over.add((who, number))
-            self.journal.count(fulfilled=1)
-        load = struct.pack("<3f", 2.0, self.chance.random(), 30.0)
+            self.actions.count(fulfilled=1)
+        load = struct.pack("<3f", 2.0, self.generator.random(), 30.0)
         n = 3 if reason == 0 else 0
         return record(
             70,
@@ -516,27 +521,27 @@
 
     def arrive(self):
         self.number += 1
-        drawn = self.chance.random
-        who, lane = 1 + int(2 * drawn()), int(6 * drawn())
-        # The last is no lane that there is.
+        random = self.generator.random
+        who, lane = 1 + int(2 * random()), int(6 * random())
+        # The last lane does not exist.
         timeout = (1_500_000, 2_000_000, 1_000_000, 3_000_000, 2_500_000, 1)[lane]
         self.ends[who, self.number] = self.now + timeout
-        self.journal.count(requests=1)
-        if drawn() < 0.03:
-            self.agenda.put(
-                self.now + int(200_000 * drawn()),
+        self.actions.count(requests=1)
+        if random() < 0.03:
+            self.events.put(
+                self.now + int(200_000 * random()),
                 record(40, struct.pack("<II", who, self.number)),
                 1,
             )
         if self.number < self.requests:
-            self.agenda.put(self.now + 1 + int(10_000 * drawn()), self.arrive)
+            self.events.put(self.now + 1 + int(10_000 * random()), self.arrive)
         return record(
             50,
             struct.pack(
                 "<IIBQIQBI",
                 who,
                 self.number,
-                int(8 * drawn()),
+                int(8 * random()),
                 self.number % 50,
                 1,
                 self.now + timeout,
@@ -546,38 +551,38 @@
         ), 1
 
     def disturb(self):
-        """An upstream drains, goes or comes back cold, both are told; seldom one starts anew."""
-        drawn = self.chance.random
-        which, kind = int(len(self.kinds) * drawn()), (0, 1, 1, 1, 2, 3, 3)[int(7 * drawn())]
-        self.kinds[which] = kind  # 0: not listed, 1: ready, 2: drains, 3: back, and cold
-        self.began[which] = self.now if kind == 3 else self.began[which]
+        """Drain, remove or restart an upstream and tell both instances; seldom restart one of them."""
+        random = self.generator.random
+        which, kind = int(len(self.states) * random()), (0, 1, 1, 1, 2, 3, 3)[int(7 * random())]
+        self.states[which] = kind  # 0: not listed, 1: ready, 2: draining, 3: restarted, cold
+        self.started_at[which] = self.now if kind == 3 else self.started_at[which]
         first, second = self.roster(1), self.roster(2)
         body, count = first[0] + second[0], 4
-        if drawn() < 0.03:
+        if random() < 0.03:
             body, count = body + self.settings(2) + self.roster(2)[0], count + 3
             self.over |= {key for key in self.ends if key[0] == 2}
         if self.number < self.requests:
-            self.agenda.put(self.now + int(1_500_000 * (0.3 + drawn())), self.disturb)
+            self.events.put(self.now + int(1_500_000 * (0.3 + random())), self.disturb)
         return body, count
 
     def play(self):
         first, second = self.roster(1), self.roster(2)
         self.feed(self.settings(1) + self.settings(2) + first[0] + second[0], 6)
-        self.agenda.put(self.now, self.arrive)
-        self.agenda.put(self.now + 900_000, self.disturb)
+        self.events.put(self.now, self.arrive)
+        self.events.put(self.now + 900_000, self.disturb)
         last = 0
         while not last or self.now < last:
-            self.now, (what, *args) = self.agenda.pop()
+            self.now, (what, *args) = self.events.pop()
             if self.number >= self.requests and not last:
                 last = max(self.ends.values()) + 100_000
             self.feed(*(what(*args) if callable(what) else (what, *args)))
-        self.journal.count(frames=self.frames, bytes=len(self.replies))
-        self.journal.sha.update(self.replies)
-        return self.journal.result()
+        self.actions.count(frames=self.frames, bytes=len(self.replies))
+        self.actions.sha.update(self.replies)
+        return self.actions.result()
 
 
 def read_loop(frames):
-    """What the program's read loop answers to a stream of frames."""
+    """Exit code and replies of the program's read loop for a stream of frames."""
     sink, before = io.BytesIO(), (sys.stdin, sys.stdout)
     sys.stdin, sys.stdout = io.TextIOWrapper(io.BytesIO(frames)), io.TextIOWrapper(sink)
     try:
@@ -588,7 +593,7 @@
         sys.stdin, sys.stdout = before
 
 
-# The model.
+# The simulator.
 
 FLEET = """name = "seeded"
 seconds = 14.0
@@ -631,7 +636,7 @@
 
 
 class Numbering:
-    """Numbers for words in the order in which they are met: a rename of a word changes none."""
+    """Numbers words in the order in which they first occur, so that renaming a word changes none."""
 
     def __init__(self):
         self.numbers = {}
@@ -649,50 +654,50 @@
 
 
 class RecordingMeasure(Measure):
-    """Notes what each client sees."""
+    """Digests what each client sees."""
 
-    journal: Journal
+    actions: ActionLog
     numbering: Numbering
     clock: Clock
 
     def asked(self, request):
-        self.journal.note(1, self.clock.now, request.id, request.tries)
-        self.journal.count(requests=1)
+        self.actions.note(1, self.clock.now, request.id, request.tries)
+        self.actions.count(requests=1)
         super().asked(request)
 
     def answered(self, request, how, took):
         word = self.numbering(how)
-        self.journal.note(2, self.clock.now, request.id, word, took)
-        self.journal.count(**{f"answers_{word}": 1})
+        self.actions.note(2, self.clock.now, request.id, word, took)
+        self.actions.count(**{f"answers_{word}": 1})
         super().answered(request, how, took)
 
 
 class RecordingReferee(Referee):
-    """Notes each attempt, and where it ran."""
+    """Digests each attempt, and where it ran."""
 
-    journal: Journal
+    actions: ActionLog
 
     def sent(self, attempt, balancer, server):
         number = len(attempt.asked.attempts)
-        self.journal.note(
+        self.actions.note(
             3, self.clock.now, attempt.asked.id, number, balancer.number, server.number
         )
-        self.journal.count(attempts=1, retries=int(number > 1))
+        self.actions.count(attempts=1, retries=int(number > 1))
         super().sent(attempt, balancer, server)
 
     def ran(self, attempt, server):
-        self.journal.note(4, self.clock.now, attempt.asked.id, server.number)
-        self.journal.count(ran=1)
+        self.actions.note(4, self.clock.now, attempt.asked.id, server.number)
+        self.actions.count(ran=1)
         super().ran(attempt, server)
 
 
 def day_of_fleet(seed):
-    world, journal = World(checked(tomllib.loads(FLEET)), seed), Journal()
+    world, actions = World(checked(tomllib.loads(FLEET)), seed), ActionLog()
     world.measure.__class__, world.referee.__class__ = RecordingMeasure, RecordingReferee
-    world.measure.journal = world.referee.journal = journal
+    world.measure.actions = world.referee.actions = actions
     world.measure.numbering, world.measure.clock = Numbering(), world.clock
     world.play()
-    journal.note(
+    actions.note(
         5,
         world.clock.events,
         world.clock.now,
@@ -700,57 +705,57 @@
         world.measure.total_time,
         world.measure.ended,
     )
-    journal.count(events=world.clock.events, breaches=sum(world.referee.breaches.values()))
-    return journal.result()
+    actions.count(events=world.clock.events, breaches=sum(world.referee.breaches.values()))
+    return actions.result()
 
 
-def journal_of_bank(fleet, journal):
-    """What members have said of themselves, after a run."""
+def digest_of_members(fleet, actions):
+    """Digest the events that members have reported in a run."""
     numbering = Numbering()
     for said in fleet.said:
         values = [number for value in said.pairs.values() for number in numbering.values(value)]
-        journal.note(2, said.at, numbering(said.process), numbering(said.event), *values)
-    journal.note(3, fleet.clock.events)
-    journal.count(events=len(fleet.said), steps=fleet.clock.events)
-    return journal.result()
+        actions.note(2, said.at, numbering(said.process), numbering(said.event), *values)
+    actions.note(3, fleet.clock.events)
+    actions.count(events=len(fleet.said), steps=fleet.clock.events)
+    return actions.result()
 
 
-class RecordingBank(Fleet):
-    """Notes each datagram that a member sends."""
+class RecordingFleet(Fleet):
+    """Digests each datagram that a member sends."""
 
-    def __init__(self, schedule, journal):
-        self.journal = journal
+    def __init__(self, schedule, actions):
+        self.actions = actions
         super().__init__(schedule)
 
     def carry(self, node, address, data):
-        self.journal.note(1, self.clock.now, node.number, address[1], data)
-        self.journal.count(datagrams=1, bytes=len(data))
+        self.actions.note(1, self.clock.now, node.number, address[1], data)
+        self.actions.count(datagrams=1, bytes=len(data))
         super().carry(node, address, data)
 
 
-class RecordingRecordBank(RecordFleet):
-    """The same for members that agree on a record."""
+class RecordingReplicatedFleet(RecordFleet):
+    """The same for members with a replicated log."""
 
-    def __init__(self, schedule, voters, journal):
-        self.journal = journal
+    def __init__(self, schedule, voters, actions):
+        self.actions = actions
         super().__init__(schedule, voters)
 
     def carry(self, node, address, data):
-        self.journal.note(1, self.clock.now, node.number, address[1], data)
-        self.journal.count(datagrams=1, bytes=len(data))
+        self.actions.note(1, self.clock.now, node.number, address[1], data)
+        self.actions.count(datagrams=1, bytes=len(data))
         super().carry(node, address, data)
 
 
 def day_of_members(seed):
-    journal = Journal()
-    fleet = RecordingBank(draw(seed, 9, 40.0, 8), journal)
+    actions = ActionLog()
+    fleet = RecordingFleet(draw(seed, 9, 40.0, 8), actions)
     fleet.play()
-    return journal_of_bank(fleet, journal)
+    return digest_of_members(fleet, actions)
 
 
 def day_of_record(seed):
-    """Commands while one restarts, datagrams are lost, some are cut off, one joins, one stops."""
-    journal = Journal()
+    """Commands are replicated through a restart, loss, a partition, a join and a pause."""
+    actions = ActionLog()
     faults = (
         Fault(22.0, "restart", (1,), span=2.0),
         Fault(26.0, "lossy", span=4.0, amount=0.1),
@@ -758,7 +763,7 @@
         Fault(30.0, "join", (7,)),
         Fault(33.0, "stop", (0,), span=2.0),
     )
-    fleet = RecordingRecordBank(Schedule(8, 45.0, faults, seed), 5, journal)
+    fleet = RecordingReplicatedFleet(Schedule(8, 45.0, faults, seed), 5, actions)
     for number, at in enumerate((18.0, 20.0, 20.5, 27.0, 36.0, 40.0)):
         fleet.until(at)
         leader = fleet.leader()
@@ -768,18 +773,18 @@
     fleet.until(45.0)
     for node in fleet.record_nodes():
         agreement = node.agreement
-        journal.note(
+        actions.note(
             4, node.number, agreement.term, agreement.last, agreement.commit, agreement.applied
         )
-    return journal_of_bank(fleet, journal)
+    return digest_of_members(fleet, actions)
 
 
-# The explorers, and the state machines that they hold.
+# Model checking, and the state machines that it explores.
 
 
 def walked(make, seed, steps, length):
-    """A walk whose every step, and every message on its way, is digested."""
-    journal, chance, taken = Journal(), Random(seed), 0
+    """Digest each step of random walks, and the last message in the network."""
+    actions, chance, taken = ActionLog(), Random(seed), 0
     while taken < steps:
         world = make()
         for _ in range(length):
@@ -790,16 +795,16 @@
             world.do(choices[at][1])
             taken += 1
             broken = int(bool(world.broken()))
-            journal.note(1, world.now, len(choices), at, len(world.network), broken)
+            actions.note(1, world.now, len(choices), at, len(world.network), broken)
             if world.network:
                 sender, to, message = world.network[-1]
-                journal.note(2, sender, to, msgspec.msgpack.encode(message))
-            journal.count(steps=1, messages=len(world.network), broken=broken)
-    return journal.result()
+                actions.note(2, sender, to, msgspec.msgpack.encode(message))
+            actions.count(steps=1, messages=len(world.network), broken=broken)
+    return actions.result()
 
 
 def seeded(world):
-    """The same world whose members draw from real, seeded chance."""
+    """The same world with members that draw from seeded generators."""
 
     class Seeded(world):
         def chance(self):
@@ -832,8 +837,8 @@
 
 
 def day_of_hearings(seed):
-    """Six members see answers of ten upstreams, some slow, hear each other and vote what rests."""
-    journal, chance, pool, usual = Journal(), Random(seed), 7, 1e7
+    """Six members observe ten upstreams, one of them slow at times, and vote on ejections."""
+    actions, chance, pool, usual = ActionLog(), Random(seed), 7, 1e7
     config = EjectionConfig(
         base_ejection_ns=6 * SECOND, lease_ns=3 * SECOND, return_spread_ns=2 * SECOND
     )
@@ -851,7 +856,7 @@
                 ratio = 9.0 * chance.random() if key in slow else 0.5 + chance.random()
                 coordinator.on_attempt_started(pool, key, 3 * step + number, now)
                 coordinator.on_attempt_finished(pool, key, 3 * step + number, ratio, now)
-                journal.count(answers=1)
+                actions.count(answers=1)
             coordinator.on_timer(
                 now, lambda pool: usual, lambda pool: (len(coordinators), len(coordinators))
             )
@@ -864,8 +869,8 @@
             for coordinator in coordinators:
                 coordinator.out = []
             for sender, to, plea in messages:
-                journal.note(1, now, sender, to, msgspec.msgpack.encode(plea))
-                journal.count(messages=1)
+                actions.note(1, now, sender, to, msgspec.msgpack.encode(plea))
+                actions.count(messages=1)
                 for coordinator in coordinators:
                     if (
                         coordinator.own_id == to
@@ -876,9 +881,9 @@
                         coordinator.on_message(plea, sender, usual, now)
         for coordinator in coordinators:
             for rest, until in coordinator.ejected_until.items():
-                journal.note(2, now, coordinator.own_id, rest[1], until)
-                journal.count(rests=1)
-    return journal.result()
+                actions.note(2, now, coordinator.own_id, rest[1], until)
+                actions.count(rests=1)
+    return actions.result()
 
 
 def day_of_agreement(seed):
@@ -887,21 +892,21 @@
 
 
 def explored(days, party, faults, depth):
-    """States that every order comes to, how far walks go, after how many steps faults show."""
-    journal = Journal()
+    """Digest the states of exhaustive searches, the lengths of walks, and where mutants fail."""
+    actions = ActionLog()
     for world in days.WHOLE:
         found = every(world.make(party), depth)
-        journal.note(1, found.states, found.steps, found.deepest, int(bool(found.broken)))
-        journal.count(states=found.states, steps=found.steps)
+        actions.note(1, found.states, found.steps, found.deepest, int(bool(found.broken)))
+        actions.count(states=found.states, steps=found.steps)
     for world in days.WALKS:
         found = world.gone_through(party, 600, 3)
-        journal.note(2, found.steps, found.deepest, int(bool(found.broken)))
-        journal.count(walked=found.steps)
+        actions.note(2, found.steps, found.deepest, int(bool(found.broken)))
+        actions.count(walked=found.steps)
     for fault in faults.values():
         found = days.WALKS[0].gone_through(fault, 1_000, 5)
-        journal.note(3, found.steps, found.deepest, len(found.path), int(bool(found.broken)))
-        journal.count(faults=1, found=int(bool(found.broken)), walked=found.steps)
-    return journal.result()
+        actions.note(3, found.steps, found.deepest, len(found.path), int(bool(found.broken)))
+        actions.count(faults=1, found=int(bool(found.broken)), walked=found.steps)
+    return actions.result()
 
 
 DAYS = {
@@ -926,16 +931,16 @@
 }
 
 
-def test_the_kept_days_are_those_that_are_played():
+def test_expected_data_has_an_entry_for_each_day():
     assert set(json.loads(KEPT.read_text())) == set(DAYS)
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_the_same_seed_gives_the_same_actions_as_were_kept(name):
+def test_same_seed_gives_the_expected_actions(name):
     assert DAYS[name]() == json.loads(KEPT.read_text())[name]
 
 
-def test_the_read_loop_answers_the_frames_of_a_day_with_the_same_bytes():
+def test_read_loop_gives_the_same_replies_as_direct_calls():
     day = WireDay(22, 400)
     day.play()
     assert read_loop(bytes(day.given)) == (0, bytes(day.replies))
