--- a/tests/fleet/test_outlier_monitor.py
+++ b/tests/fleet/test_outlier_monitor.py
@@ -40,7 +40,7 @@
         self.name = name
         self.list_changes = 1
         self.endpoints = {host: SimpleNamespace(host=host, started=1, zone=0) for host in hosts}
-        request_class = SimpleNamespace(known=SimpleNamespace(usual=USUAL_NS))
+        request_class = SimpleNamespace(statistics=SimpleNamespace(mean_latency=USUAL_NS))
         self.spec = SimpleNamespace(zones=(), request_classes=[request_class])
         self.attempt_observer = None
         self.ejected = Counter()
@@ -129,7 +129,7 @@
 def test_an_outcome_counts_by_its_latency(monitor, pool, outcome, latency_ns, expected):
     request_class = pool.spec.request_classes[0]
     sent = SimpleNamespace(
-        outcome=outcome, took=latency_ns, request=SimpleNamespace(request_class=request_class)
+        outcome=outcome, duration=latency_ns, request=SimpleNamespace(request_class=request_class)
     )
     assert pool.attempt_observer.latency_ratio(sent) == expected
 
