--- a/whinpier/runtime/pool.py
+++ b/whinpier/runtime/pool.py
@@ -363,7 +363,7 @@
 
     def set_fleet_size(self, balancers: int, number: int) -> None:
         """Use the fleet's count of balancers that share this pool, and the index of this one."""
-        self.fleet_settings = {"balancers": balancers, "slot_no": number, "limits.endpoints": True}
+        self.fleet_settings = {"balancers": balancers, "slot_no": number, "limits.peers": True}
         self.update_policy_settings()
 
     def clear_fleet_size(self) -> None:
