--- a/tests/http/test_buffers.py
+++ b/tests/http/test_buffers.py
@@ -7,7 +7,7 @@
 
 from whinpier import log
 from whinpier.http import buffers
-from whinpier.http.buffers import HEAD, LINES
+from whinpier.http.buffers import MAX_HEAD_BYTES, MAX_HEAD_LINES
 
 STARTS = {
     h11.SERVER: b"GET /a HTTP/1.1\r\nhost: a\r\n",
@@ -17,8 +17,8 @@
 
 def verdict(side, *parts):
     """What becomes of a head that comes in these parts: 200 where it is taken, or its refusal's status."""
-    form = buffers.REQUEST if side is h11.SERVER else buffers.ANSWER
-    if buffers.plain(form, parts[0]):
+    form = buffers.SIMPLE_REQUEST if side is h11.SERVER else buffers.SIMPLE_RESPONSE
+    if buffers.parse_simple_message(form, parts[0]):
         assert len(parts) == 1 or not parts[1]
         return 200
     parser = h11.Connection(side)
@@ -52,11 +52,11 @@
 @pytest.mark.parametrize(
     "kind, of, wanted",
     [
-        (filled, HEAD, 200),
-        (filled, HEAD + 1, 431),
+        (filled, MAX_HEAD_BYTES, 200),
+        (filled, MAX_HEAD_BYTES + 1, 431),
         (filled, 55_000, 431),
-        (lined, LINES, 200),
-        (lined, LINES + 1, 431),
+        (lined, MAX_HEAD_LINES, 200),
+        (lined, MAX_HEAD_LINES + 1, 431),
         (lined, 5_000, 431),
     ],
 )
@@ -69,7 +69,7 @@
             *range(1, len(head), 211),
             *range(1, 60),
             *range(len(head) - 60, len(head)),
-            *(at for at in range(HEAD - 4, HEAD + 5) if at < len(head)),
+            *(at for at in range(MAX_HEAD_BYTES - 4, MAX_HEAD_BYTES + 5) if at < len(head)),
         }
     )
     assert {verdict(side, head[:cut], head[cut:]) for cut in near} == {wanted}
@@ -77,18 +77,18 @@
 
 
 @pytest.mark.parametrize("side", STARTS, ids=["request", "answer"])
-@pytest.mark.parametrize("first, wanted", [(40, 400), (HEAD + 90, 431)])
+@pytest.mark.parametrize("first, wanted", [(40, 400), (MAX_HEAD_BYTES + 90, 431)])
 def test_of_two_faults_the_one_that_stands_first_decides_however_it_is_cut(side, first, wanted):
-    head = bytearray(filled(side, HEAD + 200))
+    head = bytearray(filled(side, MAX_HEAD_BYTES + 200))
     head[first] = ord("\n")
     told = {
         verdict(side, bytes(head[:cut]), bytes(head[cut:]))
-        for cut in (*range(1, 80), *range(HEAD - 3, len(head)))
+        for cut in (*range(1, 80), *range(MAX_HEAD_BYTES - 3, len(head)))
     }
     assert told | {verdict(side, bytes(head))} == {wanted}
 
 
-@pytest.mark.parametrize("count, wanted", [(LINES, 200), (LINES + 1, 431)])
+@pytest.mark.parametrize("count, wanted", [(MAX_HEAD_LINES, 200), (MAX_HEAD_LINES + 1, 431)])
 def test_what_follows_a_body_in_chunks_is_bounded_as_a_head_is(count, wanted):
     head = b"POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n0\r\n"
     data = head + b"a: b\r\n" * count + b"\r\n"
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -13,7 +13,12 @@
 
 from tests.waiting import LIMIT
 from whinpier.config.model import ConfigFault
-from whinpier.http.discovery import PIECE, SILENCE, Discovery, Pieces
+from whinpier.http.discovery import (
+    MAX_DOCUMENT_BYTES,
+    MAX_SILENCE_S,
+    DiscoveryClient,
+    JsonStreamSplitter,
+)
 
 pytestmark = pytest.mark.xdist_group("sockets")
 
@@ -59,7 +64,7 @@
         self.listener.setblocking(False)
         self.told = []
         chance = Random(1).random
-        self.client = Discovery(
+        self.client = DiscoveryClient(
             self.listener.getsockname(), None, lambda *told: self.told.append(told), chance, dict
         )
 
@@ -117,7 +122,7 @@
 
 
 def taken(data, size):
-    pieces = Pieces()
+    pieces = JsonStreamSplitter()
     found = [
         piece for at in range(0, len(data), size) for piece in pieces.take(data[at : at + size])
     ]
@@ -141,7 +146,7 @@
 def test_a_piece_has_a_largest_size_on_one_line_or_many():
     for text in (b"x" * 100, b"{\n" * 50):
         with pytest.raises(ConfigFault):
-            taken(text * (PIECE // 100 + 1), 4096)
+            taken(text * (MAX_DOCUMENT_BYTES // 100 + 1), 4096)
 
 
 @pytest.mark.anyio
@@ -169,7 +174,7 @@
         took = await dribble(
             watch, chunk(listed(4, *[host("s-0", "draining")] * 40, whole=False))[:2000]
         )
-        assert SILENCE <= took < TOLD_BY - SILENCE
+        assert MAX_SILENCE_S <= took < TOLD_BY - MAX_SILENCE_S
         line, sock = await scripted.asked()
         assert line == WHOLE  # what was missed is not known
         sock.send(answer(listed(4, host("s-0", "draining"))))
@@ -190,7 +195,7 @@
     async with followed() as scripted:
         line, sock = await scripted.asked()
         assert line == WHOLE
-        assert await dribble(sock, data) < TOLD_BY - SILENCE
+        assert await dribble(sock, data) < TOLD_BY - MAX_SILENCE_S
         line, again = await scripted.asked()
         assert line == WHOLE
         again.send(answer(listed(3, host("s-0"))))
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -20,9 +20,9 @@
 from whinpier.config.model import kept_till_restart
 from whinpier.config.platform import read
 from whinpier.http import upstream_connection
-from whinpier.http.client_connection import AHEAD, IDLE, LINGER
-from whinpier.http.transport import Http1
-from whinpier.http.upstream_connection import Link
+from whinpier.http.client_connection import IDLE_TIMEOUT_NS, LINGER_TIMEOUT_NS, MAX_PIPELINED_BYTES
+from whinpier.http.transport import Http1Transport
+from whinpier.http.upstream_connection import UpstreamConnection
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Effect, Outcome
 from whinpier.runtime.process import Process
@@ -87,14 +87,14 @@
         self.given["limits"]["sockets"] = sockets
         self.given["settings"]["limits"] |= limits
         spec = self.spec()
-        self.process = Process(spec, Http1(), lambda: spec, kept_till_restart)
+        self.process = Process(spec, Http1Transport(), lambda: spec, kept_till_restart)
         self.pool = self.process.pools["all"]
-        self.door, self.welcomed = self.process.frontends[0], 0
-        self.welcome, self.door.welcome = self.door.welcome, self.counted
+        self.frontend, self.accepted = self.process.frontends[0], 0
+        self.accept_client, self.frontend.accept_client = self.frontend.accept_client, self.counted
 
     def counted(self, listener):
-        taken = self.welcome(listener)
-        self.welcomed += taken
+        taken = self.accept_client(listener)
+        self.accepted += taken
         return taken
 
     def spec(self):
@@ -169,7 +169,7 @@
     async with staged() as stage:
         client = stage.client(request())
         leave(client)  # all of this has come before the balancer looks
-        await stage.until(lambda: stage.welcomed and not stage.door.clients)
+        await stage.until(lambda: stage.accepted and not stage.frontend.clients)
         await stage.turns()
         assert stage.begun() == 0 and stage.pool.in_flight == 0
 
@@ -183,10 +183,10 @@
             number for number, peer in enumerate(stage.pool.endpoints.values()) if peer.in_flight()
         )
         upstream, _ = await stage.met(at)
-        link = next(iter(list(stage.pool.endpoints.values())[at].links))
+        link = next(iter(list(stage.pool.endpoints.values())[at].connections))
         upstream.sendall(FULL)
         leave(client)
-        link.came()  # the answer is read first, the client's leaving waits
+        link.on_readable()  # the answer is read first, the client's leaving waits
         await stage.until(lambda: stage.pool.counts["clients_left"] == 1)
         await stage.turns()
         assert stage.begun() == 1
@@ -196,13 +196,13 @@
 async def test_who_leaves_while_an_attempt_waits_to_be_sent_has_it_never_sent(
     cancelling, monkeypatch
 ):
-    up, run = anyio.Event(), Link.run
+    up, run = anyio.Event(), UpstreamConnection.run
 
     async def late(link):
         await up.wait()
         await run(link)
 
-    monkeypatch.setattr(Link, "run", late)
+    monkeypatch.setattr(UpstreamConnection, "run", late)
     async with staged(cancelling=cancelling) as stage:
         server = stage.pool.endpoints["s-0"]
         client = stage.client(request())
@@ -223,13 +223,13 @@
 async def test_an_attempt_that_waits_for_a_connection_to_where_its_upstream_was_goes_elsewhere(
     monkeypatch,
 ):
-    up, run = anyio.Event(), Link.run
+    up, run = anyio.Event(), UpstreamConnection.run
 
     async def late(link):
         await up.wait()
         await run(link)
 
-    monkeypatch.setattr(Link, "run", late)
+    monkeypatch.setattr(UpstreamConnection, "run", late)
     async with staged(2) as stage:
         client = stage.client(request())
         await stage.until(lambda: stage.begun() == 1)
@@ -252,15 +252,15 @@
         client.close()
         assert await stage.read(upstream, b"never") == b""  # the attempt's connection is ended
         await stage.turns()
-        assert stage.begun() == 1 and not stage.door.clients
+        assert stage.begun() == 1 and not stage.frontend.clients
 
 
 async def test_who_leaves_in_the_middle_of_a_body_has_no_attempt_begun():
     async with staged() as stage:
         client = stage.client(request()[:-1])
-        await stage.until(lambda: any(client.reading for client in stage.door.clients))
+        await stage.until(lambda: any(client.receiving for client in stage.frontend.clients))
         client.close()
-        await stage.until(lambda: not stage.door.clients)
+        await stage.until(lambda: not stage.frontend.clients)
         assert stage.begun() == 0 and stage.pool.budget.request_bytes.used == 0
 
 
@@ -294,7 +294,7 @@
         out, half = stage.client(request() + request()), stage.client(request()[:-1])
         upstream, _ = await stage.met()
         await stage.until(
-            lambda: len([client for client in stage.door.clients if client.reading]) == 1
+            lambda: len([client for client in stage.frontend.clients if client.receiving]) == 1
         )
         stage.process.stop()
         await stage.turns()
@@ -349,7 +349,7 @@
 async def test_idle_clients_that_fill_the_descriptors_leave_room_for_discovery_and_for_who_asks():
     async with staged(sockets=64) as stage:
         idle = [stage.client() for _ in range(80)]
-        await stage.until(lambda: len(stage.door.clients) >= stage.process.budget.max_clients)
+        await stage.until(lambda: len(stage.frontend.clients) >= stage.process.budget.max_clients)
         for _ in range(2):  # it is asked again, though it says nothing
             with anyio.fail_after(LIMIT):
                 await anyio.wait_readable(stage.nobody)
@@ -367,8 +367,8 @@
     async with staged() as stage:
         client = stage.client(request())
         upstream, _ = await stage.met()
-        client.sendall(request() * (2 * AHEAD // len(request())))
-        await stage.until(lambda: next(iter(stage.door.clients)).flooded)
+        client.sendall(request() * (2 * MAX_PIPELINED_BYTES // len(request())))
+        await stage.until(lambda: next(iter(stage.frontend.clients)).pipeline_overflow)
         upstream.sendall(GOOD)
         answer = await stage.read(client, b"never")  # up to the end of the connection
         assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"\r\n\r\ndone")
@@ -379,8 +379,8 @@
     async with staged() as stage:
         client = stage.client(request())
         upstream, _ = await stage.met()
-        client.sendall(b"x" * (2 * AHEAD))
-        await stage.until(lambda: next(iter(stage.door.clients)).flooded)
+        client.sendall(b"x" * (2 * MAX_PIPELINED_BYTES))
+        await stage.until(lambda: next(iter(stage.frontend.clients)).pipeline_overflow)
         client.close()
         assert await stage.read(upstream, b"never") == b""
         assert stage.pool.counts["clients_left"] == 1
@@ -392,8 +392,8 @@
     upstream, _ = await stage.met()
     upstream.sendall(GOOD)
     await stage.read(client, b"done")
-    inner = next(iter(stage.door.clients))
-    inner.since -= IDLE + 1
+    inner = next(iter(stage.frontend.clients))
+    inner.state_since -= IDLE_TIMEOUT_NS + 1
     return client, upstream, inner
 
 
@@ -401,7 +401,7 @@
     async with staged() as stage:
         client, upstream, inner = await rested(stage)
         client.sendall(request())
-        inner.sweep(stage.process.loop.clock())  # it has come, and is not read
+        inner.enforce_timeouts(stage.process.loop.clock())  # it has come, and is not read
         await stage.read(upstream, b"{}")
         upstream.sendall(GOOD)
         assert (await stage.read(client, b"done")).startswith(b"HTTP/1.1 200")
@@ -410,14 +410,14 @@
 async def test_a_request_that_arrives_after_the_shutdown_is_not_sent_on_and_resets_nothing_at_once():
     async with staged() as stage:
         client, upstream, inner = await rested(stage)
-        inner.sweep(stage.process.loop.clock())
+        inner.enforce_timeouts(stage.process.loop.clock())
         assert await stage.read(client, b"never") == b""
         client.sendall(request())
         await stage.turns()
         assert not inner.closed and client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         assert stage.begun() == 1
-        inner.since -= LINGER + 1
-        inner.sweep(stage.process.loop.clock())
+        inner.state_since -= LINGER_TIMEOUT_NS + 1
+        inner.enforce_timeouts(stage.process.loop.clock())
         assert inner.closed and stage.begun() == 1
 
 
@@ -430,10 +430,10 @@
         stage.process.closing = True
         upstream.sendall(GOOD)
         await stage.until(lambda: not stage.pool.in_flight)
-        assert stage.door.has_pending_responses()
+        assert stage.frontend.has_pending_responses()
         assert (await stage.read(client, b"never")).endswith(b"done")
         client.close()
-        await stage.until(lambda: not stage.door.has_pending_responses())
+        await stage.until(lambda: not stage.frontend.has_pending_responses())
 
 
 # Answers that break off.
@@ -479,7 +479,7 @@
                 await anyio.sleep(0.001)
         how(upstream)  # not read yet as the request is
         client.sendall(request())
-        next(iter(stage.door.clients)).came()
+        next(iter(stage.frontend.clients)).on_readable()
         anew, _ = await stage.met()
         anew.sendall(GOOD)
         assert (await stage.read(client, b"done")).startswith(b"HTTP/1.1 200")
@@ -492,7 +492,7 @@
 @pytest.mark.parametrize("second", [GOOD.replace(b"done", b"evil"), b"HTTP/1.1 2"])
 async def test_a_second_answer_that_comes_late_reaches_nobody_else(second, monkeypatch):
     monkeypatch.setattr(
-        upstream_connection, "REST", 100 * SECOND
+        upstream_connection, "REUSE_DELAY_NS", 100 * SECOND
     )  # the moment lasts until the second answer has come
     async with staged() as stage:
         first = stage.client(request())
@@ -547,10 +547,10 @@
         again.sendall(GOOD)
         assert (await stage.read(client, b"done")).startswith(b"HTTP/1.1 200")
         await stage.until(lambda: stage.begun() == 3)
-        links = [link for peer in stage.pool.endpoints.values() for link in peer.links]
-        await stage.until(lambda: any(link.sending for link in links))
-        link = next(link for link in links if link.sending)
-        pending = link.sending.request
+        links = [link for peer in stage.pool.endpoints.values() for link in peer.connections]
+        await stage.until(lambda: any(link.attempt for link in links))
+        link = next(link for link in links if link.attempt)
+        pending = link.attempt.request
         assert (
             pending.request_class.max_attempts == 1
             and pending.deadline - pending.arrived_at < SECOND
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -25,8 +25,8 @@
 from whinpier.config.model import kept_till_restart
 from whinpier.config.platform import read
 from whinpier.http.client_connection import HttpRequest
-from whinpier.http.transport import Http1
-from whinpier.http.upstream_connection import Sending
+from whinpier.http.transport import Http1Transport
+from whinpier.http.upstream_connection import HttpAttempt
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.runtime.process import Process
 from whinpier.testbed.process import free
@@ -653,7 +653,7 @@
 
 def new_process(spec):
     """A balancer that runs in the test itself."""
-    return Process(spec, Http1(), lambda: spec, kept_till_restart)
+    return Process(spec, Http1Transport(), lambda: spec, kept_till_restart)
 
 
 def held(process):
@@ -689,7 +689,8 @@
                         await client.send(request)
                         assert (await client.receive()).startswith(b"HTTP/1.1 200")
                         while any(
-                            isinstance(thing, (HttpRequest, Sending)) for thing in gc.get_objects()
+                            isinstance(thing, (HttpRequest, HttpAttempt))
+                            for thing in gc.get_objects()
                         ):
                             await anyio.sleep(0.02)
                 finally:
@@ -738,7 +739,7 @@
                 ):
                     await anyio.sleep(0.01)
             assert all(seen == total == sockets for seen, total, sockets in pictures)
-            assert (pool.in_flight, len(balancer.frontends[0].strangers)) == (0, 0)
+            assert (pool.in_flight, len(balancer.frontends[0].new_clients)) == (0, 0)
             budget = pool.budget
             assert (budget.requests.used, budget.bodies.used, budget.request_bytes.used) == (
                 0,
--- a/tests/kept_control_stage.py
+++ b/tests/kept_control_stage.py
@@ -25,7 +25,7 @@
     pool_hash,
 )
 from whinpier.fleet.service import Link
-from whinpier.http.transport import Http1
+from whinpier.http.transport import Http1Transport
 from whinpier.runtime.process import Process
 from whinpier.testbed import files
 
@@ -137,7 +137,7 @@
         patch.setattr(link_module, "Random", Seeded)
         patch.setattr(agreed_module, "Random", Seeded)
         spec = spec_of(folder, **fleet)
-        self.process = Process(spec, Http1(), lambda: spec, operator.changes)
+        self.process = Process(spec, Http1Transport(), lambda: spec, operator.changes)
         self.process.loop.requests = SimpleNamespace(start_soon=lambda *given: None)
         for pool in self.process.pools.values():
             pool.start()
--- a/tests/test_kept_http.py
+++ b/tests/test_kept_http.py
@@ -18,7 +18,7 @@
 from tests.waiting import LIMIT
 from whinpier.config import operator, platform
 from whinpier.config.model import kept_till_restart
-from whinpier.http.transport import Http1
+from whinpier.http.transport import Http1Transport
 from whinpier.runtime.process import Process
 
 KEPT = Path("tests/data/kept").resolve()
@@ -44,7 +44,7 @@
 
 
 def new_process(spec):
-    return Process(spec, Http1(), lambda: spec, kept_till_restart)
+    return Process(spec, Http1Transport(), lambda: spec, kept_till_restart)
 
 
 def clients_of(process):
@@ -67,11 +67,11 @@
 def sweep(process):
     """As if time had passed."""
     for client in clients_of(process):
-        client.sweep(process.loop.clock() + LATER)
+        client.enforce_timeouts(process.loop.clock() + LATER)
 
 
 def half_read(process):
-    return any(client.reading for client in clients_of(process))
+    return any(client.receiving for client in clients_of(process))
 
 
 # Helpers.
--- a/whinpier/__main__.py
+++ b/whinpier/__main__.py
@@ -19,7 +19,7 @@
 from whinpier.policy.policy import Policy  # noqa: F401 (imported here for its place in the order)
 from whinpier.runtime.process import Process
 from whinpier.config.platform import read
-from whinpier.http.transport import Http1
+from whinpier.http.transport import Http1Transport
 # isort: on
 
 BACKLOG = 1024
@@ -68,7 +68,7 @@
             except OSError as fault:
                 log.warning("listen_failed", address="%s:%d" % address, fault=fault)
                 return 1
-        wire = Http1()
+        wire = Http1Transport()
         if spec.beside:
             from whinpier.radius.transport import WithRadius  # only where a file has it
 
--- a/whinpier/http/buffers.py
+++ b/whinpier/http/buffers.py
@@ -28,13 +28,15 @@
 
 # A head in its plainest form: visible characters and spaces, and no line feed but at a line's end.
 FIELDS = rb"(?:[-!#$%&'*+.^_`|~0-9A-Za-z]+:[ -~]*\r\n)+\r\n"
-REQUEST = re.compile(rb"([A-Z]+) (/[!-~]*) HTTP/1\.1\r\n" + FIELDS)
-ANSWER = re.compile(rb"HTTP/1\.1 (200|50[0-4])(?: [ -~]*)?\r\n" + FIELDS)
+SIMPLE_REQUEST = re.compile(rb"([A-Z]+) (/[!-~]*) HTTP/1\.1\r\n" + FIELDS)
+SIMPLE_RESPONSE = re.compile(rb"HTTP/1\.1 (200|50[0-4])(?: [ -~]*)?\r\n" + FIELDS)
 UNUSUAL = frozenset((b"transfer-encoding", b"expect", b"upgrade", b"trailer"))
-HEAD = (
+MAX_HEAD_BYTES = (
     16 * 1024
 )  # bytes of a head at most, however they are cut: as the parser's for one that is incomplete
-LINES = 128  # lines of a head at most: five times what a gateway with traces and cookies adds
+MAX_HEAD_LINES = (
+    128  # lines of a head at most: five times what a gateway with traces and cookies adds
+)
 
 _spare: list[bytearray] = []
 
@@ -58,7 +60,7 @@
         give(buffer)
 
 
-def plain(
+def parse_simple_message(
     form: re.Pattern[bytes], data: bytes
 ) -> tuple[re.Match[bytes], list[tuple[bytes, bytes]], bytes] | None:
     """Start line, headers and body of a message in its plainest form, whole and alone; None of
@@ -67,10 +69,10 @@
     Nothing is refused here: what is in any way unusual is for the parser to judge.
     """
     found = form.match(data)
-    if not found or found.end() > HEAD:
+    if not found or found.end() > MAX_HEAD_BYTES:
         return None
     lines = found[0].split(b"\r\n")[:-2]
-    if len(lines) > LINES:
+    if len(lines) > MAX_HEAD_LINES:
         return None
     parted = (line.partition(b":") for line in lines[1:])
     headers = [(name.lower(), value.strip(b" ")) for name, _, value in parted]
@@ -104,24 +106,24 @@
     cuts make no difference.
     """
     ahead = parser.trailing_data[0]
-    end = ahead.find(b"\r\n\r\n", 0, HEAD)
-    bound = end + 2 if end >= 0 else min(len(ahead), HEAD)
-    many = ahead.count(b"\r\n", 0, bound) > LINES
+    end = ahead.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
+    bound = end + 2 if end >= 0 else min(len(ahead), MAX_HEAD_BYTES)
+    many = ahead.count(b"\r\n", 0, bound) > MAX_HEAD_LINES
     if many:
-        bound = len(b"\r\n".join(ahead.split(b"\r\n", LINES + 1)[: LINES + 1]))
+        bound = len(b"\r\n".join(ahead.split(b"\r\n", MAX_HEAD_LINES + 1)[: MAX_HEAD_LINES + 1]))
     if TWO_WAYS.search(ahead, 0, bound):
         raise h11.RemoteProtocolError("lines that can be read two ways")
     if many:
         raise TooLarge("a head of too many lines")
-    if end < 0 and len(ahead) > HEAD:
+    if end < 0 and len(ahead) > MAX_HEAD_BYTES:
         raise TooLarge("a head of too many bytes")
 
 
 def check_trailers(end: h11.EndOfMessage) -> None:
     """Refuse what follows a body in chunks where it is larger than a head may be."""
     if (
-        len(end.headers) > LINES
-        or sum(len(name) + len(value) + 4 for name, value in end.headers) > HEAD
+        len(end.headers) > MAX_HEAD_LINES
+        or sum(len(name) + len(value) + 4 for name, value in end.headers) > MAX_HEAD_BYTES
     ):
         raise TooLarge("trailers of too many lines or bytes")
 
@@ -165,16 +167,16 @@
         # anyio.wait_readable tells the system anew for each read, and wakes a request: a fifth of
         # all work.
         self.events = asyncio.get_running_loop()
-        self.events.add_reader(self.sock, self.came_metered if metered else self.came)
+        self.events.add_reader(self.sock, self.came_metered if metered else self.on_readable)
 
     def came_metered(self) -> None:
         """Several pools share the loop: count what each takes of it."""
         begun = perf_counter_ns()
-        self.came()
+        self.on_readable()
         if part := self.pays():
             part.cpu_time.add(self.loop.now, perf_counter_ns() - begun)
 
-    def came(self) -> None:
+    def on_readable(self) -> None:
         try:
             self.read()
         except Exception:  # a fault ends the connection, never the process
--- a/whinpier/http/client_connection.py
+++ b/whinpier/http/client_connection.py
@@ -17,38 +17,45 @@
 
 from whinpier import log
 from whinpier.http import buffers
-from whinpier.http.platform_routes import BadRequest, Target, fits
-from whinpier.http.upstream_connection import BODILESS, BODY, HOP, Answer, Http
+from whinpier.http.platform_routes import RequestError, RouteTarget, fits
+from whinpier.http.upstream_connection import BODILESS, BODY, HOP, OutboundRequest, UpstreamResponse
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import RequestClass
 from whinpier.runtime.pool import stable_hash
 from whinpier.runtime.resource_budget import PoolBudget
 
 if TYPE_CHECKING:
-    from whinpier.http.listener import Door
+    from whinpier.http.listener import HttpFrontend
 
 HALF = (
     2 * SECOND
 )  # from connecting or its first byte for a request to be whole, or for an answer to be taken
-IDLE = (
+IDLE_TIMEOUT_NS = (
     5 * SECOND // 2
 )  # between requests; some keep connections for good, none is harmed by a close
-LINGER = SECOND // 2  # for a client to take its last answer and close
+LINGER_TIMEOUT_NS = SECOND // 2  # for a client to take its last answer and close
 SPILL = (
     256 * 1024
 )  # bytes to let pass unread meanwhile: a body just too large, not one of many megabytes
-AHEAD = 8 * 1024  # bytes behind a request that has no answer yet: some requests, not hundreds
+MAX_PIPELINED_BYTES = (
+    8 * 1024
+)  # bytes behind a request that has no answer yet: some requests, not hundreds
 NUMBER = re.compile(rb"[+-]?[0-9]{1,20}(\.[0-9]{0,20})?|[+-]?\.[0-9]{1,20}")
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
-class HttpRequest(Http):
+class HttpRequest(OutboundRequest):
     """A request with the client that waits for it and what goes on to an upstream."""
 
     __slots__ = ("client",)
 
     def __init__(
-        self, client: Client, request_class: RequestClass, came: int, ends: int, txn: bytes
+        self,
+        client: ClientConnection,
+        request_class: RequestClass,
+        came: int,
+        ends: int,
+        txn: bytes,
     ) -> None:
         super().__init__(client.loop.next_id(), request_class, came, ends)
         self.client, self.client_id, self.body = client, txn, b"".join(client.parts)
@@ -64,7 +71,7 @@
     def client_disconnected(self) -> bool:
         return self.client.has_left()
 
-    def respond(self, answer: Answer) -> None:
+    def respond(self, answer: UpstreamResponse) -> None:
         headers = [pair for pair in answer.headers if pair[0] not in HOP]
         self.client.answer(answer.status, b"".join(answer.parts), headers)
 
@@ -80,27 +87,29 @@
     return [(b"retry-after", b"%.3f" % (wait / SECOND))] if wait else []
 
 
-class Client(buffers.Connection):
+class ClientConnection(buffers.Connection):
     """One connection of a client."""
 
-    def __init__(self, door: Door, sock: socket.socket) -> None:
-        self.door, self.loop, self.sock = door, door.loop, sock
+    def __init__(self, door: HttpFrontend, sock: socket.socket) -> None:
+        self.frontend, self.loop, self.sock = door, door.loop, sock
         self.parser = h11.Connection(h11.SERVER)
         self.method, self.target, self.headers = b"", b"", list[tuple[bytes, bytes]]()
         self.fields: dict[bytes, bytes] = {}  # the headers by name
         self.parts: list[bytes] = []
         self.size, self.spilt = 0, 0  # bytes of its body; of what came behind its last answer
-        self.since = (
+        self.state_since = (
             door.loop.clock()
         )  # since when it is here, is idle, is read, is answered for good
         self.request: HttpRequest | None = None
-        self.to: tuple[Target, RequestClass] | None = None  # where what is asked for goes
+        self.to: tuple[RouteTarget, RequestClass] | None = None  # where what is asked for goes
         self.member: PoolBudget | None = None  # of the pool it asked last
-        self.lost: BadRequest | None = None  # why it goes nowhere
+        self.lost: RequestError | None = None  # why it goes nowhere
         self.paid: PoolBudget | None = None  # whose bodies its own counts among
         self.left = memoryview(b"")
-        self.reading, self.begun, self.last, self.closed = False, False, False, False
-        self.flooded = False  # what comes behind a request that is worked on is read no longer
+        self.receiving, self.begun, self.last, self.closed = False, False, False, False
+        self.pipeline_overflow = (
+            False  # what comes behind a request that is worked on is read no longer
+        )
         self.plain = False  # what is asked for did not need the parser
 
     def pays(self) -> PoolBudget | None:
@@ -115,48 +124,54 @@
         if not data or self.spilt > SPILL:
             self.close()
         elif self.request is None and not self.last:
-            fresh, self.reading = not self.reading, True
-            if fresh and self not in self.door.strangers:  # their time runs from when they came
-                self.since = self.loop.clock()
+            fresh, self.receiving = not self.receiving, True
+            if (
+                fresh and self not in self.frontend.new_clients
+            ):  # their time runs from when they came
+                self.state_since = self.loop.clock()
             if not (fresh and self.take_plain(data)):
                 self.parser.receive_data(data)
                 self.parse()
-        elif not self.last and not self.flooded:
+        elif not self.last and not self.pipeline_overflow:
             self.parser.receive_data(data)
-            if len(self.parser.trailing_data[0]) > AHEAD:
+            if len(self.parser.trailing_data[0]) > MAX_PIPELINED_BYTES:
                 # Its request is owed an answer, behind which the connection ends; till then what
                 # comes is passed over unread, so that its leaving is still seen.
                 log.warning("client_flood")
-                self.flooded = True
+                self.pipeline_overflow = True
 
     def take_plain(self, data: bytes) -> bool:
         """Take in a request that has come whole and alone, in the plainest form; False for any other."""
         # Guards against a full core: reading a request by h11 costs as much as all decisions on it.
-        found = None if self.parser.trailing_data[0] else buffers.plain(buffers.REQUEST, data)
+        found = (
+            None
+            if self.parser.trailing_data[0]
+            else buffers.parse_simple_message(buffers.SIMPLE_REQUEST, data)
+        )
         if found is None or not any(name == b"host" for name, _ in found[1]):
             return False
         start, self.headers, body = found
         self.method, self.target, self.parts = start[1], start[2], []
-        self.reading, self.plain = False, True
+        self.receiving, self.plain = False, True
         try:
             self.find_way()
             self.take_body(body)
             self.handle_request()
-        except BadRequest as bad:
+        except RequestError as bad:
             self.refuse(bad)
         return True
 
     def find_way(self) -> None:
         """Where it goes, by its head alone: what goes nowhere is refused before its body has come."""
         self.to, self.lost, self.fields = None, None, dict(self.headers)
-        if self.target != self.door.up:
+        if self.target != self.frontend.up:
             try:
-                self.to = self.door.router.route(
+                self.to = self.frontend.router.route(
                     self.method, self.target, self.fields, self.headers
                 )
                 if (part := self.to[0].pool.budget) is not self.member:
                     self.join(part)
-            except BadRequest as bad:
+            except RequestError as bad:
                 if bad.last:
                     raise
                 self.lost = bad  # its client may go on asking, if the rest of this is here already
@@ -173,11 +188,11 @@
         if not data or self.lost:
             return
         if self.size + len(data) > BODY:
-            raise BadRequest(413, "body too large")
+            raise RequestError(413, "body too large")
         if self.paid is None and self.to:
             self.paid = self.to[0].pool.budget
         if self.paid is None or not self.paid.request_bytes.acquire(len(data)):
-            raise BadRequest(503, "too many bodies at once")
+            raise RequestError(503, "too many bodies at once")
         self.size += len(data)
         self.parts.append(data)
 
@@ -194,20 +209,20 @@
                     self.take_body(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
                     buffers.check_trailers(event)
-                    self.reading = self.begun = False
+                    self.receiving = self.begun = False
                     self.handle_request()
                 elif self.lost:
                     raise self.lost
                 else:
-                    self.reading = self.begun or bool(self.parser.trailing_data[0])
+                    self.receiving = self.begun or bool(self.parser.trailing_data[0])
                     if self.parser.they_are_waiting_for_100_continue:
                         go_on = h11.InformationalResponse(status_code=100, headers=[])
                         self.put(self.parser.send(go_on) or b"")
                     return
-        except BadRequest as bad:
+        except RequestError as bad:
             self.refuse(bad)
         except h11.RemoteProtocolError as fault:
-            self.refuse(BadRequest(fault.error_status_hint, str(fault)))
+            self.refuse(RequestError(fault.error_status_hint, str(fault)))
 
     def begin(self, request: h11.Request) -> None:
         self.method, self.target, self.headers = (
@@ -219,16 +234,16 @@
         buffers.check_framing(self.headers, request.http_version)
         length = next((value for name, value in self.headers if name == b"content-length"), b"0")
         if len(length) > 9 or int(length) > BODY:
-            raise BadRequest(413, "body too large")
+            raise RequestError(413, "body too large")
         self.find_way()
 
     def handle_request(self) -> None:
         """A whole request: a question of the front, or a request."""
-        self.door.strangers.pop(self, None)
+        self.frontend.new_clients.pop(self, None)
         if self.lost:
             raise self.lost
         if self.to is None:
-            ready = self.door.ready()
+            ready = self.frontend.ready()
             self.answer(200 if ready else 503, b"up\n" if ready else b"starting\n")
             return
         pool = self.to[0].pool
@@ -238,10 +253,10 @@
             self.answer(504, b"too late\n")
             return
         if pool.request_limiters is None:
-            full = self.door.rejects(pool)
+            full = self.frontend.rejects(pool)
         else:  # limits by route or tenant: only then is it looked who it is
             target, fields = self.to[0], self.fields
-            full = self.door.rejects(
+            full = self.frontend.rejects(
                 pool,
                 target.route,
                 fields.get(target.fields.tenant, b""),
@@ -260,28 +275,28 @@
         self.request = request
         pool.accept(request, pool.granted_permits)
 
-    def read_request(self, target: Target, request_class: RequestClass) -> HttpRequest:
+    def read_request(self, target: RouteTarget, request_class: RequestClass) -> HttpRequest:
         """The request that a request stands for, with all that its headers say of it."""
-        headers, door, fields = self.fields, self.door, target.fields
+        headers, door, fields = self.fields, self.frontend, target.fields
         if len(headers) < len(self.headers):
             names = [name for name, _ in self.headers]
             if any(names.count(name) > 1 for name in fields.once):
-                raise BadRequest(400, "a header that may come once came twice")
-        if len(self.parser.trailing_data[0]) > AHEAD:
-            raise BadRequest(400, "too many requests ahead of their turn")
+                raise RequestError(400, "a header that may come once came twice")
+        if len(self.parser.trailing_data[0]) > MAX_PIPELINED_BYTES:
+            raise RequestError(400, "too many requests ahead of their turn")
         fits(self.method, target, request_class, headers.get(fields.ticket), self.size)
         txn = headers.get(fields.txn, b"")
         if not txn and not fields.optional:
-            raise BadRequest(400, "no " + fields.txn.decode().title())
+            raise RequestError(400, "no " + fields.txn.decode().title())
         if txn in door.ids:
             # Guards against a second effect or another client's answer: an id is new with every
             # request.
-            raise BadRequest(409, "an X-Txn that another request has")
+            raise RequestError(409, "an X-Txn that another request has")
         given = headers.get(fields.remaining)
         timeout = min(request_class.timeout, target.timeout or request_class.timeout)
         if given is not None or not fields.optional:
             if given is None or not NUMBER.fullmatch(given):
-                raise BadRequest(400, f"no {fields.remaining.decode().title()} that can be read")
+                raise RequestError(400, f"no {fields.remaining.decode().title()} that can be read")
             timeout = min(int(float(given) * SECOND), timeout)
         came = self.loop.clock()
         request = HttpRequest(self, request_class, came, door.process.deadline(came, timeout), txn)
@@ -293,10 +308,10 @@
         request.repeat = headers.get(fields.repeat) == b"1"
         return request
 
-    def refuse(self, bad: BadRequest) -> None:
+    def refuse(self, bad: RequestError) -> None:
         """Answer what is no request, and end the connection."""
         log.warning("bad_request", status=bad.status, why=bad)
-        self.reading = False
+        self.receiving = False
         self.answer(bad.status, f"{bad}\n".encode("utf-8", "replace"), bad.headers, last=bad.last)
 
     def answer(
@@ -309,7 +324,12 @@
         """Write the one answer to what was asked."""
         self.request = None
         self.release()
-        self.last = last or self.flooded or self.door.closing or self.door.crowded(self.member)
+        self.last = (
+            last
+            or self.pipeline_overflow
+            or self.frontend.closing
+            or self.frontend.crowded(self.member)
+        )
         # Where the client ends its connection, or has not sent its request whole, nothing can
         # follow.
         self.last = self.last or not (self.plain or self.parser.their_state is h11.DONE)
@@ -318,7 +338,7 @@
         if status not in BODILESS:
             head.append(b"content-length: %d\r\n" % len(body))
         head.append(b"connection: close\r\n\r\n" if self.last else b"\r\n")
-        self.since = self.loop.clock()
+        self.state_since = self.loop.clock()
         self.put(b"".join((*head, body)))
         if self.closed or self.last:
             return
@@ -354,24 +374,26 @@
         """End this side, and read on for a moment: nothing of what comes now is taken."""
         # Guards against a close over unread bytes, which would take what is still on its way with
         # it.
-        self.last, self.since = True, self.loop.clock()
+        self.last, self.state_since = True, self.loop.clock()
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.close()
 
-    def sweep(self, now: int) -> None:
+    def enforce_timeouts(self, now: int) -> None:
         """Every wait for a client has an end."""
         if self.request is not None:
             return  # the request's own end is the limit
-        waited = now - self.since
-        if self.left or self.reading:
+        waited = now - self.state_since
+        if self.left or self.receiving:
             if waited > HALF:
-                log.warning("slow_client", reading=self.reading)
-                self.close() if self.left else self.refuse(BadRequest(408, "half a request"))
-        elif self.last and waited > LINGER:
+                log.warning("slow_client", reading=self.receiving)
+                self.close() if self.left else self.refuse(RequestError(408, "half a request"))
+        elif self.last and waited > LINGER_TIMEOUT_NS:
             self.close()
-        elif not self.last and waited > (HALF if self in self.door.strangers else IDLE):
+        elif not self.last and waited > (
+            HALF if self in self.frontend.new_clients else IDLE_TIMEOUT_NS
+        ):
             self.end()
 
     def end(self) -> None:
@@ -385,7 +407,7 @@
         return not self.closed and self.idle()
 
     def idle(self) -> bool:
-        return self.request is None and not self.reading and not self.last and not self.left
+        return self.request is None and not self.receiving and not self.last and not self.left
 
     def unused(self) -> bool:
         """Whether closing loses nothing: it had its last answer, or is idle and nothing has come unread."""
@@ -405,9 +427,9 @@
         self.closed = True
         self.release()
         self.join(None)
-        self.door.gone(self)
+        self.frontend.gone(self)
         self.hang_up()
         if request := self.request:
             self.request = None
             request.pool.on_client_disconnected(request)
-        self.door.on_descriptor_freed()
+        self.frontend.on_descriptor_freed()
--- a/whinpier/http/discovery.py
+++ b/whinpier/http/discovery.py
@@ -19,13 +19,15 @@
 from whinpier.config.model import Address, ConfigFault, Entry, entries
 from whinpier.http import buffers
 
-SILENCE = 2.5  # seconds for the next whole piece: one, or an empty line, comes at least every 2
+MAX_SILENCE_S = (
+    2.5  # seconds for the next whole piece: one, or an empty line, comes at least every 2
+)
 ANSWER = 1.0  # seconds to connect, and as long until an answer begins: it is on this machine
 FIRST, LONGEST = (
     0.05,
     0.5,
 )  # seconds between tries: what it tells counts as told 4 s later at the latest
-PIECE = (
+MAX_DOCUMENT_BYTES = (
     1024 * 1024
 )  # the longest piece: thousands of upstreams, and what reading it takes fits in 32 MB
 TEXT = re.compile(
@@ -33,7 +35,7 @@
 )  # what stands in quotes in a line of JSON: no line feed can
 
 
-class Pieces:
+class JsonStreamSplitter:
     """Puts the pieces of a list together from bytes: JSON objects on one line each, or indented
     over many.
     """
@@ -55,7 +57,7 @@
                 del self.data[: self.line]
                 searched = self.line = self.depth = 0
                 yield piece
-        if len(self.data) > PIECE:
+        if len(self.data) > MAX_DOCUMENT_BYTES:
             raise ConfigFault("a piece of the list without end")
 
     def rest(self) -> bytes:
@@ -63,7 +65,7 @@
         return bytes(self.data)
 
 
-class Discovery:
+class DiscoveryClient:
     """Follows the list."""
 
     def __init__(
@@ -139,7 +141,7 @@
 
     async def ask(self, query: str) -> None:
         """Take in the pieces of one answer as they come; the whole list alone is one piece."""
-        parser, pieces = h11.Connection(h11.CLIENT), Pieces()
+        parser, pieces = h11.Connection(h11.CLIENT), JsonStreamSplitter()
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as self.sock:
             try:
                 # One limit for all that is waited for, which whole pieces alone put off: bytes that
@@ -151,11 +153,11 @@
                         if isinstance(event, h11.Response):
                             if event.status_code != 200:
                                 raise ConfigFault(f"status {event.status_code}")
-                            limit.deadline = anyio.current_time() + SILENCE
+                            limit.deadline = anyio.current_time() + MAX_SILENCE_S
                         elif isinstance(event, h11.Data):
                             for piece in pieces.take(bytes(event.data)):
                                 self.piece(piece)
-                                limit.deadline = anyio.current_time() + SILENCE
+                                limit.deadline = anyio.current_time() + MAX_SILENCE_S
                 if not query:
                     self.piece(pieces.rest())
             except TimeoutError:
--- a/whinpier/http/listener.py
+++ b/whinpier/http/listener.py
@@ -14,7 +14,7 @@
 import anyio
 
 from whinpier import log
-from whinpier.http.client_connection import Client
+from whinpier.http.client_connection import ClientConnection
 from whinpier.http.platform_routes import Router
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.runtime.pool import Pool
@@ -26,7 +26,7 @@
 SILENT = SECOND // 20  # who has come asks at once: the way from a client, many times over
 
 
-class Door:
+class HttpFrontend:
     """All clients of the process that speak HTTP/1.1."""
 
     def __init__(self, process: Process, router: Router) -> None:
@@ -37,9 +37,9 @@
             router,
         )
         self.ids, self.up = process.ids, process.spec.up
-        self.clients: set[Client] = set()
-        self.strangers: dict[
-            Client, None
+        self.clients: set[ClientConnection] = set()
+        self.new_clients: dict[
+            ClientConnection, None
         ] = {}  # those that have asked for nothing yet, the oldest first
         self.space = anyio.Event()
         self.budget.close_unused_client = self.close_unused_client
@@ -54,7 +54,7 @@
 
     def crowded(self, part: PoolBudget | None = None) -> bool:
         """Whether clients (of a pool) had better not keep their connections."""
-        return self.budget.is_crowded(len(self.clients) - len(self.strangers), part)
+        return self.budget.is_crowded(len(self.clients) - len(self.new_clients), part)
 
     def rejects(
         self,
@@ -71,11 +71,11 @@
             return True
         return self.process.rejects(pool, route, tenant, ticket, again)
 
-    def gone(self, client: Client) -> None:
+    def gone(self, client: ClientConnection) -> None:
         if client in self.clients:
             self.clients.remove(client)
             self.budget.clients -= 1
-        self.strangers.pop(client, None)
+        self.new_clients.pop(client, None)
 
     def make_known(self) -> None:
         self.space.set()
@@ -89,25 +89,25 @@
         """
         now = self.loop.clock()
         done = (client for client in self.clients if client.last)
-        silent = takewhile(lambda client: client.since < now - SILENT, self.strangers)
+        silent = takewhile(lambda client: client.state_since < now - SILENT, self.new_clients)
         for group in (done, silent, self.longest_idle(now - UNUSED)):
             if client := next((client for client in group if client.unused()), None):
                 client.close()
                 return
 
-    def longest_idle(self, since: int) -> Iterator[Client]:
+    def longest_idle(self, since: int) -> Iterator[ClientConnection]:
         """Clients that have asked before and are idle since then or longer; sorted once one is wanted."""
         within = self.budget.is_within_share
         yield from sorted(
             (
                 client
                 for client in self.clients
-                if client.idle() and client.since < since and client not in self.strangers
+                if client.idle() and client.state_since < since and client not in self.new_clients
             ),
-            key=lambda client: (within(client.member), client.since),
+            key=lambda client: (within(client.member), client.state_since),
         )
 
-    def welcome(self, listener: socket.socket) -> bool:
+    def accept_client(self, listener: socket.socket) -> bool:
         """Take one client in. One too many is only rejected: what waits unseen is lost in time."""
         budget = self.budget
         if len(self.clients) >= budget.max_clients:
@@ -124,10 +124,10 @@
         sock, _ = listener.accept()
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client = Client(self, sock)
+        client = ClientConnection(self, sock)
         self.clients.add(client)
         budget.clients += 1
-        self.strangers[client] = None
+        self.new_clients[client] = None
         client.watch(len(budget.pools) > 1)
         return True
 
@@ -137,7 +137,7 @@
             await anyio.wait_readable(listener)
             try:
                 for _ in range(AT_ONCE):
-                    if not self.welcome(listener):
+                    if not self.accept_client(listener):
                         break
                 else:
                     # Guards against clients that come faster than they are taken in: timers would
@@ -169,7 +169,7 @@
         """Every wait has an end."""
         now = self.loop.clock()
         for client in list(self.clients):
-            client.sweep(now)
+            client.enforce_timeouts(now)
         longest = self.longest_idle(now - SWEEP_INTERVAL)
         while self.crowded() and (idle := next(longest, None)):
             if idle.read_last():
@@ -188,7 +188,7 @@
 
     def has_pending_responses(self) -> bool:
         """Whether an answer is not written whole or may be on its way, or a request has begun to come."""
-        return any(client.left or client.reading or client.last for client in self.clients)
+        return any(client.left or client.receiving or client.last for client in self.clients)
 
     def metrics(self) -> dict[str, int]:
         return {"clients": len(self.clients)}
--- a/whinpier/http/platform_routes.py
+++ b/whinpier/http/platform_routes.py
@@ -16,7 +16,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class BadRequest(Exception):
+class RequestError(Exception):
     """A request that is no request; the text says why, `headers` go with the answer."""
 
     def __init__(
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Target:
+class RouteTarget:
     """Where a request goes: of its pool, by which rules, and which of its headers say what."""
 
     pool: Pool
@@ -45,35 +45,35 @@
 
     def route(
         self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
-    ) -> tuple[Target, RequestClass]:
+    ) -> tuple[RouteTarget, RequestClass]:
         """Raises BadRequest for what goes nowhere. `fields` are the headers by name, the last of each."""
 
 
-class Lanes:
+class RequestClassRouter:
     """The platform's way: the first part of the path names the request class, of the only pool."""
 
     def __init__(self, pool: Pool) -> None:
-        self.target = Target(pool, None, Fields())
+        self.target = RouteTarget(pool, None, Fields())
 
     def route(
         self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
-    ) -> tuple[Target, RequestClass]:
+    ) -> tuple[RouteTarget, RequestClass]:
         path = target.partition(b"?")[0]
         lane = path.lstrip(b"/").partition(b"/")[0]
         request_class = self.target.pool.request_classes.get(lane)  # as the pool has them now
         if request_class is None or fields.get(b"x-lane", lane) != lane:
-            raise BadRequest(404, f"no such lane: {lane!r}")
+            raise RequestError(404, f"no such lane: {lane!r}")
         return self.target, request_class
 
 
 def fits(
-    method: bytes, target: Target, request_class: RequestClass, ticket: bytes | None, size: int
+    method: bytes, target: RouteTarget, request_class: RequestClass, ticket: bytes | None, size: int
 ) -> None:
     """Refuse a request that does not look as its request class's do."""
     if not target.any_method and method != (
         b"GET" if request_class.kind == Effect.IDEMPOTENT else b"POST"
     ):
-        raise BadRequest(405, f"{method!r} does not fit the lane")
+        raise RequestError(405, f"{method!r} does not fit the lane")
     if (
         request_class.kind == Effect.KEYED
         and not ticket
@@ -82,4 +82,4 @@
         or method == b"GET"
         and size
     ):
-        raise BadRequest(400, "the lane's requests look otherwise")
+        raise RequestError(400, "the lane's requests look otherwise")
--- a/whinpier/http/upstream_connection.py
+++ b/whinpier/http/upstream_connection.py
@@ -39,7 +39,7 @@
 # After an answer a connection rests for so long before it carries the next request: a second answer
 # comes some milliseconds late (1 to 4 were seen), and on a connection in use it would pass for the
 # next request's.
-REST = SECOND // 100
+REUSE_DELAY_NS = SECOND // 100
 HOP = frozenset(
     (
         b"connection",
@@ -56,7 +56,7 @@
 )  # not passed on
 
 
-class Answer:
+class UpstreamResponse:
     """What an upstream sent for one attempt, as far as it has come."""
 
     __slots__ = ("status", "headers", "parts", "size", "interim")
@@ -91,7 +91,7 @@
         return found or None
 
 
-class Http(PendingRequest):
+class OutboundRequest(PendingRequest):
     """A request as it goes on to an upstream that speaks HTTP/1.1."""
 
     __slots__ = ("head", "body")
@@ -99,16 +99,16 @@
     body: bytes
 
 
-class Sending(PoolAttempt):
+class HttpAttempt(PoolAttempt):
     """An attempt on its way."""
 
-    def __init__(self, request: Http, server: Server, now: int) -> None:
+    def __init__(self, request: OutboundRequest, server: HttpEndpoint, now: int) -> None:
         super().__init__(request, server, now)
         self.asked = request
-        self.link: Link | None = None
+        self.connection: UpstreamConnection | None = None
 
 
-class Server(Endpoint):
+class HttpEndpoint(Endpoint):
     """An upstream with its connections."""
 
     def __init__(
@@ -122,22 +122,24 @@
     ) -> None:
         super().__init__(number, state, 0, 0, started)
         self.pool, self.loop, self.host, self.address = pool, pool.loop, host, address
-        self.links: set[Link] = set()
-        self.idle: list[Link] = []  # the one last used is used next, so that the others can go
-        self.waiting: deque[Sending] = deque()  # attempts that wait for a connection
+        self.connections: set[UpstreamConnection] = set()
+        self.idle: list[
+            UpstreamConnection
+        ] = []  # the one last used is used next, so that the others can go
+        self.waiting: deque[HttpAttempt] = deque()  # attempts that wait for a connection
         self.opening, self.resting = 0, 0
 
     def start_attempt(self, request: PendingRequest) -> PoolAttempt:
-        assert isinstance(request, Http)
-        sending = Sending(request, self, self.pool.now)
+        assert isinstance(request, OutboundRequest)
+        sending = HttpAttempt(request, self, self.pool.now)
         request.attempts.append(sending)
         self.send(sending)
         return sending
 
     def abandon(self, sent: PoolAttempt) -> None:
-        assert isinstance(sent, Sending)
-        if sent.link:
-            sent.link.give_up()
+        assert isinstance(sent, HttpAttempt)
+        if sent.connection:
+            sent.connection.give_up()
         elif sent in self.waiting:
             self.waiting.remove(sent)
 
@@ -145,16 +147,16 @@
         return sent in self.waiting
 
     def idle_connections(self) -> Iterator[tuple[int, Callable[[], None]]]:
-        return ((link.since, link.close) for link in self.idle)
+        return ((link.state_since, link.close) for link in self.idle)
 
     def in_flight(self) -> int:
-        return sum(link.sending is not None for link in self.links) + len(self.waiting)
+        return sum(link.attempt is not None for link in self.connections) + len(self.waiting)
 
     def close_expired(self) -> None:
-        for link in [link for link in self.idle if link.since < self.oldest()]:
+        for link in [link for link in self.idle if link.state_since < self.oldest()]:
             link.close()
 
-    def send(self, sending: Sending) -> None:
+    def send(self, sending: HttpAttempt) -> None:
         while self.idle:
             link = self.idle.pop()
             if link.sound():
@@ -172,24 +174,24 @@
 
     def open(self) -> bool:
         """Begin a new connection, if there is a descriptor for it."""
-        if self.max_connections is not None and len(self.links) >= self.max_connections:
+        if self.max_connections is not None and len(self.connections) >= self.max_connections:
             return False
         try:
             if not self.pool.context.budget.acquire_connection(self.pool.budget):
                 return False
-            link = Link(self)
+            link = UpstreamConnection(self)
         except OSError as fault:  # the system's own limit, met before ours
             self.pool.budget.connections.release()
             log.warning("socket_unavailable", fault=fault)
             return False
         self.opening += 1
-        self.links.add(link)
+        self.connections.add(link)
         self.loop.spawn(link.run, link.close)
         return True
 
-    def free(self, link: Link) -> None:
+    def free(self, link: UpstreamConnection) -> None:
         """A connection can take an attempt."""
-        many = self.max_connections is not None and len(self.links) > self.max_connections
+        many = self.max_connections is not None and len(self.connections) > self.max_connections
         if (
             self.state != UpstreamState.READY
             or link.address != self.address
@@ -199,7 +201,7 @@
             link.close()
             self.lacking()  # what waited for it waits for nothing now, where the upstream has moved
             return
-        link.since = self.loop.clock()
+        link.state_since = self.loop.clock()
         self.idle.append(link)
         if self.waiting:
             self.send(self.waiting.popleft())
@@ -229,10 +231,10 @@
             self.pool.settle(self.waiting.popleft(), Outcome.NOT_SENT)
 
 
-class Link(buffers.Connection):
+class UpstreamConnection(buffers.Connection):
     """One connection to an upstream."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: HttpEndpoint) -> None:
         self.server, self.pool, self.loop, self.address = (
             server,
             server.pool,
@@ -242,10 +244,10 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.parser: h11.Connection | None = None  # for answers that are in any way unusual
-        self.sending: Sending | None = None
-        self.answer = Answer()
+        self.attempt: HttpAttempt | None = None
+        self.answer = UpstreamResponse()
         self.left = memoryview(b"")
-        self.since, self.moved, self.up, self.closed = 0, 0, False, False
+        self.state_since, self.moved, self.up, self.closed = 0, 0, False, False
         self.resting = False  # it has carried an answer just now
 
     def pays(self) -> PoolBudget:
@@ -274,13 +276,13 @@
 
     def sound(self) -> bool:
         """Whether an idle connection still stands and holds nothing that nobody asked for."""
-        return self.since >= self.server.oldest() and self.peek() is None
+        return self.state_since >= self.server.oldest() and self.peek() is None
 
     def rest(self) -> None:
         """Carry nothing for a moment, in which a second answer would come."""
         self.resting = True
         self.server.resting += 1
-        self.loop.call_at(self.loop.clock() + REST, self.loop, self.rested)
+        self.loop.call_at(self.loop.clock() + REUSE_DELAY_NS, self.loop, self.rested)
 
     def rested(self) -> None:
         if self.resting:
@@ -288,13 +290,18 @@
             self.server.resting -= 1
             self.server.free(self)
 
-    def start(self, sending: Sending) -> None:
+    def start(self, sending: HttpAttempt) -> None:
         """Write an attempt; what the socket does not take at once goes out as it can."""
         log.invariant(
-            self.sending is None and not self.closed, "a connection carries one task at a time"
+            self.attempt is None and not self.closed, "a connection carries one task at a time"
         )
         log.invariant(sending.outcome is None, "what has its outcome is not sent")
-        self.sending, sending.link, self.answer, self.moved = sending, self, Answer(), 0
+        self.attempt, sending.connection, self.answer, self.moved = (
+            sending,
+            self,
+            UpstreamResponse(),
+            0,
+        )
         asked = sending.asked
         remaining = max(0, asked.deadline - self.loop.clock()) / SECOND
         self.write(b"%sx-remaining: %.3f\r\n\r\n%s" % (asked.head, remaining, asked.body))
@@ -303,7 +310,7 @@
         data = self.received()
         if data is None:
             return
-        sending, parser = self.sending, self.parser
+        sending, parser = self.attempt, self.parser
         if not data or sending is None:
             self.close()  # it has ended, or sends what nobody asked for
             return
@@ -324,35 +331,35 @@
             self.spoilt(fault)
             return
         begun = parser.their_state is not h11.SEND_RESPONSE or parser.trailing_data[0]
-        if self.sending is sending and begun:
+        if self.attempt is sending and begun:
             first, self.moved = not self.moved, self.loop.clock()
             if first:
                 self.loop.call_at(
                     self.moved + self.pool.spec.connect_limit, self.loop, self.stuck, sending
                 )
 
-    def stuck(self, sending: Sending) -> None:
+    def stuck(self, sending: HttpAttempt) -> None:
         """Guards against heads and bodies that never end: what has begun to come goes on coming."""
-        if self.sending is not sending:
+        if self.attempt is not sending:
             return
         self.read()  # a late loop may not have come to it
         ends = self.moved + self.pool.spec.connect_limit
-        if self.sending is sending and ends > self.loop.clock():
+        if self.attempt is sending and ends > self.loop.clock():
             self.loop.call_at(ends, self.loop, self.stuck, sending)
-        elif self.sending is sending:
+        elif self.attempt is sending:
             self.spoilt("an answer that does not end")
 
     def spoilt(self, why: object) -> None:
         """What came is no answer, yet the upstream is there: an error that may have done the request."""
         log.warning("upstream_protocol_error", upstream=self.server.host, fault=why)
-        sending, written = self.sending, not self.left
+        sending, written = self.attempt, not self.left
         self.give_up()
         if sending:
             self.pool.settle(sending, Outcome.FAILED if written else Outcome.CONNECT_FAILED)
 
     def take_plain(self, data: bytes) -> bool:
         """Take in an answer that has come whole and alone, in the plainest form; False for any other."""
-        answer, found = self.answer, buffers.plain(buffers.ANSWER, data)
+        answer, found = self.answer, buffers.parse_simple_message(buffers.SIMPLE_RESPONSE, data)
         if found is None:
             return False
         start, answer.headers, body = found
@@ -419,13 +426,13 @@
             self.close()
         self.pool.settle(sending, outcome, answer, answer.load(self.pool.columns))
 
-    def part(self) -> Sending | None:
+    def part(self) -> HttpAttempt | None:
         """Let go of the attempt on it, whose answer counts no longer among the bodies."""
-        sending, self.sending = self.sending, None
+        sending, self.attempt = self.attempt, None
         if sending:
             if self.answer.size:
                 self.pool.budget.bodies.release(self.answer.size)
-            sending.link = None
+            sending.connection = None
         return sending
 
     def close(self) -> None:
@@ -433,7 +440,7 @@
         if self.closed:
             return
         self.closed = True
-        self.server.links.discard(self)
+        self.server.connections.discard(self)
         self.pool.budget.connections.release()
         if self in self.server.idle:
             self.server.idle.remove(self)
--- a/whinpier/radius/transport.py
+++ b/whinpier/radius/transport.py
@@ -5,7 +5,7 @@
 import socket
 
 from whinpier.config.model import Entry
-from whinpier.http.transport import Http1
+from whinpier.http.transport import Http1Transport
 from whinpier.radius.client import Server
 from whinpier.radius.server import Frontend as RadiusFrontend
 from whinpier.radius.spec import RadiusSpec, ServerSpec
@@ -13,7 +13,7 @@
 from whinpier.runtime.process import Frontend, Process
 
 
-class WithRadius(Http1):
+class WithRadius(Http1Transport):
     """HTTP/1.1 and RADIUS, each with its own front; a pool's servers speak the pool's protocol."""
 
     def __init__(self, sockets: list[socket.socket], listeners: list[socket.socket]) -> None:
