--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -122,11 +122,11 @@
 
 
 def taken(data, size):
-    pieces = JsonStreamSplitter()
+    splitter = JsonStreamSplitter()
     found = [
-        piece for at in range(0, len(data), size) for piece in pieces.take(data[at : at + size])
+        piece for at in range(0, len(data), size) for piece in splitter.feed(data[at : at + size])
     ]
-    return found, pieces.rest()
+    return found, splitter.remainder()
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 64, 1 << 20])
--- a/whinpier/http/__init__.py
+++ b/whinpier/http/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on sockets. No decisions here."""
+"""HTTP/1.1 to clients and upstreams, and the discovery client; makes no policy decisions."""
--- a/whinpier/http/buffers.py
+++ b/whinpier/http/buffers.py
@@ -1,8 +1,7 @@
-"""Owns how bytes pass a socket: buffers of one size, one read each, how messages are framed, what
-is written.
+"""Reads and writes sockets through shared buffers, and checks how HTTP/1.1 messages are framed.
 
-Must never hand out a buffer twice, keep more of them than a few reads need, stop the loop to write,
-or take for plain what the parser or the checks here would refuse.
+Invariants: a buffer has one user at a time and few are kept; writing never blocks the event loop;
+the simple form that is parsed without h11 holds nothing that h11 or the checks here would refuse.
 """
 
 from __future__ import annotations
@@ -19,172 +18,177 @@
 from whinpier.runtime.event_loop import EventLoop
 from whinpier.runtime.resource_budget import PoolBudget
 
-SIZE = 64 * 1024  # the largest body in one read; a body and its head seldom come in more than two
-KEPT = 8  # a read ends before the next begins: more than one is in use only where reads nest
+# The largest request body: a message seldom takes more than two reads.
+BUFFER_BYTES = 64 * 1024
+# A read ends before the next begins: more than one buffer is in use only where reads nest.
+MAX_SPARE_BUFFERS = 8
 
-# What makes the lines of a head others for one reader than for the next: a line feed or a carriage
-# return that stands alone, and a line folded onto the one before.
-TWO_WAYS = re.compile(rb"(?<!\r)\n|\r(?!\n|\Z)|\r\n[ \t]")
+# Lines that parsers disagree on: a line feed or carriage return alone, and a folded line.
+AMBIGUOUS_LINE = re.compile(rb"(?<!\r)\n|\r(?!\n|\Z)|\r\n[ \t]")
 
-# A head in its plainest form: visible characters and spaces, and no line feed but at a line's end.
-FIELDS = rb"(?:[-!#$%&'*+.^_`|~0-9A-Za-z]+:[ -~]*\r\n)+\r\n"
-SIMPLE_REQUEST = re.compile(rb"([A-Z]+) (/[!-~]*) HTTP/1\.1\r\n" + FIELDS)
-SIMPLE_RESPONSE = re.compile(rb"HTTP/1\.1 (200|50[0-4])(?: [ -~]*)?\r\n" + FIELDS)
-UNUSUAL = frozenset((b"transfer-encoding", b"expect", b"upgrade", b"trailer"))
-MAX_HEAD_BYTES = (
-    16 * 1024
-)  # bytes of a head at most, however they are cut: as the parser's for one that is incomplete
-MAX_HEAD_LINES = (
-    128  # lines of a head at most: five times what a gateway with traces and cookies adds
-)
+# The simplest form of a head: visible characters and spaces, line feeds only at the end of lines.
+HEADER_LINES = rb"(?:[-!#$%&'*+.^_`|~0-9A-Za-z]+:[ -~]*\r\n)+\r\n"
+SIMPLE_REQUEST = re.compile(rb"([A-Z]+) (/[!-~]*) HTTP/1\.1\r\n" + HEADER_LINES)
+SIMPLE_RESPONSE = re.compile(rb"HTTP/1\.1 (200|50[0-4])(?: [ -~]*)?\r\n" + HEADER_LINES)
+HEADERS_NEEDING_PARSER = frozenset((b"transfer-encoding", b"expect", b"upgrade", b"trailer"))
+# As h11's own limit, which holds for incomplete heads only.
+MAX_HEAD_BYTES = 16 * 1024
+# Five times what a gateway with traces and cookies sends.
+MAX_HEAD_LINES = 128
 
-_spare: list[bytearray] = []
+_spare_buffers: list[bytearray] = []
 
 
-def take() -> bytearray:
-    return _spare.pop() if _spare else bytearray(SIZE)
+def acquire_buffer() -> bytearray:
+    """Take a spare buffer, or a new one."""
+    return _spare_buffers.pop() if _spare_buffers else bytearray(BUFFER_BYTES)
 
 
-def give(buffer: bytearray) -> None:
-    if len(_spare) < KEPT:
-        _spare.append(buffer)
+def release_buffer(buffer: bytearray) -> None:
+    """Keep a buffer for the next read, unless enough are kept."""
+    if len(_spare_buffers) < MAX_SPARE_BUFFERS:
+        _spare_buffers.append(buffer)
 
 
 def receive(sock: socket.socket) -> bytes:
-    """What has come on a socket; nothing at its end."""
-    buffer = take()
+    """Return what has arrived on a socket, or no bytes at its end; raise OSError as `recv` does."""
+    buffer = acquire_buffer()
     try:
         count = sock.recv_into(buffer)
         return bytes(memoryview(buffer)[:count])
     finally:
-        give(buffer)
+        release_buffer(buffer)
 
 
 def parse_simple_message(
     form: re.Pattern[bytes], data: bytes
 ) -> tuple[re.Match[bytes], list[tuple[bytes, bytes]], bytes] | None:
-    """Start line, headers and body of a message in its plainest form, whole and alone; None of
-    any other.
+    """Return start line, headers and body of one whole message in the simplest form.
 
-    Nothing is refused here: what is in any way unusual is for the parser to judge.
+    Return None for any other data, valid or not: h11 is to parse it.
     """
-    found = form.match(data)
-    if not found or found.end() > MAX_HEAD_BYTES:
+    start_line = form.match(data)
+    if not start_line or start_line.end() > MAX_HEAD_BYTES:
         return None
-    lines = found[0].split(b"\r\n")[:-2]
+    lines = start_line[0].split(b"\r\n")[:-2]
     if len(lines) > MAX_HEAD_LINES:
         return None
-    parted = (line.partition(b":") for line in lines[1:])
-    headers = [(name.lower(), value.strip(b" ")) for name, _, value in parted]
-    fields, body = dict(headers), data[found.end() :]
-    length = fields.get(b"content-length", b"0")
+    split_lines = (line.partition(b":") for line in lines[1:])
+    headers = [(name.lower(), value.strip(b" ")) for name, _, value in split_lines]
+    header_map, body = dict(headers), data[start_line.end() :]
+    length = header_map.get(b"content-length", b"0")
     if (
-        len(fields) < len(headers)
-        or not UNUSUAL.isdisjoint(fields)
-        or fields.get(b"connection", b"keep-alive") != b"keep-alive"
+        len(header_map) < len(headers)
+        or not HEADERS_NEEDING_PARSER.isdisjoint(header_map)
+        or header_map.get(b"connection", b"keep-alive") != b"keep-alive"
         or not length.isdigit()
         or len(length) > 9
         or int(length) != len(body)
     ):
         return None
-    return found, headers, body
+    return start_line, headers, body
 
 
-class TooLarge(h11.RemoteProtocolError):
-    """A head, or what follows a body in chunks, of more bytes or lines than any reader has to take."""
+class HeadTooLargeError(h11.RemoteProtocolError):
+    """A head, or the trailers of a chunked body, over the limit of bytes or lines."""
 
     def __init__(self, what: str) -> None:
+        """Count the error; `what` goes to the client with status 431."""
         super().__init__(what, error_status_hint=431)
         log.counters["heads_too_large"] += 1
 
 
 def check_head(parser: h11.Connection) -> None:
-    """Refuse a head that is too large, or whose lines can be read two ways.
+    """Refuse a head that is too large or has ambiguous lines.
 
-    To be asked before the parser takes the head, which bounds only what it cannot take yet: one
-    that came in a single read could have any size. What stands first in it decides, so that its
-    cuts make no difference.
+    Call this before h11 parses the head, since h11 limits only incomplete heads: one that arrives
+    in a single read could have any size. Of several faults the first in the head decides, so that
+    the result does not depend on how the head was split into reads.
     """
-    ahead = parser.trailing_data[0]
-    end = ahead.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
-    bound = end + 2 if end >= 0 else min(len(ahead), MAX_HEAD_BYTES)
-    many = ahead.count(b"\r\n", 0, bound) > MAX_HEAD_LINES
-    if many:
-        bound = len(b"\r\n".join(ahead.split(b"\r\n", MAX_HEAD_LINES + 1)[: MAX_HEAD_LINES + 1]))
-    if TWO_WAYS.search(ahead, 0, bound):
+    received = parser.trailing_data[0]
+    end = received.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
+    bound = end + 2 if end >= 0 else min(len(received), MAX_HEAD_BYTES)
+    has_too_many_lines = received.count(b"\r\n", 0, bound) > MAX_HEAD_LINES
+    if has_too_many_lines:
+        lines = received.split(b"\r\n", MAX_HEAD_LINES + 1)
+        bound = len(b"\r\n".join(lines[: MAX_HEAD_LINES + 1]))
+    if AMBIGUOUS_LINE.search(received, 0, bound):
         raise h11.RemoteProtocolError("lines that can be read two ways")
-    if many:
-        raise TooLarge("a head of too many lines")
-    if end < 0 and len(ahead) > MAX_HEAD_BYTES:
-        raise TooLarge("a head of too many bytes")
+    if has_too_many_lines:
+        raise HeadTooLargeError("a head of too many lines")
+    if end < 0 and len(received) > MAX_HEAD_BYTES:
+        raise HeadTooLargeError("a head of too many bytes")
 
 
 def check_trailers(end: h11.EndOfMessage) -> None:
-    """Refuse what follows a body in chunks where it is larger than a head may be."""
+    """Refuse trailers of a chunked body that are larger than a head may be."""
     if (
         len(end.headers) > MAX_HEAD_LINES
         or sum(len(name) + len(value) + 4 for name, value in end.headers) > MAX_HEAD_BYTES
     ):
-        raise TooLarge("trailers of too many lines or bytes")
+        raise HeadTooLargeError("trailers of too many lines or bytes")
 
 
 def check_framing(headers: list[tuple[bytes, bytes]], version: bytes) -> None:
-    """Refuse a message whose end can be read two ways. The parser sees to lengths that differ or
-    are none.
+    """Refuse a message whose end is ambiguous (RFC 9112, section 6.3).
+
+    h11 refuses invalid and differing lengths itself.
     """
     names = [name for name, _ in headers]
     if version not in (b"1.1", b"1.0"):
         raise h11.RemoteProtocolError("another version of HTTP", error_status_hint=505)
-    # Guards against a request hidden in the body of another: one reader goes by the length, the
-    # next by chunks.
+    # Prevents request smuggling: one parser goes by the length, the next by the chunks.
     if b"transfer-encoding" in names and (b"content-length" in names or version == b"1.0"):
         raise h11.RemoteProtocolError("a length and chunks")
 
 
 class Connection:
-    """What both sides do with a socket: take in what comes, write what it takes, and the rest as
-    it can.
-    """
+    """A non-blocking socket, read on events; what it does not take is written later."""
 
     loop: EventLoop
     sock: socket.socket
-    left: memoryview  # of what is written, what the socket has not taken yet
+    unsent: memoryview  # written, but not taken by the socket yet
     closed: bool
-    events: asyncio.AbstractEventLoop | None = None
+    asyncio_loop: asyncio.AbstractEventLoop | None = None
 
     def read(self) -> None:
+        """Process what has arrived."""
         raise NotImplementedError
 
     def close(self) -> None:
+        """Close the connection; further calls do nothing."""
         raise NotImplementedError
 
-    def pays(self) -> PoolBudget | None:
-        """Whose part of the CPU what it does counts for."""
+    def cpu_budget(self) -> PoolBudget | None:
+        """Return the budget that the CPU time of reads counts in, if any."""
         return None
 
-    def watch(self, metered: bool) -> None:
-        """Have what comes read as it comes, until the connection ends."""
-        # anyio.wait_readable tells the system anew for each read, and wakes a request: a fifth of
-        # all work.
-        self.events = asyncio.get_running_loop()
-        self.events.add_reader(self.sock, self.came_metered if metered else self.on_readable)
-
-    def came_metered(self) -> None:
-        """Several pools share the loop: count what each takes of it."""
-        begun = perf_counter_ns()
+    def start_reading(self, metered: bool) -> None:
+        """Call `read` whenever data arrives, until the connection is closed."""
+        # anyio.wait_readable would register the socket anew and wake a task for each read, which
+        # costs a fifth of all CPU time.
+        self.asyncio_loop = asyncio.get_running_loop()
+        self.asyncio_loop.add_reader(
+            self.sock, self.on_readable_metered if metered else self.on_readable
+        )
+
+    def on_readable_metered(self) -> None:
+        """Read, and add the CPU time to the pool's budget: several pools share the event loop."""
+        started_at = perf_counter_ns()
         self.on_readable()
-        if part := self.pays():
-            part.cpu_time.add(self.loop.now, perf_counter_ns() - begun)
+        if budget := self.cpu_budget():
+            budget.cpu_time.add(self.loop.now, perf_counter_ns() - started_at)
 
     def on_readable(self) -> None:
+        """Read; an unexpected error closes this connection and never ends the process."""
         try:
             self.read()
-        except Exception:  # a fault ends the connection, never the process
+        except Exception:
             log.exception("connection_task_failed")
             self.close()
 
-    def received(self) -> bytes | None:
-        """What has come: None where nothing has, no bytes where the connection has ended or is broken."""
+    def receive(self) -> bytes | None:
+        """Return what has arrived: None if nothing has, no bytes if the connection has ended."""
         try:
             return receive(self.sock)
         except BlockingIOError:
@@ -193,7 +197,7 @@
             return b""
 
     def peek(self) -> bytes | None:
-        """The first byte of what waits unread: None and no bytes as of `received`."""
+        """Return the first unread byte without reading it; None and no bytes as for `receive`."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -201,29 +205,32 @@
         except OSError:
             return b""
 
-    def hang_up(self) -> None:
-        """Let go of the socket."""
-        if self.events:
-            self.events.remove_reader(self.sock)
+    def close_socket(self) -> None:
+        """Stop reading, wake the tasks that wait for the socket, and close it."""
+        if self.asyncio_loop:
+            self.asyncio_loop.remove_reader(self.sock)
         anyio.notify_closing(self.sock)
         self.sock.close()
 
     def write(self, data: bytes) -> None:
-        self.left = memoryview(data)
+        """Write what the socket takes now, and the rest in a task."""
+        self.unsent = memoryview(data)
         self.flush()
-        if self.left and not self.closed:
-            self.loop.spawn(self.drain, self.close)
+        if self.unsent and not self.closed:
+            self.loop.spawn(self.flush_all, self.close)
 
     def flush(self) -> None:
+        """Write as many of the unsent bytes as the socket takes."""
         try:
-            self.left = self.left[self.sock.send(self.left) :]
+            self.unsent = self.unsent[self.sock.send(self.unsent) :]
         except BlockingIOError:
             pass
         except OSError:
             self.close()
 
-    async def drain(self) -> None:
-        while self.left and not self.closed:
+    async def flush_all(self) -> None:
+        """Write the unsent bytes as the socket becomes writable."""
+        while self.unsent and not self.closed:
             try:
                 await anyio.wait_writable(self.sock)
             except (OSError, anyio.ClosedResourceError):
--- a/whinpier/http/client_connection.py
+++ b/whinpier/http/client_connection.py
@@ -1,8 +1,9 @@
-"""Owns the connections of clients: reads their requests, answers each once, notices who has left.
+"""Reads requests from client connections and writes one response to each.
 
-The headers of clients are read here and in `routes.py`, nowhere else. Must never write an answer
-that a pool did not give, a second one, or a turn-back of its own for a request that the decisions
-have seen.
+Headers of clients are interpreted here and by the routers only.
+
+Invariants: each request gets one response; a request that the policy has accepted gets the pool's
+response and no other; a client that has disconnected is noticed while its request is in flight.
 """
 
 from __future__ import annotations
@@ -17,8 +18,14 @@
 
 from whinpier import log
 from whinpier.http import buffers
-from whinpier.http.platform_routes import RequestError, RouteTarget, fits
-from whinpier.http.upstream_connection import BODILESS, BODY, HOP, OutboundRequest, UpstreamResponse
+from whinpier.http.platform_routes import RequestError, RouteTarget, check_request
+from whinpier.http.upstream_connection import (
+    BODILESS_STATUSES,
+    MAX_REQUEST_BODY_BYTES,
+    UNFORWARDED_HEADERS,
+    OutboundRequest,
+    UpstreamResponse,
+)
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import RequestClass
 from whinpier.runtime.pool import stable_hash
@@ -27,25 +34,23 @@
 if TYPE_CHECKING:
     from whinpier.http.listener import HttpFrontend
 
-HALF = (
-    2 * SECOND
-)  # from connecting or its first byte for a request to be whole, or for an answer to be taken
-IDLE_TIMEOUT_NS = (
-    5 * SECOND // 2
-)  # between requests; some keep connections for good, none is harmed by a close
-LINGER_TIMEOUT_NS = SECOND // 2  # for a client to take its last answer and close
-SPILL = (
-    256 * 1024
-)  # bytes to let pass unread meanwhile: a body just too large, not one of many megabytes
-MAX_PIPELINED_BYTES = (
-    8 * 1024
-)  # bytes behind a request that has no answer yet: some requests, not hundreds
-NUMBER = re.compile(rb"[+-]?[0-9]{1,20}(\.[0-9]{0,20})?|[+-]?\.[0-9]{1,20}")
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
+# For a request to arrive whole, counted from its first byte or, for the first request, from the
+# accept; also for the client to take a response.
+MESSAGE_TIMEOUT_NS = 2 * SECOND
+# Between requests. Some clients never close their connections, and closing an idle one harms none.
+IDLE_TIMEOUT_NS = 5 * SECOND // 2
+# For the client to take its last response and close.
+LINGER_TIMEOUT_NS = SECOND // 2
+# Read and dropped while lingering: enough for a body just over the limit, not for many megabytes.
+MAX_DISCARDED_BYTES = 256 * 1024
+# Pipelined behind a request without a response: room for several requests, not for hundreds.
+MAX_PIPELINED_BYTES = 8 * 1024
+DECIMAL_NUMBER = re.compile(rb"[+-]?[0-9]{1,20}(\.[0-9]{0,20})?|[+-]?\.[0-9]{1,20}")
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 class HttpRequest(OutboundRequest):
-    """A request with the client that waits for it and what goes on to an upstream."""
+    """A request and the client connection that waits for its response."""
 
     __slots__ = ("client",)
 
@@ -53,96 +58,120 @@
         self,
         client: ClientConnection,
         request_class: RequestClass,
-        came: int,
-        ends: int,
-        txn: bytes,
+        arrived_at: int,
+        deadline: int,
+        client_id: bytes,
     ) -> None:
-        super().__init__(client.loop.next_id(), request_class, came, ends)
-        self.client, self.client_id, self.body = client, txn, b"".join(client.parts)
+        """Build the head to forward from what the connection has parsed."""
+        super().__init__(client.loop.next_id(), request_class, arrived_at, deadline)
+        self.client = client
+        self.client_id = client_id
+        self.body = b"".join(client.body_parts)
         head = [b"%s %s HTTP/1.1\r\n" % (client.method, client.target)]
-        head += [b"%s: %s\r\n" % pair for pair in client.headers if pair[0] not in HOP]
+        head += [
+            b"%s: %s\r\n" % pair for pair in client.headers if pair[0] not in UNFORWARDED_HEADERS
+        ]
         if client.method != b"GET":
             head.append(b"content-length: %d\r\n" % len(self.body))
         self.head = b"".join(head)
 
     def is_awaited(self) -> bool:
+        """Tell whether the client connection still waits for this request's response."""
         return self.client.request is self
 
     def client_disconnected(self) -> bool:
-        return self.client.has_left()
+        """Tell whether the client has closed its connection."""
+        return self.client.has_disconnected()
 
-    def respond(self, answer: UpstreamResponse) -> None:
-        headers = [pair for pair in answer.headers if pair[0] not in HOP]
-        self.client.answer(answer.status, b"".join(answer.parts), headers)
+    def respond(self, response: UpstreamResponse) -> None:
+        """Forward an upstream's response to the client."""
+        headers = [pair for pair in response.headers if pair[0] not in UNFORWARDED_HEADERS]
+        self.client.send_response(response.status, b"".join(response.parts), headers)
 
     def respond_rejected(self, wait: int) -> None:
-        self.client.answer(503, b"turned back\n", retry_after(wait))
+        """Respond 503 with `Retry-After`; `wait` is in nanoseconds, 0: without the header."""
+        self.client.send_response(503, b"turned back\n", retry_after(wait))
 
     def respond_failed(self) -> None:
-        self.client.answer(502, b"not fulfilled\n")
+        """Respond 502: no attempt succeeded."""
+        self.client.send_response(502, b"not fulfilled\n")
 
 
 def retry_after(wait: int) -> list[tuple[bytes, bytes]]:
-    """The header that tells a client when to come back."""
+    """Return a `Retry-After` header for a wait in nanoseconds, or no header for 0."""
     return [(b"retry-after", b"%.3f" % (wait / SECOND))] if wait else []
 
 
 class ClientConnection(buffers.Connection):
-    """One connection of a client."""
+    """One connection of a client; its requests are processed one at a time."""
 
-    def __init__(self, door: HttpFrontend, sock: socket.socket) -> None:
-        self.frontend, self.loop, self.sock = door, door.loop, sock
+    def __init__(self, frontend: HttpFrontend, sock: socket.socket) -> None:
+        """Wrap an accepted non-blocking socket."""
+        self.frontend = frontend
+        self.loop = frontend.loop
+        self.sock = sock
         self.parser = h11.Connection(h11.SERVER)
-        self.method, self.target, self.headers = b"", b"", list[tuple[bytes, bytes]]()
-        self.fields: dict[bytes, bytes] = {}  # the headers by name
-        self.parts: list[bytes] = []
-        self.size, self.spilt = 0, 0  # bytes of its body; of what came behind its last answer
-        self.state_since = (
-            door.loop.clock()
-        )  # since when it is here, is idle, is read, is answered for good
-        self.request: HttpRequest | None = None
-        self.to: tuple[RouteTarget, RequestClass] | None = None  # where what is asked for goes
-        self.member: PoolBudget | None = None  # of the pool it asked last
-        self.lost: RequestError | None = None  # why it goes nowhere
-        self.paid: PoolBudget | None = None  # whose bodies its own counts among
-        self.left = memoryview(b"")
-        self.receiving, self.begun, self.last, self.closed = False, False, False, False
-        self.pipeline_overflow = (
-            False  # what comes behind a request that is worked on is read no longer
-        )
-        self.plain = False  # what is asked for did not need the parser
-
-    def pays(self) -> PoolBudget | None:
-        return self.to[0].pool.budget if self.to else None
+        # Of the current request:
+        self.method = b""
+        self.target = b""
+        self.headers = list[tuple[bytes, bytes]]()
+        self.header_map: dict[bytes, bytes] = {}  # the last header of each name
+        self.body_parts: list[bytes] = []
+        self.body_size = 0  # bytes
+        self.destination: tuple[RouteTarget, RequestClass] | None = None
+        # Why no route was found, if the client may go on using the connection.
+        self.routing_error: RequestError | None = None
+        self.request: HttpRequest | None = None  # accepted by the pool and without a response
+        self.body_budget: PoolBudget | None = None  # that the body's bytes are counted in
+        self.parsed_simply = False  # without h11
+        # Of the connection:
+        self.state_since = frontend.loop.clock()  # when its current wait began
+        self.pool_budget: PoolBudget | None = None  # of the pool that got its last request
+        self.unsent = memoryview(b"")
+        self.receiving = False  # part of a request has arrived
+        self.head_parsed = False
+        self.closing = False  # no further request is processed
+        self.closed = False
+        self.discarded_bytes = 0  # received while closing
+        self.pipeline_overflow = False  # what follows the request in flight is dropped
+
+    def cpu_budget(self) -> PoolBudget | None:
+        """Return the budget of the current request's pool, if it has a route."""
+        return self.destination[0].pool.budget if self.destination else None
 
     def read(self) -> None:
-        data = self.received()
+        """Process what has arrived on the socket."""
+        data = self.receive()
         if data is None:
             return
-        if self.last:
-            self.spilt += len(data)
-        if not data or self.spilt > SPILL:
+        if self.closing:
+            self.discarded_bytes += len(data)
+        if not data or self.discarded_bytes > MAX_DISCARDED_BYTES:
             self.close()
-        elif self.request is None and not self.last:
-            fresh, self.receiving = not self.receiving, True
-            if (
-                fresh and self not in self.frontend.new_clients
-            ):  # their time runs from when they came
+        elif self.request is None and not self.closing:
+            is_first_read = not self.receiving
+            self.receiving = True
+            # The time-out of a new client's first request runs from the accept.
+            if is_first_read and self not in self.frontend.new_clients:
                 self.state_since = self.loop.clock()
-            if not (fresh and self.take_plain(data)):
+            if not (is_first_read and self.process_simple_request(data)):
                 self.parser.receive_data(data)
-                self.parse()
-        elif not self.last and not self.pipeline_overflow:
+                self.process_requests()
+        elif not self.closing and not self.pipeline_overflow:
             self.parser.receive_data(data)
             if len(self.parser.trailing_data[0]) > MAX_PIPELINED_BYTES:
-                # Its request is owed an answer, behind which the connection ends; till then what
-                # comes is passed over unread, so that its leaving is still seen.
+                # The request in flight still gets its response, after which the connection is
+                # closed. Until then further bytes are read and dropped, so that a disconnect is
+                # still noticed.
                 log.warning("client_flood")
                 self.pipeline_overflow = True
 
-    def take_plain(self, data: bytes) -> bool:
-        """Take in a request that has come whole and alone, in the plainest form; False for any other."""
-        # Guards against a full core: reading a request by h11 costs as much as all decisions on it.
+    def process_simple_request(self, data: bytes) -> bool:
+        """Process a request that arrived whole, alone and in the simplest form.
+
+        Return False, with nothing changed, for anything else: h11 then parses it. Parsing by h11
+        costs as much CPU as all of the policy's work on a request.
+        """
         found = (
             None
             if self.parser.trailing_data[0]
@@ -150,122 +179,130 @@
         )
         if found is None or not any(name == b"host" for name, _ in found[1]):
             return False
-        start, self.headers, body = found
-        self.method, self.target, self.parts = start[1], start[2], []
-        self.receiving, self.plain = False, True
+        start_line, self.headers, body = found
+        self.method = start_line[1]
+        self.target = start_line[2]
+        self.body_parts = []
+        self.receiving = False
+        self.parsed_simply = True
         try:
-            self.find_way()
-            self.take_body(body)
+            self.find_route()
+            self.append_body(body)
             self.handle_request()
-        except RequestError as bad:
-            self.refuse(bad)
+        except RequestError as error:
+            self.reject_request(error)
         return True
 
-    def find_way(self) -> None:
-        """Where it goes, by its head alone: what goes nowhere is refused before its body has come."""
-        self.to, self.lost, self.fields = None, None, dict(self.headers)
-        if self.target != self.frontend.up:
+    def find_route(self) -> None:
+        """Route the request by its head, so that one without a route is refused before its body."""
+        self.destination = None
+        self.routing_error = None
+        self.header_map = dict(self.headers)
+        if self.target != self.frontend.health_path:
             try:
-                self.to = self.frontend.router.route(
-                    self.method, self.target, self.fields, self.headers
+                self.destination = self.frontend.router.route(
+                    self.method, self.target, self.header_map, self.headers
                 )
-                if (part := self.to[0].pool.budget) is not self.member:
-                    self.join(part)
-            except RequestError as bad:
-                if bad.last:
+                if (budget := self.destination[0].pool.budget) is not self.pool_budget:
+                    self.count_in_pool(budget)
+            except RequestError as error:
+                if error.close_connection:
                     raise
-                self.lost = bad  # its client may go on asking, if the rest of this is here already
-
-    def join(self, part: PoolBudget | None) -> None:
-        """It counts among the clients of the pool that it asked last."""
-        if self.member:
-            self.member.clients -= 1
-        if part:
-            part.clients += 1
-        self.member = part
-
-    def take_body(self, data: bytes) -> None:
-        if not data or self.lost:
+                # Raised once the body has been read, if that has arrived already: the connection
+                # can then be kept.
+                self.routing_error = error
+
+    def count_in_pool(self, budget: PoolBudget | None) -> None:
+        """Count this client in this pool's clients instead of the previous pool's."""
+        if self.pool_budget:
+            self.pool_budget.clients -= 1
+        if budget:
+            budget.clients += 1
+        self.pool_budget = budget
+
+    def append_body(self, data: bytes) -> None:
+        """Add to the request's body, within its largest size and the pool's budget for bodies."""
+        if not data or self.routing_error:
             return
-        if self.size + len(data) > BODY:
+        if self.body_size + len(data) > MAX_REQUEST_BODY_BYTES:
             raise RequestError(413, "body too large")
-        if self.paid is None and self.to:
-            self.paid = self.to[0].pool.budget
-        if self.paid is None or not self.paid.request_bytes.acquire(len(data)):
+        if self.body_budget is None and self.destination:
+            self.body_budget = self.destination[0].pool.budget
+        if self.body_budget is None or not self.body_budget.request_bytes.acquire(len(data)):
             raise RequestError(503, "too many bodies at once")
-        self.size += len(data)
-        self.parts.append(data)
+        self.body_size += len(data)
+        self.body_parts.append(data)
 
-    def parse(self) -> None:
-        """Take in requests as far as they have come; one at a time is worked on."""
+    def process_requests(self) -> None:
+        """Parse what has arrived, and process requests until one waits for its response."""
         try:
-            while not self.closed and not self.last and self.request is None:
-                if not self.begun:
+            while not self.closed and not self.closing and self.request is None:
+                if not self.head_parsed:
                     buffers.check_head(self.parser)
                 event = self.parser.next_event()
                 if isinstance(event, h11.Request):
-                    self.begin(event)
+                    self.start_request(event)
                 elif isinstance(event, h11.Data):
-                    self.take_body(bytes(event.data))
+                    self.append_body(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
                     buffers.check_trailers(event)
-                    self.receiving = self.begun = False
+                    self.receiving = self.head_parsed = False
                     self.handle_request()
-                elif self.lost:
-                    raise self.lost
+                elif self.routing_error:
+                    raise self.routing_error
                 else:
-                    self.receiving = self.begun or bool(self.parser.trailing_data[0])
+                    self.receiving = self.head_parsed or bool(self.parser.trailing_data[0])
                     if self.parser.they_are_waiting_for_100_continue:
                         go_on = h11.InformationalResponse(status_code=100, headers=[])
-                        self.put(self.parser.send(go_on) or b"")
+                        self.enqueue(self.parser.send(go_on) or b"")
                     return
-        except RequestError as bad:
-            self.refuse(bad)
-        except h11.RemoteProtocolError as fault:
-            self.refuse(RequestError(fault.error_status_hint, str(fault)))
-
-    def begin(self, request: h11.Request) -> None:
-        self.method, self.target, self.headers = (
-            request.method,
-            request.target,
-            list(request.headers),
-        )
-        self.parts, self.begun = [], True
+        except RequestError as error:
+            self.reject_request(error)
+        except h11.RemoteProtocolError as error:
+            self.reject_request(RequestError(error.error_status_hint, str(error)))
+
+    def start_request(self, request: h11.Request) -> None:
+        """Check and route a request whose head h11 has parsed."""
+        self.method = request.method
+        self.target = request.target
+        self.headers = list(request.headers)
+        self.body_parts = []
+        self.head_parsed = True
         buffers.check_framing(self.headers, request.http_version)
         length = next((value for name, value in self.headers if name == b"content-length"), b"0")
-        if len(length) > 9 or int(length) > BODY:
+        if len(length) > 9 or int(length) > MAX_REQUEST_BODY_BYTES:
             raise RequestError(413, "body too large")
-        self.find_way()
+        self.find_route()
 
     def handle_request(self) -> None:
-        """A whole request: a question of the front, or a request."""
+        """Process a whole request: a health check, or a request for a pool."""
         self.frontend.new_clients.pop(self, None)
-        if self.lost:
-            raise self.lost
-        if self.to is None:
+        if self.routing_error:
+            raise self.routing_error
+        if self.destination is None:
             ready = self.frontend.ready()
-            self.answer(200 if ready else 503, b"up\n" if ready else b"starting\n")
+            self.send_response(200 if ready else 503, b"up\n" if ready else b"starting\n")
             return
-        pool = self.to[0].pool
-        request = self.read_request(*self.to)
+        pool = self.destination[0].pool
+        request = self.create_request(*self.destination)
         if request.deadline <= self.loop.clock():
             log.counters["request_expired"] += 1
-            self.answer(504, b"too late\n")
+            self.send_response(504, b"too late\n")
             return
         if pool.request_limiters is None:
-            full = self.frontend.rejects(pool)
-        else:  # limits by route or tenant: only then is it looked who it is
-            target, fields = self.to[0], self.fields
-            full = self.frontend.rejects(
+            rejected = self.frontend.rejects(pool)
+        else:  # limits by route or tenant need the headers that name them
+            target, header_map = self.destination[0], self.header_map
+            rejected = self.frontend.rejects(
                 pool,
                 target.route,
-                fields.get(target.fields.tenant, b""),
-                fields.get(target.fields.ticket, b""),
+                header_map.get(target.fields.tenant, b""),
+                header_map.get(target.fields.ticket, b""),
                 request.repeat,
             )
-        if full:
+        if rejected:
             log.counters["rejected_on_arrival"] += 1
-            self.answer(
+            self.send_response(
                 503,
                 b"turned back\n",
                 retry_after(pool.retry_after or request.request_class.latency_objective // 4),
@@ -275,31 +312,34 @@
         self.request = request
         pool.accept(request, pool.granted_permits)
 
-    def read_request(self, target: RouteTarget, request_class: RequestClass) -> HttpRequest:
-        """The request that a request stands for, with all that its headers say of it."""
-        headers, door, fields = self.fields, self.frontend, target.fields
+    def create_request(self, target: RouteTarget, request_class: RequestClass) -> HttpRequest:
+        """Build the pool's request from the headers; raise RequestError where they are invalid."""
+        headers, frontend, fields = self.header_map, self.frontend, target.fields
         if len(headers) < len(self.headers):
             names = [name for name, _ in self.headers]
             if any(names.count(name) > 1 for name in fields.once):
                 raise RequestError(400, "a header that may come once came twice")
         if len(self.parser.trailing_data[0]) > MAX_PIPELINED_BYTES:
             raise RequestError(400, "too many requests ahead of their turn")
-        fits(self.method, target, request_class, headers.get(fields.ticket), self.size)
-        txn = headers.get(fields.txn, b"")
-        if not txn and not fields.optional:
+        check_request(
+            self.method, target, request_class, headers.get(fields.ticket), self.body_size
+        )
+        client_id = headers.get(fields.txn, b"")
+        if not client_id and not fields.optional:
             raise RequestError(400, "no " + fields.txn.decode().title())
-        if txn in door.ids:
-            # Guards against a second effect or another client's answer: an id is new with every
-            # request.
+        if client_id in frontend.requests_by_id:
+            # Ids are unique per request. With a duplicate, a request could take effect twice or
+            # get another client's response.
             raise RequestError(409, "an X-Txn that another request has")
-        given = headers.get(fields.remaining)
+        remaining = headers.get(fields.remaining)
         timeout = min(request_class.timeout, target.timeout or request_class.timeout)
-        if given is not None or not fields.optional:
-            if given is None or not NUMBER.fullmatch(given):
+        if remaining is not None or not fields.optional:
+            if remaining is None or not DECIMAL_NUMBER.fullmatch(remaining):
                 raise RequestError(400, f"no {fields.remaining.decode().title()} that can be read")
-            timeout = min(int(float(given) * SECOND), timeout)
-        came = self.loop.clock()
-        request = HttpRequest(self, request_class, came, door.process.deadline(came, timeout), txn)
+            timeout = min(int(float(remaining) * SECOND), timeout)
+        arrived_at = self.loop.clock()
+        deadline = frontend.process.deadline(arrived_at, timeout)
+        request = HttpRequest(self, request_class, arrived_at, deadline, client_id)
         query = self.target.partition(b"?")[2]
         key = parse_qs(query).get(fields.query_key, [b""])[0] if query else b""
         key = key or headers.get(fields.key, b"")
@@ -308,127 +348,150 @@
         request.repeat = headers.get(fields.repeat) == b"1"
         return request
 
-    def refuse(self, bad: RequestError) -> None:
-        """Answer what is no request, and end the connection."""
-        log.warning("bad_request", status=bad.status, why=bad)
+    def reject_request(self, error: RequestError) -> None:
+        """Respond to an invalid request, and close the connection where the error says so."""
+        log.warning("bad_request", status=error.status, why=error)
         self.receiving = False
-        self.answer(bad.status, f"{bad}\n".encode("utf-8", "replace"), bad.headers, last=bad.last)
+        self.send_response(
+            error.status,
+            f"{error}\n".encode("utf-8", "replace"),
+            error.headers,
+            close=error.close_connection,
+        )
 
-    def answer(
+    def send_response(
         self,
         status: int,
         body: bytes,
         headers: list[tuple[bytes, bytes]] | None = None,
-        last: bool = False,
+        close: bool = False,
     ) -> None:
-        """Write the one answer to what was asked."""
+        """Write the response to the current request; `close` ends the connection after it."""
         self.request = None
-        self.release()
-        self.last = (
-            last
+        self.release_body()
+        self.closing = (
+            close
             or self.pipeline_overflow
             or self.frontend.closing
-            or self.frontend.crowded(self.member)
+            or self.frontend.is_crowded(self.pool_budget)
+        )
+        # After a request that is incomplete, or with which the client ends the connection, no
+        # further request can follow.
+        self.closing = self.closing or not (
+            self.parsed_simply or self.parser.their_state is h11.DONE
         )
-        # Where the client ends its connection, or has not sent its request whole, nothing can
-        # follow.
-        self.last = self.last or not (self.plain or self.parser.their_state is h11.DONE)
-        head = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b""))]
+        head = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b""))]
         head += [b"%s: %s\r\n" % pair for pair in headers or []]
-        if status not in BODILESS:
+        if status not in BODILESS_STATUSES:
             head.append(b"content-length: %d\r\n" % len(body))
-        head.append(b"connection: close\r\n\r\n" if self.last else b"\r\n")
+        head.append(b"connection: close\r\n\r\n" if self.closing else b"\r\n")
         self.state_since = self.loop.clock()
-        self.put(b"".join((*head, body)))
-        if self.closed or self.last:
+        self.enqueue(b"".join((*head, body)))
+        if self.closed or self.closing:
             return
-        # A parser for each request: h11 only parses, as writing by it costs over twice as much.
-        ahead = self.parser.trailing_data[0]
-        if not self.plain:
+        # h11 only parses here: writing with it costs over twice as much CPU. Since it does not see
+        # the response, each request needs a new parser.
+        pipelined = self.parser.trailing_data[0]
+        if not self.parsed_simply:
             self.parser = h11.Connection(h11.SERVER)
-            self.parser.receive_data(ahead) if ahead else None
-        self.plain = False
-        if ahead:
-            self.loop.dispatch(
-                self.loop, self.parse
-            )  # it came ahead of its turn; from outside any decision
-
-    def release(self) -> None:
-        """Its body counts no longer."""
-        if self.paid:
-            self.paid.request_bytes.release(self.size)
-        self.parts, self.size, self.paid = [], 0, None
-
-    def put(self, data: bytes) -> None:
-        if self.left:
-            self.left = memoryview(bytes(self.left) + data)
+            if pipelined:
+                self.parser.receive_data(pipelined)
+        self.parsed_simply = False
+        if pipelined:
+            # Dispatched, since a response may be written in the middle of a policy decision.
+            self.loop.dispatch(self.loop, self.process_requests)
+
+    def release_body(self) -> None:
+        """Drop the request's body and release its bytes."""
+        if self.body_budget:
+            self.body_budget.request_bytes.release(self.body_size)
+        self.body_parts = []
+        self.body_size = 0
+        self.body_budget = None
+
+    def enqueue(self, data: bytes) -> None:
+        """Write now, or after what the socket has not taken yet."""
+        if self.unsent:
+            self.unsent = memoryview(bytes(self.unsent) + data)
             return
         self.write(data)
 
     def flush(self) -> None:
+        """Write what the socket takes; half-close once the last response is written whole."""
         super().flush()
-        if self.last and not self.left and not self.closed:
+        if self.closing and not self.unsent and not self.closed:
             self.half_close()
 
     def half_close(self) -> None:
-        """End this side, and read on for a moment: nothing of what comes now is taken."""
-        # Guards against a close over unread bytes, which would take what is still on its way with
-        # it.
-        self.last, self.state_since = True, self.loop.clock()
+        """Shut down the sending side, then read and drop for a moment.
+
+        Closing a socket with unread bytes resets the connection, and a response that is still on
+        its way would be lost.
+        """
+        self.closing = True
+        self.state_since = self.loop.clock()
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.close()
 
     def enforce_timeouts(self, now: int) -> None:
-        """Every wait for a client has an end."""
+        """Close or half-close the connection if its current wait is over."""
         if self.request is not None:
-            return  # the request's own end is the limit
+            return  # the request's deadline limits the wait
         waited = now - self.state_since
-        if self.left or self.receiving:
-            if waited > HALF:
+        if self.unsent or self.receiving:
+            if waited > MESSAGE_TIMEOUT_NS:
                 log.warning("slow_client", reading=self.receiving)
-                self.close() if self.left else self.refuse(RequestError(408, "half a request"))
-        elif self.last and waited > LINGER_TIMEOUT_NS:
+                if self.unsent:
+                    self.close()
+                else:
+                    self.reject_request(RequestError(408, "half a request"))
+        elif self.closing and waited > LINGER_TIMEOUT_NS:
             self.close()
-        elif not self.last and waited > (
-            HALF if self in self.frontend.new_clients else IDLE_TIMEOUT_NS
+        elif not self.closing and waited > (
+            MESSAGE_TIMEOUT_NS if self in self.frontend.new_clients else IDLE_TIMEOUT_NS
         ):
-            self.end()
+            self.read_or_half_close()
 
-    def end(self) -> None:
-        """Take in what may just have come, or end the connection."""
-        if self.read_last():
+    def read_or_half_close(self) -> None:
+        """Process what may have just arrived; half-close if the connection is still idle."""
+        if self.is_idle_after_read():
             self.half_close()
 
-    def read_last(self) -> bool:
-        """Take in what may just have come; whether it is idle all the same."""
+    def is_idle_after_read(self) -> bool:
+        """Process what may have just arrived, and tell whether the connection is still idle."""
         self.read()
-        return not self.closed and self.idle()
+        return not self.closed and self.is_idle()
+
+    def is_idle(self) -> bool:
+        """Tell whether the connection is open for requests and has none, whole or in part."""
+        return self.request is None and not self.receiving and not self.closing and not self.unsent
 
-    def idle(self) -> bool:
-        return self.request is None and not self.receiving and not self.last and not self.left
+    def can_be_closed(self) -> bool:
+        """Tell whether closing loses nothing.
 
-    def unused(self) -> bool:
-        """Whether closing loses nothing: it had its last answer, or is idle and nothing has come unread."""
-        if self.last or not self.idle():
-            return self.last and not self.left
+        That holds after the last response, and for an idle connection with no unread bytes.
+        """
+        if self.closing or not self.is_idle():
+            return self.closing and not self.unsent
         return not self.peek()
 
-    def has_left(self) -> bool:
-        """Whether it has closed its connection, which a late loop may not have read yet."""
+    def has_disconnected(self) -> bool:
+        """Tell whether the client has closed its connection, even if that was not read yet."""
         if not self.closed and self.peek() == b"":
             self.close()
         return self.closed
 
     def close(self) -> None:
+        """Close the connection, and tell the pool of a request in flight."""
         if self.closed:
             return
         self.closed = True
-        self.release()
-        self.join(None)
-        self.frontend.gone(self)
-        self.hang_up()
+        self.release_body()
+        self.count_in_pool(None)
+        self.frontend.remove_client(self)
+        self.close_socket()
         if request := self.request:
             self.request = None
             request.pool.on_client_disconnected(request)
--- a/whinpier/http/listener.py
+++ b/whinpier/http/listener.py
@@ -1,8 +1,7 @@
-"""Owns the listeners, the clients taken in by them, and who of them has to go when descriptors are
-short.
+"""Accepts clients, and decides whose connection is closed when descriptors run short.
 
-Must never close a client whose request is here and not read, or leave what waits at a listener
-unseen for long.
+Invariants: a client whose request has arrived but is unread is not closed; no client waits in a
+listener's backlog for long.
 """
 
 from __future__ import annotations
@@ -21,40 +20,48 @@
 from whinpier.runtime.process import SWEEP_INTERVAL, Process
 from whinpier.runtime.resource_budget import PoolBudget
 
-AT_ONCE = 32  # clients taken in before others have their turn: some 3 ms
-UNUSED = SECOND // 10  # a connection idle for less may be about to be used again
-SILENT = SECOND // 20  # who has come asks at once: the way from a client, many times over
+# Accepting these takes some 3 ms; other tasks run after them.
+MAX_ACCEPTS_PER_TURN = 32
+# A connection that was idle for less may be about to be used again.
+MIN_IDLE_NS = SECOND // 10
+# A new client sends its request at once: this is many times the network delay.
+MIN_SILENCE_NS = SECOND // 20
+# Seconds to wait for a free descriptor before accepting is tried again.
+DESCRIPTOR_WAIT_S = 0.1
+# Seconds to wait after an unexpected error.
+ACCEPT_RETRY_DELAY_S = 0.01
 
 
 class HttpFrontend:
-    """All clients of the process that speak HTTP/1.1."""
+    """The HTTP/1.1 listeners of the process and all clients that they accepted."""
 
     def __init__(self, process: Process, router: Router) -> None:
-        self.process, self.loop, self.budget, self.router = (
-            process,
-            process.loop,
-            process.budget,
-            router,
-        )
-        self.ids, self.up = process.ids, process.spec.up
+        """Register with the process's budget as the one that can close unused clients."""
+        self.process = process
+        self.loop = process.loop
+        self.budget = process.budget
+        self.router = router
+        self.requests_by_id = process.ids
+        self.health_path = process.spec.up
         self.clients: set[ClientConnection] = set()
-        self.new_clients: dict[
-            ClientConnection, None
-        ] = {}  # those that have asked for nothing yet, the oldest first
-        self.space = anyio.Event()
+        # Clients that have sent no request yet, the oldest first.
+        self.new_clients: dict[ClientConnection, None] = {}
+        self.descriptor_freed = anyio.Event()
         self.budget.close_unused_client = self.close_unused_client
-        self.on_descriptor_freed = self.budget.on_descriptor_freed = self.make_known
+        self.on_descriptor_freed = self.budget.on_descriptor_freed = self.notify_descriptor_freed
 
     @property
     def closing(self) -> bool:
+        """Whether the process is stopping."""
         return self.process.closing
 
     def ready(self) -> bool:
+        """Tell whether the process can serve requests."""
         return self.process.ready()
 
-    def crowded(self, part: PoolBudget | None = None) -> bool:
-        """Whether clients (of a pool) had better not keep their connections."""
-        return self.budget.is_crowded(len(self.clients) - len(self.new_clients), part)
+    def is_crowded(self, budget: PoolBudget | None = None) -> bool:
+        """Tell whether clients (of a pool) should not keep their connections open."""
+        return self.budget.is_crowded(len(self.clients) - len(self.new_clients), budget)
 
     def rejects(
         self,
@@ -64,62 +71,74 @@
         ticket: bytes = b"",
         again: bool = False,
     ) -> bool:
-        """Whether a request is rejected at the door; if not it counts among its pool's from now on."""
+        """Tell whether a request is rejected on arrival; if not, it is counted in its pool."""
         budget = self.budget
-        usual = budget.total_connections - budget.max_clients
-        if len(self.clients) > budget.max_clients and budget.requests.used >= usual:
+        usual_requests = budget.total_connections - budget.max_clients
+        if len(self.clients) > budget.max_clients and budget.requests.used >= usual_requests:
             return True
         return self.process.rejects(pool, route, tenant, ticket, again)
 
-    def gone(self, client: ClientConnection) -> None:
+    def remove_client(self, client: ClientConnection) -> None:
+        """Forget a client whose connection is closed."""
         if client in self.clients:
             self.clients.remove(client)
             self.budget.clients -= 1
         self.new_clients.pop(client, None)
 
-    def make_known(self) -> None:
-        self.space.set()
+    def notify_descriptor_freed(self) -> None:
+        """Resume accepting if it waits for a descriptor."""
+        self.descriptor_freed.set()
 
     def close_unused_client(self) -> None:
-        """Close a client that is not in use: one that has had its last answer, has asked
-        nothing, or is idle.
+        """Close one client that has had its last response, has sent no request, or is idle.
 
-        Guards against ending one whose request is here already and only not read yet: that
-        request would be lost.
+        A client whose request has arrived and is unread is left open: that request would be lost.
         """
         now = self.loop.clock()
-        done = (client for client in self.clients if client.last)
-        silent = takewhile(lambda client: client.state_since < now - SILENT, self.new_clients)
-        for group in (done, silent, self.longest_idle(now - UNUSED)):
-            if client := next((client for client in group if client.unused()), None):
+        finished = (client for client in self.clients if client.closing)
+        silent = takewhile(
+            lambda client: client.state_since < now - MIN_SILENCE_NS, self.new_clients
+        )
+        for group in (finished, silent, self.longest_idle(now - MIN_IDLE_NS)):
+            if client := next((client for client in group if client.can_be_closed()), None):
                 client.close()
                 return
 
-    def longest_idle(self, since: int) -> Iterator[ClientConnection]:
-        """Clients that have asked before and are idle since then or longer; sorted once one is wanted."""
-        within = self.budget.is_within_share
+    def longest_idle(self, before: int) -> Iterator[ClientConnection]:
+        """Yield clients that have been idle since before this time.
+
+        Clients of pools over their share come first, then by idle time. They are sorted only once
+        the first is asked for.
+        """
+        is_within_share = self.budget.is_within_share
         yield from sorted(
             (
                 client
                 for client in self.clients
-                if client.idle() and client.state_since < since and client not in self.new_clients
+                if client.is_idle()
+                and client.state_since < before
+                and client not in self.new_clients
             ),
-            key=lambda client: (within(client.member), client.state_since),
+            key=lambda client: (is_within_share(client.pool_budget), client.state_since),
         )
 
     def accept_client(self, listener: socket.socket) -> bool:
-        """Take one client in. One too many is only rejected: what waits unseen is lost in time."""
+        """Accept one client; return False if no descriptor is left for one.
+
+        Clients over the limit are still accepted within a reserve, to reject their requests: in
+        the backlog they would time out unanswered.
+        """
         budget = self.budget
         if len(self.clients) >= budget.max_clients:
             self.close_unused_client()
         budget.ensure_capacity()
-        # Guards against clients without end where few connections to upstreams are open, so that
-        # the whole never seems full.
-        most = (
+        # The limit of clients also holds while few connections to upstreams are open, when
+        # descriptors alone would admit any number.
+        limit = (
             min(budget.max_clients, budget.total_connections - budget.connections.used)
             + budget.rejection_reserve
         )
-        if len(self.clients) >= most:
+        if len(self.clients) >= limit:
             return False
         sock, _ = listener.accept()
         sock.setblocking(False)
@@ -128,20 +147,19 @@
         self.clients.add(client)
         budget.clients += 1
         self.new_clients[client] = None
-        client.watch(len(budget.pools) > 1)
+        client.start_reading(metered=len(budget.pools) > 1)
         return True
 
-    async def accept(self, listener: socket.socket) -> None:
-        """Take clients in while there are descriptors; at the limit accepting waits."""
+    async def accept_clients(self, listener: socket.socket) -> None:
+        """Accept clients until the listener is closed; wait while no descriptor is free."""
         while True:
             await anyio.wait_readable(listener)
             try:
-                for _ in range(AT_ONCE):
+                for _ in range(MAX_ACCEPTS_PER_TURN):
                     if not self.accept_client(listener):
                         break
                 else:
-                    # Guards against clients that come faster than they are taken in: timers would
-                    # never ring.
+                    # Lets timers run where clients connect faster than they are accepted.
                     await anyio.sleep(0)
                     continue
                 log.warning(
@@ -149,46 +167,48 @@
                     clients=len(self.clients),
                     links=self.budget.connections.used,
                 )
-                self.space = anyio.Event()
-                with anyio.move_on_after(0.1):
-                    await self.space.wait()
+                self.descriptor_freed = anyio.Event()
+                with anyio.move_on_after(DESCRIPTOR_WAIT_S):
+                    await self.descriptor_freed.wait()
             except BlockingIOError:
                 pass
             except anyio.ClosedResourceError:
                 return
-            except Exception:  # whatever it was: nobody else takes clients in
+            except Exception:  # without this task no client would be accepted any more
                 log.exception("accept_failed")
-                await anyio.sleep(0.01)
+                await anyio.sleep(ACCEPT_RETRY_DELAY_S)
 
     def start(self, listeners: list[socket.socket]) -> None:
+        """Begin to accept clients on these listeners."""
         for listener in listeners:
-            self.loop.task_group.start_soon(self.accept, listener)
-            log.info("listening", address="%s:%d" % listener.getsockname(), debug=__debug__)
+            self.loop.task_group.start_soon(self.accept_clients, listener)
+            host, port = listener.getsockname()
+            log.info("listening", address=f"{host}:{port}", debug=__debug__)
 
     def close_expired(self) -> None:
-        """Every wait has an end."""
+        """Enforce the clients' time-outs, and close idle clients while there are too many."""
         now = self.loop.clock()
         for client in list(self.clients):
             client.enforce_timeouts(now)
-        longest = self.longest_idle(now - SWEEP_INTERVAL)
-        while self.crowded() and (idle := next(longest, None)):
-            if idle.read_last():
-                idle.close()
-
-    # The end.
+        longest_idle = self.longest_idle(now - SWEEP_INTERVAL)
+        while self.is_crowded() and (idle_client := next(longest_idle, None)):
+            if idle_client.is_idle_after_read():
+                idle_client.close()
 
     def has_clients(self) -> bool:
+        """Tell whether any client is connected."""
         return bool(self.clients)
 
     def close_idle(self) -> None:
-        """No more is taken: what is idle goes, once what may just have come is read."""
+        """Half-close idle clients, after reading what may have just arrived."""
         for client in list(self.clients):
-            if client.idle():
-                client.end()
+            if client.is_idle():
+                client.read_or_half_close()
 
     def has_pending_responses(self) -> bool:
-        """Whether an answer is not written whole or may be on its way, or a request has begun to come."""
-        return any(client.left or client.receiving or client.last for client in self.clients)
+        """Tell whether a response may still be on its way, or part of a request has arrived."""
+        return any(client.unsent or client.receiving or client.closing for client in self.clients)
 
     def metrics(self) -> dict[str, int]:
+        """Return the figures for the log."""
         return {"clients": len(self.clients)}
--- a/whinpier/http/platform_routes.py
+++ b/whinpier/http/platform_routes.py
@@ -1,7 +1,6 @@
-"""Owns what a request has to say to be a request, and the platform's way to its request class: by
-lane.
+"""Checks requests against their request class, and routes them by the platform's rule: by path.
 
-Must never pass on what does not look as its request class's requests do.
+A request that does not have the form of its request class's requests is never forwarded.
 """
 
 from __future__ import annotations
@@ -17,69 +16,81 @@
 
 
 class RequestError(Exception):
-    """A request that is no request; the text says why, `headers` go with the answer."""
+    """A request that gets an error response; the text becomes the response's body."""
 
     def __init__(
-        self, status: int, text: str, headers: Headers | None = None, last: bool = True
+        self,
+        status: int,
+        text: str,
+        headers: Headers | None = None,
+        close_connection: bool = True,
     ) -> None:
+        """Take the status, the extra headers, and whether the client's connection is closed."""
         super().__init__(text)
-        self.status, self.headers, self.last = status, headers, last
+        self.status = status
+        self.headers = headers
+        self.close_connection = close_connection
 
 
 @dataclass(slots=True, eq=False)
 class RouteTarget:
-    """Where a request goes: of its pool, by which rules, and which of its headers say what."""
+    """Where a route sends requests, and which headers it reads."""
 
     pool: Pool
     request_class: RequestClass | None  # None: the one that the request names
     fields: Fields
-    timeout: int = 0  # nanoseconds at most; 0: the request class's
-    any_method: bool = (
-        False  # whether the route names its methods, so that none needs to fit the kind
-    )
+    timeout: int = 0  # the longest, in nanoseconds; 0: the request class's
+    any_method: bool = False  # the route lists its methods, so the request class's does not matter
     route: str = ""
 
 
 class Router(Protocol):
-    """Says where a request goes."""
+    """Chooses the pool and the request class of a request."""
 
     def route(
-        self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
+        self, method: bytes, target: bytes, header_map: dict[bytes, bytes], headers: Headers
     ) -> tuple[RouteTarget, RequestClass]:
-        """Raises BadRequest for what goes nowhere. `fields` are the headers by name, the last of each."""
+        """Route a request; raise RequestError if no route matches.
+
+        `header_map` holds the last header of each name.
+        """
 
 
 class RequestClassRouter:
-    """The platform's way: the first part of the path names the request class, of the only pool."""
+    """Routes all requests to one pool; the first path segment names the request class."""
 
     def __init__(self, pool: Pool) -> None:
+        """Route all requests to this pool."""
         self.target = RouteTarget(pool, None, Fields())
 
     def route(
-        self, method: bytes, target: bytes, fields: dict[bytes, bytes], headers: Headers
+        self, method: bytes, target: bytes, header_map: dict[bytes, bytes], headers: Headers
     ) -> tuple[RouteTarget, RequestClass]:
+        """Route a request by its path; an `X-Lane` header has to name the same request class."""
         path = target.partition(b"?")[0]
-        lane = path.lstrip(b"/").partition(b"/")[0]
-        request_class = self.target.pool.request_classes.get(lane)  # as the pool has them now
-        if request_class is None or fields.get(b"x-lane", lane) != lane:
-            raise RequestError(404, f"no such lane: {lane!r}")
+        name = path.lstrip(b"/").partition(b"/")[0]
+        # Looked up for each request, since a reload replaces the pool's request classes.
+        request_class = self.target.pool.request_classes.get(name)
+        if request_class is None or header_map.get(b"x-lane", name) != name:
+            raise RequestError(404, f"no such lane: {name!r}")
         return self.target, request_class
 
 
-def fits(
-    method: bytes, target: RouteTarget, request_class: RequestClass, ticket: bytes | None, size: int
+def check_request(
+    method: bytes,
+    target: RouteTarget,
+    request_class: RequestClass,
+    ticket: bytes | None,
+    body_size: int,
 ) -> None:
-    """Refuse a request that does not look as its request class's do."""
+    """Refuse a request whose method, idempotency key or body its request class does not allow."""
     if not target.any_method and method != (
         b"GET" if request_class.kind == Effect.IDEMPOTENT else b"POST"
     ):
         raise RequestError(405, f"{method!r} does not fit the lane")
     if (
-        request_class.kind == Effect.KEYED
-        and not ticket
-        or request_class.kind == Effect.NON_IDEMPOTENT
-        and ticket
-        or method == b"GET"
-        and size
+        (request_class.kind == Effect.KEYED and not ticket)
+        or (request_class.kind == Effect.NON_IDEMPOTENT and ticket)
+        or (method == b"GET" and body_size)
     ):
         raise RequestError(400, "the lane's requests look otherwise")
--- a/whinpier/http/transport.py
+++ b/whinpier/http/transport.py
@@ -1,6 +1,4 @@
-"""Puts HTTP/1.1 together for the life of the process: its door, its upstreams, its watch of the
-list.
-"""
+"""Creates the HTTP/1.1 parts of a process: its frontend, its endpoints and its endpoint watch."""
 
 from __future__ import annotations
 
@@ -14,33 +12,36 @@
 
 
 class Http1Transport:
-    """HTTP/1.1 on both sides."""
+    """HTTP/1.1 to clients and to upstreams."""
 
     def create_frontends(self, process: Process) -> list[Frontend]:
-        return [HttpFrontend(process, self.router(process))]
+        """Create the frontend that accepts HTTP/1.1 clients."""
+        return [HttpFrontend(process, self.create_router(process))]
 
     def update_routes(self, frontends: list[Frontend], process: Process) -> None:
-        """Follow the routes that now hold; what has its pool already goes on there."""
+        """Use the process's current routes for new requests; pending ones stay in their pools."""
         frontend = frontends[0]
         assert isinstance(frontend, HttpFrontend)
-        frontend.router, frontend.up = self.router(process), process.spec.up
+        frontend.router = self.create_router(process)
+        frontend.health_path = process.spec.up
 
     @staticmethod
-    def router(process: Process) -> Router:
+    def create_router(process: Process) -> Router:
+        """Create the router of the operator's table, or the platform's if there is none."""
         if process.spec.table is None:
             return RequestClassRouter(next(iter(process.pools.values())))
-        from whinpier.http.operator_routes import (
-            TableRouter,
-        )  # only where there is an operator's file
+        from whinpier.http.operator_routes import TableRouter  # only with an operator's file
 
         return TableRouter(process.spec.table, process.pools)
 
     def create_endpoint(self, pool: Pool, entry: Entry, number: int) -> Endpoint:
+        """Create the endpoint of an entry of the endpoint list."""
         return HttpEndpoint(pool, entry.host, number, entry.state, entry.started, entry.dial)
 
     def create_watch(self, pool: Pool) -> EndpointWatch:
+        """Create the client that follows the pool's endpoint list."""
         assert pool.spec.discovery
-        chance = pool.policy.selector.random
+        random = pool.policy.selector.random
         return DiscoveryClient(
-            pool.spec.discovery, pool.spec.seq, pool.update_endpoints, chance, pool.log_fields
+            pool.spec.discovery, pool.spec.seq, pool.update_endpoints, random, pool.log_fields
         )
--- a/whinpier/http/upstream_connection.py
+++ b/whinpier/http/upstream_connection.py
@@ -1,9 +1,10 @@
-"""Owns the connections to upstreams: pooled, one request at a time on each, and what became of
-every attempt.
+"""Sends attempts over pooled connections to upstreams, one request at a time on each connection.
 
-An outcome hangs on whether the last byte of the request was written: before that it never ran, from
-then on it may have. Must never send an attempt twice, send on a connection that has ended, or tell
-two outcomes of one.
+The outcome of a lost attempt depends on whether the last byte of the request was written: before
+that the upstream can't have run it, from then on it may have.
+
+Invariants: an attempt is sent once; nothing is sent on a connection that has ended; an attempt has
+exactly one outcome.
 """
 
 from __future__ import annotations
@@ -25,22 +26,24 @@
 from whinpier.runtime.resource_budget import PoolBudget
 from whinpier.settings import REPORT_COLUMNS
 
-BODY = 64 * 1024  # the largest body, by the protocol
-# Of an answer: upstreams have been met whose good ones are six times what the protocol says.
-ANSWER = 1024 * 1024
-# All that the parser needs to know of a request: that an answer is due. The request is written as
-# it came, since building it by h11 costs over twice as much.
-DUE = h11.Request(method="GET", target="/", headers=[("host", "upstream")])
-BODILESS = frozenset((204, 304))
-INTERIM = 64  # interim answers to one request: more are rubbish
-# A kept connection is let go at half its idle limit: the other side may close it any time from then
-# on, and what is written to one just closed may have run.
-KEEP = 0.5
-# After an answer a connection rests for so long before it carries the next request: a second answer
-# comes some milliseconds late (1 to 4 were seen), and on a connection in use it would pass for the
-# next request's.
+# By the platform's protocol.
+MAX_REQUEST_BODY_BYTES = 64 * 1024
+# Some upstreams send valid responses six times as large as the protocol allows.
+MAX_RESPONSE_BODY_BYTES = 1024 * 1024
+# Tells h11 that a response is due. The request itself is written as it arrived, since building it
+# with h11 costs over twice as much CPU.
+PLACEHOLDER_REQUEST = h11.Request(method="GET", target="/", headers=[("host", "upstream")])
+BODILESS_STATUSES = frozenset((204, 304))
+# To one request; more are taken as a protocol error.
+MAX_INTERIM_RESPONSES = 64
+# Of the upstream's idle limit, after which a connection is closed. Later the upstream may close it
+# at any time, and a request written to a connection just closed may have run.
+KEEP_ALIVE_FRACTION = 0.5
+# After a response, before the connection carries the next request. A faulty upstream's second
+# response comes 1 to 4 ms late; on a connection in use it would pass for the next request's.
 REUSE_DELAY_NS = SECOND // 100
-HOP = frozenset(
+# Headers that are not forwarded: hop-by-hop, or written anew for each attempt.
+UNFORWARDED_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -53,63 +56,69 @@
         b"x-remaining",
         b"content-length",
     )
-)  # not passed on
+)
 
 
 class UpstreamResponse:
-    """What an upstream sent for one attempt, as far as it has come."""
+    """The response to one attempt, as far as it has arrived."""
 
-    __slots__ = ("status", "headers", "parts", "size", "interim")
+    __slots__ = ("headers", "interim_count", "parts", "size", "status")
 
     def __init__(self) -> None:
-        self.status, self.size, self.interim = 0, 0, 0
+        """Begin with an empty response of status 0."""
+        self.status = 0
+        self.size = 0  # bytes of the body that are counted in the pool's budget
+        self.interim_count = 0
         self.headers: list[tuple[bytes, bytes]] = []
-        self.parts: list[bytes] = []
+        self.parts: list[bytes] = []  # of the body
 
     def header(self, name: bytes) -> bytes | None:
+        """Return the first header of this lower-case name."""
         return next((value for given, value in self.headers if given == name), None)
 
-    def outcome(self, passed_on: frozenset[int]) -> Outcome:
-        if self.status in passed_on:
+    def outcome(self, forwarded_statuses: frozenset[int]) -> Outcome:
+        """Return what this response means for its attempt."""
+        if self.status in forwarded_statuses:
             return Outcome.SUCCEEDED
-        turned_away = self.status in (503, 504) and self.header(b"x-turned-away") == b"1"
-        return Outcome.OVERLOADED if turned_away else Outcome.FAILED
+        overloaded = self.status in (503, 504) and self.header(b"x-turned-away") == b"1"
+        return Outcome.OVERLOADED if overloaded else Outcome.FAILED
 
-    def load(self, columns: list[str]) -> dict[str, float] | None:
-        """The load report, where one came with it, by our names; of what the settings promise."""
+    def load_report(self, columns: list[str]) -> dict[str, float] | None:
+        """Return the load report of the `X-Pressure` header, for the configured columns only."""
         found: dict[str, float] = {}
         if not columns:
             return None
         for part in (self.header(b"x-pressure") or b"").decode("latin-1").split(","):
             name, _, text = part.strip().partition("=")
             try:
-                figure = float(text)
+                value = float(text)
             except ValueError:
                 continue
-            if 0.0 <= figure < 1e9 and REPORT_COLUMNS.get(name, name) in columns:
-                found[REPORT_COLUMNS.get(name, name)] = figure
+            if 0.0 <= value < 1e9 and REPORT_COLUMNS.get(name, name) in columns:
+                found[REPORT_COLUMNS.get(name, name)] = value
         return found or None
 
 
 class OutboundRequest(PendingRequest):
-    """A request as it goes on to an upstream that speaks HTTP/1.1."""
+    """A request in the form in which it is sent to HTTP/1.1 upstreams."""
 
-    __slots__ = ("head", "body")
-    head: bytes  # but for what is left of its timeout
+    __slots__ = ("body", "head")
+    head: bytes  # without `X-Remaining`, which is written per attempt, and the final empty line
     body: bytes
 
 
 class HttpAttempt(PoolAttempt):
-    """An attempt on its way."""
+    """An attempt that waits for a connection or is in flight on one."""
 
-    def __init__(self, request: OutboundRequest, server: HttpEndpoint, now: int) -> None:
-        super().__init__(request, server, now)
-        self.asked = request
+    def __init__(self, request: OutboundRequest, endpoint: HttpEndpoint, now: int) -> None:
+        """Create an attempt without a connection."""
+        super().__init__(request, endpoint, now)
+        self.outbound = request
         self.connection: UpstreamConnection | None = None
 
 
 class HttpEndpoint(Endpoint):
-    """An upstream with its connections."""
+    """An upstream with its connection pool."""
 
     def __init__(
         self,
@@ -120,112 +129,136 @@
         started: int,
         address: Address,
     ) -> None:
+        """Create an endpoint without connections."""
         super().__init__(number, state, 0, 0, started)
-        self.pool, self.loop, self.host, self.address = pool, pool.loop, host, address
+        self.pool = pool
+        self.loop = pool.loop
+        self.host = host
+        self.address = address
         self.connections: set[UpstreamConnection] = set()
-        self.idle: list[
-            UpstreamConnection
-        ] = []  # the one last used is used next, so that the others can go
-        self.waiting: deque[HttpAttempt] = deque()  # attempts that wait for a connection
-        self.opening, self.resting = 0, 0
+        # The connection used last is used next, so that the others expire.
+        self.idle: list[UpstreamConnection] = []
+        self.waiting: deque[HttpAttempt] = deque()  # attempts without a connection
+        self.connecting_count = 0
+        self.reuse_delayed_count = 0  # connections that are available after `REUSE_DELAY_NS`
 
     def start_attempt(self, request: PendingRequest) -> PoolAttempt:
+        """Send a request on an idle connection, or queue it for one."""
         assert isinstance(request, OutboundRequest)
-        sending = HttpAttempt(request, self, self.pool.now)
-        request.attempts.append(sending)
-        self.send(sending)
-        return sending
+        attempt = HttpAttempt(request, self, self.pool.now)
+        request.attempts.append(attempt)
+        self.send(attempt)
+        return attempt
 
     def abandon(self, sent: PoolAttempt) -> None:
+        """Close the attempt's connection, or remove it from the queue; the caller settles it."""
         assert isinstance(sent, HttpAttempt)
         if sent.connection:
-            sent.connection.give_up()
+            sent.connection.abandon()
         elif sent in self.waiting:
             self.waiting.remove(sent)
 
     def is_unsent(self, sent: PoolAttempt) -> bool:
+        """Tell whether an attempt still waits for a connection."""
         return sent in self.waiting
 
     def idle_connections(self) -> Iterator[tuple[int, Callable[[], None]]]:
-        return ((link.state_since, link.close) for link in self.idle)
+        """Yield for each idle connection since when it is idle, and how to close it."""
+        return ((connection.state_since, connection.close) for connection in self.idle)
 
     def in_flight(self) -> int:
-        return sum(link.attempt is not None for link in self.connections) + len(self.waiting)
+        """Count the attempts on connections and in the queue."""
+        sent = sum(connection.attempt is not None for connection in self.connections)
+        return sent + len(self.waiting)
 
     def close_expired(self) -> None:
-        for link in [link for link in self.idle if link.state_since < self.oldest()]:
-            link.close()
-
-    def send(self, sending: HttpAttempt) -> None:
+        """Close connections that have been idle for too long."""
+        expired = [
+            connection for connection in self.idle if connection.state_since < self.min_idle_since()
+        ]
+        for connection in expired:
+            connection.close()
+
+    def send(self, attempt: HttpAttempt) -> None:
+        """Send on the first usable idle connection, or queue the attempt."""
         while self.idle:
-            link = self.idle.pop()
-            if link.sound():
-                link.start(sending)
+            connection = self.idle.pop()
+            if connection.is_usable():
+                connection.start(attempt)
                 return
-            link.close()
-        self.waiting.append(sending)
-        self.lacking()
-
-    def lacking(self) -> None:
-        """Begin a connection where more wait than will have one soon; the last gives up if there is none."""
-        # What waits takes whichever comes first, a new connection or one that falls free.
-        if len(self.waiting) > self.opening + self.resting and not self.open():
+            connection.close()
+        self.waiting.append(attempt)
+        self.ensure_connections()
+
+    def ensure_connections(self) -> None:
+        """Connect if more attempts wait than connections will soon be available.
+
+        If no connection can be opened, the attempt that was queued last is not sent. A waiting
+        attempt takes whichever connection is available first, a new or a reused one.
+        """
+        available_soon = self.connecting_count + self.reuse_delayed_count
+        if len(self.waiting) > available_soon and not self.connect():
             self.pool.settle(self.waiting.pop(), Outcome.NOT_SENT)
 
-    def open(self) -> bool:
-        """Begin a new connection, if there is a descriptor for it."""
+    def connect(self) -> bool:
+        """Begin to open a connection; return False if limits or descriptors don't allow one."""
         if self.max_connections is not None and len(self.connections) >= self.max_connections:
             return False
         try:
             if not self.pool.context.budget.acquire_connection(self.pool.budget):
                 return False
-            link = UpstreamConnection(self)
-        except OSError as fault:  # the system's own limit, met before ours
+            connection = UpstreamConnection(self)
+        except OSError as error:  # the system's limit, reached before the budget's
             self.pool.budget.connections.release()
-            log.warning("socket_unavailable", fault=fault)
+            log.warning("socket_unavailable", fault=error)
             return False
-        self.opening += 1
-        self.connections.add(link)
-        self.loop.spawn(link.run, link.close)
+        self.connecting_count += 1
+        self.connections.add(connection)
+        self.loop.spawn(connection.run, connection.close)
         return True
 
-    def free(self, link: UpstreamConnection) -> None:
-        """A connection can take an attempt."""
-        many = self.max_connections is not None and len(self.connections) > self.max_connections
+    def on_connection_available(self, connection: UpstreamConnection) -> None:
+        """Use a connection for a waiting attempt, keep it idle, or close it if it is not wanted."""
+        over_limit = (
+            self.max_connections is not None and len(self.connections) > self.max_connections
+        )
         if (
             self.state != UpstreamState.READY
-            or link.address != self.address
-            or many
+            or connection.address != self.address
+            or over_limit
             or (not self.waiting and self.pool.context.budget.is_recalled(self.pool.budget))
         ):
-            link.close()
-            self.lacking()  # what waited for it waits for nothing now, where the upstream has moved
+            connection.close()
+            # After a change of address, attempts that waited for this connection need a new one.
+            self.ensure_connections()
             return
-        link.state_since = self.loop.clock()
-        self.idle.append(link)
+        connection.state_since = self.loop.clock()
+        self.idle.append(connection)
         if self.waiting:
             self.send(self.waiting.popleft())
 
-    def not_opened(self) -> None:
-        """A connection did not come up: whoever waited for it longest has its outcome."""
-        if len(self.waiting) > self.opening + self.resting:
+    def on_connect_failed(self) -> None:
+        """Fail the attempt that has waited longest, unless other connections will serve it."""
+        if len(self.waiting) > self.connecting_count + self.reuse_delayed_count:
             self.pool.settle(self.waiting.popleft(), Outcome.CONNECT_FAILED)
 
     def set_address(self, dial: Address) -> None:
+        """Use this address from now on; idle connections to the previous one are closed."""
         if dial != self.address:
             self.address = dial
             self.close_idle()
 
-    def oldest(self) -> int:
-        """Since when a connection may have been idle to be kept."""
-        return self.loop.clock() - int(KEEP * self.pool.spec.idle_limit)
+    def min_idle_since(self) -> int:
+        """Return since when, at the earliest, a connection may have been idle to be kept."""
+        return self.loop.clock() - int(KEEP_ALIVE_FRACTION * self.pool.spec.idle_limit)
 
     def close_idle(self) -> None:
-        for link in list(self.idle):
-            link.close()
+        """Close idle connections."""
+        for connection in list(self.idle):
+            connection.close()
 
     def drain(self) -> None:
-        """It is to get nothing new: what still waits to be sent is not sent, and idle connections go."""
+        """Close idle connections, and settle waiting attempts as not sent."""
         self.close_idle()
         while self.waiting:
             self.pool.settle(self.waiting.popleft(), Outcome.NOT_SENT)
@@ -234,91 +267,98 @@
 class UpstreamConnection(buffers.Connection):
     """One connection to an upstream."""
 
-    def __init__(self, server: HttpEndpoint) -> None:
-        self.server, self.pool, self.loop, self.address = (
-            server,
-            server.pool,
-            server.loop,
-            server.address,
-        )
+    def __init__(self, endpoint: HttpEndpoint) -> None:
+        """Create the socket; raise OSError if the system has no descriptor left."""
+        self.endpoint = endpoint
+        self.pool = endpoint.pool
+        self.loop = endpoint.loop
+        self.address = endpoint.address
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.parser: h11.Connection | None = None  # for answers that are in any way unusual
+        self.parser: h11.Connection | None = None  # for responses not in the simplest form
         self.attempt: HttpAttempt | None = None
-        self.answer = UpstreamResponse()
-        self.left = memoryview(b"")
-        self.state_since, self.moved, self.up, self.closed = 0, 0, False, False
-        self.resting = False  # it has carried an answer just now
-
-    def pays(self) -> PoolBudget:
+        self.response = UpstreamResponse()
+        self.unsent = memoryview(b"")
+        self.state_since = 0  # since when it is idle
+        self.progress_at = 0  # when the last bytes of the response arrived; 0: none yet
+        self.connected = False
+        self.closed = False
+        self.reuse_delayed = False  # for `REUSE_DELAY_NS` after a response
+
+    def cpu_budget(self) -> PoolBudget:
+        """Return the budget of the endpoint's pool."""
         return self.pool.budget
 
     async def run(self) -> None:
-        """Connect; what comes from then on is read as it comes."""
+        """Connect, then read on events; close the connection if connecting fails."""
         try:
             self.loop.call_at(
-                self.loop.clock() + self.pool.spec.connect_limit, self.loop, self.late
+                self.loop.clock() + self.pool.spec.connect_limit,
+                self.loop,
+                self.on_connect_timeout,
             )
             if self.sock.connect_ex(self.address) in (0, errno.EINPROGRESS):
                 await anyio.wait_writable(self.sock)
                 if not self.closed and not self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                    self.up, self.server.opening = True, self.server.opening - 1
-                    self.watch(len(self.pool.context.budget.pools) > 1)
-                    self.server.free(self)
+                    self.connected = True
+                    self.endpoint.connecting_count -= 1
+                    self.start_reading(metered=len(self.pool.context.budget.pools) > 1)
+                    self.endpoint.on_connection_available(self)
                     return
         except (OSError, anyio.ClosedResourceError):
             pass
         self.close()
 
-    def late(self) -> None:
-        if not self.up:
+    def on_connect_timeout(self) -> None:
+        """Close the connection unless it is established."""
+        if not self.connected:
             self.close()
 
-    def sound(self) -> bool:
-        """Whether an idle connection still stands and holds nothing that nobody asked for."""
-        return self.state_since >= self.server.oldest() and self.peek() is None
-
-    def rest(self) -> None:
-        """Carry nothing for a moment, in which a second answer would come."""
-        self.resting = True
-        self.server.resting += 1
-        self.loop.call_at(self.loop.clock() + REUSE_DELAY_NS, self.loop, self.rested)
-
-    def rested(self) -> None:
-        if self.resting:
-            self.resting = False
-            self.server.resting -= 1
-            self.server.free(self)
-
-    def start(self, sending: HttpAttempt) -> None:
-        """Write an attempt; what the socket does not take at once goes out as it can."""
+    def is_usable(self) -> bool:
+        """Tell whether an idle connection is recent, still open and holds no unrequested bytes."""
+        return self.state_since >= self.endpoint.min_idle_since() and self.peek() is None
+
+    def delay_reuse(self) -> None:
+        """Carry no request for `REUSE_DELAY_NS`, in which a second response would arrive."""
+        self.reuse_delayed = True
+        self.endpoint.reuse_delayed_count += 1
+        self.loop.call_at(self.loop.clock() + REUSE_DELAY_NS, self.loop, self.end_reuse_delay)
+
+    def end_reuse_delay(self) -> None:
+        """Make the connection available, unless it has been closed."""
+        if self.reuse_delayed:
+            self.reuse_delayed = False
+            self.endpoint.reuse_delayed_count -= 1
+            self.endpoint.on_connection_available(self)
+
+    def start(self, attempt: HttpAttempt) -> None:
+        """Write the attempt's request; what the socket does not take at once is written later."""
         log.invariant(
             self.attempt is None and not self.closed, "a connection carries one task at a time"
         )
-        log.invariant(sending.outcome is None, "what has its outcome is not sent")
-        self.attempt, sending.connection, self.answer, self.moved = (
-            sending,
-            self,
-            UpstreamResponse(),
-            0,
-        )
-        asked = sending.asked
-        remaining = max(0, asked.deadline - self.loop.clock()) / SECOND
-        self.write(b"%sx-remaining: %.3f\r\n\r\n%s" % (asked.head, remaining, asked.body))
+        log.invariant(attempt.outcome is None, "what has its outcome is not sent")
+        self.attempt = attempt
+        attempt.connection = self
+        self.response = UpstreamResponse()
+        self.progress_at = 0
+        request = attempt.outbound
+        remaining = max(0, request.deadline - self.loop.clock()) / SECOND
+        self.write(b"%sx-remaining: %.3f\r\n\r\n%s" % (request.head, remaining, request.body))
 
     def read(self) -> None:
-        data = self.received()
+        """Parse what has arrived of the response."""
+        data = self.receive()
         if data is None:
             return
-        sending, parser = self.attempt, self.parser
-        if not data or sending is None:
-            self.close()  # it has ended, or sends what nobody asked for
+        attempt, parser = self.attempt, self.parser
+        if not data or attempt is None:
+            self.close()  # the upstream closed the connection, or sent unrequested bytes
             return
         if parser is None:
-            if self.take_plain(data):
+            if self.finish_simple_response(data):
                 return
             parser = self.parser = h11.Connection(h11.CLIENT)
-            parser.send(DUE)
+            parser.send(PLACEHOLDER_REQUEST)
             parser.send(h11.EndOfMessage())
         parser.receive_data(data)
         try:
@@ -326,137 +366,152 @@
             while more:
                 if parser.their_state is h11.SEND_RESPONSE:
                     buffers.check_head(parser)
-                more = self.take(parser.next_event())
-        except h11.RemoteProtocolError as fault:
-            self.spoilt(fault)
+                more = self.process_event(parser.next_event())
+        except h11.RemoteProtocolError as error:
+            self.fail_response(error)
             return
-        begun = parser.their_state is not h11.SEND_RESPONSE or parser.trailing_data[0]
-        if self.attempt is sending and begun:
-            first, self.moved = not self.moved, self.loop.clock()
-            if first:
+        response_begun = parser.their_state is not h11.SEND_RESPONSE or parser.trailing_data[0]
+        if self.attempt is attempt and response_begun:
+            is_first = not self.progress_at
+            self.progress_at = self.loop.clock()
+            if is_first:
                 self.loop.call_at(
-                    self.moved + self.pool.spec.connect_limit, self.loop, self.stuck, sending
+                    self.progress_at + self.pool.spec.connect_limit,
+                    self.loop,
+                    self.check_progress,
+                    attempt,
                 )
 
-    def stuck(self, sending: HttpAttempt) -> None:
-        """Guards against heads and bodies that never end: what has begun to come goes on coming."""
-        if self.attempt is not sending:
+    def check_progress(self, attempt: HttpAttempt) -> None:
+        """Fail a response that has begun and stalled for as long as connecting may take."""
+        if self.attempt is not attempt:
             return
-        self.read()  # a late loop may not have come to it
-        ends = self.moved + self.pool.spec.connect_limit
-        if self.attempt is sending and ends > self.loop.clock():
-            self.loop.call_at(ends, self.loop, self.stuck, sending)
-        elif self.attempt is sending:
-            self.spoilt("an answer that does not end")
-
-    def spoilt(self, why: object) -> None:
-        """What came is no answer, yet the upstream is there: an error that may have done the request."""
-        log.warning("upstream_protocol_error", upstream=self.server.host, fault=why)
-        sending, written = self.attempt, not self.left
-        self.give_up()
-        if sending:
-            self.pool.settle(sending, Outcome.FAILED if written else Outcome.CONNECT_FAILED)
-
-    def take_plain(self, data: bytes) -> bool:
-        """Take in an answer that has come whole and alone, in the plainest form; False for any other."""
-        answer, found = self.answer, buffers.parse_simple_message(buffers.SIMPLE_RESPONSE, data)
+        self.read()  # an event loop behind its time may have unread bytes
+        deadline = self.progress_at + self.pool.spec.connect_limit
+        if self.attempt is attempt and deadline > self.loop.clock():
+            self.loop.call_at(deadline, self.loop, self.check_progress, attempt)
+        elif self.attempt is attempt:
+            self.fail_response("an answer that does not end")
+
+    def fail_response(self, why: object) -> None:
+        """Close the connection after an invalid response, and fail its attempt.
+
+        The upstream is up and may have run the request, if that was written whole.
+        """
+        log.warning("upstream_protocol_error", upstream=self.endpoint.host, fault=why)
+        attempt, written = self.attempt, not self.unsent
+        self.abandon()
+        if attempt:
+            self.pool.settle(attempt, Outcome.FAILED if written else Outcome.CONNECT_FAILED)
+
+    def finish_simple_response(self, data: bytes) -> bool:
+        """Take a response that arrived whole, alone and in the simplest form.
+
+        Return False for anything else: h11 then parses it.
+        """
+        response = self.response
+        found = buffers.parse_simple_message(buffers.SIMPLE_RESPONSE, data)
         if found is None:
             return False
-        start, answer.headers, body = found
-        if answer.header(b"content-length") is None:
+        start_line, response.headers, body = found
+        if response.header(b"content-length") is None:
             return False
-        answer.status, answer.parts = int(start[1]), [body]
-        self.finish(True)
+        response.status = int(start_line[1])
+        response.parts = [body]
+        self.finish_response(reusable=True)
         return True
 
-    def take(self, event: object) -> bool:
-        """One piece of an answer; False when there is no more for now."""
-        answer = self.answer
+    def process_event(self, event: object) -> bool:
+        """Process one parsed part of a response; return False if there is no more for now."""
+        response = self.response
         if isinstance(event, h11.Response):
-            answer.status, answer.headers = event.status_code, list(event.headers)
-            buffers.check_framing(answer.headers, event.http_version)
-            framed = answer.header(b"content-length") or answer.header(b"transfer-encoding")
+            response.status = event.status_code
+            response.headers = list(event.headers)
+            buffers.check_framing(response.headers, event.http_version)
+            framing = response.header(b"content-length") or response.header(b"transfer-encoding")
             if (
-                answer.status in self.pool.spec.passed_on
-                and answer.status not in BODILESS
-                and framed is None
+                response.status in self.pool.spec.passed_on
+                and response.status not in BODILESS_STATUSES
+                and framing is None
             ):
                 raise h11.RemoteProtocolError("a body whose end can't be told from a break")
-            length = answer.header(b"content-length") or b"0"
-            if len(length) > 9 or int(length) > ANSWER:
-                raise h11.RemoteProtocolError("a body of %s bytes" % length.decode())
+            length = response.header(b"content-length") or b"0"
+            if len(length) > 9 or int(length) > MAX_RESPONSE_BODY_BYTES:
+                raise h11.RemoteProtocolError(f"a body of {length.decode()} bytes")
         elif isinstance(event, h11.InformationalResponse):
-            answer.interim += 1
-            if answer.interim > INTERIM:
+            response.interim_count += 1
+            if response.interim_count > MAX_INTERIM_RESPONSES:
                 raise h11.RemoteProtocolError("too many interim answers")
         elif isinstance(event, h11.Data):
-            answer.size += len(event.data)
-            if answer.size > ANSWER or not self.pool.budget.bodies.acquire(len(event.data)):
-                answer.size -= len(event.data)
+            response.size += len(event.data)
+            if response.size > MAX_RESPONSE_BODY_BYTES or not self.pool.budget.bodies.acquire(
+                len(event.data)
+            ):
+                response.size -= len(event.data)
                 raise h11.RemoteProtocolError("body too large")
-            answer.parts.append(bytes(event.data))
+            response.parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             buffers.check_trailers(event)
             parser = self.parser
-            # Guards against one request's surplus bytes passing for the next one's answer.
-            self.finish(
-                parser is not None
+            # Surplus bytes would pass for the next request's response.
+            self.finish_response(
+                reusable=parser is not None
                 and not parser.trailing_data[0]
                 and parser.their_state is h11.DONE
                 and parser.our_state is h11.DONE
             )
             return False
-        else:  # nothing more yet, or the connection has ended
+        else:  # h11 needs more data, or the connection has ended
             if event is not h11.NEED_DATA:
                 self.close()
             return False
         return True
 
-    def finish(self, clean: bool) -> None:
-        """An answer is whole: the connection, if it is clean, is kept for the next request."""
-        sending, answer = self.part(), self.answer
-        assert sending is not None
-        outcome = answer.outcome(self.pool.spec.passed_on)
-        if self.left and outcome != Outcome.OVERLOADED:
-            outcome = Outcome.CONNECT_FAILED  # an answer to what was not written whole
+    def finish_response(self, reusable: bool) -> None:
+        """Settle the attempt of a whole response; keep the connection if it is reusable."""
+        attempt, response = self.detach_attempt(), self.response
+        assert attempt is not None
+        outcome = response.outcome(self.pool.spec.passed_on)
+        if self.unsent and outcome != Outcome.OVERLOADED:
+            outcome = Outcome.CONNECT_FAILED  # the request was not written whole
         self.parser = None
-        if clean and not self.left:
-            self.rest()
+        if reusable and not self.unsent:
+            self.delay_reuse()
         else:
             self.close()
-        self.pool.settle(sending, outcome, answer, answer.load(self.pool.columns))
+        self.pool.settle(attempt, outcome, response, response.load_report(self.pool.columns))
 
-    def part(self) -> HttpAttempt | None:
-        """Let go of the attempt on it, whose answer counts no longer among the bodies."""
-        sending, self.attempt = self.attempt, None
-        if sending:
-            if self.answer.size:
-                self.pool.budget.bodies.release(self.answer.size)
-            sending.connection = None
-        return sending
+    def detach_attempt(self) -> HttpAttempt | None:
+        """Separate the attempt, if any, from the connection, and release its response's bytes."""
+        attempt, self.attempt = self.attempt, None
+        if attempt:
+            if self.response.size:
+                self.pool.budget.bodies.release(self.response.size)
+            attempt.connection = None
+        return attempt
 
     def close(self) -> None:
-        """End the connection. An attempt on it has its outcome by whether it was written whole."""
+        """Close, and settle an attempt by whether its request was written whole."""
         if self.closed:
             return
         self.closed = True
-        self.server.connections.discard(self)
+        self.endpoint.connections.discard(self)
         self.pool.budget.connections.release()
-        if self in self.server.idle:
-            self.server.idle.remove(self)
-        self.hang_up()
-        if not self.up:
-            self.server.opening -= 1
-            self.server.not_opened()
-        elif self.resting:
-            self.resting = False
-            self.server.resting -= 1
-            self.server.lacking()
-        if sending := self.part():
-            self.pool.settle(sending, Outcome.CONNECT_FAILED if self.left else Outcome.RESET)
+        if self in self.endpoint.idle:
+            self.endpoint.idle.remove(self)
+        self.close_socket()
+        if not self.connected:
+            self.endpoint.connecting_count -= 1
+            self.endpoint.on_connect_failed()
+        elif self.reuse_delayed:
+            self.reuse_delayed = False
+            self.endpoint.reuse_delayed_count -= 1
+            self.endpoint.ensure_connections()
+        if attempt := self.detach_attempt():
+            self.pool.settle(attempt, Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
         self.pool.context.budget.on_descriptor_freed()
 
-    def give_up(self) -> None:
-        """Close without an outcome: whoever gives up tells it."""
-        self.part()
+    def abandon(self) -> None:
+        """Close the connection without settling its attempt, which the caller does."""
+        self.detach_attempt()
         self.close()
