--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -360,7 +360,7 @@
     for step in range(40):
         flight.on_timer(step * SECOND // 10, {}, 1)
         passed += sum(flight.try_acquire(step * SECOND // 10) for _ in range(9))
-    assert passed == flight.used == 3 and flight.wait(0)
+    assert passed == flight.in_flight == 3 and flight.wait(0)
     flight.give(0)
     assert flight.try_acquire(5 * SECOND)
     window = ApproximateQuota(Limit("x", COUNT, 50, ()), MINUTES, 0, lambda now: (now, now))
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -1,23 +1,22 @@
-"""Decides how many requests of a calendar window this member may still pass: a count that is never
-exceeded.
-
-Each home has its part of each window, and what it does not need it hands over: the giver takes off
-first, has that on its disk, and only then sends; the receiver adds what it had asked for, once.
-What is lost on the way is lost until the window is over. What is used is on the disk before it is
-used, some requests ahead, so that a new run after kill -9 counts as used what may have been. A
-request that may fall into either of two windows, as clocks are not sure, is counted in both. Why
-so: docs/design/limits.md.
-
-Free of I/O: handed time, chance, messages and word of what is on the disk. Must never pass a
-request that is not counted on the disk, hand over what may be used here, or count a window of which
-an earlier run may have used what is not known.
+"""Decide how many requests of a calendar window this member may still admit; never exceeded.
+
+Each home member has its part of each window and transfers what it does not need. The giver
+subtracts first, has that on its disk, and only then sends; the receiver adds what it had requested,
+once. What is lost on the way is lost until the window is over. Use is written to the disk before it
+happens, some requests ahead, so that a new run after kill -9 counts as used whatever may have been
+used. While clocks are uncertain, a request that may fall into either of two windows counts in both.
+The reasoning is in docs/design/limits.md.
+
+Free of I/O: the time, randomness, messages and confirmations of writes are passed in. Must never
+admit a request that is not counted on the disk, transfer what may be used here, or use a window of
+which an unknown part may have been used by an earlier run.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from datetime import datetime, timedelta, timezone, tzinfo
+from datetime import UTC, datetime, timedelta, tzinfo
 from random import Random
 from typing import Any, Literal
 from zoneinfo import ZoneInfo
@@ -26,98 +25,109 @@
 from whinpier.fleet.quotas.leases import MAX_LEASES, MAX_MEMBERS_ASKED, Limit
 from whinpier.policy.decaying_sum import SECOND, Sum
 
-Every = Literal["minute", "hour", "day"]
-# of demand that is written ahead as used: what a kill loses, and what a slow disk may take
+WindowUnit = Literal["minute", "hour", "day"]
+# Demand that is written ahead as used: bounds what a kill loses and how slow the disk may be.
 WRITE_AHEAD_PERIOD = SECOND
 MIN_WRITE_AHEAD = 8  # requests
-FORESEEN = 5 * SECOND  # of demand that a member has in hand before it asks for more
-RESERVED = 30 * SECOND  # of its own demand that a home keeps when it is asked
-LOOK = 2 * SECOND  # over which demand is counted
-SOON = SECOND  # before a window opens its first note is written
-AGAIN = 3 * SECOND // 10  # until an ask without an answer goes once more, with the same number
-TRIES = 4
-HELD_OFF = SECOND  # that one who had nothing is not asked again
-MAX_REMEMBERED_GRANTS = (
-    1_024  # hand-overs that are remembered, to answer an ask that comes again as it was answered
-)
-MOST_KNOWN = 4  # windows: that before a close, that behind it, and two more should clocks go back
+REQUEST_HORIZON = 5 * SECOND  # of demand that a member keeps in hand, or requests
+RESERVE_HORIZON = 30 * SECOND  # of its own demand that a member keeps when others ask
+DEMAND_WINDOW = 2 * SECOND  # over which demand is measured
+OPEN_AHEAD = SECOND  # before a window opens its first record is written
+RETRY_INTERVAL = 3 * SECOND // 10  # after which an unanswered request is repeated, same nonce
+MAX_ATTEMPTS = 4
+DECLINE_BACKOFF = SECOND  # before a member that had nothing is asked again
+MAX_REMEMBERED_GRANTS = 1_024  # answers kept, so that a repeated request gets the same one
+# The window before a boundary, the one behind it, and two more should clocks be set back.
+MAX_KNOWN_WINDOWS = 4
+MAX_WINDOWS_AGE = SECOND // 10  # after which the open windows are determined anew
+TRANSFER_RETRY_AFTER = SECOND // 4  # for a client, while quota is on its way
+MIN_RETRY_AFTER = SECOND // 10
 
 
 class Calendar:
-    """Windows of the calendar in a time zone, by their start in seconds since the epoch."""
+    """Calendar windows in a time zone, identified by their start in seconds since the epoch."""
 
-    def __init__(self, every: Every, zone: str = "UTC") -> None:
-        self.every, self.zone = every, zone
-        self.place: tzinfo = timezone.utc if zone == "UTC" else ZoneInfo(zone)
+    def __init__(self, unit: WindowUnit, zone: str = "UTC") -> None:
+        """Use windows of one `unit` in the time zone `zone`.
+
+        Raises KeyError, ValueError or OSError if the time zone is unknown.
+        """
+        self.unit = unit
+        self.zone_name = zone
+        self.time_zone: tzinfo = UTC if zone == "UTC" else ZoneInfo(zone)
 
     def bounds(self, wall: int) -> tuple[int, int]:
-        """Start and end of the window that a time lies in, all in seconds since the epoch."""
-        if self.every == "minute":
+        """Return start and end of the window that contains `wall`, in seconds since the epoch."""
+        if self.unit == "minute":
             start = wall - wall % 60
             return start, start + 60
-        here = datetime.fromtimestamp(wall, self.place)
-        if self.every == "hour":
-            # By the clock on the wall there: of zones with half an hour as well.
-            offset = here.utcoffset() or timedelta()
+        local = datetime.fromtimestamp(wall, self.time_zone)
+        if self.unit == "hour":
+            # By local time, also in zones whose offset is not a whole number of hours.
+            offset = local.utcoffset() or timedelta()
             start = wall - (wall + int(offset.total_seconds())) % 3600
             return start, start + 3600
-        midnight = here.replace(hour=0, minute=0, second=0, microsecond=0, fold=0)
-        after = (midnight.replace(tzinfo=None) + timedelta(days=1)).replace(tzinfo=self.place)
-        return int(midnight.timestamp()), int(after.timestamp())
+        midnight = local.replace(hour=0, minute=0, second=0, microsecond=0, fold=0)
+        next_day = midnight.replace(tzinfo=None) + timedelta(days=1)
+        return int(midnight.timestamp()), int(next_day.replace(tzinfo=self.time_zone).timestamp())
 
 
 @dataclass(slots=True)
 class WindowQuota:
-    """What a member has of one window."""
+    """What a member has of one window, in requests."""
 
     start: int
     end: int
     home_quota: int
-    transferred: int = 0  # received less handed over
+    transferred: int = 0  # received less given away
     used: int = 0
-    durable_used: int = 0  # used, as far as the disk knows
-    pending_used: int = 0  # used, as far as the disk is to know
+    durable_used: int = 0  # use that is on the disk
+    pending_used: int = 0  # use that is on the disk or about to be written
 
     @property
     def total(self) -> int:
+        """Return what the member may use of the window, including what it has used."""
         return self.home_quota + self.transferred
 
     @property
     def remaining(self) -> int:
+        """Return what the member may still use."""
         return max(0, self.total - self.used)
 
     def give(self, now: int, ran: bool = True) -> None:
-        """A request that was counted here is over: what never ran gives back what it took."""
+        """Release a request that was counted here; one that never ran is no longer counted."""
         self.used -= not ran
 
 
 @dataclass(slots=True)
 class MultiWindowAdmission:
-    """What a request took that may fall into either of two windows."""
+    """A request that is counted in two windows, as it may fall into either."""
 
     windows: list[WindowQuota]
 
     def give(self, now: int, ran: bool = True) -> None:
-        for slot in self.windows:
-            slot.give(now, ran)
+        """Release the request in each window."""
+        for window in self.windows:
+            window.give(now, ran)
 
 
 @dataclass(slots=True)
 class PendingTransfer:
-    """A hand-over that was asked for."""
+    """A requested transfer that has no answer yet."""
 
     member: int
     amount: int
-    start: int
+    start: int  # of the window
     sent_at: int
     attempts: int = 1
 
 
-WindowRecord = tuple[int, int, int, int, int, int]  # limit's mark, key, window, home, moved, used
+# wire ID of the limit, key, start of the window, home quota, transferred, used
+WindowRecord = tuple[int, int, int, int, int, int]
 
 
 class CalendarQuota:
-    """One member's part of one count."""
+    """One member's part of one limit that counts requests in calendar windows."""
 
     min_write_ahead = MIN_WRITE_AHEAD
 
@@ -128,315 +138,356 @@
         name: str,
         now: int,
         chance: Random,
-        between: Callable[[int], tuple[int, int]],
-        lasting: bool,
+        clock_bounds: Callable[[int], tuple[int, int]],
+        is_persistent: bool,
         fence: int = 0,
     ) -> None:
-        """`between`: the earliest and latest that it may be, in ns since the epoch; `lasting`: has a disk."""
-        self.limit, self.calendar, self.name, self.between = limit, calendar, name, between
-        self.bits, self.shuffle = chance.getrandbits, chance.shuffle
-        self.home_quota, self.lasting = limit.home_quota(name), lasting
+        """Start without open windows; nothing may be used for the fencing interval `fence` (ns).
+
+        `clock_bounds` returns the earliest and latest time that it may be, in nanoseconds since
+        the epoch. `is_persistent` tells whether there is a disk to write records to.
+        """
+        self.limit = limit
+        self.calendar = calendar
+        self.name = name
+        self.clock_bounds = clock_bounds
+        self.random_bits = chance.getrandbits
+        self.shuffle = chance.shuffle
+        self.home_quota = limit.home_quota(name)
+        self.is_persistent = is_persistent
         self.fenced_until = now + fence
-        self.windows: list[WindowQuota] = []  # which it may be now
-        self.known_windows: dict[int, WindowQuota] = {}  # and those of late, should clocks go back
-        self.windows_valid_from, self.windows_valid_until = (
-            0,
-            0,
-        )  # the span of time in which the slots are as they are
-        self.pending: dict[int, PendingTransfer] = {}
-        self.grants: dict[int, int] = {}
-        self.declined_at: dict[int, int] = {}
-        self.wanted, self.counted, self.admitted, self.rejected = Sum(LOOK, now), 0, 0, 0
-        self.out: list[tuple[int, Deal]] = []
-        self.pending_records: dict[int, WindowRecord] = {}  # to be written, by window
-        self.held_grants: list[
-            tuple[int, int, Deal]
-        ] = []  # goes out once so many notes are written
-        self.records_issued = 0  # notes, in all
-        self.unknown_before = (
-            0  # of windows that began sooner nothing is known: seconds since the epoch
-        )
-        self.apart = False  # whether clocks are so far apart that no window can be told
-
-    # What the disk says.
-
-    def restore(self, notes: Iterable[WindowRecord], since: int) -> None:
-        """What the last runs wrote; of a window that began before `since` (s) and is not there nothing is."""
-        self.unknown_before = since
-        for mark, key, start, home, moved, used in notes:
-            if (mark, key) == (self.limit.wire_id, self.limit.key):
+        self.windows: list[WindowQuota] = []  # that it may be now: one or two
+        self.known_windows: dict[int, WindowQuota] = {}  # also recent ones, by start
+        # Monotonic times between which `windows` holds.
+        self.windows_valid_from = 0
+        self.windows_valid_until = 0
+        self.pending: dict[int, PendingTransfer] = {}  # by nonce
+        self.grants: dict[int, int] = {}  # by nonce: the amount given
+        self.declined_at: dict[int, int] = {}  # by member: when it had nothing to give
+        self.demand = Sum(DEMAND_WINDOW, now)
+        self.new_requests = 0  # not yet added to `demand`
+        self.admitted = 0
+        self.rejected = 0
+        self.out: list[tuple[int, Deal]] = []  # messages to send, each with its receiver
+        self.pending_records: dict[int, WindowRecord] = {}  # to be written, by window start
+        # Grants that are sent once so many records are written: count, receiver, message.
+        self.held_grants: list[tuple[int, int, Deal]] = []
+        self.records_issued = 0
+        # Seconds since the epoch: windows that began before are unknown unless there is a record.
+        self.unknown_before = 0
+        self.clocks_apart = False  # too uncertain to tell the window
+
+    # Records on the disk.
+
+    def restore(self, records: Iterable[WindowRecord], known_since: int) -> None:
+        """Take over the records of earlier runs.
+
+        A window without a record that began before `known_since` (s) is taken for used up.
+        """
+        self.unknown_before = known_since
+        for wire_id, key, start, home_quota, transferred, used in records:
+            if (wire_id, key) == (self.limit.wire_id, self.limit.key):
                 end = self.calendar.bounds(start)[1]
-                self.add_window(
-                    WindowQuota(start, end, min(home, self.home_quota), moved, used, used, used)
-                )
+                home_quota = min(home_quota, self.home_quota)
+                self.add_window(WindowQuota(start, end, home_quota, transferred, used, used, used))
 
-    def add_window(self, slot: WindowQuota) -> None:
-        self.known_windows[slot.start] = slot
-        while len(self.known_windows) > MOST_KNOWN:
+    def add_window(self, window: WindowQuota) -> None:
+        """Remember a window, and forget the oldest ones beyond `MAX_KNOWN_WINDOWS`."""
+        self.known_windows[window.start] = window
+        while len(self.known_windows) > MAX_KNOWN_WINDOWS:
             del self.known_windows[min(self.known_windows)]
 
     def invalidate_records(self, now: int) -> None:
-        """What the disk said is no longer true: nothing of windows that have begun may be used."""
-        self.unknown_before = self.between(now)[1] // SECOND + 1
-        for slot in self.known_windows.values():
-            slot.home_quota = min(slot.home_quota, slot.used - slot.transferred)
-            self.queue_record(slot)
+        """Allow no further use of windows that have begun: the restored records are outdated."""
+        self.unknown_before = self.clock_bounds(now)[1] // SECOND + 1
+        for window in self.known_windows.values():
+            window.home_quota = min(window.home_quota, window.used - window.transferred)
+            self.queue_record(window)
 
     def mark_window_unused(self, now: int) -> None:
-        """An operator says that nothing of the window that is on was used: this home may use its part."""
+        """Allow the home quota of the open window: an operator says that nothing was used of it."""
         self.update_windows(now)
         self.unknown_before = self.windows[0].start
-        for slot in self.windows:
-            slot.home_quota = max(slot.home_quota, self.home_quota)
-            self.queue_record(slot)
+        for window in self.windows:
+            window.home_quota = max(window.home_quota, self.home_quota)
+            self.queue_record(window)
 
-    def queue_record(self, slot: WindowQuota) -> None:
-        self.pending_records[slot.start] = (
+    def queue_record(self, window: WindowQuota) -> None:
+        """Queue the record of a window to be written; without a disk it counts as written."""
+        self.pending_records[window.start] = (
             self.limit.wire_id,
             self.limit.key,
-            slot.start,
-            slot.home_quota,
-            slot.transferred,
-            slot.pending_used,
+            window.start,
+            window.home_quota,
+            window.transferred,
+            window.pending_used,
         )
         self.records_issued += 1
-        if not self.lasting:
+        if not self.is_persistent:
             self.on_records_written(*self.take_records())
 
     def take_records(self) -> tuple[int, list[WindowRecord]]:
-        """What is to be written; once it is, both go to `written`, if it can't be to `not_written`."""
-        found, self.pending_records = list(self.pending_records.values()), {}
-        return self.records_issued, found
-
-    def on_records_written(self, said: int, notes: Iterable[WindowRecord]) -> None:
-        """These notes are on the disk, and all before them."""
-        for _, _, start, _, _, used in notes:
-            if (slot := self.known_windows.get(start)) is not None:
-                slot.durable_used = used
-        while self.held_grants and self.held_grants[0][0] <= said:
-            _, other, deal = self.held_grants.pop(0)
-            self.out.append((other, deal))
-
-    def on_write_failed(self, notes: Iterable[WindowRecord]) -> None:
-        self.pending_records = {note[2]: note for note in notes} | self.pending_records
+        """Return the count of records issued, and those to be written.
+
+        Once they are written both go to `on_records_written`; if they can't be, the records go to
+        `on_write_failed`.
+        """
+        records = list(self.pending_records.values())
+        self.pending_records = {}
+        return self.records_issued, records
+
+    def on_records_written(self, issued: int, records: Iterable[WindowRecord]) -> None:
+        """Use what these records allow, and send the grants that waited for the first `issued`."""
+        for _, _, start, _, _, used in records:
+            if (window := self.known_windows.get(start)) is not None:
+                window.durable_used = used
+        while self.held_grants and self.held_grants[0][0] <= issued:
+            _, member, message = self.held_grants.pop(0)
+            self.out.append((member, message))
+
+    def on_write_failed(self, records: Iterable[WindowRecord]) -> None:
+        """Queue records again, except for windows that have a newer one."""
+        self.pending_records = {record[2]: record for record in records} | self.pending_records
 
     # Windows.
 
     def update_windows(self, now: int) -> None:
-        """Which windows it may be now."""
-        low, high = self.between(now)
-        first, last = self.calendar.bounds(low // SECOND), self.calendar.bounds(high // SECOND)
-        self.apart = first[1] < last[0]
-        wanted = [first] if first == last else [first, last]
-        self.windows = [self.get_window(start, end, now) for start, end in wanted]
-        open_now = {slot.start for slot in self.windows}
-        self.pending = {nonce: ask for nonce, ask in self.pending.items() if ask.start in open_now}
-        # Until the earlier edge of what it may be leaves the first window, or the later one enters
-        # another.
-        span = min(first[1] * SECOND - low, last[1] * SECOND - high)
-        self.windows_valid_from, self.windows_valid_until = (
-            now,
-            now + max(1, min(span, SECOND // 10)),
-        )
+        """Determine which windows it may be now, and until when that holds."""
+        earliest, latest = self.clock_bounds(now)
+        first = self.calendar.bounds(earliest // SECOND)
+        last = self.calendar.bounds(latest // SECOND)
+        self.clocks_apart = first[1] < last[0]
+        bounds = [first] if first == last else [first, last]
+        self.windows = [self.get_window(start, end, now) for start, end in bounds]
+        open_now = {window.start for window in self.windows}
+        self.pending = {
+            nonce: transfer
+            for nonce, transfer in self.pending.items()
+            if transfer.start in open_now
+        }
+        # Until the earliest time leaves the first window, or the latest one enters another.
+        span = min(first[1] * SECOND - earliest, last[1] * SECOND - latest)
+        self.windows_valid_from = now
+        self.windows_valid_until = now + max(1, min(span, MAX_WINDOWS_AGE))
 
     def get_window(self, start: int, end: int, now: int) -> WindowQuota:
-        """What there is of a window."""
-        slot = self.known_windows.get(start)
-        if slot is None:
-            slot = WindowQuota(start, end, 0 if start < self.unknown_before else self.home_quota)
-            self.add_window(slot)
-            self.write_ahead(slot, now)
-        return slot
-
-    def try_acquire(self, now: int, ends: int = 0) -> bool:
-        """Whether one request may pass."""
-        self.counted += 1
+        """Return a window, opened with the home quota if it is new and nothing of it was used."""
+        window = self.known_windows.get(start)
+        if window is None:
+            window = WindowQuota(start, end, 0 if start < self.unknown_before else self.home_quota)
+            self.add_window(window)
+            self.write_ahead(window, now)
+        return window
+
+    def try_acquire(self, now: int, deadline: int = 0) -> bool:
+        """Admit one request if each window that it may be now has quota that is on the disk."""
+        self.new_requests += 1
         if not self.windows_valid_from <= now < self.windows_valid_until:
             self.update_windows(now)
-        slots = self.windows
-        good = now >= self.fenced_until and not self.apart
-        for slot in slots:
-            good = good and slot.used < slot.total and slot.used < slot.durable_used
-        if good:
+        windows = self.windows
+        allowed = now >= self.fenced_until and not self.clocks_apart
+        for window in windows:
+            allowed = allowed and window.used < window.total and window.used < window.durable_used
+        if allowed:
             self.admitted += 1
-            for slot in slots:
-                slot.used += 1
-                if slot.pending_used - slot.used < self.min_write_ahead // 2 + 1:
-                    self.write_ahead(slot, now)
+            for window in windows:
+                window.used += 1
+                if window.pending_used - window.used < self.min_write_ahead // 2 + 1:
+                    self.write_ahead(window, now)
         else:
             self.rejected += 1
-            for slot in slots:
-                if slot.pending_used <= slot.used:
-                    self.write_ahead(slot, now)
-        return good
-
-    def write_ahead(self, slot: WindowQuota, now: int) -> None:
-        """Have some more written as used, before it is."""
-        if (
-            slot.pending_used > slot.durable_used
-            and slot.pending_used - slot.used > self.min_write_ahead // 2
-        ):
-            return  # on its way
-        most = min(
-            slot.total,
-            slot.used
-            + max(self.min_write_ahead, self.estimate_rate(now) * WRITE_AHEAD_PERIOD // SECOND),
-        )
-        if most > slot.pending_used and now >= self.fenced_until:
-            slot.pending_used = most
-            self.queue_record(slot)
-
-    def enter(self, now: int, ends: int = 0) -> WindowQuota | MultiWindowAdmission | None:
-        """The same; what gives back, if the request never runs."""
-        if not self.try_acquire(now, ends):
+            for window in windows:
+                if window.pending_used <= window.used:
+                    self.write_ahead(window, now)
+        return allowed
+
+    def write_ahead(self, window: WindowQuota, now: int) -> None:
+        """Have more use recorded on the disk before it happens."""
+        is_writing = window.pending_used > window.durable_used
+        if is_writing and window.pending_used - window.used > self.min_write_ahead // 2:
+            return
+        demand = self.estimate_rate(now) * WRITE_AHEAD_PERIOD // SECOND
+        target = min(window.total, window.used + max(self.min_write_ahead, demand))
+        if target > window.pending_used and now >= self.fenced_until:
+            window.pending_used = target
+            self.queue_record(window)
+
+    def enter(self, now: int, deadline: int = 0) -> WindowQuota | MultiWindowAdmission | None:
+        """Admit one request as `try_acquire` does; return what releases it, None if rejected."""
+        if not self.try_acquire(now, deadline):
             return None
         return self.windows[0] if len(self.windows) == 1 else MultiWindowAdmission(self.windows)
 
     def wait(self, now: int) -> int:
-        """When one that was rejected may come again, as far as that is known here."""
-        if self.pending or any(slot.remaining for slot in self.windows):
-            return SECOND // 4  # on its way from another member, or to the disk
+        """Return the nanoseconds after which a rejected request may be retried, as an estimate."""
+        if self.pending or any(window.remaining for window in self.windows):
+            return TRANSFER_RETRY_AFTER  # on its way from another member, or to the disk
         if not self.windows:
             return SECOND
-        return max(SECOND // 10, self.windows[-1].end * SECOND - self.between(now)[0])
+        return max(MIN_RETRY_AFTER, self.windows[-1].end * SECOND - self.clock_bounds(now)[0])
 
     # What is needed, and who has it.
 
     def estimate_rate(self, now: int) -> int:
-        """Requests a second that ask here."""
-        self.wanted.add(now, self.counted)
-        self.counted = 0
-        return int(self.wanted.rate(now) + 0.999)
-
-    def forecast_demand(self, slot: WindowQuota, now: int, span: int) -> int:
-        """Requests that will ask here within a span, while the window lasts."""
-        rest = slot.end * SECOND - self.between(now)[0]
-        return self.estimate_rate(now) * max(0, min(span, rest)) // SECOND
-
-    def on_timer(self, now: int, there: Iterable[int]) -> None:
-        """Once in a while: ask for what will be needed, once more for what has had no answer."""
+        """Return the requests per second that arrive here, rounded up."""
+        self.demand.add(now, self.new_requests)
+        self.new_requests = 0
+        return int(self.demand.rate(now) + 0.999)
+
+    def forecast_demand(self, window: WindowQuota, now: int, horizon: int) -> int:
+        """Return the requests expected here within `horizon` (ns), while the window lasts."""
+        rest = window.end * SECOND - self.clock_bounds(now)[0]
+        return self.estimate_rate(now) * max(0, min(horizon, rest)) // SECOND
+
+    def on_timer(self, now: int, members: Iterable[int]) -> None:
+        """Request what will be needed, and repeat requests that have no answer.
+
+        Call it once in each `TIMER_INTERVAL`. `members` are those that can be asked.
+        """
         self.update_windows(now)
-        after = self.windows[-1].end
-        if self.between(now)[1] + SOON > after * SECOND and self.estimate_rate(now):
-            # Guards against the first requests of a window being rejected until its first note
-            # is written.
-            self.get_window(*self.calendar.bounds(after), now)
-        for nonce, ask in list(self.pending.items()):
-            if now - ask.sent_at > AGAIN and ask.attempts < TRIES:
-                ask.sent_at, ask.attempts = now, ask.attempts + 1
-                self.send_request(nonce, ask)
-        for slot in self.windows:
+        next_start = self.windows[-1].end
+        if self.clock_bounds(now)[1] + OPEN_AHEAD > next_start * SECOND and self.estimate_rate(now):
+            # Otherwise the first requests of the next window would be rejected until its first
+            # record is written.
+            self.get_window(*self.calendar.bounds(next_start), now)
+        for nonce, transfer in list(self.pending.items()):
+            if now - transfer.sent_at > RETRY_INTERVAL and transfer.attempts < MAX_ATTEMPTS:
+                transfer.sent_at = now
+                transfer.attempts += 1
+                self.send_request(nonce, transfer)
+        for window in self.windows:
             if self.estimate_rate(now):
-                self.write_ahead(slot, now)
-            lacking = self.forecast_demand(slot, now, FORESEEN) - slot.remaining
+                self.write_ahead(window, now)
+            lacking = self.forecast_demand(window, now, REQUEST_HORIZON) - window.remaining
             lacking -= sum(
-                ask.amount
-                for ask in self.pending.values()
-                if ask.start == slot.start and now - ask.sent_at <= AGAIN
+                transfer.amount
+                for transfer in self.pending.values()
+                if transfer.start == window.start and now - transfer.sent_at <= RETRY_INTERVAL
             )
             if lacking > 0 and now >= self.fenced_until:
-                self.request_from_members(slot, now, lacking, there)
+                self.request_from_members(window, now, lacking, members)
 
     def request_from_members(
-        self, slot: WindowQuota, now: int, lacking: int, there: Iterable[int]
+        self, window: WindowQuota, now: int, lacking: int, members: Iterable[int]
     ) -> None:
-        chosen = [one for one in there if now - self.declined_at.get(one, -HELD_OFF) >= HELD_OFF]
+        """Request what is lacking in equal parts from some members, drawn at random.
+
+        Members that have recently declined are left out.
+        """
+        chosen = [
+            member
+            for member in members
+            if now - self.declined_at.get(member, -DECLINE_BACKOFF) >= DECLINE_BACKOFF
+        ]
         self.shuffle(chosen)
         chosen = chosen[:MAX_MEMBERS_ASKED]
-        for one in chosen:
+        for member in chosen:
             while len(self.pending) >= MAX_LEASES:
                 del self.pending[next(iter(self.pending))]
-            nonce, amount = self.bits(62) | 1, -(-lacking // len(chosen))
-            self.pending[nonce] = PendingTransfer(one, amount, slot.start, now)
+            nonce = self.random_bits(62) | 1
+            amount = -(-lacking // len(chosen))
+            self.pending[nonce] = PendingTransfer(member, amount, window.start, now)
             self.send_request(nonce, self.pending[nonce])
 
-    def send_request(self, nonce: int, ask: PendingTransfer) -> None:
-        deal = Deal(ASK_UNITS, self.limit.wire_id, nonce, ask.amount, ask.start, self.limit.key)
-        self.out.append((ask.member, deal))
+    def send_request(self, nonce: int, transfer: PendingTransfer) -> None:
+        """Queue a request for a transfer, or its repetition with the same nonce."""
+        message = Deal(
+            ASK_UNITS, self.limit.wire_id, nonce, transfer.amount, transfer.start, self.limit.key
+        )
+        self.out.append((transfer.member, message))
 
-    # What others say.
+    # Messages of other members.
 
-    def on_message(self, deal: Deal, other: int, now: int) -> None:
+    def on_message(self, deal: Deal, sender: int, now: int) -> None:
+        """Handle a message about this limit."""
         if deal.kind == ASK_UNITS:
-            self.on_request(deal, other, now)
+            self.on_request(deal, sender, now)
         elif deal.kind == UNITS:
-            self.on_grant(deal, other, now)
+            self.on_grant(deal, sender, now)
 
-    def on_request(self, deal: Deal, other: int, now: int) -> None:
-        """Hand over what is not needed here: off first, on the disk, then on its way."""
+    def on_request(self, deal: Deal, sender: int, now: int) -> None:
+        """Give away what is not needed here: subtract it, record that on the disk, then send it."""
         amount = self.grants.get(deal.nonce)
         if amount is None:
             self.update_windows(now)
-            slot = next((slot for slot in self.windows if slot.start == deal.turn), None)
-            if slot is None or now < self.fenced_until:
+            window = next((window for window in self.windows if window.start == deal.turn), None)
+            if window is None or now < self.fenced_until:
                 return
-            full = len(self.held_grants) >= MAX_LEASES  # the disk does not take them
-            spare = (
-                0 if full else slot.total - slot.used - self.forecast_demand(slot, now, RESERVED)
-            )
+            if len(self.held_grants) >= MAX_LEASES:  # the disk does not accept them
+                spare = 0
+            else:
+                reserve = self.forecast_demand(window, now, RESERVE_HORIZON)
+                spare = window.total - window.used - reserve
             amount = max(0, min(deal.amount, spare))
             while len(self.grants) >= MAX_REMEMBERED_GRANTS:
                 del self.grants[next(iter(self.grants))]
             if amount:
                 self.grants[deal.nonce] = amount
-                slot.transferred -= amount
-                self.queue_record(slot)
-                if self.lasting:
-                    self.held_grants.append((self.records_issued, other, self.answer(deal, amount)))
+                window.transferred -= amount
+                self.queue_record(window)
+                if self.is_persistent:
+                    grant = self.make_grant(deal, amount)
+                    self.held_grants.append((self.records_issued, sender, grant))
                     return
-        elif any(one[2].nonce == deal.nonce for one in self.held_grants):
-            return  # it goes once it is on the disk
-        self.out.append((other, self.answer(deal, amount)))
+        elif any(message.nonce == deal.nonce for _, _, message in self.held_grants):
+            return  # sent once its record is on the disk
+        self.out.append((sender, self.make_grant(deal, amount)))
 
-    def answer(self, deal: Deal, amount: int) -> Deal:
+    def make_grant(self, deal: Deal, amount: int) -> Deal:
+        """Return the answer to a request."""
         return Deal(UNITS, self.limit.wire_id, deal.nonce, amount, deal.turn, self.limit.key)
 
-    def on_grant(self, deal: Deal, other: int, now: int) -> None:
-        ask = self.pending.pop(deal.nonce, None)
-        if ask is None or ask.member != other or ask.start != deal.turn:
-            return  # of another window, another run, or come before
+    def on_grant(self, deal: Deal, sender: int, now: int) -> None:
+        """Add what was transferred, if it answers a request that is pending."""
+        transfer = self.pending.pop(deal.nonce, None)
+        if transfer is None or transfer.member != sender or transfer.start != deal.turn:
+            return  # answers another window or an earlier run, or is a duplicate
         if deal.amount <= 0:
-            self.declined_at[other] = now
+            self.declined_at[sender] = now
             while len(self.declined_at) > MAX_LEASES:
                 del self.declined_at[next(iter(self.declined_at))]
             return
-        for slot in self.windows:
-            if slot.start == ask.start:
-                slot.transferred += min(deal.amount, ask.amount)
-                self.write_ahead(slot, now)
+        for window in self.windows:
+            if window.start == transfer.start:
+                window.transferred += min(deal.amount, transfer.amount)
+                self.write_ahead(window, now)
+
+    # Another allocation.
 
-    # Another division.
+    def set_home_quota(self, home_quota: int, now: int, at_once: bool) -> None:
+        """Use the home quota of another allocation.
 
-    def set_home_quota(self, home: int, now: int, at_once: bool) -> None:
-        """This member's part by another division; if it is larger it may hold from the next window only."""
-        self.home_quota = home
-        for slot in self.known_windows.values():
-            if home < slot.home_quota or at_once and slot.start >= self.unknown_before:
-                slot.home_quota = home
-                self.queue_record(slot)
+        A larger one holds for windows that have begun only with `at_once`.
+        """
+        self.home_quota = home_quota
+        for window in self.known_windows.values():
+            is_known = window.start >= self.unknown_before
+            if home_quota < window.home_quota or (at_once and is_known):
+                window.home_quota = home_quota
+                self.queue_record(window)
 
     def fits_allocation(self, now: int) -> bool:
-        """Whether nothing that another division allows no longer is still out."""
-        return all(slot.used <= slot.total for slot in self.windows)
+        """Return whether no more is used than the present home quota allows."""
+        return all(window.used <= window.total for window in self.windows)
 
     def is_idle(self, now: int) -> bool:
-        """Whether nothing is lost if this one is forgotten: it is as it would begin."""
+        """Return whether it is in its initial state, so that nothing is lost by removing it."""
         self.update_windows(now)
-        return not (
-            self.pending or self.held_grants or self.pending_records or self.counted
-        ) and not any(slot.used or slot.transferred for slot in self.windows)
+        if self.pending or self.held_grants or self.pending_records or self.new_requests:
+            return False
+        return not any(window.used or window.transferred for window in self.windows)
 
     def status_row(self, now: int) -> dict[str, Any]:
-        """How it stands, for people."""
+        """Return its state for the operator's tables."""
         self.update_windows(now)
-        slot = self.windows[-1]
+        window = self.windows[-1]
         return {
-            "home": slot.home_quota,
-            "mine": slot.remaining,
-            "need": self.forecast_demand(slot, now, FORESEEN),
-            "used": slot.used,
-            "moved": slot.transferred,
-            "window": slot.start,
-            "window_ends_s": slot.end - self.between(now)[0] // SECOND,
-            "clocks_apart": self.apart,
+            "home": window.home_quota,
+            "mine": window.remaining,
+            "need": self.forecast_demand(window, now, REQUEST_HORIZON),
+            "used": window.used,
+            "moved": window.transferred,
+            "window": window.start,
+            "window_ends_s": window.end - self.clock_bounds(now)[0] // SECOND,
+            "clocks_apart": self.clocks_apart,
         }
--- a/whinpier/fleet/quotas/enforcement.py
+++ b/whinpier/fleet/quotas/enforcement.py
@@ -1,8 +1,9 @@
-"""Decides which limits of the whole fleet a request passes, and puts them where pools look.
+"""Decide which fleet-wide limits a request passes, and install them at the pools.
 
-By the pools, routes and tenants that the file names; what is limited at upstreams comes to the
-decisions as a plain number, how many more each may be sent. Must never count a request in a limit
-twice, or a client's repeat of a request that a tenant's limit has counted.
+Limits apply by the pools, routes and tenants that the file names. Limits at upstreams reach the
+policy as a plain number: how many more requests each upstream may be sent. Must never count a
+request twice in one limit, or count a client's retry of a request that a tenant's limit has counted
+already.
 """
 
 from __future__ import annotations
@@ -18,216 +19,242 @@
 if TYPE_CHECKING:
     from whinpier.runtime.event_loop import Loop
 
-MOST_TICKETS = (
-    65_536  # of requests that tenants' limits have counted, remembered to know their repeats
-)
-REMEMBERED = 30 * SECOND  # for longer no client waits and asks again
-NOBODY = "none"  # whose requests name no tenant
+MAX_TICKETS = 65_536  # remembered tickets of requests that tenants' limits have counted
+TICKET_LIFETIME = 30 * SECOND  # no client waits longer before it retries
+NO_TENANT = "none"  # stands for requests without a tenant
+MIN_RETRY_AFTER = SECOND // 100
 
 
 class LimitChain:
-    """What requests of one pool pass, by the route they came and the tenant they are of."""
-
-    def __init__(self, gates: LimitEnforcer, those: list[LimitConfig]) -> None:
-        self.gates = gates
-        self.plain: list[tuple[frozenset[str], Gate]] = []  # by which routes (empty: any)
-        self.tenants: list[tuple[frozenset[str], QuotaTable]] = []
-        for said in those:
-            routes = frozenset(said.routes)
-            if said.is_approximate:
-                self.plain.append(
-                    (routes, gates.quota_allocation.approximate_quotas[said.limit.name])
-                )
-            elif said.scope:
-                self.tenants.append((routes, gates.quota_allocation.tables[said.limit.name]))
+    """The limits that requests of one pool pass, by their route and tenant."""
+
+    def __init__(self, enforcer: LimitEnforcer, configs: list[LimitConfig]) -> None:
+        """Collect the limits of the pool; each is kept with its routes, none meaning any route."""
+        self.enforcer = enforcer
+        self.gates: list[tuple[frozenset[str], Gate]] = []
+        self.tenant_tables: list[tuple[frozenset[str], QuotaTable]] = []
+        allocation = enforcer.quota_allocation
+        for config in configs:
+            routes = frozenset(config.routes)
+            name = config.limit.name
+            if config.is_approximate:
+                self.gates.append((routes, allocation.approximate_quotas[name]))
+            elif config.scope:
+                self.tenant_tables.append((routes, allocation.tables[name]))
             else:
-                self.plain.append(
-                    (routes, gates.quota_allocation.tables[said.limit.name].sole_quota)
-                )
-
-    def everywhere(self) -> tuple[Gate, ...]:
-        """Those that every request passes."""
-        return tuple(gate for routes, gate in self.plain if not routes)
-
-    def asks(self) -> bool:
-        """Whether route or tenant matter."""
-        return bool(self.tenants or self.gates.closed_until) or any(
-            routes for routes, _ in self.plain
-        )
-
-    def gates_for(self, route: str, tenant: bytes, ticket: bytes, again: bool) -> list[Gate]:
-        """What one request passes beside that; `again`: its client says that it asked for it before."""
-        if shut := self.gates.shut(route, tenant):
-            return [shut]
-        found = [gate for routes, gate in self.plain if routes and route in routes]
-        those = [table for routes, table in self.tenants if not routes or route in routes]
-        if those:
-            name = tenant.decode("latin-1") or NOBODY
-            once = TicketGate(self.gates, hashed(tenant + b"\0" + ticket)) if ticket else None
-            if once and again and once.counted():
+                self.gates.append((routes, allocation.tables[name].sole_quota))
+
+    def common_gates(self) -> tuple[Gate, ...]:
+        """Return the limits that every request passes."""
+        return tuple(gate for routes, gate in self.gates if not routes)
+
+    def depends_on_request(self) -> bool:
+        """Return whether a request's route or tenant matters."""
+        if self.tenant_tables or self.enforcer.closed_until:
+            return True
+        return any(routes for routes, _ in self.gates)
+
+    def gates_for(self, route: str, tenant: bytes, ticket: bytes, is_retry: bool) -> list[Gate]:
+        """Return the limits that one request passes in addition to the common ones.
+
+        `is_retry` tells that its client has sent it before, with the same ticket.
+        """
+        if closed := self.enforcer.find_closed(route, tenant):
+            return [closed]
+        found = [gate for routes, gate in self.gates if routes and route in routes]
+        tables = [table for routes, table in self.tenant_tables if not routes or route in routes]
+        if tables:
+            name = tenant.decode("latin-1") or NO_TENANT
+            ticket_gate = None
+            if ticket:
+                ticket_gate = TicketGate(self.enforcer, hashed(tenant + b"\0" + ticket))
+            if ticket_gate and is_retry and ticket_gate.is_counted():
                 return found
-            found += [table.quota_for_name(name) for table in those]
-            if once:
-                found.append(once)
+            found += [table.quota_for_name(name) for table in tables]
+            if ticket_gate:
+                found.append(ticket_gate)
         return found
 
 
 class ClosedGate:
-    """What an operator has closed for a while: nothing passes."""
+    """Rejects all requests of a route or tenant that an operator has closed for a while."""
 
     def __init__(self, until: int) -> None:
+        """Reject requests until this time."""
         self.until = until
 
-    def enter(self, now: int, ends: int) -> Passed | None:
+    def enter(self, now: int, deadline: int) -> Passed | None:
+        """Reject the request."""
         return None
 
     def wait(self, now: int) -> int:
-        return max(SECOND // 100, self.until - now)
+        """Return the nanoseconds until it opens."""
+        return max(MIN_RETRY_AFTER, self.until - now)
 
 
 class TicketGate:
-    """Remembers a ticket that tenants' limits have counted, once it has passed them all."""
+    """Remembers the ticket of a request that has passed all limits of its tenant.
+
+    It admits every request, and comes last so that a rejected one leaves no ticket.
+    """
 
-    def __init__(self, gates: LimitEnforcer, key: int) -> None:
-        self.tickets, self.key, self.clock = gates.tickets, key, gates.loop.clock
+    def __init__(self, enforcer: LimitEnforcer, key: int) -> None:
+        """Use `key`, the hash of tenant and ticket."""
+        self.tickets = enforcer.tickets
+        self.key = key
+        self.clock = enforcer.loop.clock
 
-    def counted(self) -> bool:
+    def is_counted(self) -> bool:
+        """Return whether a request with this ticket was counted recently."""
         return self.tickets.get(self.key, 0) > self.clock()
 
-    def enter(self, now: int, ends: int) -> Passed:
+    def enter(self, now: int, deadline: int) -> Passed:
+        """Remember the ticket, as the newest one."""
         self.tickets.pop(self.key, None)
-        self.tickets[self.key] = now + REMEMBERED
-        while len(self.tickets) > MOST_TICKETS:
+        self.tickets[self.key] = now + TICKET_LIFETIME
+        while len(self.tickets) > MAX_TICKETS:
             del self.tickets[next(iter(self.tickets))]
         return self
 
     def give(self, now: int, ran: bool) -> None:
-        if not ran:  # it was given back, so that its repeat counts
+        """Forget the ticket of a request that never ran: its quota was returned."""
+        if not ran:
             self.tickets.pop(self.key, None)
 
     def wait(self, now: int) -> int:
+        """Return 0, as it rejects nothing."""
         return 0
 
 
 class LimitEnforcer:
-    """All limits of the process, at its pools."""
-
-    def __init__(self, shares: QuotaAllocation, loop: Loop) -> None:
-        self.quota_allocation, self.loop = shares, loop
-        self.tickets: dict[int, int] = {}  # hashed: until when
-        self.at_upstreams: dict[str, list[QuotaTable]] = {}  # by pool
-        self.closed_until: dict[
-            tuple[str, str], int
-        ] = {}  # routes and tenants, by an operator's word: until when
-
-    def attach_pools(self, pools: Iterable[Pool], those: Iterable[LimitConfig]) -> None:
-        """Where pools look from now on."""
-        listed = list(those)
+    """Installs all limits of the process at its pools."""
+
+    def __init__(self, quota_allocation: QuotaAllocation, loop: Loop) -> None:
+        """Start without pools; `attach_pools` installs the limits."""
+        self.quota_allocation = quota_allocation
+        self.loop = loop
+        self.tickets: dict[int, int] = {}  # by hash of tenant and ticket: when it expires
+        self.upstream_tables: dict[str, list[QuotaTable]] = {}  # by pool
+        # Closed by an operator: ("route" or "tenant", name) and until when.
+        self.closed_until: dict[tuple[str, str], int] = {}
+
+    def attach_pools(self, pools: Iterable[Pool], configs: Iterable[LimitConfig]) -> None:
+        """Install these limits at these pools, in place of earlier ones."""
+        all_configs = list(configs)
         for pool in pools:
-            own = [said for said in listed if pool.name in said.pools]
-            door = LimitChain(self, [said for said in own if said.scope != "upstream"])
-            pool.gates, pool.further = door.everywhere(), door.gates_for if door.asks() else None
+            own = [config for config in all_configs if pool.name in config.pools]
+            chain = LimitChain(self, [config for config in own if config.scope != "upstream"])
+            pool.gates = chain.common_gates()
+            pool.further = chain.gates_for if chain.depends_on_request() else None
             tables = [
-                self.quota_allocation.tables[said.limit.name]
-                for said in own
-                if said.scope == "upstream"
+                self.quota_allocation.tables[config.limit.name]
+                for config in own
+                if config.scope == "upstream"
             ]
-            self.at_upstreams[pool.name] = tables
-            pool.met = self.meeter(tables) if tables else None
+            self.upstream_tables[pool.name] = tables
+            pool.met = self.upstream_attacher(tables) if tables else None
             for peer in pool.peers():
-                self.meet(peer, tables)
+                self.attach_upstream(peer, tables)
 
-    def shut(self, route: str, tenant: bytes) -> ClosedGate | None:
-        """What stands before a request whose route or tenant is closed."""
+    def find_closed(self, route: str, tenant: bytes) -> ClosedGate | None:
+        """Return what rejects a request whose route or tenant is closed, else None."""
         if not self.closed_until:
             return None
         until = max(
             self.closed_until.get(("route", route), 0),
-            self.closed_until.get(("tenant", tenant.decode("latin-1") or NOBODY), 0),
+            self.closed_until.get(("tenant", tenant.decode("latin-1") or NO_TENANT), 0),
         )
         return ClosedGate(until) if until > self.loop.clock() else None
 
     # Upstreams.
 
-    def meeter(self, tables: list[QuotaTable]) -> Callable[[Peer], None]:
-        return lambda peer: self.meet(peer, tables)
+    def upstream_attacher(self, tables: list[QuotaTable]) -> Callable[[Peer], None]:
+        """Return what a pool calls with each new upstream."""
+        return lambda peer: self.attach_upstream(peer, tables)
 
-    def meet(self, peer: Peer, tables: list[QuotaTable]) -> None:
-        """An upstream is there, or its limits are others."""
+    def attach_upstream(self, peer: Peer, tables: list[QuotaTable]) -> None:
+        """Install the limits of an upstream that is new, or whose limits have changed."""
         peer.passes = tuple(
             UpstreamLimit(peer, table.quota_for_name(peer.host))  # type: ignore[arg-type]
             for table in tables
             if table.config.limit.kind != CONNECTIONS
         )
-        parts = [
+        connection_quotas = [
             table.quota_for_name(peer.host)
             for table in tables
             if table.config.limit.kind == CONNECTIONS
         ]
-        peer.most_links = min((part.home_quota for part in parts), default=None)
-        self.settle(peer, self.loop.clock())
+        peer.most_links = min((quota.home_quota for quota in connection_quotas), default=None)
+        self.update_spare(peer, self.loop.clock())
 
-    def settle(self, peer: Peer, now: int) -> None:
-        """How many more it may be sent just now."""
+    def update_spare(self, peer: Peer, now: int) -> None:
+        """Set how many more requests the upstream may be sent now."""
         spare = float("inf")
-        for narrow in peer.passes:
-            assert isinstance(narrow, UpstreamLimit)
-            spare = min(spare, narrow.spare(now))
+        for upstream_limit in peer.passes:
+            assert isinstance(upstream_limit, UpstreamLimit)
+            spare = min(spare, upstream_limit.compute_spare(now))
         if peer.most_links is not None:
             spare = min(spare, peer.most_links - peer.out())
         peer.spare = spare
 
     def on_timer(self, now: int, pools: Iterable[Pool]) -> None:
-        """Once in a while, as loans come and end: look anew."""
-        listed = list(pools)
-        for tables in self.at_upstreams.values():
+        """Update the limits at upstreams, as leases are granted and expire."""
+        all_pools = list(pools)
+        for tables in self.upstream_tables.values():
             for table in tables:
-                # What is no longer listed goes once nothing of it is out.
+                # Quotas of upstreams that are no longer listed are removed once they are idle.
                 table.pinned = {
                     peer.host
-                    for pool in listed
-                    if table in self.at_upstreams.get(pool.name, ())
+                    for pool in all_pools
+                    if table in self.upstream_tables.get(pool.name, ())
                     for peer in pool.peers()
                 }
-        for pool in listed:
-            for table in self.at_upstreams.get(pool.name, ()):
+        for pool in all_pools:
+            for table in self.upstream_tables.get(pool.name, ()):
                 if table.config.limit.kind == CONNECTIONS:
                     for peer in pool.peers():
                         peer.most_links = table.quota_for_name(peer.host).home_quota
-            for peer in pool.peers() if self.at_upstreams.get(pool.name) else ():
+            for peer in pool.peers() if self.upstream_tables.get(pool.name) else ():
                 if peer.spare <= 0 and peer.seen is not None and peer.seen.share > 0.0:
-                    for narrow in peer.passes:
-                        assert isinstance(narrow, UpstreamLimit)
-                        narrow.lacking()
-                self.settle(peer, now)
+                    for upstream_limit in peer.passes:
+                        assert isinstance(upstream_limit, UpstreamLimit)
+                        upstream_limit.count_rejection()
+                self.update_spare(peer, now)
 
 
 class UpstreamLimit:
-    """A limit at one upstream: requests in flight, from all members together."""
+    """A limit of the requests in flight at one upstream, from all members together."""
 
-    def __init__(self, peer: Peer, part: LeasedQuota) -> None:
-        self.peer, self.part = peer, part
+    def __init__(self, peer: Peer, quota: LeasedQuota) -> None:
+        """Limit the upstream `peer` by this member's quota of it."""
+        self.peer = peer
+        self.quota = quota
 
-    def spare(self, now: int) -> int:
-        timeout = max(
+    def compute_spare(self, now: int) -> int:
+        """Return how many more requests may be sent, whichever class they are of."""
+        longest_timeout = max(
             request_class.timeout for request_class in self.peer.pool.spec.request_classes
         )
-        return self.part.lasting(now, now + timeout) - self.part.in_flight
+        available = self.quota.available_through(now, now + longest_timeout)
+        return available - self.quota.in_flight
 
-    def enter(self, now: int, ends: int) -> Passed | None:
-        if not self.part.try_acquire(now, ends):
+    def enter(self, now: int, deadline: int) -> Passed | None:
+        """Admit one request; return what releases it, None if rejected."""
+        if not self.quota.try_acquire(now, deadline):
             return None
         self.peer.spare -= 1
         return self
 
     def give(self, now: int, ran: bool) -> None:
-        self.part.give(now, ran)
+        """Release a request that is over."""
+        self.quota.give(now, ran)
         self.peer.spare += 1
 
     def wait(self, now: int) -> int:
-        return self.part.wait(now)
+        """Return the nanoseconds after which a rejected request may be retried."""
+        return self.quota.wait(now)
 
-    def lacking(self) -> None:
-        """More would be sent there if it might."""
-        self.part.asks += 1
-        self.part.refusals += 1
+    def count_rejection(self) -> None:
+        """Count a request that the policy would have sent here, so that more is requested."""
+        self.quota.new_requests += 1
+        self.quota.new_rejections += 1
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -1,15 +1,16 @@
-"""Decides what part of a limit of the whole fleet this member may use just now, and whom it asks
-for more.
-
-A limit is cut into homes, one for each member that the operator's file names; they add up to the
-limit. A member lends what it does not need of its home for a span, by the borrower's word and at
-once; the lender takes off first, the borrower's span runs from when it asked and the lender's
-from when it lent, and longer. So whatever is lost, late, doubled, cut or killed, all that may be
-used adds up to no more than the limit; what can happen is that some of it lies unused till a
-span is over. Why so: docs/design/limits.md.
-
-Free of I/O: handed time, messages and chance. Amounts are whole: slots of requests in flight, or
-thousandths of a request a second. Must never use, or lend, what may be in use elsewhere.
+"""Keep a fleet-wide limit by leases: how much this member may use, and whom it asks for more.
+
+A limit is divided into home quotas, one for each member that the operator's file names; they add
+up to the limit. A member leases what it does not need of its home quota to others for a limited
+time. The lender subtracts the amount first; the borrower's lease runs from when it sent the
+request, the lender's from when it granted it, and longer. So whatever message is lost, late or
+duplicated, and whichever members are partitioned or killed, the sum of what all members may use
+never exceeds the limit; at worst part of it stays unused until a lease has expired. The reasoning
+is in docs/design/limits.md.
+
+Free of I/O: the time, messages and randomness are passed in. Amounts are integers: requests in
+flight, or thousandths of a request per second. Must never use, or lend, what may be in use
+elsewhere.
 """
 
 from __future__ import annotations
@@ -24,19 +25,25 @@
 from whinpier.policy.decaying_sum import SECOND, Sum
 
 MS = SECOND // 1000
-LEASE_DURATION = 2 * SECOND  # of a loan: what is lost with a message lies unused for so long
-LEASE_GRACE = (
-    SECOND // 4
-)  # that a lender waits longer: a late loop, clocks that run apart by a hundredth
-REQUEST_TOKENS = (
-    10**12
-)  # levels of a bucket count in thousandths of a request a second times nanoseconds
-TIMER_INTERVAL = SECOND // 10  # between looks at what is needed
-MAX_MEMBERS_ASKED = 6  # members asked in one turn
-MAX_LEASES = 256  # of one limit, each way
-LOOK = SECOND * 4 // 10  # over which what is asked for is counted: a burst of a second shows as one
-GAP = 8.0  # mean distances between requests that none comes: by chance once in 3,000 requests
-ANSWER = SECOND // 2  # an ask that has no answer by then is over
+# A lost message leaves the leased amount unused for this long.
+LEASE_DURATION = 2 * SECOND
+# How much longer the lender waits: covers a late event loop and clocks that drift apart by 1%.
+LEASE_GRACE = SECOND // 4
+# Tokens of one request; a bucket counts thousandths of a request per second times nanoseconds.
+REQUEST_TOKENS = 10**12
+TIMER_INTERVAL = SECOND // 10  # between calls of `on_timer`
+MAX_MEMBERS_ASKED = 6  # in one call of `on_timer`
+MAX_LEASES = 256  # of one limit, in each direction
+DEMAND_WINDOW = SECOND * 4 // 10  # short enough that a burst of one second shows
+# A pause of so many mean distances between requests means that demand has moved elsewhere: by
+# chance it happens once in 3,000 requests.
+IDLE_GAP = 8.0
+MIN_DEMAND = 0.05  # requests in the demand window below which there is no demand
+LEASE_REQUEST_TIMEOUT = SECOND // 2
+DECLINE_BACKOFF = 2 * TIMER_INTERVAL  # before a member that had nothing to lend is asked again
+IN_FLIGHT_RETRY_AFTER = SECOND // 4
+MIN_RETRY_AFTER = 10 * MS
+MAX_RETRY_AFTER = 10 * SECOND
 RATE, IN_FLIGHT, COUNT, CONNECTIONS = "rate", "in_flight", "count", "connections"
 
 
@@ -45,50 +52,50 @@
     """A limit of the whole fleet that is never exceeded."""
 
     name: str
-    kind: str  # RATE, IN_FLIGHT, COUNT or CONNECTIONS, which are in flight and lent to nobody
-    amount: int  # thousandths of a request a second, or requests
-    homes: tuple[str, ...]  # members that hold it
-    burst: int = 0  # of a rate: requests at once, beyond which nothing is saved up
-    lease_duration: int = (
-        LEASE_DURATION  # of its loans: of those in flight over twice the longest timeout
-    )
-    window: str = ""  # of a count: which windows, in which time zone
-    key: int = 0  # of which of many, where each has the limit for itself
+    kind: str  # RATE, IN_FLIGHT, COUNT or CONNECTIONS; connections count as in flight, unleased
+    amount: int  # thousandths of a request per second, or requests
+    homes: tuple[str, ...]  # names of the members that hold a home quota
+    burst: int = 0  # of a rate: most requests that may pass at once
+    # Nanoseconds. For requests in flight it is over twice the longest timeout.
+    lease_duration: int = LEASE_DURATION
+    window: str = ""  # of a count: the unit and time zone of its calendar windows
+    key: int = 0  # identifies the tenant or upstream, where each has the limit for itself
 
     @property
     def wire_id(self) -> int:
+        """Return the number by which messages refer to this limit."""
         return pool_mark("limit/" + self.name)
 
     def home_quota(self, name: str) -> int:
-        """This member's own part; they add up to the whole."""
+        """Return the part of a member, 0 if it holds none; all parts add up to the amount."""
         if name not in self.homes:
             return 0
         whole, rest = divmod(self.amount, len(self.homes))
         return whole + (self.homes.index(name) < rest)
 
     def epoch(self) -> int:
-        """The same number for the same division."""
+        """Return a number that is the same for the same division into home quotas."""
         window = f"/{self.window}" * bool(self.window)
-        span = f"/{self.lease_duration}" * (self.lease_duration != LEASE_DURATION)
+        duration = f"/{self.lease_duration}" * (self.lease_duration != LEASE_DURATION)
         return pool_mark(
             f"{self.name}/{self.kind}/{self.amount}/{self.burst}/{','.join(self.homes)}"
-            f"{window}{span}"
+            f"{window}{duration}"
         )
 
 
 @dataclass(slots=True)
 class Lease:
-    """What one member lent another: `until` is this side's own end of it."""
+    """An amount that one member has leased to another."""
 
-    member: int
+    member: int  # the other side
     amount: int
-    expires_at: int
-    renewal: int = 0
+    expires_at: int  # by this side's own account
+    renewal: int = 0  # number of the last renewal
 
 
 @dataclass(slots=True)
 class PendingLease:
-    """A loan that was asked for, or asked for anew."""
+    """A requested lease, or a requested renewal, that has no answer yet."""
 
     member: int
     amount: int
@@ -97,126 +104,149 @@
 
 
 class LeasedQuota:
-    """One member's part of one limit."""
+    """One member's part of one limit: its home quota, less what it lent, plus what it borrowed."""
 
     def __init__(self, limit: Limit, name: str, now: int, chance: Random, fence: int) -> None:
-        self.limit, self.name, self.bits = limit, name, chance.getrandbits
+        """Start without leases; the home quota is unusable for the fencing interval `fence` (ns).
+
+        The fence waits for leases that a previous run of this member granted, and for its requests
+        that are still being served by upstreams.
+        """
+        self.limit = limit
+        self.name = name
+        self.random_bits = chance.getrandbits
         self.shuffle = chance.shuffle
-        # Of a run before this one loans may be out, and requests that go on at upstreams.
-        self.home_quota, self.fenced_until = limit.home_quota(name), now + fence
-        self.lend_duration = self.borrow_duration = limit.lease_duration
-        self.lent: dict[int, Lease] = {}
+        self.home_quota = limit.home_quota(name)
+        self.fenced_until = now + fence
+        self.lend_duration = limit.lease_duration
+        self.borrow_duration = limit.lease_duration
+        self.lent: dict[int, Lease] = {}  # by nonce, as are the next two
         self.borrowed: dict[int, Lease] = {}
         self.pending: dict[int, PendingLease] = {}
-        self.in_flight, self.last_deadline = (
-            0,
-            0,
-        )  # requests in flight, and when the last of them is over
-        self.tokens, self.level_at = 0, now
-        self.mine, self.mine_till = 0, now  # what may be used, and till when that is known
-        self.wanted, self.refused, self.wanted_at = Sum(LOOK, now), Sum(LOOK, now), now
-        self.asks, self.refusals = 0, 0  # since last added: sums that fade cost more
-        self.cap = 0  # of the bucket
-        self.sure, self.sure_till = (
-            0,
-            now,
-        )  # in flight: what lasts over `horizon`, till when that holds
-        self.horizon = limit.lease_duration // 3  # of timeout: requests of usual length
-        self.declined_at: dict[int, int] = {}  # who had nothing to lend: when
-        self.admitted, self.rejected = 0, 0
-        self.out: list[tuple[int, Deal]] = []  # to whom, what
+        self.in_flight = 0  # requests
+        self.last_deadline = 0  # of the requests in flight
+        self.tokens = 0  # of a rate's token bucket
+        self.tokens_updated_at = now
+        self.bucket_capacity = 0
+        self.available = 0  # what may be used until `available_until`
+        self.available_until = now
+        self.demand = Sum(DEMAND_WINDOW, now)
+        self.rejections = Sum(DEMAND_WINDOW, now)
+        self.last_request_at = now
+        # Not yet added to the two sums above: adding to a decaying sum at each request costs more.
+        self.new_requests = 0
+        self.new_rejections = 0
+        # Of requests in flight: what stays available over `horizon`, and until when that holds.
+        self.stable_available = 0
+        self.stable_until = now
+        self.horizon = limit.lease_duration // 3  # covers the timeouts of usual requests
+        self.declined_at: dict[int, int] = {}  # by member: when it had nothing to lend
+        self.admitted = 0
+        self.rejected = 0
+        self.out: list[tuple[int, Deal]] = []  # messages to send, each with its receiver
 
     @property
     def renewal_threshold(self) -> int:
-        """When the rest of a loan is so short the borrower asks anew."""
-        return (
-            self.borrow_duration // 2 if self.limit.kind == RATE else 3 * self.borrow_duration // 4
-        )
+        """Return the remaining time of a lease below which it is renewed."""
+        if self.limit.kind == RATE:
+            return self.borrow_duration // 2
+        return 3 * self.borrow_duration // 4
 
     # What may be used.
 
-    def compute_available(self, now: int, ends: int = 0) -> int:
-        """What may be used now, and, of loans, still at `ends`."""
+    def compute_available(self, now: int, deadline: int = 0) -> int:
+        """Return what may be used now, of borrowed leases only those that last past `deadline`."""
         home = self.home_quota if now >= self.fenced_until else 0
         lent = sum(lease.amount for lease in self.lent.values() if lease.expires_at > now)
         borrowed = sum(
-            lease.amount for lease in self.borrowed.values() if lease.expires_at > max(now, ends)
+            lease.amount
+            for lease in self.borrowed.values()
+            if lease.expires_at > max(now, deadline)
         )
         return max(0, home - lent) + borrowed
 
-    def known(self, now: int) -> int:
-        """The same for now, remembered while nothing ends."""
-        if now >= self.mine_till:
+    def get_available(self, now: int) -> int:
+        """Return what may be used now, computed anew only after a lease or the fence has ended."""
+        if now >= self.available_until:
             self.refill(now)
-        return self.mine
+        return self.available
 
     def refill(self, now: int) -> None:
-        """Bring the bucket up to date, step by step as loans end; forget what has ended."""
+        """Refill the token bucket, step by step as leases expire, and remove expired leases."""
         while True:
-            step = min(now, self.mine_till)
-            if step > self.level_at:
-                self.tokens = min(self.tokens + self.mine * (step - self.level_at), self.cap)
-                self.level_at = step
-            if self.mine_till > now:
+            step = min(now, self.available_until)
+            if step > self.tokens_updated_at:
+                self.tokens = min(
+                    self.tokens + self.available * (step - self.tokens_updated_at),
+                    self.bucket_capacity,
+                )
+                self.tokens_updated_at = step
+            if self.available_until > now:
                 return
-            at = self.mine_till
-            self.mine = self.compute_available(at)
-            self.cap = self.capacity(self.mine)
-            self.tokens = min(self.tokens, self.cap)
-            ends = [
+            at = self.available_until
+            self.available = self.compute_available(at)
+            self.bucket_capacity = self.compute_bucket_capacity(self.available)
+            self.tokens = min(self.tokens, self.bucket_capacity)
+            changes = [
                 lease.expires_at
                 for lease in (*self.lent.values(), *self.borrowed.values())
                 if lease.expires_at > at
             ]
             if self.fenced_until > at:
-                ends.append(self.fenced_until)
-            self.mine_till = min(ends, default=at + LEASE_DURATION)
+                changes.append(self.fenced_until)
+            self.available_until = min(changes, default=at + LEASE_DURATION)
             for leases in (self.lent, self.borrowed):
                 for nonce in [nonce for nonce, lease in leases.items() if lease.expires_at <= at]:
                     del leases[nonce]
 
     def on_leases_changed(self, now: int) -> None:
-        """Something was lent, borrowed or given back at this moment."""
+        """Recompute what is available after something was lent, borrowed or returned."""
         self.refill(now)
-        self.mine_till = self.sure_till = now
+        self.available_until = now
+        self.stable_until = now
         self.refill(now)
 
-    def capacity(self, mine: int) -> int:
-        """How much a bucket may hold: its part of the burst."""
-        return self.limit.burst * REQUEST_TOKENS * mine // max(1, self.limit.amount)
+    def compute_bucket_capacity(self, available: int) -> int:
+        """Return the tokens that the bucket may hold: the member's part of the burst."""
+        return self.limit.burst * REQUEST_TOKENS * available // max(1, self.limit.amount)
 
-    def try_acquire(self, now: int, ends: int = 0) -> bool:
-        """Whether one request may pass; `ends` is when it is over at the latest, of those in flight."""
-        self.asks += 1
-        self.wanted_at = now
+    def try_acquire(self, now: int, deadline: int = 0) -> bool:
+        """Admit one request if the quota allows it; one in flight is over by `deadline`."""
+        self.new_requests += 1
+        self.last_request_at = now
         if self.limit.kind == RATE:
-            if now >= self.mine_till:
+            if now >= self.available_until:
                 self.refill(now)
             else:
-                self.tokens = min(self.tokens + self.mine * (now - self.level_at), self.cap)
-                self.level_at = now
-            good = self.tokens >= REQUEST_TOKENS
-            self.tokens -= REQUEST_TOKENS * good
+                self.tokens = min(
+                    self.tokens + self.available * (now - self.tokens_updated_at),
+                    self.bucket_capacity,
+                )
+                self.tokens_updated_at = now
+            allowed = self.tokens >= REQUEST_TOKENS
+            self.tokens -= REQUEST_TOKENS * allowed
         else:
-            # All that is out now and this one fit into what is there till this one ends, so at each
-            # moment till then as well.
-            good = self.in_flight < self.lasting(now, ends)
-            self.in_flight += good
-            self.last_deadline = max(self.last_deadline, ends) if good else self.last_deadline
-        if good:
+            # All requests in flight and this one fit into what is available when this one ends,
+            # and so at each moment until then.
+            allowed = self.in_flight < self.available_through(now, deadline)
+            self.in_flight += allowed
+            self.last_deadline = (
+                max(self.last_deadline, deadline) if allowed else self.last_deadline
+            )
+        if allowed:
             self.admitted += 1
         else:
             self.rejected += 1
-            self.refusals += 1
-        return good
-
-    def lasting(self, now: int, ends: int) -> int:
-        """What is there now and at `ends`, remembered for requests of usual length."""
-        if ends - now > self.horizon:
-            return self.compute_available(now, ends)
-        if now >= self.sure_till:
+            self.new_rejections += 1
+        return allowed
+
+    def available_through(self, now: int, deadline: int) -> int:
+        """Return what stays available until `deadline`, cached for deadlines within the horizon."""
+        if deadline - now > self.horizon:
+            return self.compute_available(now, deadline)
+        if now >= self.stable_until:
             later = now + self.horizon
-            self.sure = self.compute_available(now, later)
+            self.stable_available = self.compute_available(now, later)
             changes = [
                 lease.expires_at - self.horizon
                 for lease in self.borrowed.values()
@@ -225,228 +255,240 @@
             changes += [lease.expires_at for lease in self.lent.values() if lease.expires_at > now]
             if self.fenced_until > now:
                 changes.append(self.fenced_until)
-            self.sure_till = min(changes, default=now + LEASE_DURATION)
-        return self.sure
+            self.stable_until = min(changes, default=now + LEASE_DURATION)
+        return self.stable_available
 
     def give(self, now: int, ran: bool = True) -> None:
-        """A request is over; of a rate, what never ran gives back what it took."""
+        """Release a request that is over; one of a rate that never ran returns its token."""
         if self.limit.kind == IN_FLIGHT:
             self.in_flight -= 1
             self.last_deadline = self.last_deadline if self.in_flight else 0
         elif not ran:
             self.refill(now)
-            self.tokens = min(self.tokens + REQUEST_TOKENS, self.cap)
+            self.tokens = min(self.tokens + REQUEST_TOKENS, self.bucket_capacity)
 
-    def enter(self, now: int, ends: int = 0) -> LeasedQuota | None:
-        """The same; what gives back once the request is over."""
-        return self if self.try_acquire(now, ends) else None
+    def enter(self, now: int, deadline: int = 0) -> LeasedQuota | None:
+        """Admit one request as `try_acquire` does; return what releases it, None if rejected."""
+        return self if self.try_acquire(now, deadline) else None
 
     def wait(self, now: int) -> int:
-        """When one that was rejected may come again, as far as that is known here."""
+        """Return the nanoseconds after which a rejected request may be retried, as an estimate."""
         if self.limit.kind == IN_FLIGHT:
-            return SECOND // 4
-        mine = self.known(now)
-        # Its turn in the queue of those who ask: not sooner than all that was rejected of late
-        # would pass.
-        due = (REQUEST_TOKENS - self.tokens) // mine if mine and self.tokens < REQUEST_TOKENS else 0
-        self.fold(now)
+            return IN_FLIGHT_RETRY_AFTER
+        available = self.get_available(now)
+        due = (
+            (REQUEST_TOKENS - self.tokens) // available
+            if available and self.tokens < REQUEST_TOKENS
+            else 0
+        )
+        # Half of the recently rejected requests pass first: they are expected to be retried too.
+        self.flush_counters(now)
+        rejected = int(self.rejections.read(now))
         others = (
-            int(self.refused.read(now)) * REQUEST_TOKENS // max(1, mine) // 2
-            if mine
-            else LEASE_DURATION
+            rejected * REQUEST_TOKENS // max(1, available) // 2 if available else LEASE_DURATION
         )
-        return max(10 * MS, min(due + others, 10 * SECOND))
+        return max(MIN_RETRY_AFTER, min(due + others, MAX_RETRY_AFTER))
 
     # What is needed, and who has it.
 
-    def fold(self, now: int) -> None:
-        """Add what was counted since to the sums that fade."""
-        self.wanted.add(now, self.asks)
-        self.refused.add(now, self.refusals)
-        self.asks = self.refusals = 0
+    def flush_counters(self, now: int) -> None:
+        """Add the requests counted since the last call to the decaying sums."""
+        self.demand.add(now, self.new_requests)
+        self.rejections.add(now, self.new_rejections)
+        self.new_requests = 0
+        self.new_rejections = 0
 
     def compute_need(self, now: int) -> int:
-        """What this member had better have: what is asked for, and what chance may add."""
-        self.fold(now)
-        asked = self.wanted.read(now)
-        if (now - self.wanted_at) * asked > GAP * LOOK:
-            return (
-                self.in_flight
-            )  # a pause that chance does not make: whoever asked here now asks elsewhere
+        """Return what this member should hold: its demand and a margin of two deviations."""
+        self.flush_counters(now)
+        demand = self.demand.read(now)
+        if (now - self.last_request_at) * demand > IDLE_GAP * DEMAND_WINDOW:
+            return self.in_flight
         if self.limit.kind == IN_FLIGHT:
-            more = self.refused.read(now)
-            return (
-                int(self.in_flight + more + 2 * sqrt(self.in_flight + more) + (asked > 0.05))
-                if asked > 0.05
-                else 0
-            )
-        if asked < 0.05:
+            wanted = self.in_flight + self.rejections.read(now)
+            if demand <= MIN_DEMAND:
+                return 0
+            return int(wanted + 2 * sqrt(wanted) + 1)
+        if demand < MIN_DEMAND:
             return 0
-        rate = int((asked + 2 * sqrt(asked) + 0.5) * 1000 * SECOND / LOOK)
-        # A bucket has to hold a whole request, or none ever passes.
-        whole = -(-self.limit.amount // max(1, self.limit.burst))
-        return min(self.limit.amount, max(rate, whole))
+        rate = int((demand + 2 * sqrt(demand) + 0.5) * 1000 * SECOND / DEMAND_WINDOW)
+        # A bucket that can't hold the tokens of one request never admits any.
+        least = -(-self.limit.amount // max(1, self.limit.burst))
+        return min(self.limit.amount, max(rate, least))
 
     def compute_spare(self, now: int) -> int:
-        """What may be lent: of its own home alone, beyond its own need and what is in flight."""
+        """Return what may be lent: the home quota beyond own need and requests in flight.
+
+        What is borrowed is never lent on.
+        """
         if now < self.fenced_until:
             return 0
         lent = sum(lease.amount for lease in self.lent.values() if lease.expires_at > now)
         return max(0, self.home_quota - lent - max(self.compute_need(now), self.in_flight))
 
-    def on_timer(self, now: int, there: Iterable[int]) -> None:
-        """Once in a while: ask for more, ask anew for what is needed, give back what is not."""
+    def on_timer(self, now: int, members: Iterable[int]) -> None:
+        """Return leases that are not needed, renew the others, and request what is lacking.
+
+        Call it once in each `TIMER_INTERVAL`. `members` are those that can be asked.
+        """
         self.on_leases_changed(now)
-        for nonce in [
-            nonce for nonce, asked in self.pending.items() if now - asked.requested_at > ANSWER
-        ]:
+        timed_out = [
+            nonce
+            for nonce, request in self.pending.items()
+            if now - request.requested_at > LEASE_REQUEST_TIMEOUT
+        ]
+        for nonce in timed_out:
             del self.pending[nonce]
-        compute_need, mine = self.compute_need(now), self.known(now)
-        surplus = mine - compute_need
-        for nonce, lease in sorted(self.borrowed.items(), key=lambda one: one[1].amount):
+        need = self.compute_need(now)
+        surplus = self.get_available(now) - need
+        for nonce, lease in sorted(self.borrowed.items(), key=lambda item: item[1].amount):
             if 0 < lease.amount <= surplus and self.fits_without(lease, now):
                 surplus -= lease.amount
                 del self.borrowed[nonce]
                 self.pending.pop(nonce, None)
-                self.say(lease.member, BACK, nonce, lease.amount, 0)
+                self.send(lease.member, BACK, nonce, lease.amount, 0)
             elif lease.expires_at - now < self.renewal_threshold and nonce not in self.pending:
-                # Each time another turn, answered or not: an answer that comes late must not count
-                # from now.
+                # Each request has a new renewal number, whether the last one was answered or not:
+                # a late answer to an earlier request must not count from the time of this one.
                 lease.renewal += 1
                 self.send_request(now, lease.member, lease.amount, nonce, lease.renewal)
         self.on_leases_changed(now)
-        lacking = (
-            compute_need
-            - self.known(now)
-            - sum(
-                asked.amount for nonce, asked in self.pending.items() if nonce not in self.borrowed
-            )
+        requested = sum(
+            request.amount for nonce, request in self.pending.items() if nonce not in self.borrowed
         )
+        lacking = need - self.get_available(now) - requested
         if lacking > 0:
-            self.request_from_members(now, lacking, there)
+            self.request_from_members(now, lacking, members)
 
     def fits_without(self, lease: Lease, now: int) -> bool:
-        """Whether all that is out fits, to its end, into what is left without a loan."""
+        """Return whether all requests in flight fit, until they end, without a borrowed lease."""
         if self.limit.kind == RATE:
             return True
-        left = self.compute_available(now, self.last_deadline) - lease.amount * (
-            lease.expires_at > self.last_deadline
-        )
-        return self.in_flight <= min(left, self.compute_available(now) - lease.amount)
+        lasting = self.compute_available(now, self.last_deadline)
+        lasting -= lease.amount * (lease.expires_at > self.last_deadline)
+        return self.in_flight <= min(lasting, self.compute_available(now) - lease.amount)
+
+    def request_from_members(self, now: int, lacking: int, members: Iterable[int]) -> None:
+        """Request what is lacking in equal parts from some members, drawn at random.
 
-    def request_from_members(self, now: int, lacking: int, there: Iterable[int]) -> None:
-        """Ask some of the others, each for a part; who has just had nothing comes later."""
+        Members that have recently declined are left out.
+        """
         chosen = [
-            one for one in there if now - self.declined_at.get(one, -SECOND) > 2 * TIMER_INTERVAL
+            member
+            for member in members
+            if now - self.declined_at.get(member, -SECOND) > DECLINE_BACKOFF
         ]
         self.shuffle(chosen)
         chosen = chosen[:MAX_MEMBERS_ASKED]
-        for one in chosen:
+        for member in chosen:
             if len(self.pending) + len(self.borrowed) < MAX_LEASES:
-                self.send_request(now, one, -(-lacking // len(chosen)), self.bits(62) | 1, 0)
+                amount = -(-lacking // len(chosen))
+                self.send_request(now, member, amount, self.random_bits(62) | 1, 0)
 
-    def send_request(self, now: int, other: int, amount: int, nonce: int, turn: int) -> None:
-        self.pending[nonce] = PendingLease(other, amount, now, turn)
-        self.say(other, ASK_FOR, nonce, amount, turn)
+    def send_request(self, now: int, member: int, amount: int, nonce: int, renewal: int) -> None:
+        """Request a lease, or its renewal with the lease's nonce."""
+        self.pending[nonce] = PendingLease(member, amount, now, renewal)
+        self.send(member, ASK_FOR, nonce, amount, renewal)
 
-    def say(self, other: int, kind: int, nonce: int, amount: int, turn: int) -> None:
-        self.out.append(
-            (other, Deal(kind, self.limit.wire_id, nonce, amount, turn, self.limit.key))
-        )
+    def send(self, member: int, kind: int, nonce: int, amount: int, renewal: int) -> None:
+        """Queue a message for a member."""
+        message = Deal(kind, self.limit.wire_id, nonce, amount, renewal, self.limit.key)
+        self.out.append((member, message))
 
-    # What others say.
+    # Messages of other members.
 
-    def on_message(self, deal: Deal, other: int, now: int) -> None:
-        """A message about this limit."""
+    def on_message(self, deal: Deal, sender: int, now: int) -> None:
+        """Handle a message about this limit."""
         if deal.kind == ASK_FOR:
-            self.on_request(deal, other, now)
+            self.on_request(deal, sender, now)
         elif deal.kind == LEND:
-            self.on_grant(deal, other, now)
+            self.on_grant(deal, sender, now)
         else:
             lease = self.lent.get(deal.nonce)
-            if lease is not None and lease.member == other:
+            if lease is not None and lease.member == sender:
                 del self.lent[deal.nonce]
                 self.on_leases_changed(now)
 
-    def on_request(self, deal: Deal, other: int, now: int) -> None:
-        """Lend what can be spared; asked anew, for longer, as far as it is not needed here."""
+    def on_request(self, deal: Deal, sender: int, now: int) -> None:
+        """Grant a lease as far as there is spare quota; renew one that is not needed here.
+
+        A request that is declined is answered with the amount 0.
+        """
         lease = self.lent.get(deal.nonce)
-        if lease is not None and (lease.member != other or lease.expires_at <= now):
+        if lease is not None and (lease.member != sender or lease.expires_at <= now):
             return
         amount = lease.amount if lease else min(deal.amount, self.compute_spare(now))
         if lease is not None and (
-            deal.turn <= lease.renewal or self.compute_need(now) > self.known(now)
+            deal.turn <= lease.renewal or self.compute_need(now) > self.get_available(now)
         ):
-            return  # an old message, or it is needed here: the loan ends by itself
+            return  # an outdated message, or the lease is needed here and is left to expire
         if amount > 0 and (lease or len(self.lent) < MAX_LEASES):
-            # Off here first, and for longer than there.
-            self.lent[deal.nonce] = Lease(
-                other, amount, now + self.lend_duration + LEASE_GRACE, deal.turn
-            )
+            # Subtracted here before the borrower adds it, and for longer than it holds there.
+            expires_at = now + self.lend_duration + LEASE_GRACE
+            self.lent[deal.nonce] = Lease(sender, amount, expires_at, deal.turn)
             self.on_leases_changed(now)
         else:
             amount = 0
-        self.say(other, LEND, deal.nonce, amount, deal.turn)
+        self.send(sender, LEND, deal.nonce, amount, deal.turn)
 
-    def on_grant(self, deal: Deal, other: int, now: int) -> None:
-        """A loan, if it is the one that was asked for last: its span runs from when it was asked for."""
-        asked = self.pending.get(deal.nonce)
-        if asked is None or asked.member != other or asked.renewal != deal.turn:
-            return  # of another turn, another run, or given back since
+    def on_grant(self, deal: Deal, sender: int, now: int) -> None:
+        """Add a lease if it answers the last request; it runs from when that was sent."""
+        request = self.pending.get(deal.nonce)
+        if request is None or request.member != sender or request.renewal != deal.turn:
+            return  # answers an earlier renewal, an earlier run, or a lease returned since
         del self.pending[deal.nonce]
         if deal.amount <= 0:
-            self.declined_at[other] = now
+            self.declined_at[sender] = now
             while len(self.declined_at) > MAX_LEASES:
                 del self.declined_at[next(iter(self.declined_at))]
             return
-        until = asked.requested_at + self.borrow_duration
+        expires_at = request.requested_at + self.borrow_duration
         held = self.borrowed.get(deal.nonce)
-        if until > now and (held or not asked.renewal):
-            self.borrowed[deal.nonce] = Lease(
-                other, min(deal.amount, asked.amount), until, deal.turn
-            )
+        if expires_at > now and (held or not request.renewal):
+            amount = min(deal.amount, request.amount)
+            self.borrowed[deal.nonce] = Lease(sender, amount, expires_at, deal.turn)
             self.on_leases_changed(now)
 
-    # Another division.
+    # Another allocation.
 
-    def set_home_quota(self, home: int, now: int, at_once: bool = True) -> None:
-        """This member's part by another division."""
-        if home != self.home_quota:
-            self.home_quota = home
+    def set_home_quota(self, home_quota: int, now: int, at_once: bool = True) -> None:
+        """Use the home quota of another allocation."""
+        if home_quota != self.home_quota:
+            self.home_quota = home_quota
             self.on_leases_changed(now)
 
-    def update_lease_durations(self, before: int) -> None:
-        """While some may go by another span lend for the longer of both, and borrow for the shorter."""
-        self.lend_duration = max(before, self.limit.lease_duration)
-        self.borrow_duration = min(before or self.limit.lease_duration, self.limit.lease_duration)
+    def update_lease_durations(self, previous: int) -> None:
+        """Lend for the longer and borrow for the shorter of the previous and the new duration.
+
+        While an allocation changes some members may still use the previous duration (0: none).
+        """
+        self.lend_duration = max(previous, self.limit.lease_duration)
+        self.borrow_duration = min(previous or self.limit.lease_duration, self.limit.lease_duration)
 
     def fits_allocation(self, now: int) -> bool:
-        """Whether what is lent and in flight fits into what there is: what was more before is over."""
+        """Return whether what is lent and in flight fits into the present home quota.
+
+        If not, part of a larger home quota is still in use.
+        """
         lent = sum(lease.amount for lease in self.lent.values() if lease.expires_at > now)
         return lent <= self.home_quota and self.in_flight <= max(self.compute_available(now), 0)
 
     def is_idle(self, now: int) -> bool:
-        """Whether nothing is lost if this one is forgotten: it is as it would begin."""
-        quiet = (
-            not (self.lent or self.borrowed or self.pending or self.in_flight)
-            and now >= self.fenced_until
-        )
-        return (
-            quiet
-            and now - self.wanted_at > LEASE_DURATION
-            and (
-                self.limit.kind != RATE
-                or self.tokens + self.mine * (now - self.level_at) >= self.cap
-            )
-        )
+        """Return whether it is in its initial state, so that nothing is lost by removing it."""
+        if self.lent or self.borrowed or self.pending or self.in_flight:
+            return False
+        if now < self.fenced_until or now - self.last_request_at <= LEASE_DURATION:
+            return False
+        tokens = self.tokens + self.available * (now - self.tokens_updated_at)
+        return self.limit.kind != RATE or tokens >= self.bucket_capacity
 
     def status_row(self, now: int) -> dict[str, Any]:
-        """How it stands, for people."""
+        """Return its state for the operator's tables."""
         return {
             "home": self.home_quota,
-            "mine": self.known(now),
+            "mine": self.get_available(now),
             "need": self.compute_need(now),
             "used": self.in_flight,
-            "lent": sum(one.amount for one in self.lent.values()),
-            "borrowed": sum(one.amount for one in self.borrowed.values()),
+            "lent": sum(lease.amount for lease in self.lent.values()),
+            "borrowed": sum(lease.amount for lease in self.borrowed.values()),
         }
