--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -1,4 +1,4 @@
-"""Stories of counts in calendar windows, of the fleet's time, and of limits that are nearly kept."""
+"""Calendar quotas, the fleet's time, and approximate limits."""
 
 import os
 import socket
@@ -45,11 +45,11 @@
     return int(datetime(*when, tzinfo=ZoneInfo(zone)).timestamp())
 
 
-# Windows.
+# Calendar windows.
 
 
 @pytest.mark.parametrize(
-    "every_, zone, when, start, end",
+    "unit, zone, when, start, end",
     [
         ("minute", "UTC", (2026, 12, 2, 0, 14, 29), (2026, 12, 2, 0, 14), (2026, 12, 2, 0, 15)),
         ("hour", "Asia/Kathmandu", (2026, 12, 2, 5, 50), (2026, 12, 2, 5), (2026, 12, 2, 6)),
@@ -58,8 +58,8 @@
         ("day", "Europe/Berlin", (2026, 10, 25, 1), (2026, 10, 25), (2026, 10, 26)),  # 25 hours
     ],
 )
-def test_windows_are_those_of_the_clock_on_the_wall_there(every_, zone, when, start, end):
-    assert Calendar(every_, zone).bounds(at(zone, *when)) == (at(zone, *start), at(zone, *end))
+def test_windows_follow_local_time(unit, zone, when, start, end):
+    assert Calendar(unit, zone).bounds(at(zone, *when)) == (at(zone, *start), at(zone, *end))
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -70,8 +70,8 @@
         ["UTC", "Asia/Kathmandu", "America/Santiago", "Australia/Lord_Howe", "Africa/Cairo"]
     ),
 )
-def test_each_moment_lies_in_one_window_and_windows_meet(wall, every_, zone):
-    calendar = Calendar(every_, zone)
+def test_each_moment_lies_in_one_window_and_windows_are_adjacent(wall, unit, zone):
+    calendar = Calendar(unit, zone)
     start, end = calendar.bounds(wall)
     assert (
         start <= wall < end
@@ -80,108 +80,113 @@
     )
 
 
-def test_every_order_of_a_small_world_keeps_the_count():
-    for days in WHOLE:
-        result = every(days.make(Wishful), 5)
-        assert result.deepest == 5 and not result.broken, (days.what, result)
+def test_exhaustive_exploration_of_a_small_model_keeps_the_limit():
+    for scenario in WHOLE:
+        result = every(scenario.make(Wishful), 5)
+        assert result.deepest == 5 and not result.broken, (scenario.what, result)
 
 
-@pytest.mark.parametrize("days", WALKS, ids=lambda days: days.what)
-def test_walks_at_random_keep_it(days):
-    assert not days.gone_through(Wishful, steps=60_000).broken
+@pytest.mark.parametrize("scenario", WALKS, ids=lambda scenario: scenario.what)
+def test_random_walks_keep_the_limit(scenario):
+    assert not scenario.gone_through(Wishful, steps=60_000).broken
 
 
 @pytest.mark.parametrize("name", sorted(FAULTS))
-def test_each_fault_that_is_put_in_is_found_and_its_path_replays(name):
-    days, broken, path = found(name)
-    assert broken and replay(days.make(FAULTS[name]), path) == broken
-
-
-def units(
-    name="a", amount=90, homes=("a", "b", "c"), lasting=False, between=lambda now: (now, now), now=0
+def test_each_mutant_breaks_the_limit_on_a_path_that_replays(name):
+    scenario, broken, path = found(name)
+    assert broken and replay(scenario.make(FAULTS[name]), path) == broken
+
+
+def make_quota(
+    name="a",
+    amount=90,
+    homes=("a", "b", "c"),
+    is_persistent=False,
+    clock_bounds=lambda now: (now, now),
+    now=0,
 ):
     limit = Limit("x", COUNT, amount, homes, window="minute UTC")
-    return CalendarQuota(limit, MINUTES, name, now, Random(name), between, lasting)
+    return CalendarQuota(limit, MINUTES, name, now, Random(name), clock_bounds, is_persistent)
 
 
-def test_all_demand_at_one_brings_it_nearly_all_of_a_window_and_a_rejection_says_when_the_next_begins():
-    those, passed = {name: units(name) for name in "abc"}, 0
-    for step in range(1_190):  # 59.5 s, ten requests a second at one
+def test_member_with_all_demand_gets_nearly_the_whole_window_and_retry_time_is_the_next_one():
+    quotas, admitted = {name: make_quota(name) for name in "abc"}, 0
+    for step in range(1_190):  # 59.5 s, ten requests a second at one member
         now = step * SECOND // 20
-        passed += step % 2 and those["a"].try_acquire(now)
+        admitted += step % 2 and quotas["a"].try_acquire(now)
         if step % 2:
-            for place, one in enumerate(those.values()):
-                one.on_timer(now, [other for other in range(3) if other != place])
+            for index, quota in enumerate(quotas.values()):
+                quota.on_timer(now, [other for other in range(3) if other != index])
             for _ in range(4):
                 sent = [
-                    (place, to, deal)
-                    for place, one in enumerate(those.values())
-                    for to, deal in one.out
+                    (index, to, message)
+                    for index, quota in enumerate(quotas.values())
+                    for to, message in quota.out
                 ]
-                for one in those.values():
-                    one.out = []
-                for place, to, deal in sent:
-                    those["abc"[to]].on_message(deal, place, now)
-    assert 0.95 * 90 <= passed <= 90
-    assert 0.3 * SECOND < those["a"].wait(now) < 1.2 * SECOND
-    assert those["a"].try_acquire(60 * SECOND)
+                for quota in quotas.values():
+                    quota.out = []
+                for index, to, message in sent:
+                    quotas["abc"[to]].on_message(message, index, now)
+    assert 0.95 * 90 <= admitted <= 90
+    assert 0.3 * SECOND < quotas["a"].wait(now) < 1.2 * SECOND
+    assert quotas["a"].try_acquire(60 * SECOND)
 
 
-def test_clocks_that_go_back_open_no_window_anew():
+def test_window_is_not_opened_again_when_clocks_are_set_back():
     wall = [61 * SECOND]
-    one = units(amount=1, homes=("a",), between=lambda now: (wall[0], wall[0]))
-    for now, at_ in enumerate((59, 60, 59, 60, 59)):
-        wall[0] = at_ * SECOND
-        one.windows_valid_until = 0
-        assert one.try_acquire(now) == (now < 2)
+    quota = make_quota(amount=1, homes=("a",), clock_bounds=lambda now: (wall[0], wall[0]))
+    for now, second in enumerate((59, 60, 59, 60, 59)):
+        wall[0] = second * SECOND
+        quota.windows_valid_until = 0
+        assert quota.try_acquire(now) == (now < 2)
 
 
-def test_an_ask_that_comes_again_is_answered_as_it_was_and_a_flood_of_them_gets_no_more_than_there_is():
-    one = units(amount=3_000, homes=("a",))
+def test_repeated_request_gets_the_same_answer_and_a_flood_gets_no_more_than_the_quota():
+    quota = make_quota(amount=3_000, homes=("a",))
     for nonce in range(1, 2 * MAX_REMEMBERED_GRANTS):
-        one.on_message(Deal(ASK_UNITS, one.limit.wire_id, nonce, 1, 0), 7, SECOND)
-    given_away = sum(deal.amount for _, deal in one.out)
+        quota.on_message(Deal(ASK_UNITS, quota.limit.wire_id, nonce, 1, 0), 7, SECOND)
+    given_away = sum(message.amount for _, message in quota.out)
     assert (
         given_away == 2 * MAX_REMEMBERED_GRANTS - 1
-        and one.windows[0].total == 953
-        and len(one.grants) == MAX_REMEMBERED_GRANTS
+        and quota.windows[0].total == 953
+        and len(quota.grants) == MAX_REMEMBERED_GRANTS
     )
-    one.out = []
-    one.on_message(Deal(ASK_UNITS, one.limit.wire_id, 1_500, 1, 0), 7, SECOND)
-    assert [deal.amount for _, deal in one.out] == [1] and one.windows[0].total == 953
+    quota.out = []
+    quota.on_message(Deal(ASK_UNITS, quota.limit.wire_id, 1_500, 1, 0), 7, SECOND)
+    assert [message.amount for _, message in quota.out] == [1] and quota.windows[0].total == 953
 
 
-def test_what_was_not_asked_for_or_is_of_another_window_or_comes_twice_adds_nothing():
-    one = units(amount=3, homes=("a", "b", "c"))
+def test_grant_that_was_not_requested_or_comes_twice_adds_nothing():
+    quota = make_quota(amount=3, homes=("a", "b", "c"))
     for _ in range(4):
-        one.try_acquire(0)
-    one.on_timer(0, [1])
-    _, ask = one.out[0]
-    good = Deal(UNITS, ask.limit, ask.nonce, 1, 0)
-    for deal, other in ((Deal(UNITS, ask.limit, 5, 1, 0), 1), (good, 2)):
-        one.on_message(deal, other, 1)
-    assert one.windows[0].total == 1
-    one.on_timer(1, [1])
-    ask = one.out[-1][1]
+        quota.try_acquire(0)
+    quota.on_timer(0, [1])
+    _, request = quota.out[0]
+    valid = Deal(UNITS, request.limit, request.nonce, 1, 0)
+    for message, other in ((Deal(UNITS, request.limit, 5, 1, 0), 1), (valid, 2)):
+        quota.on_message(message, other, 1)
+    assert quota.windows[0].total == 1
+    quota.on_timer(1, [1])
+    request = quota.out[-1][1]
     for _ in range(2):
-        one.on_message(Deal(UNITS, ask.limit, ask.nonce, 1, 0), 1, 2)
-    assert one.windows[0].total == 2
+        quota.on_message(Deal(UNITS, request.limit, request.nonce, 1, 0), 1, 2)
+    assert quota.windows[0].total == 2
 
 
-# What the disk holds.
+# Records on the disk.
 
 
-def test_notes_outlive_the_process_torn_ones_do_not_count_and_a_changed_file_is_refused(tmp_path):
+def test_records_survive_a_restart_torn_ones_are_ignored_and_a_changed_file_is_refused(tmp_path):
     path = str(tmp_path / "state")
 
-    async def story(store, *those):
-        for notes in those:
-            await store.write(notes, lambda: None, lambda: None)
+    async def write_all(store, *batches):
+        for records in batches:
+            await store.write(records, lambda: None, lambda: None)
 
     store = StateStore(path)
     assert store.open() == {}
     anyio.run(
-        story,
+        write_all,
         store,
         {("begun",): (7,)},
         {("window", 1, 0, 60): (10, -1, 3)},
@@ -194,64 +199,63 @@
     whole = (tmp_path / "state").read_bytes()
     for cut in range(len(whole)):
         (tmp_path / "state").write_bytes(whole[:cut])
-        again = StateStore(path)
-        live = again.open()
+        reopened = StateStore(path)
+        live = reopened.open()
         assert live.get(("window", 1, 0, 60), (10, -1, 3)) in ((10, -1, 3), (10, -1, 8))
-        again.journal.close()
+        reopened.journal.close()
     (tmp_path / "state").write_bytes(whole[:30] + b"\0" + whole[31:])
     with pytest.raises(AppendLogError, match="move it away"):
         StateStore(path).open()
 
 
-def test_a_full_disk_keeps_what_is_not_written_from_being_used_and_a_well_one_lets_it(
-    tmp_path, monkeypatch
-):
-    store, one = StateStore(str(tmp_path / "state")), units(amount=30, homes=("a",), lasting=True)
+def test_quota_that_cannot_be_written_is_not_used_until_the_disk_recovers(tmp_path, monkeypatch):
+    store = StateStore(str(tmp_path / "state"))
+    quota = make_quota(amount=30, homes=("a",), is_persistent=True)
     store.open()
     write = os.pwrite
 
-    def full(*_):
+    def disk_full(*_):
         raise OSError(28, "No space left on device")
 
     async def flush():
-        said, notes = one.take_records()
+        issued, records = quota.take_records()
         await store.write(
-            {("window", *note[:3]): note[3:] for note in notes},
-            lambda: one.on_records_written(said, notes),
-            lambda: one.on_write_failed(notes),
+            {("window", *record[:3]): record[3:] for record in records},
+            lambda: quota.on_records_written(issued, records),
+            lambda: quota.on_write_failed(records),
         )
 
-    assert not one.try_acquire(0) and one.pending_records
-    monkeypatch.setattr(os, "pwrite", full)
+    assert not quota.try_acquire(0) and quota.pending_records
+    monkeypatch.setattr(os, "pwrite", disk_full)
     anyio.run(flush)
-    assert store.last_error and not one.try_acquire(1) and len(one.pending_records) == 1
+    assert store.last_error and not quota.try_acquire(1) and len(quota.pending_records) == 1
     monkeypatch.setattr(os, "pwrite", write)
     anyio.run(flush)
-    assert not store.last_error and one.try_acquire(2)
+    assert not store.last_error and quota.try_acquire(2)
     store.journal.close()
-    again = StateStore(str(tmp_path / "state"))
-    (row,) = again.open().values()
-    assert row[2] >= 8  # written ahead as used: what a kill loses
-    again.journal.close()
+    reopened = StateStore(str(tmp_path / "state"))
+    (row,) = reopened.open().values()
+    assert row[2] >= 8  # written ahead: what a kill loses
+    reopened.journal.close()
 
 
 # The fleet's time.
 
 
-def test_the_fleets_time_is_where_most_clocks_lie_and_one_that_is_wrong_moves_nothing():
-    clocks = Clocks(3_600 * SECOND)  # the own one, an hour ahead
+def test_fleet_time_follows_most_clocks_and_ignores_a_wrong_one():
+    clocks = Clocks(3_600 * SECOND)  # this member's clock is an hour ahead
     for member in range(4):
         clocks.heard(member, -1_000_000 * member, 2_000_000, 0)
     clocks.settle(SECOND, range(4))
     low, high = clocks.between(SECOND)
     assert SECOND - 4 * MARGIN < low < SECOND < high < SECOND + 4 * MARGIN
-    clocks.heard(0, 7_200 * SECOND, 7_200 * SECOND + 1, 2 * SECOND)  # one steps
+    clocks.heard(0, 7_200 * SECOND, 7_200 * SECOND + 1, 2 * SECOND)  # one clock steps
     clocks.settle(2 * SECOND, range(4))
     low, high = clocks.between(2 * SECOND)
     assert 2 * SECOND - 4 * MARGIN < low < high < 2 * SECOND + 4 * MARGIN
 
 
-def test_of_two_clocks_that_differ_either_may_be_right_and_one_cut_off_trusts_not_its_own_alone():
+def test_bounds_cover_two_clocks_that_differ_and_an_isolated_member_does_not_trust_its_own():
     clocks = Clocks(0)
     clocks.heard(1, 100 * SECOND, 100 * SECOND, 0)
     clocks.settle(0, [1])
@@ -262,61 +266,64 @@
     three.heard(2, 0, 0, 0)
     three.settle(0, [1, 2])
     assert three.between(0)[1] < SECOND
-    three.settle(2 * KEPT, [1, 2])  # neither has been heard since
+    three.settle(2 * KEPT, [1, 2])  # neither was received since
     low, high = three.between(2 * KEPT)
     assert low <= 2 * KEPT and high >= 2 * KEPT + 100 * SECOND
 
 
-def test_where_clocks_are_unsure_a_request_counts_in_both_windows():
-    apart = 5 * SECOND
-    one = units(amount=2, homes=("a",), between=lambda now: (now - apart, now + apart))
-    assert one.try_acquire(50 * SECOND) and [slot.start for slot in one.windows] == [0]
-    assert one.try_acquire(57 * SECOND) and [slot.start for slot in one.windows] == [0, 60]
-    assert not one.try_acquire(62 * SECOND)  # of the first nothing is left
-    assert one.try_acquire(66 * SECOND) and not one.try_acquire(
-        67 * SECOND
-    )  # of the second one was counted before
+def test_request_counts_in_both_windows_while_clocks_are_uncertain():
+    uncertainty = 5 * SECOND
+    quota = make_quota(
+        amount=2, homes=("a",), clock_bounds=lambda now: (now - uncertainty, now + uncertainty)
+    )
+    assert quota.try_acquire(50 * SECOND) and [window.start for window in quota.windows] == [0]
+    assert quota.try_acquire(57 * SECOND) and [window.start for window in quota.windows] == [0, 60]
+    assert not quota.try_acquire(62 * SECOND)  # nothing remains of the first window
+    # The second window has counted one before.
+    assert quota.try_acquire(66 * SECOND) and not quota.try_acquire(67 * SECOND)
 
 
-# Nearly.
+# Approximate limits.
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.floats(0.0, 1e6), min_size=1, max_size=12), st.floats(1.0, 1e6))
-def test_the_level_shares_out_all_there_is_and_no_more(demands, amount):
+def test_fill_level_distributes_the_whole_amount_and_no_more(demands, amount):
     level = compute_fill_level(amount, demands)
-    given_ = sum(min(demand, level) for demand in demands)
-    assert given_ <= amount * 1.0001 and (given_ >= min(amount, sum(demands)) * 0.9999)
+    met = sum(min(demand, level) for demand in demands)
+    assert met <= amount * 1.0001 and (met >= min(amount, sum(demands)) * 0.9999)
 
 
 def moving(seed, count, in_order):
-    """Words on their way while demand moves; in order, as members keep them, or as the network
-    has them.
+    """Check that allowances add up to the limit while demand moves and reports are delayed.
+
+    Reports of a member may overtake each other in the network; with `in_order`, outdated ones are
+    dropped, as membership does.
     """
     chance, limit = Random(seed), Limit("x", RATE, 100_000, (), 20)
-    those = [ApproximateQuota(limit, None, 0) for _ in range(count)]
-    on_way, settled, newest = [], 3 * propagation_time(count), {}
+    quotas = [ApproximateQuota(limit, None, 0) for _ in range(count)]
+    in_transit, settled, newest = [], 3 * propagation_time(count), {}
     for step in range(400):
         now = step * SECOND // 10
         if step % 20 == 0:
-            rates = [chance.choice([0, 0, 1, 5, 60]) for _ in those]
-        for one, rate in zip(those, rates):
+            rates = [chance.choice([0, 0, 1, 5, 60]) for _ in quotas]
+        for quota, rate in zip(quotas, rates):
             for _ in range(rate):
-                one.try_acquire(now)
-        for place, one in enumerate(those):
-            heard = {other: True for other in range(count) if other != place}
-            if one.on_timer(now, heard, count)[0]:
-                for other in heard:
-                    # Any time before it is stale; words may pass each other.
-                    late = int(chance.random() * (propagation_time(count) - SECOND // 4))
-                    on_way.append((now + late, other, place, one.encode_report(now), now))
-        for _, other, place, word, told in [one for one in on_way if one[0] <= now]:
-            if not in_order or told >= newest.get((place, other), 0):
-                newest[place, other] = told
-                those[other].on_report(place, word, now)
-        on_way = [one for one in on_way if one[0] > now]
+                quota.try_acquire(now)
+        for index, quota in enumerate(quotas):
+            reachable = {other: True for other in range(count) if other != index}
+            if quota.on_timer(now, reachable, count)[0]:
+                for other in reachable:
+                    # Within the propagation time, so that reports may overtake each other.
+                    delay = int(chance.random() * (propagation_time(count) - SECOND // 4))
+                    in_transit.append((now + delay, other, index, quota.encode_report(now), now))
+        for _, other, index, report, sent_at in [sent for sent in in_transit if sent[0] <= now]:
+            if not in_order or sent_at >= newest.get((index, other), 0):
+                newest[index, other] = sent_at
+                quotas[other].on_report(index, report, now)
+        in_transit = [sent for sent in in_transit if sent[0] > now]
         if now > settled:
-            assert sum(one.allowance for one in those) <= limit.amount + count, seed
+            assert sum(quota.allowance for quota in quotas) <= limit.amount + count, seed
 
 
 @settings(max_examples=30, deadline=None, derandomize=True)
@@ -326,50 +333,50 @@
 
 
 @pytest.mark.parametrize("first", range(0, 60, 20))
-def test_parts_add_up_to_no_more_on_many_days_as_members_pass_words_on(first):
-    """Words that overtook each other broke this on 11 of 300 seeds, on 8715 by 12%."""
+def test_allowances_add_up_to_the_limit_when_outdated_reports_are_dropped(first):
+    """Reports that overtook each other broke the limit on 11 of 300 seeds, by 12% on seed 8715."""
     for seed in (*range(first, first + 20), 8715):
         moving(seed, 2 + seed % 5 if seed < 8715 else 2, True)
 
 
-def test_one_that_asks_for_all_gets_nearly_all_and_unheard_ones_keep_an_even_share():
+def test_member_with_all_demand_gets_nearly_all_and_unreachable_ones_keep_an_even_share():
     limit = Limit("x", RATE, 100_000, (), 20)
-    one, other = ApproximateQuota(limit, None, 0), ApproximateQuota(limit, None, 0)
+    quota, other = ApproximateQuota(limit, None, 0), ApproximateQuota(limit, None, 0)
     for step in range(100):
         now = step * SECOND // 10
         for _ in range(30):
-            one.try_acquire(now)
-        for first, second in ((one, other), (other, one)):
+            quota.try_acquire(now)
+        for first, second in ((quota, other), (other, quota)):
             first.on_timer(now, {1: True}, 2)
             second.on_report(1, first.encode_report(now), now)
-    assert one.allowance > 95_000
+    assert quota.allowance > 95_000
     for step in range(100, 200):
         now = step * SECOND // 10
         for _ in range(30):
-            one.try_acquire(now)
-        one.on_timer(now, {1: False}, 2)
-    assert one.allowance <= 50_000
-    for noise in (b"", b"x" * DEMAND_REPORT.size, b"\1"):
-        one.on_report(1, noise, now)
-    assert one.allowance <= 50_000
+            quota.try_acquire(now)
+        quota.on_timer(now, {1: False}, 2)
+    assert quota.allowance <= 50_000
+    for contents in (b"", b"x" * DEMAND_REPORT.size, b"\1"):
+        quota.on_report(1, contents, now)
+    assert quota.allowance <= 50_000
 
 
-def test_requests_in_flight_and_windows_are_nearly_kept_too():
+def test_requests_in_flight_and_windows_are_limited_approximately():
     flight = ApproximateQuota(Limit("x", IN_FLIGHT, 3, ()), None, 0)
-    passed = 0
+    admitted = 0
     for step in range(40):
         flight.on_timer(step * SECOND // 10, {}, 1)
-        passed += sum(flight.try_acquire(step * SECOND // 10) for _ in range(9))
-    assert passed == flight.in_flight == 3 and flight.wait(0)
+        admitted += sum(flight.try_acquire(step * SECOND // 10) for _ in range(9))
+    assert admitted == flight.in_flight == 3 and flight.wait(0)
     flight.give(0)
     assert flight.try_acquire(5 * SECOND)
     window = ApproximateQuota(Limit("x", COUNT, 50, ()), MINUTES, 0, lambda now: (now, now))
-    passed = 0
+    admitted = 0
     for step in range(1_190):
         now = step * SECOND // 10
         window.on_timer(now, {}, 1)
-        passed += window.try_acquire(now)
-    assert passed == 100 and window.wait(now) <= 2 * SECOND
+        admitted += window.try_acquire(now)
+    assert admitted == 100 and window.wait(now) <= 2 * SECOND
 
 
 # Processes.
@@ -389,7 +396,7 @@
 
 
 @pytest.mark.xdist_group("fleet")
-def test_a_window_of_three_processes_is_kept_over_kill_9_its_close_and_a_clock_that_is_wrong(
+def test_three_processes_keep_a_window_despite_kill_9_its_end_and_a_wrong_clock(
     tmp_path,
 ):
     upstream_fleet = UpstreamFleet({f"s-{n}": Script(workers=32, work=0.005) for n in range(2)}, 1)
@@ -399,15 +406,14 @@
     fleet = Fleet(3, tmp_path, service(upstream_fleet), limits=limits, relayed=False)
     loads = None
     try:
-        # By their clocks a minute ends 13 s from now; that of one is an hour behind.
+        # By their clocks a minute ends 13 s from now; one clock is an hour behind.
         shift = 47.0 - time.time() % 60.0
         closes = time.monotonic() + 13.0
         for process in fleet.processes:
             process.wall = shift - 3_600.0 * (process.number == 2)
         fleet.start()
         until(lambda: ready(fleet, 0, 1, 2))
-        # Nobody knows of this minute what was used before: only an operator can say that nothing
-        # was.
+        # No member knows what was used of this minute: only an operator can say that nothing was.
         assert all(row["home"] == 0 for number in range(3) for row in fleet.ask(number, "limits"))
         for number in range(3):
             fleet.ask(number, "begin", name="day")
@@ -428,14 +434,14 @@
         time.sleep(max(0.0, start + 1.5 - time.monotonic()))
         fleet.kill(1)
         fleet.processes[1].start()
-        seen = loads.results()
+        clients = loads.results()
         times = upstream_fleet.meter()["times"]
-        before = sum(one < closes - 0.3 for one in times)
-        after = sum(one > closes + 0.3 for one in times)
+        before = sum(arrival < closes - 0.3 for arrival in times)
+        after = sum(arrival > closes + 0.3 for arrival in times)
         assert 45 <= before <= 90 and len(times) <= 180
         assert 15 <= after <= 90
-        told = [request for request in seen[0].told if request.status == 503]
-        assert told and all(request.retry_after for request in told)
+        rejected = [request for request in clients[0].told if request.status == 503]
+        assert rejected and all(request.retry_after for request in rejected)
         assert not upstream_fleet.ledger().twice()
     finally:
         if loads:
@@ -445,7 +451,7 @@
 
 
 @pytest.mark.xdist_group("fleet")
-def test_an_old_copy_of_the_state_file_is_found_out_and_counts_for_nothing(tmp_path):
+def test_old_copy_of_the_state_file_is_detected_and_allows_nothing(tmp_path):
     upstream_fleet = UpstreamFleet({"s": Script(workers=32, work=0.005)}, 1)
     limits = {"day": {"kind": "count", "amount": 1_000, "window": "day", "homes": ["m0", "m1"]}}
     fleet = Fleet(2, tmp_path, service(upstream_fleet), limits=limits, relayed=False)
@@ -485,7 +491,7 @@
 
 
 @pytest.mark.xdist_group("fleet")
-def test_limits_by_route_by_tenant_at_upstreams_and_nearly_hold_over_two_processes(tmp_path):
+def test_limits_by_route_tenant_and_upstream_and_approximate_ones_hold_over_two_processes(tmp_path):
     upstream_fleet = UpstreamFleet({"s": Script(workers=64, work=0.05)}, 1)
     homes = ["m0", "m1"]
     limits = {
@@ -517,7 +523,7 @@
         upstream_fleet.meter()
         start = time.monotonic() + 0.3
 
-        def asks(name, rate, tenant, path="t", **more):
+        def make_client(name, rate, tenant, path="t", **more):
             return Asks(
                 name,
                 rate,
@@ -533,28 +539,31 @@
         address = fleet.processes[0].balancer.address
         loads = Loads(
             [
-                (address, asks("a", 30.0, "a")),
-                (address, asks("b", 30.0, "big")),
-                (address, asks("c", 30.0, "c", "u")),
-                (fleet.processes[1].balancer.address, asks("d", 4.0, "a")),
+                (address, make_client("a", 30.0, "a")),
+                (address, make_client("b", 30.0, "big")),
+                (address, make_client("c", 30.0, "c", "u")),
+                (fleet.processes[1].balancer.address, make_client("d", 4.0, "a")),
             ],
             1,
             start,
             5.0,
         )
-        seen = loads.results()
-        met = upstream_fleet.meter()
-        served = {one.asks.name: sum(request.status == 200 for request in one.told) for one in seen}
-        # Of tenant a both processes together, of the third only its route's; the whole is nearly
-        # kept.
+        clients = loads.results()
+        measured = upstream_fleet.meter()
+        served = {
+            client.asks.name: sum(request.status == 200 for request in client.told)
+            for client in clients
+        }
+        # Tenant a is limited over both processes, client c by its route; all are limited
+        # approximately.
         assert served["a"] + served["d"] <= 8 * 5 + 4 + 8 and served["d"] >= 8
         assert served["b"] >= 60 and served["c"] <= 8 * 5 + 4 + 8
-        assert met["most"] <= 6 and len(met["times"]) <= 60 * 5 + 10 + 30
-        told = upstream_fleet.tell("s")
-        assert told["most_open"] <= 8
+        assert measured["most"] <= 6 and len(measured["times"]) <= 60 * 5 + 10 + 30
+        status = upstream_fleet.tell("s")
+        assert status["most_open"] <= 8
         rows = {(row["limit"], row["of"]): row for row in fleet.ask(0, "limits")}
         assert rows["wide", "s"]["kind"] == "in_flight" and rows["all", ""]["sharing"] == 2
-        assert not any(one.unanswered() or one.answered_twice() for one in seen)
+        assert not any(client.unanswered() or client.answered_twice() for client in clients)
     finally:
         if loads:
             loads.stop()
@@ -563,7 +572,7 @@
 
 
 @pytest.mark.xdist_group("fleet")
-def test_a_limit_changes_while_it_serves_and_a_repeat_of_a_request_counts_once_for_its_tenant(
+def test_limit_changes_while_serving_and_a_retry_counts_once_for_its_tenant(
     tmp_path,
 ):
     upstream_fleet = UpstreamFleet({"s": Script(workers=64, work=0.005)}, 1)
@@ -590,7 +599,8 @@
             process.balancer.reload(files.document(process.file()))
             if number == 0:
                 until(lambda: fleet.ask(0, "limits")[0]["amount"] == 200_000)
-                assert fleet.ask(0, "limits")[0]["home"] == 10_000  # the other has not read it yet
+                # The other process has not read it yet.
+                assert fleet.ask(0, "limits")[0]["home"] == 10_000
         until(
             lambda: [
                 row["home"]
@@ -602,18 +612,19 @@
         )
         fleet.ask(0, "begin", name="org")
 
-        def ask(ticket, repeat):
+        def send_request(ticket, is_retry):
             head = (
                 f"POST /t/x HTTP/1.1\r\nHost: t.example\r\nX-Txn: {random()}\r\nX-Remaining: 1\r\n"
             )
             head += f"Idempotency-Key: {ticket}\r\nX-Org: a\r\nContent-Length: 2\r\n"
             with socket.create_connection(fleet.processes[0].balancer.address, 5.0) as sock:
-                sock.sendall((head + "X-Resent: 1\r\n" * repeat + "\r\n{}").encode())
+                sock.sendall((head + "X-Resent: 1\r\n" * is_retry + "\r\n{}").encode())
                 return int(sock.recv(200).split()[1])
 
-        until(lambda: ask("first", False) == 200)
-        assert [ask("first", True) for _ in range(6)] == [200] * 6  # one request, asked for again
-        assert [ask(f"t{number}", False) for number in range(4)].count(200) <= 3
+        until(lambda: send_request("first", False) == 200)
+        # Retries of one request.
+        assert [send_request("first", True) for _ in range(6)] == [200] * 6
+        assert [send_request(f"t{number}", False) for number in range(4)].count(200) <= 3
     finally:
         fleet.end()
         upstream_fleet.stop()
--- a/tests/fleet/test_operator_limits.py
+++ b/tests/fleet/test_operator_limits.py
@@ -1,4 +1,4 @@
-"""Stories of what operators say to the whole fleet: it reaches all, and it ends."""
+"""Limits that operators change for the whole fleet: a change reaches all members, and expires."""
 
 import json
 import signal
@@ -14,7 +14,7 @@
 from whinpier.testbed.fleet import Fleet
 
 
-def test_a_limit_is_set_for_all_and_who_did_not_confirm_is_named(tmp_path):
+def test_limit_is_set_for_all_and_members_without_confirmation_are_named(tmp_path):
     limits = {"all": {"kind": "rate", "amount": 30, "homes": ["m0", "m1", "m2"]}}
 
     def service(process):
@@ -23,10 +23,10 @@
             "routes": [files.route("t", "rerunnable", "t")],
         }
 
-    fleet, run = Fleet(3, tmp_path, service, limits=limits, relayed=False), CliRunner()
+    fleet, runner = Fleet(3, tmp_path, service, limits=limits, relayed=False), CliRunner()
 
-    def limit(*arguments, number=0):
-        return run.invoke(
+    def run_limits(*arguments, number=0):
+        return runner.invoke(
             cli, ["bank", "limits", *arguments, "--socket", fleet.processes[number].control]
         )
 
@@ -35,39 +35,43 @@
         until(
             lambda: all(row["agreed"] for number in range(3) for row in fleet.ask(number, "limits"))
         )
-        found = limit("set", "all", "90", "--for", "30m", "--who", "night", "--why", "a surge")
-        assert found.exit_code == 0 and "confirmed by 3 members" in found.output, found.output
-        # All go by it; what is larger counts from when each knows that all do.
+        result = run_limits(
+            "set", "all", "90", "--for", "30m", "--who", "night", "--why", "a surge"
+        )
+        assert result.exit_code == 0 and "confirmed by 3 members" in result.output, result.output
+        # A larger limit counts for each member once it knows that all use it.
         until(
             lambda: [fleet.ask(number, "limits")[0]["home"] for number in range(3)] == [30_000] * 3
         )
-        (word,) = fleet.ask(2, "register")["words"]
-        assert (word["who"], word["why"], word["at"]) == ("night", "a surge", "m0")
-        assert 1_700_000 < word["left_ms"] <= 1_800_000
+        (entry,) = fleet.ask(2, "register")["words"]
+        assert (entry["who"], entry["why"], entry["at"]) == ("night", "a surge", "m0")
+        assert 1_700_000 < entry["left_ms"] <= 1_800_000
         fleet.stop(2)
-        found = limit("lift", "all", "--wait", "0.4", "--json", number=1)
+        result = run_limits("lift", "all", "--wait", "0.4", "--json", number=1)
         assert (
-            found.exit_code == 3 and "m2" in found.output and '"confirmed": false' in found.output
+            result.exit_code == 3
+            and "m2" in result.output
+            and '"confirmed": false' in result.output
         )
-        # Lower at once for who has heard it, whoever has not.
+        # A lower limit counts at once for each member that has received it.
         until(lambda: fleet.ask(0, "limits")[0]["home"] == 10_000)
         fleet.go_on(2)
         until(
             lambda: [fleet.ask(number, "limits")[0]["amount"] for number in range(3)]
             == [30_000] * 3
         )
-        for arguments, said in (
+        for arguments, expected in (
             (("set", "none", "5"), "no limit of this file"),
             (("set", "all", "5", "--for", "48h"), "is not between"),
             (("set", "all", "5", "--for", "x"), "no span"),
             (("begin", "all"), "no count"),
         ):
-            found = limit(*arguments)
-            assert found.exit_code in (1, 2) and said in found.output, found.output
-        assert limit("show", "--json").exit_code == 0 and limit().exit_code == 0
+            result = run_limits(*arguments)
+            assert result.exit_code in (1, 2) and expected in result.output, result.output
+        assert run_limits("show", "--json").exit_code == 0 and run_limits().exit_code == 0
         until(
             lambda: "held by all"
-            in run.invoke(cli, ["bank", "said", "--socket", fleet.processes[0].control]).output
+            in runner.invoke(cli, ["bank", "said", "--socket", fleet.processes[0].control]).output
         )
     finally:
         fleet.processes[2].signal(signal.SIGCONT)
@@ -75,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    "limit, said",
+    "limit, expected",
     [
         (
             {"kind": "rate", "amount": 10, "homes": ["a", "b"]},
@@ -103,20 +107,20 @@
         ),
     ],
 )
-def test_what_a_limit_promises_is_said_in_figures(tmp_path, limit, said):
+def test_explain_states_the_guarantees_of_a_limit_in_figures(tmp_path, limit, expected):
     key = tmp_path / "key"
     key.write_text("k" * 20)
     key.chmod(0o600)
-    given = {
+    document = {
         "version": 1,
         "listen": ["127.0.0.1:9000"],
         "pools": {"t": files.service("t", "rerunnable", {"s": "127.0.0.1:9"}, 0.25, 1.5)},
         "bank": {"listen": "127.0.0.1:7000", "key_files": [str(key)], "limits": {"x": limit}},
         "routes": [files.route("t", "rerunnable", "t")],
     }
-    found = explained(operator.made(given).fleet.limits[0], 10)
-    assert all(found[key].startswith(value) for key, value in said.items()), found
-    file = tmp_path / "operator.toml"
-    file.write_text(files.document(given))
-    told = CliRunner().invoke(cli, ["bank", "limits", "explain", str(file), "--json"])
-    assert told.exit_code == 0 and json.loads(told.output)[0]["limit"] == "x"
+    promises = explained(operator.made(document).fleet.limits[0], 10)
+    assert all(promises[key].startswith(value) for key, value in expected.items()), promises
+    path = tmp_path / "operator.toml"
+    path.write_text(files.document(document))
+    result = CliRunner().invoke(cli, ["bank", "limits", "explain", str(path), "--json"])
+    assert result.exit_code == 0 and json.loads(result.output)[0]["limit"] == "x"
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -1,6 +1,4 @@
-"""Stories of limits of the whole fleet: what may be used never adds up to more, whatever is lost or
-killed.
-"""
+"""Leased quotas: what all members may use never exceeds the limit, whatever is lost or killed."""
 
 import json
 import time
@@ -44,63 +42,65 @@
     return Limit("x", RATE, 1000 * amount, homes, burst)
 
 
-def shares(limit, now=0):
+def make_quotas(limit, now=0):
     return {name: LeasedQuota(limit, name, now, Random(name), 0) for name in limit.homes}
 
 
-def pass_on(those, now, lost=lambda: False):
-    """Deliver what is out, at once, until all is quiet."""
-    names = list(those)
+def deliver_all(quotas, now, is_lost=lambda: False):
+    """Deliver all messages and the answers to them, without delay, until none is left."""
+    names = list(quotas)
     for _ in range(20):
         sent = [
-            (place, to, deal) for place, name in enumerate(names) for to, deal in those[name].out
+            (index, to, message)
+            for index, name in enumerate(names)
+            for to, message in quotas[name].out
         ]
-        for one in those.values():
-            one.out = []
-        for place, to, deal in sent:
-            if not lost():
-                those[names[to]].on_message(deal, place, now)
+        for quota in quotas.values():
+            quota.out = []
+        for index, to, message in sent:
+            if not is_lost():
+                quotas[names[to]].on_message(message, index, now)
         if not sent:
             return
 
 
-# Orders.
+# Model checking.
 
 
-def test_every_order_of_a_small_world_keeps_the_limit():
+def test_exhaustive_exploration_of_a_small_model_keeps_the_limit():
     result = every(Sharing(2, 2, 2, 9, 0, 0, requests=False).lent(), 60)
     assert result.whole and not result.broken and result.states > 1_000
-    for days in WHOLE[1:]:
-        result = every(days.make(Sharing().make), 4)
+    for scenario in WHOLE[1:]:
+        result = every(scenario.make(Sharing().make), 4)
         assert result.deepest == 4 and not result.broken
 
 
-@pytest.mark.parametrize("days", WALKS, ids=lambda days: days.what)
-def test_walks_at_random_keep_it(days):
-    assert not days.gone_through(Sharing().make, steps=30_000).broken
+@pytest.mark.parametrize("scenario", WALKS, ids=lambda scenario: scenario.what)
+def test_random_walks_keep_the_limit(scenario):
+    assert not scenario.gone_through(Sharing().make, steps=30_000).broken
 
 
 @pytest.mark.parametrize("name", sorted(FAULTS))
-def test_each_fault_that_is_put_in_is_found_and_its_path_replays(name):
-    days, broken, path = found(name)
-    assert broken and replay(days.make(FAULTS[name]), path) == broken
+def test_each_mutant_breaks_the_limit_on_a_path_that_replays(name):
+    scenario, broken, path = found(name)
+    assert broken and replay(scenario.make(FAULTS[name]), path) == broken
     try:
-        assert not replay(days.make(Sharing().make), path)  # it is the fault, not the path
+        assert not replay(scenario.make(Sharing().make), path)  # sound code keeps the limit
     except KeyError:
-        pass  # the sound code does not even come there
+        pass  # sound code does not offer one of the steps
 
 
-def test_a_walk_is_the_same_from_the_same_seed():
-    one, two = (
+def test_random_walk_is_deterministic_for_a_seed():
+    first, second = (
         walk(lambda seed: Sharing(make=FAULTS["LendsForTooShort"]), 3, 20_000) for _ in range(2)
     )
-    assert one == two and one.broken
+    assert first == second and first.broken
 
 
-# What may be used.
+# Home quotas, leases and rates.
 
 
-def test_homes_add_up_and_one_who_has_none_holds_nothing():
+def test_home_quotas_add_up_to_the_limit():
     for amount in (1, 7, 30_000):
         limit = Limit("x", IN_FLIGHT, amount, HOMES)
         assert (
@@ -108,212 +108,236 @@
         )
 
 
-def test_what_all_ask_for_at_one_is_lent_to_it_and_moves_when_they_ask_another():
-    those, passed = shares(rate()), {name: 0 for name in HOMES}
+def test_quota_is_leased_to_the_member_with_the_demand_and_follows_it():
+    quotas, admitted = make_quotas(rate()), {name: 0 for name in HOMES}
     for step in range(1_200):
         now = step * SECOND // 100
-        asked = "a" if step < 600 else "b"
-        passed[asked] += (
-            those[asked].try_acquire(now)
+        busy = "a" if step < 600 else "b"
+        admitted[busy] += (
+            quotas[busy].try_acquire(now)
             if 500 <= step < 600 or step >= 800
-            else (those[asked].try_acquire(now) and 0)
+            else (quotas[busy].try_acquire(now) and 0)
         )
         if step % 10 == 0:
-            for place, one in enumerate(those.values()):
-                one.on_timer(now, [other for other in range(3) if other != place])
-            pass_on(those, now)
-    assert passed["a"] >= 28 and passed["b"] >= 0.95 * 30 * 4
+            for index, quota in enumerate(quotas.values()):
+                quota.on_timer(now, [other for other in range(3) if other != index])
+            deliver_all(quotas, now)
+    assert admitted["a"] >= 28 and admitted["b"] >= 0.95 * 30 * 4
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), st.integers(1, 40), st.integers(1, 20), st.floats(0.0, 0.6))
-def test_a_rate_is_kept_in_every_window_whatever_is_lost(seed, amount, burst, lost):
+def test_rate_is_kept_in_every_interval_despite_lost_messages(seed, amount, burst, lost):
     chance, limit = Random(seed), rate(amount, burst)
-    those, times = shares(limit), []
+    quotas, times = make_quotas(limit), []
     for step in range(800):
         now = step * SECOND // 100
         for name in HOMES:
             for _ in range(int(chance.random() * 3)):
-                if those[name].try_acquire(now):
+                if quotas[name].try_acquire(now):
                     times.append(now)
         if chance.random() < 0.1:
             names = list(HOMES)
-            place = int(chance.random() * 3)
-            those[names[place]].on_timer(now, [other for other in range(3) if other != place])
-        pass_on(those, now, lambda: chance.random() < lost)
-        assert sum(one.compute_available(now) for one in those.values()) <= limit.amount
+            index = int(chance.random() * 3)
+            quotas[names[index]].on_timer(now, [other for other in range(3) if other != index])
+        deliver_all(quotas, now, lambda: chance.random() < lost)
+        assert sum(quota.compute_available(now) for quota in quotas.values()) <= limit.amount
     for start in range(0, len(times), 7):
         for end in range(start, len(times), 11):
             assert end - start + 1 <= burst + amount * (times[end] - times[start]) / SECOND + 1e-6
 
 
-def test_what_never_ran_is_given_back_and_a_rejection_says_a_true_time():
-    one = LeasedQuota(rate(10, 1, ("a",)), "a", 0, Random(1), 0)
-    assert not one.try_acquire(0) and one.try_acquire(SECOND // 10)
-    one.give(SECOND // 10, ran=False)
-    assert one.try_acquire(SECOND // 10) and not one.try_acquire(SECOND // 10)
-    wait = one.wait(SECOND // 10)
+def test_request_that_never_ran_returns_its_token_and_retry_time_holds():
+    quota = LeasedQuota(rate(10, 1, ("a",)), "a", 0, Random(1), 0)
+    assert not quota.try_acquire(0) and quota.try_acquire(SECOND // 10)
+    quota.give(SECOND // 10, ran=False)
+    assert quota.try_acquire(SECOND // 10) and not quota.try_acquire(SECOND // 10)
+    wait = quota.wait(SECOND // 10)
     assert SECOND // 20 <= wait <= SECOND // 4
-    assert one.try_acquire(SECOND // 10 + wait) and one.tokens < REQUEST_TOKENS
+    assert quota.try_acquire(SECOND // 10 + wait) and quota.tokens < REQUEST_TOKENS
 
 
-def test_a_start_waits_until_what_its_last_run_lent_is_over():
-    one = LeasedQuota(rate(), "a", 0, Random(1), LEASE_DURATION + LEASE_GRACE)
+def test_home_quota_is_unusable_within_the_fencing_interval():
+    quota = LeasedQuota(rate(), "a", 0, Random(1), LEASE_DURATION + LEASE_GRACE)
     assert (
-        one.compute_available(LEASE_DURATION) == 0
-        and one.compute_available(LEASE_DURATION + LEASE_GRACE) == 10_000
-        and one.compute_spare(LEASE_DURATION) == 0
+        quota.compute_available(LEASE_DURATION) == 0
+        and quota.compute_available(LEASE_DURATION + LEASE_GRACE) == 10_000
+        and quota.compute_spare(LEASE_DURATION) == 0
     )
 
 
-def between(now):
+def clock_bounds(now):
     return now, now
 
 
-def division(name, *limits, kept=None, **more):
+def make_allocation(name, *limits, stored=None, **more):
     return QuotaAllocation(
         name,
         [LimitConfig(limit, ("t",)) for limit in limits],
         0,
         Random(1),
-        between,
-        kept or {},
+        clock_bounds,
+        stored or {},
         **more,
     )
 
 
-def home(one, name="x"):
-    return one.tables[name].sole_quota.home_quota
+def home_quota(allocation, name="x"):
+    return allocation.tables[name].sole_quota.home_quota
 
 
-def test_another_division_holds_for_a_member_only_when_all_go_by_it():
+def test_new_allocation_is_used_only_once_all_members_use_it():
     old, new = rate(30), rate(60, homes=("a", "b"))
-    kept = {"x": StoredAllocation(old.epoch(), old.home_quota("a"), HOMES, LEASE_DURATION)}
-    one = division("a", new, kept=kept)
-    assert home(one) == 0  # not before it is heard that the last one stands
-    assert not one.check_agreement(TIMER_INTERVAL, set(), {"b"}, set()) and home(one) == 0
+    stored = {"x": StoredAllocation(old.epoch(), old.home_quota("a"), HOMES, LEASE_DURATION)}
+    allocation = make_allocation("a", new, stored=stored)
+    assert home_quota(allocation) == 0  # no other home member confirms the stored allocation
     assert (
-        not one.check_agreement(TIMER_INTERVAL, {"b"}, set(), set())
-        and home(one) == 10_000
-        and one.stored_allocations() == kept
+        not allocation.check_agreement(TIMER_INTERVAL, set(), {"b"}, set())
+        and home_quota(allocation) == 0
     )
-    assert not one.check_agreement(
-        TIMER_INTERVAL, {"b"}, {"c"}, set()
-    )  # one that held a part goes by the old one still
-    assert not one.check_agreement(TIMER_INTERVAL, {"b"}, set(), {"c"})  # or is unheard
-    assert not one.check_agreement(TIMER_INTERVAL, {"b"}, set(), set())  # or was never met
-    one.departed.add("c")
-    assert one.check_agreement(TIMER_INTERVAL, {"b"}, set(), set()) and home(one) == 30_000
-    assert one.stored_allocations() == {
+    assert (
+        not allocation.check_agreement(TIMER_INTERVAL, {"b"}, set(), set())
+        and home_quota(allocation) == 10_000
+        and allocation.stored_allocations() == stored
+    )
+    # A former home member uses the old allocation.
+    assert not allocation.check_agreement(TIMER_INTERVAL, {"b"}, {"c"}, set())
+    assert not allocation.check_agreement(TIMER_INTERVAL, {"b"}, set(), {"c"})  # it is unreachable
+    assert not allocation.check_agreement(TIMER_INTERVAL, {"b"}, set(), set())  # it was never seen
+    allocation.departed.add("c")
+    assert (
+        allocation.check_agreement(TIMER_INTERVAL, {"b"}, set(), set())
+        and home_quota(allocation) == 30_000
+    )
+    assert allocation.stored_allocations() == {
         "x": StoredAllocation(new.epoch(), 30_000, ("a", "b"), LEASE_DURATION)
     }
-    again = division("a", old, kept=kept)
+    restarted = make_allocation("a", old, stored=stored)
+    # Most home members confirm the stored allocation.
     assert (
-        not again.check_agreement(TIMER_INTERVAL, {"b"}, {"c"}, set()) and home(again) == 10_000
-    )  # two of three stand by it
+        not restarted.check_agreement(TIMER_INTERVAL, {"b"}, {"c"}, set())
+        and home_quota(restarted) == 10_000
+    )
 
 
-def test_who_comes_back_from_long_ago_finds_that_its_division_was_left():
+def test_superseded_allocation_is_not_used_after_a_long_absence():
     old = rate(30)
-    one = division(
+    allocation = make_allocation(
         "c",
         old,
-        kept={"x": StoredAllocation(old.epoch(), old.home_quota("c"), HOMES, LEASE_DURATION)},
+        stored={"x": StoredAllocation(old.epoch(), old.home_quota("c"), HOMES, LEASE_DURATION)},
     )
-    assert not one.check_agreement(TIMER_INTERVAL, set(), {"a", "b"}, set()) and home(one) == 0
-    alone = division(
+    assert (
+        not allocation.check_agreement(TIMER_INTERVAL, set(), {"a", "b"}, set())
+        and home_quota(allocation) == 0
+    )
+    alone = make_allocation(
         "c",
         old,
-        kept={"x": StoredAllocation(old.epoch(), old.home_quota("c"), HOMES, LEASE_DURATION)},
+        stored={"x": StoredAllocation(old.epoch(), old.home_quota("c"), HOMES, LEASE_DURATION)},
+    )
+    assert (
+        not alone.check_agreement(TIMER_INTERVAL, set(), set(), {"a", "b"})
+        and home_quota(alone) == 0
     )
-    assert not alone.check_agreement(TIMER_INTERVAL, set(), set(), {"a", "b"}) and home(alone) == 0
 
 
-def test_a_limit_that_changes_while_it_runs_is_the_smaller_of_both_until_all_go_by_it():
+def test_smaller_home_quota_holds_while_an_allocation_changes():
     old, new = rate(30), rate(60)
-    one = division("a", old)
-    assert one.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set()) and home(one) == 10_000
-    one.apply_configs([LimitConfig(new, ("t",))], 2 * TIMER_INTERVAL)
+    allocation = make_allocation("a", old)
+    assert (
+        allocation.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set())
+        and home_quota(allocation) == 10_000
+    )
+    allocation.apply_configs([LimitConfig(new, ("t",))], 2 * TIMER_INTERVAL)
     assert (
-        home(one) == 10_000
-        and one.announce(2 * TIMER_INTERVAL)
-        and not one.check_agreement(3 * TIMER_INTERVAL, {"b"}, {"c"}, set())
+        home_quota(allocation) == 10_000
+        and allocation.announce(2 * TIMER_INTERVAL)
+        and not allocation.check_agreement(3 * TIMER_INTERVAL, {"b"}, {"c"}, set())
     )
-    one.apply_configs(
-        [LimitConfig(rate(15), ("t",))], 3 * TIMER_INTERVAL
-    )  # a third one, before the second was agreed
-    assert home(one) == 5_000
-    one.apply_configs(
-        [LimitConfig(old, ("t",))], 4 * TIMER_INTERVAL
-    )  # and back: the others may have gone on meanwhile
-    assert home(one) == 5_000 and one.announce(4 * TIMER_INTERVAL)
-    assert one.check_agreement(5 * TIMER_INTERVAL, {"b", "c"}, set(), set()) and home(one) == 10_000
-
-
-def test_a_lower_limit_is_told_only_when_what_was_more_is_over():
+    # A third allocation, before the second is agreed.
+    allocation.apply_configs([LimitConfig(rate(15), ("t",))], 3 * TIMER_INTERVAL)
+    assert home_quota(allocation) == 5_000
+    # Back to the first: others may use the second by now.
+    allocation.apply_configs([LimitConfig(old, ("t",))], 4 * TIMER_INTERVAL)
+    assert home_quota(allocation) == 5_000 and allocation.announce(4 * TIMER_INTERVAL)
+    assert (
+        allocation.check_agreement(5 * TIMER_INTERVAL, {"b", "c"}, set(), set())
+        and home_quota(allocation) == 10_000
+    )
+
+
+def test_lower_limit_is_announced_only_once_the_excess_is_released():
     old, new = Limit("x", IN_FLIGHT, 30, HOMES), Limit("x", IN_FLIGHT, 3, HOMES)
-    one = division("a", old)
-    one.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set())
+    allocation = make_allocation("a", old)
+    allocation.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set())
     start = LEASE_DURATION + LEASE_GRACE
-    taken = [one.tables["x"].sole_quota.enter(start, start + SECOND) for _ in range(10)]
-    assert all(taken)
-    one.apply_configs([LimitConfig(new, ("t",))], start)
+    admissions = [allocation.tables["x"].sole_quota.enter(start, start + SECOND) for _ in range(10)]
+    assert all(admissions)
+    allocation.apply_configs([LimitConfig(new, ("t",))], start)
     assert (
-        home(one) == 1
-        and not one.announce(start)
-        and one.tables["x"].sole_quota.enter(start, start + SECOND) is None
+        home_quota(allocation) == 1
+        and not allocation.announce(start)
+        and allocation.tables["x"].sole_quota.enter(start, start + SECOND) is None
+    )
+    for admission in admissions[:9]:
+        admission.give(start)
+    assert allocation.announce(start) and allocation.check_agreement(
+        start, {"b", "c"}, set(), set()
     )
-    for passed in taken[:9]:
-        passed.give(start)
-    assert one.announce(start) and one.check_agreement(start, {"b", "c"}, set(), set())
 
 
-def test_loans_end_by_the_shorter_span_and_come_back_by_the_longer_while_two_stand_side_by_side():
+def test_borrower_uses_the_shorter_and_lender_the_longer_lease_while_an_allocation_changes():
     old, new = (
         Limit("x", IN_FLIGHT, 3, HOMES, lease_duration=LEASE_DURATION),
         Limit("x", IN_FLIGHT, 3, HOMES, lease_duration=3 * LEASE_DURATION),
     )
-    one = division("a", old)
-    one.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set())
-    one.apply_configs([LimitConfig(new, ("t",))], TIMER_INTERVAL)
-    part = one.tables["x"].sole_quota
-    assert (part.lend_duration, part.borrow_duration) == (3 * LEASE_DURATION, LEASE_DURATION)
-    one.announce(TIMER_INTERVAL)
-    one.check_agreement(2 * TIMER_INTERVAL, {"b", "c"}, set(), set())
-    assert (part.lend_duration, part.borrow_duration) == (3 * LEASE_DURATION, 3 * LEASE_DURATION)
-
-
-def test_tables_of_loans_are_bounded_and_a_flood_of_asks_lends_no_more_than_there_is():
-    those = shares(Limit("x", IN_FLIGHT, 3_000, HOMES))
+    allocation = make_allocation("a", old)
+    allocation.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set())
+    allocation.apply_configs([LimitConfig(new, ("t",))], TIMER_INTERVAL)
+    quota = allocation.tables["x"].sole_quota
+    assert (quota.lend_duration, quota.borrow_duration) == (3 * LEASE_DURATION, LEASE_DURATION)
+    allocation.announce(TIMER_INTERVAL)
+    allocation.check_agreement(2 * TIMER_INTERVAL, {"b", "c"}, set(), set())
+    assert (quota.lend_duration, quota.borrow_duration) == (3 * LEASE_DURATION, 3 * LEASE_DURATION)
+
+
+def test_number_of_leases_is_bounded_under_a_flood_of_requests():
+    quotas = make_quotas(Limit("x", IN_FLIGHT, 3_000, HOMES))
     from whinpier.fleet.messages import ASK_FOR, Deal
 
     for nonce in range(2_000):
-        those["a"].on_message(Deal(ASK_FOR, those["a"].limit.wire_id, nonce + 1, 1, 0), 1, 0)
-    assert len(those["a"].lent) == 256 and those["a"].compute_available(0) == 1_000 - 256
-    assert len(those["a"].out) == 2_000
+        quotas["a"].on_message(Deal(ASK_FOR, quotas["a"].limit.wire_id, nonce + 1, 1, 0), 1, 0)
+    assert len(quotas["a"].lent) == 256 and quotas["a"].compute_available(0) == 1_000 - 256
+    assert len(quotas["a"].out) == 2_000
 
 
-def test_what_was_agreed_is_kept_in_a_file_and_another_file_is_refused(tmp_path):
+def test_stored_allocations_survive_a_restart_and_invalid_files_are_refused(tmp_path):
     path = str(tmp_path / "recall")
     assert peer_cache.read(path) == ([], {})
-    kept = {"x": StoredAllocation(5, 6, ("a", "b"), 7)}
-    peer_cache.write(path, [("127.0.0.1", 7)], kept)
-    assert peer_cache.read(path) == ([("127.0.0.1", 7)], kept)
-    before = (
-        '{"form":1,"members":["127.0.0.1:7"],"limits":{"x":[5,6]}}'  # of the build before this one
-    )
-    (tmp_path / "recall").write_text(before)
+    stored = {"x": StoredAllocation(5, 6, ("a", "b"), 7)}
+    peer_cache.write(path, [("127.0.0.1", 7)], stored)
+    assert peer_cache.read(path) == ([("127.0.0.1", 7)], stored)
+    # Written by older builds.
+    first_format = '{"form":1,"members":["127.0.0.1:7"],"limits":{"x":[5,6]}}'
+    (tmp_path / "recall").write_text(first_format)
     assert peer_cache.read(path) == ([("127.0.0.1", 7)], {"x": StoredAllocation(5, 6)})
-    for noise in ("", "{", '{"form":3,"members":[]}', '{"form":1,"members":["a:1"]}', "[" * 5_000):
-        (tmp_path / "recall").write_text(noise)
+    for content in (
+        "",
+        "{",
+        '{"form":3,"members":[]}',
+        '{"form":1,"members":["a:1"]}',
+        "[" * 5_000,
+    ):
+        (tmp_path / "recall").write_text(content)
         with pytest.raises(ValueError):
             peer_cache.read(path)
 
 
-# The file.
+# Configuration.
 
 
-def table(tmp_path, **limit):
+def operator_file(tmp_path, **limit):
     key = tmp_path / "key"
     key.write_text("k" * 20)
     key.chmod(0o600)
@@ -329,7 +353,7 @@
 
 
 @pytest.mark.parametrize(
-    "key, value, said",
+    "key, value, expected",
     [
         ("kind", "day", "'day' is none of rate, in_flight"),
         ("amount", 0, "bank.limits.x.amount: "),
@@ -342,28 +366,28 @@
         ("brust", 1, "bank.limits.x.brust: is no key here (meant: burst)"),
     ],
 )
-def test_a_faulty_limit_is_refused_with_its_key(tmp_path, key, value, said):
+def test_invalid_limit_is_refused_with_its_key(tmp_path, key, value, expected):
     with pytest.raises(ConfigFault) as fault:
-        operator.made(table(tmp_path, **{key: value}))
-    assert said in str(fault.value), str(fault.value)
+        operator.made(operator_file(tmp_path, **{key: value}))
+    assert expected in str(fault.value), str(fault.value)
 
 
-def test_loans_of_requests_in_flight_last_longer_than_any_request(tmp_path):
-    (held,) = operator.made(table(tmp_path, kind="in_flight")).fleet.limits
+def test_leases_of_requests_in_flight_outlast_any_request(tmp_path):
+    (config,) = operator.made(operator_file(tmp_path, kind="in_flight")).fleet.limits
     assert (
-        held.limit.lease_duration == 3 * 3 * SECOND // 2
-        and held.pools == ("t",)
-        and held.limit.amount == 10
+        config.limit.lease_duration == 3 * 3 * SECOND // 2
+        and config.pools == ("t",)
+        and config.limit.amount == 10
     )
     with pytest.raises(ConfigFault, match="no whole number"):
-        operator.made(table(tmp_path, kind="in_flight", amount=1.5))
+        operator.made(operator_file(tmp_path, kind="in_flight", amount=1.5))
 
 
 # Processes.
 
 
 @pytest.mark.xdist_group("fleet")
-def test_three_processes_keep_both_kinds_while_one_is_killed_and_comes_back(tmp_path):
+def test_three_processes_keep_both_limits_while_one_is_killed_and_restarted(tmp_path):
     upstream_fleet = UpstreamFleet({f"s-{n}": Script(workers=32, work=0.02) for n in range(2)}, 1)
 
     def service(process):
@@ -385,8 +409,12 @@
                 for row in fleet.ask(number, "limits")
             )
         )
-        kept = [one.folder / "recall" for one in fleet.processes]
-        until(lambda: all(one.exists() and json.loads(one.read_text())["limits"] for one in kept))
+        stored_files = [process.folder / "recall" for process in fleet.processes]
+        until(
+            lambda: all(
+                path.exists() and json.loads(path.read_text())["limits"] for path in stored_files
+            )
+        )
         upstream_fleet.meter()
         start = time.monotonic() + 0.3
         loads = Loads(
@@ -403,23 +431,23 @@
         )
         time.sleep(max(0.0, start + 2.0 - time.monotonic()))
         fleet.kill(2)
-        fleet.processes[
-            2
-        ].start()  # its disk says that it may go by its home, after what may be lent is over
-        seen = loads.results()
-        met = upstream_fleet.meter()
-        assert met["most"] <= 4
-        times = sorted(met["times"])
-        for begin in range(len(times)):
-            for end in range(begin, len(times), 13):
-                # Arrivals are bunched by what a balancer or an upstream was late by: half a second
-                # is ample.
-                assert end - begin + 1 <= 12 + 60 * (times[end] - times[begin] + 0.5)
-        used = sum(start + 3.0 <= at < start + 6.0 for at in times) / 180.0
-        assert 0.6 < used <= 1.1, used  # a third was killed; at the least the other two homes
-        turned_back = [request for one in seen for request in one.told if request.status == 503]
+        fleet.processes[2].start()  # uses its stored home quota again after the fencing interval
+        clients = loads.results()
+        measured = upstream_fleet.meter()
+        assert measured["most"] <= 4
+        times = sorted(measured["times"])
+        for first in range(len(times)):
+            for last in range(first, len(times), 13):
+                # Arrivals bunch when a balancer or an upstream is late: half a second is ample.
+                assert last - first + 1 <= 12 + 60 * (times[last] - times[first] + 0.5)
+        used_share = sum(start + 3.0 <= at < start + 6.0 for at in times) / 180.0
+        # A third was killed: at least the other two home quotas.
+        assert 0.6 < used_share <= 1.1, used_share
+        turned_back = [
+            request for client in clients for request in client.told if request.status == 503
+        ]
         assert turned_back and all(request.retry_after for request in turned_back)
-        assert not any(one.unanswered() or one.answered_twice() for one in seen)
+        assert not any(client.unanswered() or client.answered_twice() for client in clients)
         assert not upstream_fleet.ledger().twice()
         row = fleet.ask(2, "limits")[0]
         assert row["agreed"] or row["home"] == 20_000
