--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -14,7 +14,7 @@
 
 from tests.waiting import until
 from whinpier.fleet.clock_offset import KEPT, MARGIN, Clocks
-from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
+from whinpier.fleet.messages import UNITS_GRANT, UNITS_REQUEST, QuotaMessage
 from whinpier.fleet.quotas.calendar_quota import MAX_REMEMBERED_GRANTS, Calendar, CalendarQuota
 from whinpier.fleet.quotas.fair_share import (
     DEMAND_REPORT,
@@ -128,7 +128,7 @@
                 for index, to, message in sent:
                     quotas["abc"[to]].on_message(message, index, now)
     assert 0.95 * 90 <= admitted <= 90
-    assert 0.3 * SECOND < quotas["a"].wait(now) < 1.2 * SECOND
+    assert 0.3 * SECOND < quotas["a"].retry_after(now) < 1.2 * SECOND
     assert quotas["a"].try_acquire(60 * SECOND)
 
 
@@ -144,7 +144,7 @@
 def test_repeated_request_gets_the_same_answer_and_a_flood_gets_no_more_than_the_quota():
     quota = make_quota(amount=3_000, homes=("a",))
     for nonce in range(1, 2 * MAX_REMEMBERED_GRANTS):
-        quota.on_message(Deal(ASK_UNITS, quota.limit.wire_id, nonce, 1, 0), 7, SECOND)
+        quota.on_message(QuotaMessage(UNITS_REQUEST, quota.limit.wire_id, nonce, 1, 0), 7, SECOND)
     given_away = sum(message.amount for _, message in quota.out)
     assert (
         given_away == 2 * MAX_REMEMBERED_GRANTS - 1
@@ -152,7 +152,7 @@
         and len(quota.grants) == MAX_REMEMBERED_GRANTS
     )
     quota.out = []
-    quota.on_message(Deal(ASK_UNITS, quota.limit.wire_id, 1_500, 1, 0), 7, SECOND)
+    quota.on_message(QuotaMessage(UNITS_REQUEST, quota.limit.wire_id, 1_500, 1, 0), 7, SECOND)
     assert [message.amount for _, message in quota.out] == [1] and quota.windows[0].total == 953
 
 
@@ -162,14 +162,14 @@
         quota.try_acquire(0)
     quota.on_timer(0, [1])
     _, request = quota.out[0]
-    valid = Deal(UNITS, request.limit, request.nonce, 1, 0)
-    for message, other in ((Deal(UNITS, request.limit, 5, 1, 0), 1), (valid, 2)):
+    valid = QuotaMessage(UNITS_GRANT, request.limit, request.nonce, 1, 0)
+    for message, other in ((QuotaMessage(UNITS_GRANT, request.limit, 5, 1, 0), 1), (valid, 2)):
         quota.on_message(message, other, 1)
     assert quota.windows[0].total == 1
     quota.on_timer(1, [1])
     request = quota.out[-1][1]
     for _ in range(2):
-        quota.on_message(Deal(UNITS, request.limit, request.nonce, 1, 0), 1, 2)
+        quota.on_message(QuotaMessage(UNITS_GRANT, request.limit, request.nonce, 1, 0), 1, 2)
     assert quota.windows[0].total == 2
 
 
@@ -367,8 +367,8 @@
     for step in range(40):
         flight.on_timer(step * SECOND // 10, {}, 1)
         admitted += sum(flight.try_acquire(step * SECOND // 10) for _ in range(9))
-    assert admitted == flight.in_flight == 3 and flight.wait(0)
-    flight.give(0)
+    assert admitted == flight.in_flight == 3 and flight.retry_after(0)
+    flight.release(0)
     assert flight.try_acquire(5 * SECOND)
     window = ApproximateQuota(Limit("x", COUNT, 50, ()), MINUTES, 0, lambda now: (now, now))
     admitted = 0
@@ -376,7 +376,7 @@
         now = step * SECOND // 10
         window.on_timer(now, {}, 1)
         admitted += window.try_acquire(now)
-    assert admitted == 100 and window.wait(now) <= 2 * SECOND
+    assert admitted == 100 and window.retry_after(now) <= 2 * SECOND
 
 
 # Processes.
@@ -396,9 +396,7 @@
 
 
 @pytest.mark.xdist_group("fleet")
-def test_three_processes_keep_a_window_despite_kill_9_its_end_and_a_wrong_clock(
-    tmp_path,
-):
+def test_three_processes_keep_a_window_despite_kill_9_its_end_and_a_wrong_clock(tmp_path):
     upstream_fleet = UpstreamFleet({f"s-{n}": Script(workers=32, work=0.005) for n in range(2)}, 1)
     limits = {
         "day": {"kind": "count", "amount": 90, "window": "minute", "homes": ["m0", "m1", "m2"]}
@@ -572,9 +570,7 @@
 
 
 @pytest.mark.xdist_group("fleet")
-def test_limit_changes_while_serving_and_a_retry_counts_once_for_its_tenant(
-    tmp_path,
-):
+def test_limit_changes_while_serving_and_a_retry_counts_once_for_its_tenant(tmp_path):
     upstream_fleet = UpstreamFleet({"s": Script(workers=64, work=0.005)}, 1)
     limits = {"all": {"kind": "rate", "amount": 20, "burst": 5, "homes": ["m0", "m1"]}}
 
--- a/tests/fleet/test_quota_leases.py
+++ b/tests/fleet/test_quota_leases.py
@@ -150,9 +150,9 @@
 def test_request_that_never_ran_returns_its_token_and_retry_time_holds():
     quota = LeasedQuota(rate(10, 1, ("a",)), "a", 0, Random(1), 0)
     assert not quota.try_acquire(0) and quota.try_acquire(SECOND // 10)
-    quota.give(SECOND // 10, ran=False)
+    quota.release(SECOND // 10, ran=False)
     assert quota.try_acquire(SECOND // 10) and not quota.try_acquire(SECOND // 10)
-    wait = quota.wait(SECOND // 10)
+    wait = quota.retry_after(SECOND // 10)
     assert SECOND // 20 <= wait <= SECOND // 4
     assert quota.try_acquire(SECOND // 10 + wait) and quota.tokens < REQUEST_TOKENS
 
@@ -272,16 +272,18 @@
     allocation = make_allocation("a", old)
     allocation.check_agreement(TIMER_INTERVAL, {"b", "c"}, set(), set())
     start = LEASE_DURATION + LEASE_GRACE
-    admissions = [allocation.tables["x"].sole_quota.enter(start, start + SECOND) for _ in range(10)]
+    admissions = [
+        allocation.tables["x"].sole_quota.acquire(start, start + SECOND) for _ in range(10)
+    ]
     assert all(admissions)
     allocation.apply_configs([LimitConfig(new, ("t",))], start)
     assert (
         home_quota(allocation) == 1
         and not allocation.announce(start)
-        and allocation.tables["x"].sole_quota.enter(start, start + SECOND) is None
+        and allocation.tables["x"].sole_quota.acquire(start, start + SECOND) is None
     )
     for admission in admissions[:9]:
-        admission.give(start)
+        admission.release(start)
     assert allocation.announce(start) and allocation.check_agreement(
         start, {"b", "c"}, set(), set()
     )
@@ -304,10 +306,12 @@
 
 def test_number_of_leases_is_bounded_under_a_flood_of_requests():
     quotas = make_quotas(Limit("x", IN_FLIGHT, 3_000, HOMES))
-    from whinpier.fleet.messages import ASK_FOR, Deal
+    from whinpier.fleet.messages import LEASE_REQUEST, QuotaMessage
 
     for nonce in range(2_000):
-        quotas["a"].on_message(Deal(ASK_FOR, quotas["a"].limit.wire_id, nonce + 1, 1, 0), 1, 0)
+        quotas["a"].on_message(
+            QuotaMessage(LEASE_REQUEST, quotas["a"].limit.wire_id, nonce + 1, 1, 0), 1, 0
+        )
     assert len(quotas["a"].lent) == 256 and quotas["a"].compute_available(0) == 1_000 - 256
     assert len(quotas["a"].out) == 2_000
 
--- a/whinpier/fleet/outliers/monitor.py
+++ b/whinpier/fleet/outliers/monitor.py
@@ -12,18 +12,18 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING, Any
 
-from whinpier.fleet.membership.membership import Members
-from whinpier.fleet.messages import Plea, pool_mark
+from whinpier.fleet.membership.membership import Membership
+from whinpier.fleet.messages import EjectionMessage, pool_hash
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.detector import MAX_LATENCY_RATIO
 from whinpier.fleet.outliers.ejection import ALL_MEMBERS, LEASE_MARGIN, EjectionCoordinator
 from whinpier.fleet.outliers.model import Event, MemberCounts, UpstreamKey
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome
-from whinpier.runtime.pool import Peer, Pool, Sent
+from whinpier.runtime.pool import Endpoint, Pool, PoolAttempt
 
 if TYPE_CHECKING:
-    from whinpier.runtime.event_loop import Loop
+    from whinpier.runtime.event_loop import EventLoop
 
 FAILURES = frozenset((Outcome.FAILED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMED_OUT))
 NOT_OBSERVED = -1.0  # in the place of a latency ratio: the attempt says nothing of the upstream
@@ -40,7 +40,7 @@
     SUSPECTED = "heard"
 
 
-def upstream_key(endpoint: Peer) -> int:
+def upstream_key(endpoint: Endpoint) -> int:
     """Return the key of one run of an upstream, the same at every member."""
     text = f"{endpoint.host}/{endpoint.started}".encode()
     digest = hashlib.blake2b(text, digest_size=KEY_SIZE, person=b"upstream").digest()
@@ -50,57 +50,61 @@
 class PoolObserver:
     """Observes the attempts of one pool for the coordinator."""
 
-    def __init__(self, coordinator: EjectionCoordinator, pool: Pool, loop: Loop) -> None:
+    def __init__(self, coordinator: EjectionCoordinator, pool: Pool, loop: EventLoop) -> None:
         """Start with no endpoints; `update_endpoints` reads them."""
         self.coordinator = coordinator
         self.pool = pool
         self.loop = loop
-        self.mark = pool_mark(pool.name)
+        self.mark = pool_hash(pool.name)
         self.keys: dict[str, int] = {}
         self.hosts: dict[int, str] = {}
         self.endpoints_version = -1
 
     def update_endpoints(self) -> None:
         """Tell the coordinator the pool's endpoints, if they have changed."""
-        if self.endpoints_version == self.pool.listings:
+        if self.endpoints_version == self.pool.list_changes:
             return
-        self.endpoints_version = self.pool.listings
-        self.keys = {host: upstream_key(endpoint) for host, endpoint in self.pool.held.items()}
+        self.endpoints_version = self.pool.list_changes
+        self.keys = {host: upstream_key(endpoint) for host, endpoint in self.pool.endpoints.items()}
         self.hosts = {key: host for host, key in self.keys.items()}
         zones = {
-            self.keys[host]: self.zone_mark(endpoint) for host, endpoint in self.pool.held.items()
+            self.keys[host]: self.zone_mark(endpoint)
+            for host, endpoint in self.pool.endpoints.items()
         }
         self.coordinator.update_endpoints(self.mark, zones)
 
-    def zone_mark(self, endpoint: Peer) -> int:
+    def zone_mark(self, endpoint: Endpoint) -> int:
         """Return the fleet's number for an upstream's zone; 0: it is in none."""
         names = self.pool.spec.zones
-        return pool_mark("zone/" + names[endpoint.zone]) if endpoint.zone < len(names) else 0
+        return pool_hash("zone/" + names[endpoint.zone]) if endpoint.zone < len(names) else 0
 
     def usual_ns(self) -> float:
         """Return the usual latency of the pool, the longest of its request classes."""
-        known = [request_class.known.usual for request_class in self.pool.spec.request_classes]
+        known = [
+            request_class.statistics.mean_latency
+            for request_class in self.pool.spec.request_classes
+        ]
         return float(max(known))
 
-    def on_attempt_started(self, sent: Sent) -> None:
+    def on_attempt_started(self, sent: PoolAttempt) -> None:
         """Note an attempt that was sent."""
-        key = self.keys.get(sent.peer.host)
+        key = self.keys.get(sent.endpoint.host)
         if key is not None:
             self.coordinator.on_attempt_started(self.mark, key, id(sent), self.loop.clock())
 
-    def on_attempt_finished(self, sent: Sent) -> None:
+    def on_attempt_finished(self, sent: PoolAttempt) -> None:
         """Note an attempt that has its outcome."""
-        key = self.keys.get(sent.peer.host)
+        key = self.keys.get(sent.endpoint.host)
         if key is None:
             return
         ratio = self.latency_ratio(sent)
         self.coordinator.on_attempt_finished(self.mark, key, id(sent), ratio, self.loop.clock())
 
-    def latency_ratio(self, sent: Sent) -> float:
+    def latency_ratio(self, sent: PoolAttempt) -> float:
         """Return how late an attempt ended; a failure is as bad as the latest answer."""
         if sent.outcome in FAILURES:
             return MAX_LATENCY_RATIO
-        ratio: float = sent.took / sent.request.request_class.known.usual
+        ratio: float = sent.duration / sent.request.request_class.statistics.mean_latency
         # A cancelled attempt says something only where it had taken longer than usual.
         is_late_cancel = sent.outcome == Outcome.CANCELLED and ratio > 1.0
         if sent.outcome == Outcome.SUCCEEDED or is_late_cancel:
@@ -114,8 +118,8 @@
     def __init__(
         self,
         config: EjectionConfig,
-        members: Members,
-        loop: Loop,
+        members: Membership,
+        loop: EventLoop,
         chance: Any,
         tell: Callable[[str, dict[str, Any]], None],
     ) -> None:
@@ -125,7 +129,7 @@
         self.tell = tell
         fencing_interval_ns = config.lease_ns + LEASE_MARGIN
         self.coordinator = EjectionCoordinator(
-            config, members.card.id, loop.clock(), chance, fencing_interval_ns
+            config, members.metadata.id, loop.clock(), chance, fencing_interval_ns
         )
         self.observers: dict[int, PoolObserver] = {}
         # What operators ejected, by pool and host: until when.
@@ -140,7 +144,7 @@
             if pool.name not in shared:
                 pool.attempt_observer = None
                 continue
-            mark = pool_mark(pool.name)
+            mark = pool_hash(pool.name)
             observer = self.observers.get(mark)
             if observer is None or observer.pool is not pool:
                 observer = PoolObserver(self.coordinator, pool, self.loop)
@@ -152,16 +156,18 @@
 
     def member_counts(self, pool: int) -> MemberCounts:
         """Return how many members share a pool, this one among them."""
-        sharing = [member for member in self.members.members.values() if pool in member.card.pools]
+        sharing = [
+            member for member in self.members.members.values() if pool in member.metadata.pools
+        ]
         reachable = 1 + sum(member.connected for member in sharing)
-        unreachable = sum(member.unheard for member in sharing)
+        unreachable = sum(member.unreachable for member in sharing)
         return MemberCounts(reachable + unreachable, reachable)
 
     def usual_ns(self, pool: int) -> float:
         """Return the usual latency of a pool."""
         return self.observers[pool].usual_ns()
 
-    def on_message(self, sender: int, packed: Plea) -> None:
+    def on_message(self, sender: int, packed: EjectionMessage) -> None:
         """Take a message of another member."""
         observer = self.observers.get(packed.pool)
         if observer is not None:
@@ -171,7 +177,7 @@
 
     def on_timer(self, now: int) -> None:
         """Let time pass."""
-        self.coordinator.own_id = self.members.card.id
+        self.coordinator.own_id = self.members.metadata.id
         for observer in self.observers.values():
             observer.update_endpoints()
         self.propose_operator_ejections(now)
@@ -187,7 +193,7 @@
             if name in self.operator_ejections
         }
         for name, until in self.operator_ejections.items():
-            observer = self.observers.get(pool_mark(name[0]))
+            observer = self.observers.get(pool_hash(name[0]))
             key = observer.keys.get(name[1]) if observer else None
             if observer is None or key is None:
                 continue
@@ -231,7 +237,7 @@
         observer = self.observers.get(event.fields["pool"])
         host = observer.hosts.get(event.fields["key"], "") if observer else ""
         if observer and host and event.name in ("ejection_started", "ejection_returning"):
-            observer.pool.rest(host, event.name == "ejection_started")
+            observer.pool.set_ejected(host, event.name == "ejection_started")
         fields = dict(event.fields)
         if "by" in fields:
             fields["by"] = self.members.name_of(fields["by"])
@@ -240,11 +246,11 @@
         fields["key"] = f"{event.fields['key']:08x}"
         self.tell(event.name, fields)
 
-    def take_messages(self) -> list[tuple[int, Plea]]:
+    def take_messages(self) -> list[tuple[int, EjectionMessage]]:
         """Return the messages to be sent, each with its recipient."""
         queued = self.coordinator.out
         self.coordinator.out = []
-        found: list[tuple[int, Plea]] = []
+        found: list[tuple[int, EjectionMessage]] = []
         for recipient, packed in queued:
             if recipient == ALL_MEMBERS:
                 found += [(member, packed) for member in self.members_sharing(packed.pool)]
@@ -257,7 +263,7 @@
         return [
             member.id
             for member in self.members.members.values()
-            if member.connected and pool in member.card.pools
+            if member.connected and pool in member.metadata.pools
         ]
 
     def rows(self) -> list[dict[str, Any]]:
--- a/whinpier/fleet/quotas/allocation.py
+++ b/whinpier/fleet/quotas/allocation.py
@@ -21,7 +21,7 @@
 
 from msgspec import Struct
 
-from whinpier.fleet.messages import Deal, pool_mark
+from whinpier.fleet.messages import QuotaMessage, pool_hash
 from whinpier.fleet.quotas.calendar_quota import Calendar, CalendarQuota, WindowRecord
 from whinpier.fleet.quotas.fair_share import ApproximateQuota
 from whinpier.fleet.quotas.leases import CONNECTIONS, COUNT, LEASE_GRACE, RATE, LeasedQuota, Limit
@@ -43,10 +43,10 @@
     admitted: int
     rejected: int
 
-    def enter(self, now: int, deadline: int = 0) -> Any:
+    def acquire(self, now: int, deadline: int = 0) -> Any:
         """Admit one request; return what releases it, None if rejected."""
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         """Return the nanoseconds after which a rejected request may be retried."""
 
     def status_row(self, now: int) -> dict[str, Any]:
@@ -58,7 +58,7 @@
 
     home_quota: int
     fenced_until: int
-    out: list[tuple[int, Deal]]
+    out: list[tuple[int, QuotaMessage]]
 
     def set_home_quota(self, home_quota: int, now: int, at_once: bool) -> None:
         """Use the home quota of another allocation."""
@@ -72,7 +72,7 @@
     def on_timer(self, now: int, members: Iterable[int]) -> None:
         """Request what is lacking from these members."""
 
-    def on_message(self, deal: Deal, sender: int, now: int) -> None:
+    def on_message(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Handle a message of another member."""
 
 
@@ -166,16 +166,16 @@
         self.active[key] = None
         return quota
 
-    def on_message(self, deal: Deal, sender: int, now: int) -> None:
+    def on_message(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Pass a message on to its quota, created if it is new: nothing of it is used here yet."""
-        quota = self.quotas.get(deal.key)
+        quota = self.quotas.get(message.key)
         if quota is None:
             most = self.config.max_tenants
             if not self.config.scope or (most and len(self.quotas) >= most + OVERFLOW_QUOTAS):
                 return
-            quota = self.quota_for_key(deal.key)
-        self.active[deal.key] = None
-        quota.on_message(deal, sender, now)
+            quota = self.quota_for_key(message.key)
+        self.active[message.key] = None
+        quota.on_message(message, sender, now)
 
     def on_timer(self, now: int, members: Iterable[int]) -> None:
         """Call the timer of the single or of each active quota, and remove idle ones."""
@@ -194,9 +194,9 @@
             else:
                 self.active[key] = None  # moves it to the end
 
-    def take_messages(self) -> list[tuple[int, Deal]]:
+    def take_messages(self) -> list[tuple[int, QuotaMessage]]:
         """Return the messages to send, each with its receiver, and forget them."""
-        found: list[tuple[int, Deal]] = []
+        found: list[tuple[int, QuotaMessage]] = []
         for key in self.active if self.config.scope else self.quotas:
             quota = self.quotas[key]
             if quota.out:
@@ -267,7 +267,7 @@
                 self.approximate_quotas[name] = quota
             else:
                 self.tables[name] = self.keep_or_create_table(config, tables_before.get(name), now)
-        self.epoch = pool_mark(
+        self.epoch = pool_hash(
             "/".join(sorted(f"{table.config.limit.epoch():x}" for table in self.tables.values()))
         )
         self.base_confirmed = self.base_confirmed or (self.started and not tables_before)
@@ -492,13 +492,13 @@
             if table.config.limit.kind != CONNECTIONS:
                 table.on_timer(now, members(table.config.limit))
 
-    def on_message(self, deal: Deal, sender: int, now: int) -> None:
+    def on_message(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Pass a message of another member on to the table of its limit."""
         for table in self.tables.values():
-            if table.config.limit.wire_id == deal.limit:
-                table.on_message(deal, sender, now)
+            if table.config.limit.wire_id == message.limit:
+                table.on_message(message, sender, now)
 
-    def take_messages(self) -> list[tuple[int, Deal]]:
+    def take_messages(self) -> list[tuple[int, QuotaMessage]]:
         """Return the messages to send, each with its receiver, and forget them."""
         return [message for table in self.tables.values() for message in table.take_messages()]
 
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -21,9 +21,9 @@
 from typing import Any, Literal
 from zoneinfo import ZoneInfo
 
-from whinpier.fleet.messages import ASK_UNITS, UNITS, Deal
+from whinpier.fleet.messages import UNITS_GRANT, UNITS_REQUEST, QuotaMessage
 from whinpier.fleet.quotas.leases import MAX_LEASES, MAX_MEMBERS_ASKED, Limit
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
 WindowUnit = Literal["minute", "hour", "day"]
 # Demand that is written ahead as used: bounds what a kill loses and how slow the disk may be.
@@ -94,7 +94,7 @@
         """Return what the member may still use."""
         return max(0, self.total - self.used)
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         """Release a request that was counted here; one that never ran is no longer counted."""
         self.used -= not ran
 
@@ -105,10 +105,10 @@
 
     windows: list[WindowQuota]
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         """Release the request in each window."""
         for window in self.windows:
-            window.give(now, ran)
+            window.release(now, ran)
 
 
 @dataclass(slots=True)
@@ -164,14 +164,14 @@
         self.pending: dict[int, PendingTransfer] = {}  # by nonce
         self.grants: dict[int, int] = {}  # by nonce: the amount given
         self.declined_at: dict[int, int] = {}  # by member: when it had nothing to give
-        self.demand = Sum(DEMAND_WINDOW, now)
+        self.demand = DecayingSum(DEMAND_WINDOW, now)
         self.new_requests = 0  # not yet added to `demand`
         self.admitted = 0
         self.rejected = 0
-        self.out: list[tuple[int, Deal]] = []  # messages to send, each with its receiver
+        self.out: list[tuple[int, QuotaMessage]] = []  # messages to send, each with its receiver
         self.pending_records: dict[int, WindowRecord] = {}  # to be written, by window start
         # Grants that are sent once so many records are written: count, receiver, message.
-        self.held_grants: list[tuple[int, int, Deal]] = []
+        self.held_grants: list[tuple[int, int, QuotaMessage]] = []
         self.records_issued = 0
         # Seconds since the epoch: windows that began before are unknown unless there is a record.
         self.unknown_before = 0
@@ -312,13 +312,13 @@
             window.pending_used = target
             self.queue_record(window)
 
-    def enter(self, now: int, deadline: int = 0) -> WindowQuota | MultiWindowAdmission | None:
+    def acquire(self, now: int, deadline: int = 0) -> WindowQuota | MultiWindowAdmission | None:
         """Admit one request as `try_acquire` does; return what releases it, None if rejected."""
         if not self.try_acquire(now, deadline):
             return None
         return self.windows[0] if len(self.windows) == 1 else MultiWindowAdmission(self.windows)
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         """Return the nanoseconds after which a rejected request may be retried, as an estimate."""
         if self.pending or any(window.remaining for window in self.windows):
             return TRANSFER_RETRY_AFTER  # on its way from another member, or to the disk
@@ -391,26 +391,31 @@
 
     def send_request(self, nonce: int, transfer: PendingTransfer) -> None:
         """Queue a request for a transfer, or its repetition with the same nonce."""
-        message = Deal(
-            ASK_UNITS, self.limit.wire_id, nonce, transfer.amount, transfer.start, self.limit.key
+        message = QuotaMessage(
+            UNITS_REQUEST,
+            self.limit.wire_id,
+            nonce,
+            transfer.amount,
+            transfer.start,
+            self.limit.key,
         )
         self.out.append((transfer.member, message))
 
     # Messages of other members.
 
-    def on_message(self, deal: Deal, sender: int, now: int) -> None:
+    def on_message(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Handle a message about this limit."""
-        if deal.kind == ASK_UNITS:
-            self.on_request(deal, sender, now)
-        elif deal.kind == UNITS:
-            self.on_grant(deal, sender, now)
+        if message.kind == UNITS_REQUEST:
+            self.on_request(message, sender, now)
+        elif message.kind == UNITS_GRANT:
+            self.on_grant(message, sender, now)
 
-    def on_request(self, deal: Deal, sender: int, now: int) -> None:
+    def on_request(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Give away what is not needed here: subtract it, record that on the disk, then send it."""
-        amount = self.grants.get(deal.nonce)
+        amount = self.grants.get(message.nonce)
         if amount is None:
             self.update_windows(now)
-            window = next((window for window in self.windows if window.start == deal.turn), None)
+            window = next((window for window in self.windows if window.start == message.turn), None)
             if window is None or now < self.fenced_until:
                 return
             if len(self.held_grants) >= MAX_LEASES:  # the disk does not accept them
@@ -418,38 +423,40 @@
             else:
                 reserve = self.forecast_demand(window, now, RESERVE_HORIZON)
                 spare = window.total - window.used - reserve
-            amount = max(0, min(deal.amount, spare))
+            amount = max(0, min(message.amount, spare))
             while len(self.grants) >= MAX_REMEMBERED_GRANTS:
                 del self.grants[next(iter(self.grants))]
             if amount:
-                self.grants[deal.nonce] = amount
+                self.grants[message.nonce] = amount
                 window.transferred -= amount
                 self.queue_record(window)
                 if self.is_persistent:
-                    grant = self.make_grant(deal, amount)
+                    grant = self.make_grant(message, amount)
                     self.held_grants.append((self.records_issued, sender, grant))
                     return
-        elif any(message.nonce == deal.nonce for _, _, message in self.held_grants):
+        elif any(grant.nonce == message.nonce for _, _, grant in self.held_grants):
             return  # sent once its record is on the disk
-        self.out.append((sender, self.make_grant(deal, amount)))
+        self.out.append((sender, self.make_grant(message, amount)))
 
-    def make_grant(self, deal: Deal, amount: int) -> Deal:
+    def make_grant(self, message: QuotaMessage, amount: int) -> QuotaMessage:
         """Return the answer to a request."""
-        return Deal(UNITS, self.limit.wire_id, deal.nonce, amount, deal.turn, self.limit.key)
+        return QuotaMessage(
+            UNITS_GRANT, self.limit.wire_id, message.nonce, amount, message.turn, self.limit.key
+        )
 
-    def on_grant(self, deal: Deal, sender: int, now: int) -> None:
+    def on_grant(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Add what was transferred, if it answers a request that is pending."""
-        transfer = self.pending.pop(deal.nonce, None)
-        if transfer is None or transfer.member != sender or transfer.start != deal.turn:
+        transfer = self.pending.pop(message.nonce, None)
+        if transfer is None or transfer.member != sender or transfer.start != message.turn:
             return  # answers another window or an earlier run, or is a duplicate
-        if deal.amount <= 0:
+        if message.amount <= 0:
             self.declined_at[sender] = now
             while len(self.declined_at) > MAX_LEASES:
                 del self.declined_at[next(iter(self.declined_at))]
             return
         for window in self.windows:
             if window.start == transfer.start:
-                window.transferred += min(deal.amount, transfer.amount)
+                window.transferred += min(message.amount, transfer.amount)
                 self.write_ahead(window, now)
 
     # Another allocation.
--- a/whinpier/fleet/quotas/fair_share.py
+++ b/whinpier/fleet/quotas/fair_share.py
@@ -23,7 +23,7 @@
 
 from whinpier.fleet.quotas.calendar_quota import Calendar
 from whinpier.fleet.quotas.leases import COUNT, IN_FLIGHT, RATE, REQUEST_TOKENS, Limit
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
 FORMAT_VERSION = 1
 DEMAND_REPORT = Struct("<BQQI")  # version, demand, used in the window, start of the window
@@ -130,8 +130,8 @@
         self.window_used = 0
         self.window_start = 0  # seconds since the epoch
         self.window_end = 0  # monotonic
-        self.demand = Sum(DEMAND_WINDOW, now)
-        self.rejections = Sum(DEMAND_WINDOW, now)
+        self.demand = DecayingSum(DEMAND_WINDOW, now)
+        self.rejections = DecayingSum(DEMAND_WINDOW, now)
         self.new_requests = 0  # not yet added to `demand`
         self.new_rejections = 0  # not yet added to `rejections`
         self.admitted = 0
@@ -168,11 +168,11 @@
             self.new_rejections += 1
         return allowed
 
-    def enter(self, now: int, deadline: int = 0) -> ApproximateQuota | None:
+    def acquire(self, now: int, deadline: int = 0) -> ApproximateQuota | None:
         """Admit one request as `try_acquire` does; return what releases it, None if rejected."""
         return self if self.try_acquire(now, deadline) else None
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         """Release a request that is over; one that never ran returns what it used."""
         if self.limit.kind == IN_FLIGHT:
             self.in_flight -= 1
@@ -181,7 +181,7 @@
         elif not ran:
             self.window_used = max(0, self.window_used - 1)
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         """Return the nanoseconds after which a rejected request may be retried, as an estimate."""
         if self.limit.kind == COUNT and self.remaining() <= 0:
             return max(MIN_WINDOW_RETRY_AFTER, self.window_end - now)
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -21,8 +21,14 @@
 from random import Random
 from typing import Any
 
-from whinpier.fleet.messages import ASK_FOR, BACK, LEND, Deal, pool_mark
-from whinpier.policy.decaying_sum import SECOND, Sum
+from whinpier.fleet.messages import (
+    LEASE_GRANT,
+    LEASE_REQUEST,
+    LEASE_RETURN,
+    QuotaMessage,
+    pool_hash,
+)
+from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
 MS = SECOND // 1000
 # A lost message leaves the leased amount unused for this long.
@@ -64,7 +70,7 @@
     @property
     def wire_id(self) -> int:
         """Return the number by which messages refer to this limit."""
-        return pool_mark("limit/" + self.name)
+        return pool_hash("limit/" + self.name)
 
     def home_quota(self, name: str) -> int:
         """Return the part of a member, 0 if it holds none; all parts add up to the amount."""
@@ -77,7 +83,7 @@
         """Return a number that is the same for the same division into home quotas."""
         window = f"/{self.window}" * bool(self.window)
         duration = f"/{self.lease_duration}" * (self.lease_duration != LEASE_DURATION)
-        return pool_mark(
+        return pool_hash(
             f"{self.name}/{self.kind}/{self.amount}/{self.burst}/{','.join(self.homes)}"
             f"{window}{duration}"
         )
@@ -130,8 +136,8 @@
         self.bucket_capacity = 0
         self.available = 0  # what may be used until `available_until`
         self.available_until = now
-        self.demand = Sum(DEMAND_WINDOW, now)
-        self.rejections = Sum(DEMAND_WINDOW, now)
+        self.demand = DecayingSum(DEMAND_WINDOW, now)
+        self.rejections = DecayingSum(DEMAND_WINDOW, now)
         self.last_request_at = now
         # Not yet added to the two sums above: adding to a decaying sum at each request costs more.
         self.new_requests = 0
@@ -143,7 +149,7 @@
         self.declined_at: dict[int, int] = {}  # by member: when it had nothing to lend
         self.admitted = 0
         self.rejected = 0
-        self.out: list[tuple[int, Deal]] = []  # messages to send, each with its receiver
+        self.out: list[tuple[int, QuotaMessage]] = []  # messages to send, each with its receiver
 
     @property
     def renewal_threshold(self) -> int:
@@ -258,7 +264,7 @@
             self.stable_until = min(changes, default=now + LEASE_DURATION)
         return self.stable_available
 
-    def give(self, now: int, ran: bool = True) -> None:
+    def release(self, now: int, ran: bool = True) -> None:
         """Release a request that is over; one of a rate that never ran returns its token."""
         if self.limit.kind == IN_FLIGHT:
             self.in_flight -= 1
@@ -267,11 +273,11 @@
             self.refill(now)
             self.tokens = min(self.tokens + REQUEST_TOKENS, self.bucket_capacity)
 
-    def enter(self, now: int, deadline: int = 0) -> LeasedQuota | None:
+    def acquire(self, now: int, deadline: int = 0) -> LeasedQuota | None:
         """Admit one request as `try_acquire` does; return what releases it, None if rejected."""
         return self if self.try_acquire(now, deadline) else None
 
-    def wait(self, now: int) -> int:
+    def retry_after(self, now: int) -> int:
         """Return the nanoseconds after which a rejected request may be retried, as an estimate."""
         if self.limit.kind == IN_FLIGHT:
             return IN_FLIGHT_RETRY_AFTER
@@ -346,7 +352,7 @@
                 surplus -= lease.amount
                 del self.borrowed[nonce]
                 self.pending.pop(nonce, None)
-                self.send(lease.member, BACK, nonce, lease.amount, 0)
+                self.send(lease.member, LEASE_RETURN, nonce, lease.amount, 0)
             elif lease.expires_at - now < self.renewal_threshold and nonce not in self.pending:
                 # Each request has a new renewal number, whether the last one was answered or not:
                 # a late answer to an earlier request must not count from the time of this one.
@@ -388,65 +394,65 @@
     def send_request(self, now: int, member: int, amount: int, nonce: int, renewal: int) -> None:
         """Request a lease, or its renewal with the lease's nonce."""
         self.pending[nonce] = PendingLease(member, amount, now, renewal)
-        self.send(member, ASK_FOR, nonce, amount, renewal)
+        self.send(member, LEASE_REQUEST, nonce, amount, renewal)
 
     def send(self, member: int, kind: int, nonce: int, amount: int, renewal: int) -> None:
         """Queue a message for a member."""
-        message = Deal(kind, self.limit.wire_id, nonce, amount, renewal, self.limit.key)
+        message = QuotaMessage(kind, self.limit.wire_id, nonce, amount, renewal, self.limit.key)
         self.out.append((member, message))
 
     # Messages of other members.
 
-    def on_message(self, deal: Deal, sender: int, now: int) -> None:
+    def on_message(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Handle a message about this limit."""
-        if deal.kind == ASK_FOR:
-            self.on_request(deal, sender, now)
-        elif deal.kind == LEND:
-            self.on_grant(deal, sender, now)
+        if message.kind == LEASE_REQUEST:
+            self.on_request(message, sender, now)
+        elif message.kind == LEASE_GRANT:
+            self.on_grant(message, sender, now)
         else:
-            lease = self.lent.get(deal.nonce)
+            lease = self.lent.get(message.nonce)
             if lease is not None and lease.member == sender:
-                del self.lent[deal.nonce]
+                del self.lent[message.nonce]
                 self.on_leases_changed(now)
 
-    def on_request(self, deal: Deal, sender: int, now: int) -> None:
+    def on_request(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Grant a lease as far as there is spare quota; renew one that is not needed here.
 
         A request that is declined is answered with the amount 0.
         """
-        lease = self.lent.get(deal.nonce)
+        lease = self.lent.get(message.nonce)
         if lease is not None and (lease.member != sender or lease.expires_at <= now):
             return
-        amount = lease.amount if lease else min(deal.amount, self.compute_spare(now))
+        amount = lease.amount if lease else min(message.amount, self.compute_spare(now))
         if lease is not None and (
-            deal.turn <= lease.renewal or self.compute_need(now) > self.get_available(now)
+            message.turn <= lease.renewal or self.compute_need(now) > self.get_available(now)
         ):
             return  # an outdated message, or the lease is needed here and is left to expire
         if amount > 0 and (lease or len(self.lent) < MAX_LEASES):
             # Subtracted here before the borrower adds it, and for longer than it holds there.
             expires_at = now + self.lend_duration + LEASE_GRACE
-            self.lent[deal.nonce] = Lease(sender, amount, expires_at, deal.turn)
+            self.lent[message.nonce] = Lease(sender, amount, expires_at, message.turn)
             self.on_leases_changed(now)
         else:
             amount = 0
-        self.send(sender, LEND, deal.nonce, amount, deal.turn)
+        self.send(sender, LEASE_GRANT, message.nonce, amount, message.turn)
 
-    def on_grant(self, deal: Deal, sender: int, now: int) -> None:
+    def on_grant(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Add a lease if it answers the last request; it runs from when that was sent."""
-        request = self.pending.get(deal.nonce)
-        if request is None or request.member != sender or request.renewal != deal.turn:
+        request = self.pending.get(message.nonce)
+        if request is None or request.member != sender or request.renewal != message.turn:
             return  # answers an earlier renewal, an earlier run, or a lease returned since
-        del self.pending[deal.nonce]
-        if deal.amount <= 0:
+        del self.pending[message.nonce]
+        if message.amount <= 0:
             self.declined_at[sender] = now
             while len(self.declined_at) > MAX_LEASES:
                 del self.declined_at[next(iter(self.declined_at))]
             return
         expires_at = request.requested_at + self.borrow_duration
-        held = self.borrowed.get(deal.nonce)
+        held = self.borrowed.get(message.nonce)
         if expires_at > now and (held or not request.renewal):
-            amount = min(deal.amount, request.amount)
-            self.borrowed[deal.nonce] = Lease(sender, amount, expires_at, deal.turn)
+            amount = min(message.amount, request.amount)
+            self.borrowed[message.nonce] = Lease(sender, amount, expires_at, message.turn)
             self.on_leases_changed(now)
 
     # Another allocation.
--- a/whinpier/simhost/wire.py
+++ b/whinpier/simhost/wire.py
@@ -9,8 +9,7 @@
 
 from whinpier.policy import model
 from whinpier.policy.model import WireError
-from whinpier.settings import US
-from whinpier.settings import settings as in_our_words
+from whinpier.settings import NS_PER_US, parse_settings
 
 BATCH = Struct("<IIIQ")
 REPLY = Struct("<III")
@@ -75,7 +74,7 @@
     body = source.read(length - 8)
     if len(body) < length - 8:
         raise WireError(f"batch {number}: {len(body)} bytes of records, {length - 8} announced")
-    return number, count, clock * US, body
+    return number, count, clock * NS_PER_US, body
 
 
 def records(number: int, count: int, body: bytes) -> Iterator[tuple[int, tuple[Any, ...], bytes]]:
@@ -138,4 +137,4 @@
 def settings(text: str) -> dict[str, Any]:
     """The settings map of a text with one path=value on each line."""
     split = (line.partition("=") for line in text.splitlines())
-    return in_our_words((name, value(content)) for name, mark, content in split if mark)
+    return parse_settings((name, value(content)) for name, mark, content in split if mark)
