--- a/whinpier/fleet/outliers/messages.py
+++ b/whinpier/fleet/outliers/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages of outlier ejection, and their place in the `Plea` that carries each on the wire.
+"""Typed payloads of outlier ejection, and the `EjectionMessage` that carries each on the wire.
 
-Owns the meaning of the numbers in a `Plea`. Whatever `encode` packs, `decode` gives back; fractions
-are carried in hundredths, rounded down.
+Owns the meaning of the arguments in an `EjectionMessage`. Whatever `encode` packs, `decode` gives
+back; fractions are carried in hundredths, rounded down.
 """
 
 from __future__ import annotations
