--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Stories of the fleet in simulated time: forms, members, counts, the referee, schedules of faults."""
+"""Tests of the fleet in simulated time: datagrams, membership, member counts, faults, the referee."""
 
 import json
 import time
@@ -31,42 +31,54 @@
 from whinpier.testbed.referee import Bounds, Fact, Referee, Said
 
 HALVES = (tuple(range(6)), tuple(range(6, 12)))
-ids, small, short = st.integers(0, 2**64 - 1), st.integers(0, 2**32 - 1), st.text(max_size=20)
-words = st.builds(MemberUpdate, ids, small, st.integers(0, 5), st.integers(0, 4), ids)
-cards = st.builds(
+uint64, uint32, short_text = (
+    st.integers(0, 2**64 - 1),
+    st.integers(0, 2**32 - 1),
+    st.text(max_size=20),
+)
+updates_drawn = st.builds(
+    MemberUpdate, uint64, uint32, st.integers(0, 5), st.integers(0, 4), uint64
+)
+metadata_drawn = st.builds(
     MemberMetadata,
     st.text(min_size=1, max_size=20),
-    ids,
-    small,
+    uint64,
+    uint32,
     st.just("127.0.0.1"),
     st.integers(1, 65535),
-    short,
-    short,
-    short,
-    st.lists(small, max_size=4).map(tuple),
+    short_text,
+    short_text,
+    short_text,
+    st.lists(uint32, max_size=4).map(tuple),
 )
 datagrams = st.builds(
     Datagram,
     st.integers(0, 5),
-    ids,
+    uint64,
     st.integers(0, 2**63 - 1),
-    ids,
-    ids,
-    ids,
-    st.lists(words, max_size=8),
-    st.lists(cards, max_size=2),
-    st.lists(st.tuples(small, st.binary(max_size=64)), max_size=3),
-    st.lists(ids, max_size=5),
+    uint64,
+    uint64,
+    uint64,
+    st.lists(updates_drawn, max_size=8),
+    st.lists(metadata_drawn, max_size=2),
+    st.lists(st.tuples(uint32, st.binary(max_size=64)), max_size=3),
+    st.lists(uint64, max_size=5),
 )
 
 
-def card(name="a", run=1, port=7001, **more):
+def make_metadata(name="a", run=1, port=7001, **more):
     return MemberMetadata(name, run, 1, "127.0.0.1", port, pools=(POOL,), **more)
 
 
-def members(name="a", port=7001, seeds=(), now=0, **more):
+def make_membership(name="a", port=7001, seeds=(), now=0, **more):
     return Membership(
-        card(name, 1, port), seeds, KEY, MembershipTiming(), Random(f"{name}/{now}"), now, **more
+        make_metadata(name, 1, port),
+        seeds,
+        KEY,
+        MembershipTiming(),
+        Random(f"{name}/{now}"),
+        now,
+        **more,
     )
 
 
@@ -75,8 +87,8 @@
     return found, found.play()
 
 
-def pass_on(*those, now):
-    """Carry what each has to send to whom it is for, until all is quiet."""
+def deliver_all(*those, now):
+    """Deliver the datagrams of these members to each other until none is left."""
     for _ in range(50):
         sent = [
             (one.metadata.address, *datagram) for one in those for datagram in one.take_output()[0]
@@ -89,12 +101,12 @@
                     one.receive(data, source, now)
 
 
-# Forms.
+# Datagrams.
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(datagrams, st.integers(0, 10**6))
-def test_a_datagram_is_read_as_it_was_written_and_not_when_a_bit_is_turned(datagram, at):
+def test_a_datagram_is_decoded_as_it_was_encoded_and_rejected_when_a_bit_is_flipped(datagram, at):
     data = KEY.seal(datagram)
     assert KEY.open(data) == datagram
     at %= len(data)
@@ -106,9 +118,9 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=300), st.booleans(), st.integers(0, 255))
-def test_no_bytes_do_more_than_be_counted(noise, sealed, form):
-    """Also bytes that are proved to come from the fleet: a later build's, or a faulty one's."""
-    one = members()
+def test_malformed_datagrams_are_only_counted(noise, sealed, form):
+    """Authenticated bytes too may be malformed: from a later build, or a faulty one."""
+    one = make_membership()
     if sealed:
         noise = messages.MAGIC + bytes((form,)) + noise
         noise += Seal.tag(noise, KEY.keys[0])
@@ -126,11 +138,11 @@
     st.lists(datagrams, min_size=1, max_size=6),
     st.lists(st.integers(0, 5 * SECOND), min_size=6, max_size=6),
 )
-def test_whatever_is_proved_and_well_formed_raises_nothing_and_stays_within_bounds(those, steps):
-    """From one that is known and one that is not, of members known and not, of this one itself."""
-    one, other = members("a", 7001), members("b", 7002, [("127.0.0.1", 7001)])
+def test_well_formed_datagrams_raise_nothing_and_keep_within_bounds(those, steps):
+    """Senders and subjects are known, unknown, and the receiver itself."""
+    one, other = make_membership("a", 7001), make_membership("b", 7002, [("127.0.0.1", 7001)])
     other.tick(0)
-    pass_on(one, other, now=0)
+    deliver_all(one, other, now=0)
     assert one.count() == 2
     now = 0
     for number, (datagram, step) in enumerate(zip(those, steps)):
@@ -155,20 +167,23 @@
 
 
 @pytest.mark.xdist_group("fleet")
-def test_a_hundred_members_are_told_within_a_tenth_of_a_second():
-    one = members("a", 7001)
+def test_a_hundred_members_are_listed_within_a_tenth_of_a_second():
+    one = make_membership("a", 7001)
     for number in range(100):
         one.admit(
-            card(f"x{number}", number, 8000 + number), MemberUpdate(0, 0, messages.ALIVE), 0, True
+            make_metadata(f"x{number}", number, 8000 + number),
+            MemberUpdate(0, 0, messages.ALIVE),
+            0,
+            True,
         )
     start = time.perf_counter()
     told = msgspec.json.encode(list(one.rows()))
     assert time.perf_counter() - start < 0.1 and len(msgspec.json.decode(told)) == 101
 
 
-def test_the_largest_of_everything_fits_into_a_datagram_and_one_more_byte_is_refused():
-    one = members()
-    large = card("n" * 63, 2**63, 7002, build="b" * 63, zone="z" * 63, revision="r" * 63)
+def test_the_largest_messages_fit_into_a_datagram_and_a_longer_one_is_refused():
+    one = make_membership()
+    large = make_metadata("n" * 63, 2**63, 7002, build="b" * 63, zone="z" * 63, revision="r" * 63)
     large = msgspec.structs.replace(
         large, pools=tuple(2**32 - 1 - n for n in range(messages.MAX_POOLS))
     )
@@ -178,7 +193,10 @@
     for number in range(messages.MAX_POOLS + 1):
         one.publish(number, bytes(messages.MAX_PAYLOAD_BYTES))
     known = one.admit(
-        card("b", 5, 7003), MemberUpdate(card("b", 5, 7003).id, 0, messages.ALIVE), 0, True
+        make_metadata("b", 5, 7003),
+        MemberUpdate(make_metadata("b", 5, 7003).id, 0, messages.ALIVE),
+        0,
+        True,
     )
     for kind in range(6):
         one.send(kind, ("127.0.0.1", 1), known, 2**63, 2**63)
@@ -192,7 +210,7 @@
         KEY.seal(Datagram(0, 1, 1, requested_ids=[2**63] * 140))
 
 
-def test_two_keys_hold_while_they_are_changed():
+def test_two_keys_are_valid_during_a_key_rotation():
     old, new = b"o" * 32, b"n" * 32
     data = Seal((old,)).seal(Datagram(0, 1, 1))
     assert Seal((new, old)).open(data).sender == 1
@@ -200,7 +218,7 @@
         Seal((new,)).open(data)
 
 
-# Members.
+# Membership.
 
 
 def test_a_killed_member_is_lost_by_all_within_three_seconds_by_evidence():
@@ -215,14 +233,14 @@
     assert {node.members.position for node in fleet.nodes.values() if node.alive} == {"whole"}
 
 
-def test_one_whose_machine_is_gone_is_lost_as_fast_but_reckoned_with():
+def test_a_member_whose_machine_is_gone_is_lost_as_fast_but_still_counts():
     fleet, found = play(Fault(10.0, "vanish", (5,)))
     assert found["breaches"] == [] and 1.0 < found["slowest"]["dead"] < 3.0
     for node in (node for node in fleet.nodes.values() if node.alive):
         assert node.members.position == "larger" and len(node.members.pool_members(POOL)) == 12
 
 
-def test_a_pause_of_a_second_is_no_loss_and_the_one_who_stood_still_accuses_nobody():
+def test_a_pause_of_a_second_is_no_loss_and_the_paused_member_suspects_nobody():
     fleet, found = play(Fault(10.0, "stop", (5, 6), span=1.0))
     assert (
         found["breaches"] == []
@@ -230,21 +248,20 @@
         and not fleet.counts["member_lost"]
     )
     fleet, found = play(Fault(10.0, "stop", (5,), span=60.0), seconds=80.0)
-    assert (
-        found["breaches"] == [] and fleet.counts["member_lost"] == 11
-    )  # it is lost, and loses nobody
+    # It is lost by all others, and takes none of them for lost.
+    assert found["breaches"] == [] and fleet.counts["member_lost"] == 11
 
 
 THIRDS = ((0, 1, 2, 3), (4, 5, 6), (7, 8, 9, 10, 11))
 
 
 @pytest.mark.parametrize("parts", [HALVES, ((0,), tuple(range(1, 12))), THIRDS])
-def test_parts_know_their_own_position_and_are_one_again_after_it(parts):
+def test_parts_of_a_partition_know_their_position_and_merge_after_it(parts):
     fleet, found = play(Fault(8.0, "cut", parts=parts, span=8.0))
     assert found["breaches"] == [] and found["checked"]["position"] >= 24
 
 
-def test_three_parts_of_which_two_meet_first():
+def test_a_partition_into_three_parts_of_which_two_merge_first():
     fleet, found = play(
         Fault(8.0, "cut", parts=((0, 1, 2, 3), (4, 5, 6, 7), (8, 9, 10, 11)), span=6.0),
         Fault(8.0, "cut", parts=((0, 1, 2, 3, 4, 5, 6, 7), (8, 9, 10, 11)), span=12.0),
@@ -253,7 +270,7 @@
     assert found["breaches"] == [] and found["checked"]["position"] >= 36
 
 
-def test_a_tenth_of_all_datagrams_lost_loses_nobody():
+def test_loss_of_a_tenth_of_all_datagrams_loses_no_member():
     fleet, found = play(Fault(5.0, "lossy", span=60.0, amount=0.1), seconds=70.0)
     assert (
         fleet.counts["member_suspect"] > 20
@@ -262,35 +279,35 @@
     )
 
 
-def acquainted():
-    """Two who have met, two seconds after the start."""
-    one, other = members("a", 7001), members("b", 7002, [("127.0.0.1", 7001)])
+def connected_pair():
+    """Two members that know each other, two seconds after the start."""
+    one, other = make_membership("a", 7001), make_membership("b", 7002, [("127.0.0.1", 7001)])
     for step in range(20):
         for member in (one, other):
             member.tick(step * SECOND // 10)
-        pass_on(one, other, now=step * SECOND // 10)
+        deliver_all(one, other, now=step * SECOND // 10)
     return one, other
 
 
-def test_what_a_member_says_of_its_demand_is_not_undone_by_an_older_word_that_comes_later():
-    one, other = acquainted()
+def test_a_payload_is_not_replaced_by_an_older_one_that_arrives_later():
+    one, other = connected_pair()
     sent = []
     for said in (b"first", b"second"):
         other.publish(POOL, said)
         other.broadcast_payloads(2 * SECOND)
         sent.append(next(data for address, data in other.take_output()[0] if address[1] == 7001))
     one.take_output()
-    for data in reversed(sent):  # the first is overtaken on the way
+    for data in reversed(sent):  # the first datagram is overtaken
         one.receive(data, other.metadata.address, 2 * SECOND)
     assert [contents for _, mark, contents in one.take_output()[2] if mark == POOL] == [b"second"]
     assert one.members[other.metadata.id].payloads[POOL] == b"second"
 
 
-def test_whoever_suspects_tells_the_suspect_so_at_once_and_hears_it_refute():
-    """Of two hundred few have just heard a suspect: by chance and news it heard of it late, or
-    not at all.
+def test_a_suspect_is_notified_at_once_and_refutes():
+    """In a fleet of two hundred few members have heard the suspect recently, so that by chance and
+    by gossip alone it heard of the suspicion late or never, and was lost.
     """
-    one, other = acquainted()
+    one, other = connected_pair()
     suspect = one.members[other.metadata.id]
     one.suspect(suspect, messages.NO_RESPONSE)
     told = [data for address, data in one.take_output()[0] if address[1] == 7002]
@@ -301,15 +318,16 @@
         one.receive(data, other.metadata.address, now)
     assert suspect.state == messages.ALIVE and suspect.last_update.incarnation == 1
     one.take_output()
-    one.remind(suspect.id, 0)  # of a life that is over: nobody is told
+    one.remind_suspect(suspect.id, 0)  # of a refuted incarnation: nobody is notified
     assert not one.take_output()[0]
 
 
-def test_a_way_that_works_in_one_direction_only_loses_nobody():
+def test_a_link_that_works_in_one_direction_only_loses_no_member():
     fleet, _ = play(Fault(8.0, "one_way", (1,), (2,), span=10.0))
     assert not fleet.counts["member_lost"]
     fleet, found = play(Fault(8.0, "one_way", (1,), (0,), span=8.0), count=2, seconds=30.0)
-    assert fleet.counts["member_lost"] and found["breaches"] == []  # two have nobody to ask
+    # With two members there is nobody for indirect probes.
+    assert fleet.counts["member_lost"] and found["breaches"] == []
 
 
 def test_two_processes_of_one_name_both_count_and_a_moved_one_counts_once():
@@ -320,7 +338,7 @@
     assert all(len(node.members.pool_members(POOL)) == 12 for node in fleet.nodes.values())
 
 
-def test_all_die_at_once_and_come_back_while_the_seeds_are_down():
+def test_all_members_restart_while_the_seeds_are_down():
     fleet, found = play(
         Fault(6.0, "restart", tuple(range(3, 12)), span=2.0),
         Fault(6.0, "restart", (0, 1, 2), span=9.0),
@@ -334,15 +352,15 @@
     assert found["breaches"] == []
 
 
-def test_what_is_said_in_order_is_a_leaving_not_a_loss():
+def test_an_announced_leave_is_no_loss():
     fleet, found = play(Fault(8.0, "leave", (5,)), Fault(8.0, "leave", (6,)))
     assert found["breaches"] == [] and fleet.counts["member_left"] >= 20
     assert not fleet.counts["member_lost"]
 
 
-def test_old_datagrams_bring_nobody_back():
-    """All that a member ever sent, sent again when it is gone, from its own address."""
-    a, b = members("a", 7001), members("b", 7002, [("127.0.0.1", 7001)])
+def test_replayed_datagrams_bring_no_member_back():
+    """Every datagram of a member is replayed from its own address, also to a restarted receiver."""
+    a, b = make_membership("a", 7001), make_membership("b", 7002, [("127.0.0.1", 7001)])
     sent = []
     for now in range(0, 3 * SECOND, SECOND // 20):
         for one, other in ((a, b), (b, a)):
@@ -358,24 +376,24 @@
         a.counts["unread_again"] >= len(sent) - 5
         and next(iter(a.members.values())).highest_sequence == high
     )
-    restarted = members("a", 7001, now=now)  # knows nobody, and gets an answer from nobody
+    restarted = make_membership("a", 7001, now=now)  # knows no member, and gets no answer
     for data in sent:
         restarted.receive(data, b.metadata.address, now + 1)
     assert not restarted.members and len(restarted.take_output()[0]) <= 2 * JOIN_REPLIES_PER_SECOND
 
 
-def test_every_table_is_bounded_and_was_full():
-    one = members(max_members=3)
+def test_every_table_is_bounded():
+    one = make_membership(max_members=3)
     for number in range(6):
-        other = members(f"x{number}", 7100 + number, [one.metadata.address], now=SECOND)
+        other = make_membership(f"x{number}", 7100 + number, [one.metadata.address], now=SECOND)
         other.tick(SECOND)
-        pass_on(one, other, now=SECOND)
+        deliver_all(one, other, now=SECOND)
     assert len(one.members) == 3 and one.counts["table_full"]
     for number in range(2 * MAX_PROBES):
         one.ping(("127.0.0.1", 9), None)
     assert len(one.probes) == MAX_PROBES and one.counts["probes_full"]
     one.take_output()
-    known = one.others()[0]
+    known = one.connected_members()[0]
     for number in range(4_000):
         one.send(messages.ACK, ("127.0.0.1", 9), known)
     assert (
@@ -387,7 +405,7 @@
     assert len(one.tombstones) == 4_096
 
 
-def test_a_hundred_and_fifty_that_start_at_once_from_three_seeds_suspect_nobody():
+def test_a_hundred_and_fifty_members_that_start_at_once_from_three_seeds_suspect_nobody():
     fleet, found = play(count=150, seconds=4.0)
     told = {who: set() for who in {said.process for said in fleet.said}}
     for said in fleet.said:
@@ -397,10 +415,10 @@
     assert not found["events"].get("member_suspect") and not found["breaches"]
 
 
-def test_a_member_that_is_called_gone_for_good_goes_on_as_another_run():
-    a, b = members("a", 7001), members("b", 7002, [("127.0.0.1", 7001)])
+def test_a_member_that_was_removed_for_good_goes_on_as_another_run():
+    a, b = make_membership("a", 7001), make_membership("b", 7002, [("127.0.0.1", 7001)])
     a.tick(0), b.tick(0)
-    pass_on(a, b, now=0)
+    deliver_all(a, b, now=0)
     before = b.metadata.id
     a.mark_replaced(a.members[before])
     a.send(
@@ -411,35 +429,35 @@
     )
     for now in range(0, SECOND, SECOND // 10):
         a.tick(now), b.tick(now)
-        pass_on(a, b, now=now)
+        deliver_all(a, b, now=now)
     assert b.metadata.id != before and b.metadata.id in a.members and a.count() == b.count() == 2
 
 
-# What pools are told.
+# Fleet size, as pools see it.
 
 
-def test_the_count_rises_at_once_and_falls_late_and_is_never_below_what_the_file_lets_expect():
+def test_the_count_rises_at_once_falls_late_and_is_never_below_the_silent_seeds():
     seeds = [("127.0.0.1", 7001 + number) for number in range(4)]
-    one = members("a", 7001, seeds)
+    one = make_membership("a", 7001, seeds)
     counting = Counting(one, ("all",))
     assert [(told.balancers, told.number) for told in counting.update(0)] == [(4, 0)]
     for now in range(0, 3 * SECOND, SECOND // 10):
         one.tick(now)
-    assert not counting.update(now) and one.position == "alone"  # silent seeds may be there
+    assert not counting.update(now) and one.position == "alone"  # silent seeds may be alive
     for seed in seeds[1:]:
         one.on_port_unreachable(seed, now)
-    assert not counting.update(now)  # fewer: not before it lasts
+    assert not counting.update(now)  # a lower count is told only once it lasts
     assert [told.balancers for told in counting.update(now + 2 * SECOND)] == [1]
     assert one.compute_position() == "whole"
-    other = members("b", 7002, [one.metadata.address])
+    other = make_membership("b", 7002, [one.metadata.address])
     other.tick(now)
-    pass_on(one, other, now=now + 2 * SECOND)
+    deliver_all(one, other, now=now + 2 * SECOND)
     assert [told.balancers for told in counting.update(now + 2 * SECOND + 1)] == [2]
 
 
 @settings(max_examples=50, deadline=None, derandomize=True)
 @given(st.lists(st.text("abcdefgh", min_size=1, max_size=6), min_size=3, max_size=40, unique=True))
-def test_one_more_moves_each_others_start_by_no_more_than_its_own_width(names):
+def test_a_new_member_moves_each_others_place_by_no_more_than_its_own_width(names):
     def starts(those):
         ranked = sorted(those, key=lambda name: messages.member_id(name, 0))
         return {name: place / len(ranked) for place, name in enumerate(ranked)}
@@ -448,10 +466,10 @@
     assert all(abs(before[name] - after[name]) <= 1.0 / len(before) for name in before)
 
 
-# Faults, and the referee.
+# Fault schedules and the referee.
 
 
-def test_a_schedule_is_data_drawn_alike_from_one_seed_and_refused_with_its_key():
+def test_a_schedule_is_drawn_alike_from_one_seed_and_a_faulty_one_is_refused_with_its_key():
     drawn = faults.draw(7, 12, 45.0)
     assert (
         drawn
@@ -483,7 +501,7 @@
 
 
 def history(*moments):
-    """Two members that know each other from the start, and what else happens."""
+    """The rules that are broken where two members know each other and these things happen."""
     a, b = ("a", "1"), ("b", "2")
     facts = [Fact(0.0, "started", a), Fact(0.0, "started", b)]
     said = [
@@ -525,21 +543,21 @@
 
 
 @pytest.mark.parametrize("name", sorted(MUTATIONS))
-def test_each_fault_of_the_code_that_was_put_back_is_caught(name):
+def test_each_mutation_of_the_code_is_caught(name):
     assert caught(name) is not None, MUTATIONS[name].__doc__
 
 
-def test_what_a_mutation_spoils_is_sound_again_after_it():
+def test_a_mutation_is_undone_after_it():
     before = Membership.on_suspicion_timeout
     with spoilt("never_loses"):
         assert Membership.on_suspicion_timeout is not before
     assert Membership.on_suspicion_timeout is before
 
 
-# The lab.
+# Experiments.
 
 
-def test_days_of_the_fleet_are_an_experiment_and_a_broken_one_is_kept_and_shortened(tmp_path):
+def test_fleet_scenarios_are_an_experiment_and_a_broken_one_is_shortened(tmp_path):
     file = tmp_path / "days.toml"
     file.write_text(
         'name = "x"\nseconds = 24.0\nseeds = 2\n[bank]\nmembers = 6\n'
@@ -560,7 +578,7 @@
     assert found.exit_code == 2 and "faults[0]: names a member that is none of 6" in found.output
 
 
-def test_every_experiment_on_the_fleet_that_ships_is_well_formed():
+def test_every_shipped_fleet_experiment_is_well_formed():
     found = [path for path in shipped().values() if fleet_scenarios.is_one(path)]
     assert len(found) >= 6
     for path in found:
--- a/tests/fleet/test_registry.py
+++ b/tests/fleet/test_registry.py
@@ -1,6 +1,6 @@
 """The last-write-wins registry: replicas converge, entries expire, and bounds hold."""
 
-from tests.fleet.test_membership import members, pass_on
+from tests.fleet.test_membership import deliver_all, make_membership
 from whinpier.fleet.registry import (
     DIGEST_EXPIRY_MARGIN,
     MAX_ENTRIES,
@@ -54,17 +54,17 @@
 
 
 def test_entries_go_with_pings_and_full_syncs_to_members_that_missed_them():
-    a, b = members("a", 7001), members("b", 7002, [("127.0.0.1", 7001)])
+    a, b = make_membership("a", 7001), make_membership("b", 7002, [("127.0.0.1", 7001)])
     for now in range(0, 2 * SECOND, SECOND // 10):
         a.tick(now)
         b.tick(now)
-        pass_on(a, b, now=now)
+        deliver_all(a, b, now=now)
     a.registry.put("k", b"1", 60 * SECOND, a.metadata.id, now)
     a.registry.pending.clear()  # all that was sent of it got lost
     for now in range(2 * SECOND, 4 * SECOND, SECOND // 10):
         a.tick(now)
         b.tick(now)
-        pass_on(a, b, now=now)
+        deliver_all(a, b, now=now)
     assert b.registry.values_with_prefix("k") == {"": b"1"}
     assert 57_000 <= b.registry.entries["k"].entry.remaining_ms <= 60_000
     assert b.registry.entries["k"].expires_at <= 62 * SECOND
--- a/whinpier/fleet/fleet_size.py
+++ b/whinpier/fleet/fleet_size.py
@@ -44,8 +44,8 @@
     def floor(self, now: int) -> int:
         """How many there may be at least, while this one has not heard from all whom it should."""
         members = self.members
-        young = now - members.started_at < members.times.settle
-        if not young and (members.count() > 1 or now - members.started_at >= members.times.reckon):
+        young = now - members.started_at < members.timing.settle
+        if not young and (members.count() > 1 or now - members.started_at >= members.timing.reckon):
             return 1
         return 1 + (
             len(members.seeds) if young and not members.joined else members.unresponsive_seeds()
--- a/whinpier/fleet/membership/__init__.py
+++ b/whinpier/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which processes are in the fleet (SWIM with Lifeguard): a state machine free of I/O."""
+"""Membership of the fleet (SWIM with Lifeguard), as a state machine without I/O."""
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -119,7 +119,13 @@
             card, limits_epoch=self.shares.epoch if self.shares.tables else 0
         )
         self.members = Membership(
-            card, spec.seeds, Seal(spec.keys), spec.times, chance, self.now, recalled=recalled
+            card,
+            spec.seeds,
+            Seal(spec.keys),
+            spec.times,
+            chance,
+            self.now,
+            cached_addresses=recalled,
         )
         self.counting = Counting(self.members, spec.pools)
         if spec.verdicts:
--- a/whinpier/simulation/fleet.py
+++ b/whinpier/simulation/fleet.py
@@ -43,7 +43,7 @@
         seeds = fleet.seeds()
         card = MemberMetadata(name, self.run, 1, *address, build="model", pools=(POOL,))
         self.members = Membership(
-            card, seeds, KEY, fleet.times, chance, fleet.clock.now, recalled=recalled or ()
+            card, seeds, KEY, fleet.times, chance, fleet.clock.now, cached_addresses=recalled or ()
         )
         fleet.spoil(self.members)
         self.called_at = 0
--- a/whinpier/simulation/fleet_mutants.py
+++ b/whinpier/simulation/fleet_mutants.py
@@ -75,7 +75,7 @@
         probe = self.probes.pop(nonce, None)
         member = self.members.get(probe.target) if probe else None
         if member is not None and member.connected:
-            self.adopt(
+            self.adopt_update(
                 member,
                 MemberUpdate(
                     member.id, member.last_update.incarnation, LOST, NO_RESPONSE, self.metadata.id
