--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -108,7 +108,7 @@
         it.rejected,
         it.memory_bytes,
     ],
-    allocation.Kept: lambda it: [it.epoch, it.home, it.homes, it.span],
+    allocation.StoredAllocation: lambda it: [it.epoch, it.home_quota, it.homes, it.lease_duration],
     commands.CommandHeader: lambda it: [
         it.id,
         it.operator,
@@ -199,16 +199,16 @@
         it.results,
         it.last_applied,
     ],
-    agreement.Copy: lambda it: [
-        it.record,
-        it.disk,
+    agreement.PersistentState: lambda it: [
+        it.cluster_id,
+        it.disk_id,
         it.term,
-        it.voted,
-        it.start,
-        it.start_term,
-        it.base,
-        it.state,
-        it.lines,
+        it.voted_for,
+        it.log_offset,
+        it.log_offset_term,
+        it.snapshot_index,
+        it.snapshot,
+        it.entries,
     ],
 }
 # Which typed message a kept group holds, and which log entry kind carries which.
@@ -365,8 +365,16 @@
         ],
         0,
     ),
-    "log_note": ([agreement.WHO, agreement.TERM, agreement.LINE, agreement.BASE], 0),
-    "log_entry_of_the_log_itself": ([agreement.NOTHING, agreement.VOTERS], 0),
+    "log_note": (
+        [
+            agreement.IDENTITY_RECORD,
+            agreement.TERM_RECORD,
+            agreement.ENTRY_RECORD,
+            agreement.SNAPSHOT_RECORD,
+        ],
+        0,
+    ),
+    "log_entry_of_the_log_itself": ([agreement.NO_OP_ENTRY, agreement.CONFIG_ENTRY], 0),
     "log_entry": (
         [
             commands.EntryKind.SET_BUDGET,
@@ -411,11 +419,7 @@
         commands.BudgetTarget.BALANCERS,
         commands.BudgetTarget.UPSTREAMS,
         model.FLEET_ACTOR,
-    ) == (
-        "balancers",
-        "upstreams",
-        "bank",
-    )
+    ) == ("balancers", "upstreams", "bank")
     assert (model.DrainPhase.DRAINING, model.DrainPhase.DRAINED, model.DrainPhase.UNDRAINING) == (
         "draining",
         "done",
@@ -449,16 +453,16 @@
         messages.pool_hash("web"),
         messages.LOG_PROGRESS_CHANNEL,
         service.STAMP,
-        limit.mark,
+        limit.wire_id,
         limit.epoch(),
-        window.mark,
+        window.wire_id,
         window.epoch(),
-        allocation.key_of("tenant-a"),
+        allocation.hash_tenant_name("tenant-a"),
         registry.digest_part(entry),
         hash_file(b"file"),
         compute_digest(b"before", (1, 2, "who", "what", "why", True, "text")).hex(),
-        consensus_service.stamp_of(
-            agreement.Copy(256, 7, 3, 8, 20, 2, 20, b"", [messages.LogEntry(3, 0)])
+        consensus_service.disk_version_of(
+            agreement.PersistentState(256, 7, 3, 8, 20, 2, 20, b"", [messages.LogEntry(3, 0)])
         ),
     ]
     assert found == KEPT["marks"]
@@ -471,13 +475,7 @@
         messages.HEADER_BYTES,
         messages.TAG_BYTES,
         messages.MAX_DATAGRAM_BYTES,
-    ) == (
-        b"wB",
-        1,
-        3,
-        16,
-        1_200,
-    )
+    ) == (b"wB", 1, 3, 16, 1_200)
     assert (
         messages.QUOTA_MESSAGE_BYTES,
         messages.EJECTION_MESSAGE_BYTES,
@@ -537,18 +535,20 @@
 def test_an_announced_demand_of_a_limit_keeps_its_bytes():
     calendar = calendar_quota.Calendar("minute")
     limit = leases.Limit("near", leases.COUNT, 1_000, (), 0, window="minute/UTC")
-    here = fair_share.Nearly(limit, calendar, 0, lambda now: (now, now))
-    here.told_demand, here.spent, here.window = 300, 21, 60
-    assert here.word(0).hex() == KEPT["announced"]["demand"]
-    here.hear(5, bytes.fromhex(KEPT["announced"]["demand"]), 0)
-    other = here.others[5]
-    assert (other.used, other.window) == (21, 60) and 300 in [one for _, one in other.words]
+    here = fair_share.ApproximateQuota(limit, calendar, 0, lambda now: (now, now))
+    here.reported_demand, here.window_used, here.window_start = 300, 21, 60
+    assert here.encode_report(0).hex() == KEPT["announced"]["demand"]
+    here.on_report(5, bytes.fromhex(KEPT["announced"]["demand"]), 0)
+    other = here.peers[5]
+    assert (other.window_used, other.window_start) == (21, 60) and 300 in [
+        one for _, one in other.reports
+    ]
 
 
 def test_an_announced_place_in_the_log_keeps_its_bytes():
     raft = voter("a", 1)
-    raft.record, raft.term, raft.commit, raft.leader = 256, 3, 17, "b"
-    assert raft.news(99).hex() == KEPT["announced"]["news"]
+    raft.cluster_id, raft.term, raft.commit_index, raft.leader = 256, 3, 17, "b"
+    assert raft.announcement(99).hex() == KEPT["announced"]["news"]
 
 
 # Log entries and their snapshot.
@@ -591,27 +591,29 @@
 
 
 def log_of(data):
-    return agreement.replayed(
+    return agreement.replay_journal(
         note
         for _, note in read_records(
-            "record", data, consensus_service.MAGIC, consensus_service.LONGEST
+            "record", data, consensus_service.JOURNAL_MAGIC, consensus_service.MAX_RECORD_BYTES
         )
     )
 
 
 def log_written(values):
-    copy = agreement.Copy(
+    copy = agreement.PersistentState(
         *natural(values)[:-1], [messages.LogEntry(*natural(line)) for line in values[-1]]
     )
-    return consensus_service.MAGIC + b"".join(map(encode_record, agreement.compacted(copy)))
+    return consensus_service.JOURNAL_MAGIC + b"".join(
+        map(encode_record, agreement.compact_journal(copy))
+    )
 
 
 def test_a_log_file_begins_with_its_magic():
     assert (
-        consensus_service.MAGIC == b"whinpier bank record 1\n"
-        and consensus_service.LONGEST == 6 << 20
+        consensus_service.JOURNAL_MAGIC == b"whinpier bank record 1\n"
+        and consensus_service.MAX_RECORD_BYTES == 6 << 20
     )
-    assert file_of("log").startswith(consensus_service.MAGIC)
+    assert file_of("log").startswith(consensus_service.JOURNAL_MAGIC)
 
 
 def test_a_log_file_with_a_snapshot_is_read_and_written_as_it_was():
@@ -626,21 +628,25 @@
 
 def test_the_state_of_a_log_file_is_taken_up():
     found = log_of(file_of("log"))
-    raft = agreement.Agreement("a", found, RolloutStateMachine(), 0, Chance(), agreement.Pace())
-    applied_to, term, (since, voters), inner = msgspec.msgpack.decode(found.state)
+    raft = agreement.RaftNode(
+        "a", found, RolloutStateMachine(), 0, Chance(), agreement.RaftTiming()
+    )
+    applied_to, term, (since, voters), inner = msgspec.msgpack.decode(found.snapshot)
     assert [applied_to, term, since, voters] == [14, 2, 1, {"a": 11, "b": 12, "c": 13}]
     assert inner.hex() == KEPT["snapshots"]["files, gates and drains"][1]
-    assert (raft.commit, raft.last, raft.config) == (14, 16, {"a": 11, "b": 12})
-    assert plain(raft.copy()) == KEPT["log"]
-    assert raft.machine.state.last_applied == 14
+    assert (raft.commit_index, raft.last_index, raft.config) == (14, 16, {"a": 11, "b": 12})
+    assert plain(raft.persistent_state()) == KEPT["log"]
+    assert raft.state_machine.state.last_applied == 14
 
 
 @pytest.mark.parametrize("cut", [1, 7, 14])
 def test_a_torn_tail_of_a_log_file_is_left_out(tmp_path, cut):
     path = tmp_path / "record"
     path.write_bytes(file_of("log")[:-cut])
-    journal = AppendLog(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
-    found = plain(agreement.replayed(journal.open()))
+    journal = AppendLog(
+        str(path), consensus_service.JOURNAL_MAGIC, consensus_service.MAX_RECORD_BYTES
+    )
+    found = plain(agreement.replay_journal(journal.open()))
     journal.close()
     assert found == [*KEPT["log"][:-1], KEPT["log"][-1][:-1]]
     assert path.read_bytes() == file_of("log")[: journal.size] and journal.torn_bytes > 0
@@ -649,8 +655,10 @@
 def test_a_kept_torn_log_file_is_read_up_to_its_tear(tmp_path):
     path = tmp_path / "record"
     path.write_bytes(file_of("log_torn"))
-    journal = AppendLog(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
-    found = plain(agreement.replayed(journal.open()))
+    journal = AppendLog(
+        str(path), consensus_service.JOURNAL_MAGIC, consensus_service.MAX_RECORD_BYTES
+    )
+    found = plain(agreement.replay_journal(journal.open()))
     journal.close()
     assert found == KEPT["log_torn"] and (journal.size, journal.torn_bytes) == tuple(
         KEPT["log_tear"]
@@ -726,14 +734,21 @@
 def test_a_note_of_a_window_keeps_its_order():
     limit = leases.Limit("day", leases.COUNT, 700, ("m1", "m2"), window="day/UTC", key=3)
     calendar = calendar_quota.Calendar("day")
-    units = calendar_quota.Units(limit, calendar, "m1", 0, Chance(), lambda now: (now, now), True)
-    units.remember(calendar_quota.Slot(86_400, 172_800, 350, -40, 25, 20, 60))
-    units.write(units.known[86_400])
-    assert units.take_notes() == (1, [(limit.mark, 3, 86_400, 350, -40, 60)])
-    units.recall([(limit.mark, 3, 172_800, 340, 8, 70)], 90)
-    slot = units.known[172_800]
-    assert (slot.start, slot.end, slot.home, slot.moved) == (172_800, 259_200, 340, 8)
-    assert (slot.used, slot.kept, slot.asked, units.blind_till) == (70, 70, 70, 90)
+    units = calendar_quota.CalendarQuota(
+        limit, calendar, "m1", 0, Chance(), lambda now: (now, now), True
+    )
+    units.add_window(calendar_quota.WindowQuota(86_400, 172_800, 350, -40, 25, 20, 60))
+    units.queue_record(units.known_windows[86_400])
+    assert units.take_records() == (1, [(limit.wire_id, 3, 86_400, 350, -40, 60)])
+    units.restore([(limit.wire_id, 3, 172_800, 340, 8, 70)], 90)
+    slot = units.known_windows[172_800]
+    assert (slot.start, slot.end, slot.home_quota, slot.transferred) == (172_800, 259_200, 340, 8)
+    assert (slot.used, slot.durable_used, slot.pending_used, units.unknown_before) == (
+        70,
+        70,
+        70,
+        90,
+    )
 
 
 # The peer cache.
@@ -795,9 +810,9 @@
 
 
 def voter(name, disk):
-    copy = agreement.Copy(disk=disk)
-    return agreement.Agreement(
-        name, copy, RolloutStateMachine(), 0, Chance(disk / 100), agreement.Pace()
+    copy = agreement.PersistentState(disk_id=disk)
+    return agreement.RaftNode(
+        name, copy, RolloutStateMachine(), 0, Chance(disk / 100), agreement.RaftTiming()
     )
 
 
@@ -810,19 +825,19 @@
         }
         self.sent, self.cut_off, self.now = [], set(), 0
         for name in "abc":
-            self.nodes[name].begin(256, {"a": 11, "b": 12, "c": 13})
+            self.nodes[name].bootstrap(256, {"a": 11, "b": 12, "c": 13})
 
     def settle(self):
         busy = True
         for _ in rounds(lambda: busy):
             busy = False
             for name, node in self.nodes.items():
-                node.written(node.noted)
-                for to, message in node.take():
+                node.on_records_synced(node.records_issued)
+                for to, message in node.take_messages():
                     busy = True
                     self.sent.append([name, to, plain(message), encoded(message).hex()])
                     if not {name, to} & self.cut_off:
-                        self.nodes[to].hear(message, name, self.now)
+                        self.nodes[to].receive(message, name, self.now)
 
     def run(self, until):
         while self.now < until:
@@ -842,31 +857,37 @@
     other = next(node for node in nodes.values() if node is not leader and node.name != "d")
     third = next(name for name in "abc" if name not in (leader.name, other.name))
     data = bytes.fromhex(KEPT["entries"]["drain of an upstream"][1])
-    other.say(
+    other.send(
         leader.name,
         messages.FORWARD_COMMAND,
         lines=[messages.LogEntry(0, commands.EntryKind.DRAIN, data)],
     )
     cluster.settle()
-    other.ask_read(77)
+    other.request_read_index(77)
     cluster.settle()
-    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    nodes["d"].on_commit_announced(
+        leader.name, 256, leader.commit_index, leader.term, leader.disk_id
+    )
     cluster.run(2 * SECOND)
     cluster.cut_off = {third, "d"}
     for number in range(3):
-        leader.command(commands.EntryKind.HALT, bytes.fromhex(KEPT["halts"][number]))
+        leader.propose(commands.EntryKind.HALT, bytes.fromhex(KEPT["halts"][number]))
     cluster.settle()
     for node in (leader, other):
-        node.kept = 1
+        node.retained_entries = 1
         node.compact()
     cluster.cut_off = set()
     cluster.run(2 * SECOND + SECOND // 2)
-    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    nodes["d"].on_commit_announced(
+        leader.name, 256, leader.commit_index, leader.term, leader.disk_id
+    )
     cluster.run(3 * SECOND)
-    leader.retire()
+    leader.transfer_leadership()
     cluster.run(3 * SECOND + SECOND // 2)
     leader = next(node for node in nodes.values() if node.role == agreement.LEADER)
-    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    nodes["d"].on_commit_announced(
+        leader.name, 256, leader.commit_index, leader.term, leader.disk_id
+    )
     cluster.run(4 * SECOND)
     return cluster
 
@@ -884,8 +905,8 @@
     cluster = consensus_run()
     assert {row[2][0] for row in cluster.sent} == set(range(14))
     assert first_of_each(cluster.sent) == KEPT["consensus_run"]
-    assert len({node.commit for node in cluster.nodes.values()}) == 1
-    assert {encoded(node.machine.state).hex() for node in cluster.nodes.values()} == {
+    assert len({node.commit_index for node in cluster.nodes.values()}) == 1
+    assert {encoded(node.state_machine.state).hex() for node in cluster.nodes.values()} == {
         KEPT["consensus_end"]
     }
 
@@ -894,19 +915,25 @@
     """A share that is asked for, lent and given back; units of a window that are handed over."""
     limit = leases.Limit("flight", leases.IN_FLIGHT, 100, ("m1", "m2"))
     sent, now = [], 10 * SECOND
-    share = leases.Share(limit, "m1", now, Chance(), 0)
-    share.ask(now, 2, 9, 1_001, 0)
-    share.deal(messages.QuotaMessage(messages.LEASE_GRANT, limit.mark, 1_001, 9, 0, 0), 2, now)
-    share.deal(messages.QuotaMessage(messages.LEASE_REQUEST, limit.mark, 55, 7, 0, 0), 3, now)
-    share.turn(now + SECOND // 10, [])
+    share = leases.LeasedQuota(limit, "m1", now, Chance(), 0)
+    share.send_request(now, 2, 9, 1_001, 0)
+    share.on_message(
+        messages.QuotaMessage(messages.LEASE_GRANT, limit.wire_id, 1_001, 9, 0, 0), 2, now
+    )
+    share.on_message(
+        messages.QuotaMessage(messages.LEASE_REQUEST, limit.wire_id, 55, 7, 0, 0), 3, now
+    )
+    share.on_timer(now + SECOND // 10, [])
     sent += share.out
     window = leases.Limit("day", leases.COUNT, 700, ("m1", "m2"), window="day/UTC", key=3)
-    units = calendar_quota.Units(
+    units = calendar_quota.CalendarQuota(
         window, calendar_quota.Calendar("day"), "m1", now, Chance(), lambda now: (now, now), False
     )
-    units.settle(now)
-    units.look_for(units.slots[0], now, 12, [4])
-    units.deal(messages.QuotaMessage(messages.UNITS_REQUEST, window.mark, 66, 11, 0, 3), 5, now)
+    units.update_windows(now)
+    units.request_from_members(units.windows[0], now, 12, [4])
+    units.on_message(
+        messages.QuotaMessage(messages.UNITS_REQUEST, window.wire_id, 66, 11, 0, 3), 5, now
+    )
     sent += units.out
     return [[other, plain(lease), encoded(lease).hex()] for other, lease in sent]
 
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -48,19 +48,24 @@
     pool_hash,
 )
 from whinpier.fleet.outliers.monitor import OutlierMonitor
-from whinpier.fleet.quotas.allocation import NEVER, Kept, Said, Shares
-from whinpier.fleet.quotas.calendar_quota import Note, Units
-from whinpier.fleet.quotas.enforcement import Gates
-from whinpier.fleet.quotas.fair_share import Nearly
-from whinpier.fleet.quotas.leases import TURN
+from whinpier.fleet.quotas.allocation import (
+    NO_HISTORY,
+    LimitConfig,
+    QuotaAllocation,
+    StoredAllocation,
+)
+from whinpier.fleet.quotas.calendar_quota import CalendarQuota, WindowRecord
+from whinpier.fleet.quotas.enforcement import LimitEnforcer
+from whinpier.fleet.quotas.fair_share import ApproximateQuota
+from whinpier.fleet.quotas.leases import TIMER_INTERVAL
 from whinpier.fleet.spec import FleetSpec
 from whinpier.fleet.state_store import Batch, Records, StateStore
 from whinpier.policy.decaying_sum import SECOND
 
 if TYPE_CHECKING:
-    from whinpier.fleet.consensus.service import Agreed
+    from whinpier.fleet.consensus.service import ConsensusService
     from whinpier.runtime.pool import Pool
-    from whinpier.runtime.process import Life
+    from whinpier.runtime.process import Process
 
 IP_RECVERR, MSG_ERRQUEUE = 11, 0x2000  # Linux: errors come with the address they are about
 AT_ONCE = 64  # datagrams read in one go, before others have their turn
@@ -77,15 +82,15 @@
 class Link:
     """This process as a member of the fleet."""
 
-    def __init__(self, life: Life, spec: FleetSpec, sock: socket.socket) -> None:
-        self.life, self.spec, self.sock, self.loop = life, spec, sock, life.loop
+    def __init__(self, process: Process, spec: FleetSpec, sock: socket.socket) -> None:
+        self.process, self.spec, self.sock, self.loop = process, spec, sock, process.loop
         self.now = self.loop.clock()
         self.first_notes: Records = {}
         self.begun_stamp = 0  # notes that the state file had ever held when this run began
         self.stamps: dict[
             str, tuple[int, int]
         ] = {}  # of the others' files, by name: whose run, how many
-        chance = Random(life.chance.getrandbits(64))
+        chance = Random(process.seed_source.getrandbits(64))
         build = spec.agreement.build if spec.agreement else BUILD_VERSION
         card = MemberMetadata(
             spec.name,
@@ -94,14 +99,14 @@
             *spec.advertise,
             build,
             spec.zone,
-            life.spec.revision,
+            process.spec.revision,
             tuple(pool_hash(name) for name in spec.pools),
         )
         recalled, kept = self.recalled()
         self.clocks = Clocks(time.time_ns() - self.now)
         self.state_store = StateStore(spec.state) if spec.state else None
-        notes, since, sinces = self.taken_up()
-        self.shares = Shares(
+        notes, since, known_since_by_limit = self.taken_up()
+        self.quota_allocation = QuotaAllocation(
             spec.name,
             spec.limits,
             self.now,
@@ -111,12 +116,12 @@
             self.state_store is not None,
             notes,
             since,
-            sinces,
+            known_since_by_limit,
         )
-        self.gates = Gates(self.shares, self.loop)
+        self.limit_enforcer = LimitEnforcer(self.quota_allocation, self.loop)
         self.outlier_monitor: OutlierMonitor | None = None
         card = msgspec.structs.replace(
-            card, limits_epoch=self.shares.epoch if self.shares.tables else 0
+            card, limits_epoch=self.quota_allocation.epoch if self.quota_allocation.tables else 0
         )
         self.members = Membership(
             card,
@@ -132,12 +137,14 @@
             self.outlier_monitor = OutlierMonitor(
                 spec.verdicts, self.members, self.loop, chance, self.say_event
             )
-        self.agreed: Agreed | None = None
+        self.agreed: ConsensusService | None = None
         self.shared = True  # whether others count this one among those who share the pools
         if spec.agreement:
-            from whinpier.fleet.consensus.service import Agreed  # only where a file has it
+            from whinpier.fleet.consensus.service import (
+                ConsensusService,
+            )  # only where a file has it
 
-            self.agreed = Agreed(self, spec.agreement)
+            self.agreed = ConsensusService(self, spec.agreement)
         self.control = Control(self) if spec.control else None
         self.called_at = 0
         self.second, self.opened = 0, 0
@@ -148,19 +155,19 @@
         self.by_mark: dict[int, str] = {}
         self.said: dict[tuple[int, int], bytes] = {}
         self.counts: Counter[str] = Counter()
-        self.nearly_marks: dict[int, Nearly] = {}
+        self.nearly_marks: dict[int, ApproximateQuota] = {}
         self.dealing, self.forget_at = False, 0
         self.attach()
         if sys.platform == "linux":
             sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
 
-    def taken_up(self) -> tuple[list[Note], int, dict[int, int]]:
+    def taken_up(self) -> tuple[list[WindowRecord], int, dict[int, int]]:
         """What the state file holds of windows, and since when it has known of all. Raises AppendLogError."""
         if self.state_store is None:
-            return [], NEVER, {}
+            return [], NO_HISTORY, {}
         self.state_store.collect_batches = self.to_write
         live = self.state_store.open()
-        begun = live.get((BEGUN,), (NEVER,))
+        begun = live.get((BEGUN,), (NO_HISTORY,))
         log.info(
             "state_store_loaded",
             file=self.state_store.journal.path,
@@ -180,23 +187,23 @@
         found: list[Batch] = []
         if first:
             found.append(Batch(first, lambda: None, lambda: self.first_notes.update(first)))
-        for part in self.shares.units():
-            if part.notes:
-                said, notes = part.take_notes()
+        for part in self.quota_allocation.calendar_quotas():
+            if part.pending_records:
+                said, notes = part.take_records()
                 found.append(
                     Batch(
                         {(WINDOW, *note[:3]): note[3:] for note in notes},
                         partial(self.written, part, said, notes),
-                        partial(part.not_written, notes),
+                        partial(part.on_write_failed, notes),
                     )
                 )
         return found
 
-    def written(self, part: Units, said: int, notes: list[Note]) -> None:
-        part.written(said, notes)
+    def written(self, part: CalendarQuota, said: int, notes: list[WindowRecord]) -> None:
+        part.on_records_written(said, notes)
         self.send_application_messages()
 
-    def recalled(self) -> tuple[list[Address], dict[str, Kept]]:
+    def recalled(self) -> tuple[list[Address], dict[str, StoredAllocation]]:
         try:
             return peer_cache.read(self.spec.recall) if self.spec.recall else ([], {})
         except (OSError, ValueError) as fault:
@@ -208,7 +215,7 @@
         kept, well = None, True
         while True:
             await anyio.sleep(REMEMBER)
-            now = self.members.known_addresses(), self.shares.keep()
+            now = self.members.known_addresses(), self.quota_allocation.stored_allocations()
             if now == kept or not any(now):
                 continue
             try:
@@ -222,14 +229,16 @@
     def attach(self) -> None:
         """Connect the pools that the fleet shares."""
         self.by_mark = {pool_hash(name): name for name in self.spec.pools}
-        self.nearly_marks = {one.limit.mark: one for one in self.shares.nearly.values()}
-        for name, pool in self.life.pools.items():
-            pool.speaks = self.speaker(name) if name in self.spec.pools else None
+        self.nearly_marks = {
+            one.limit.wire_id: one for one in self.quota_allocation.approximate_quotas.values()
+        }
+        for name, pool in self.process.pools.items():
+            pool.broadcast = self.speaker(name) if name in self.spec.pools else None
             if name not in self.spec.pools:
-                pool.alone()
-        self.gates.put(self.life.pools.values(), self.spec.limits)
+                pool.clear_fleet_size()
+        self.limit_enforcer.attach_pools(self.process.pools.values(), self.spec.limits)
         if self.outlier_monitor:
-            self.outlier_monitor.update_pools(self.life.pools.values(), self.spec.pools)
+            self.outlier_monitor.update_pools(self.process.pools.values(), self.spec.pools)
         # Before the first request: until it knows better, as many as the file lets it expect.
         self.count(self.now)
 
@@ -245,20 +254,20 @@
             self.loop.spawn(self.control.run, lambda: None)
         if self.spec.recall:
             self.loop.spawn(self.remember, lambda: None)
-        self.loop.at(self.loop.clock() + COUNT, self, self.recount)
+        self.loop.call_at(self.loop.clock() + COUNT, self, self.recount)
         if self.state_store:
             self.loop.spawn(self.state_store.run, lambda: None)
-        self.loop.enter(self, self.deal)
+        self.loop.dispatch(self, self.deal)
         if self.agreed:
             self.agreed.start()
         self.schedule()
 
-    def follow(self, spec: FleetSpec) -> None:
+    def reconfigure(self, spec: FleetSpec) -> None:
         """Go on by a new file."""
         keys, self.spec = spec.differs(self.spec), spec
         self.counting.follow(spec.pools)
         if "limits" in keys:
-            self.shares.follow(self.said_limits(), self.loop.clock())
+            self.quota_allocation.apply_configs(self.said_limits(), self.loop.clock())
         self.attach()
         self.members.reconfigure(
             self.loop.clock(),
@@ -266,16 +275,16 @@
             Seal(spec.keys),
             spec.times,
             zone=spec.zone,
-            revision=self.life.spec.revision,
+            revision=self.process.spec.revision,
             pools=self.marks(),
         )
         if keys:
             log.info("fleet_configuration_changed", keys=",".join(keys))
         if not self.dealing:
-            self.loop.enter(self, self.deal)
+            self.loop.dispatch(self, self.deal)
         self.pass_on()
         if self.agreed:
-            self.agreed.follow()
+            self.agreed.on_pools_changed()
 
     def marks(self) -> tuple[int, ...]:
         """The pools that others are to count this one among."""
@@ -329,7 +338,7 @@
             except OSError:
                 continue  # what the error queue tells with its address
             if self.wanted(source):
-                self.loop.enter(self, self.received, data, source)
+                self.loop.dispatch(self, self.received, data, source)
         self.read_errors()
 
     def wanted(self, source: Address) -> bool:
@@ -353,7 +362,7 @@
             for level, kind, data in extra:
                 if (level, kind) == (socket.IPPROTO_IP, IP_RECVERR) and len(data) >= 4:
                     if int.from_bytes(data[:4], sys.byteorder) == errno.ECONNREFUSED:
-                        self.loop.enter(self, self.refused, (address[0], address[1]))
+                        self.loop.dispatch(self, self.refused, (address[0], address[1]))
 
     def received(self, data: bytes, source: Address) -> None:
         self.members.receive(data, source, self.now)
@@ -373,7 +382,7 @@
         due = self.members.due()
         if not self.called_at or due < self.called_at:
             self.called_at = due
-            self.loop.at(due, self, self.tick, due)
+            self.loop.call_at(due, self, self.tick, due)
 
     def pass_on(self) -> None:
         """Send what is to be sent, say what has happened, tell pools what others tell."""
@@ -408,7 +417,7 @@
                 if one.kind == STALE_STATE:
                     self.told_old(one, sender)
                 else:
-                    self.shares.deal(one, sender, self.loop.clock())
+                    self.quota_allocation.on_message(one, sender, self.loop.clock())
             self.send_application_messages()
         if self.members.received_consensus_messages:
             talks, self.members.received_consensus_messages = (
@@ -417,8 +426,8 @@
             )
             if self.agreed:
                 for sender, talk in talks:
-                    self.agreed.hear(sender, talk)
-                self.agreed.pass_on()
+                    self.agreed.receive(sender, talk)
+                self.agreed.flush()
         if self.members.change_count != self.seen_changes:
             self.seen_changes = self.members.change_count
             self.count(self.loop.clock())
@@ -438,9 +447,9 @@
         name = event.pairs.get("member", "")
         if event.name in ("member_left", "member_lost"):
             if event.pairs.get("why") != REASON_NAMES[NO_RESPONSE]:
-                self.shares.departed.add(name)
+                self.quota_allocation.departed.add(name)
         elif event.name == "member_here":
-            self.shares.departed.discard(name)
+            self.quota_allocation.departed.discard(name)
         for watcher in list(self.watchers):
             watcher({"event": control_name(event.name)} | pairs)
 
@@ -450,8 +459,8 @@
         gone = not any(
             one.metadata.name == name and one.connected for one in self.members.members.values()
         )
-        if gone and any(name in kept.homes for kept in self.shares.kept.values()):
-            self.shares.departed.add(name)
+        if gone and any(name in kept.homes for kept in self.quota_allocation.stored.values()):
+            self.quota_allocation.departed.add(name)
             struck = max(struck, 1)
         self.pass_on()
         return struck
@@ -484,8 +493,8 @@
             for kind in ("route", "tenant")
             for name in self.members.registry.values_with_prefix(kind + "/")
         }
-        if closed != self.gates.closed:
-            self.gates.closed = closed
+        if closed != self.limit_enforcer.closed_until:
+            self.limit_enforcer.closed_until = closed
             self.attach()
         if self.outlier_monitor:
             self.outlier_monitor.operator_ejections = {
@@ -494,12 +503,12 @@
             }
         if amounts != self.amounts:
             self.amounts = amounts
-            self.shares.follow(self.said_limits(), self.loop.clock())
+            self.quota_allocation.apply_configs(self.said_limits(), self.loop.clock())
             self.attach()
             told = ",".join(f"{name}={amount:g}" for name, amount in amounts.items())
             log.info("quota_overrides_changed", limits=told)
 
-    def said_limits(self) -> tuple[Said, ...]:
+    def said_limits(self) -> tuple[LimitConfig, ...]:
         """The limits of the file, with the amounts that operators have said for a while."""
         amounts = self.amounts
         return tuple(
@@ -536,21 +545,21 @@
                     "name": one.metadata.name,
                     "run": f"{one.metadata.run:x}",
                     "holds": one.registry_digest == registry.digest,
-                    "limits": one.metadata.limits_epoch == self.shares.epoch
-                    or not self.shares.tables,
+                    "limits": one.metadata.limits_epoch == self.quota_allocation.epoch
+                    or not self.quota_allocation.tables,
                 }
                 for one in self.members.members.values()
                 if one.connected
             ],
-            "agreed": self.shares.agreed,
+            "agreed": self.quota_allocation.agreed,
         }
 
     def begin(self, name: str) -> bool:
         """An operator says that nothing was used of the window of a count that is on."""
-        if not self.shares.begin(name, self.loop.clock()):
+        if not self.quota_allocation.mark_window_unused(name, self.loop.clock()):
             return False
-        mark = self.shares.tables[name].said.limit.mark
-        self.first_notes[BEGUN, mark] = (self.shares.sinces[mark],)
+        mark = self.quota_allocation.tables[name].config.limit.wire_id
+        self.first_notes[BEGUN, mark] = (self.quota_allocation.known_since_by_limit[mark],)
         return True
 
     # Limits.
@@ -561,25 +570,27 @@
         if not self.dealing:
             return
         now = self.now = self.loop.clock()
-        self.loop.at(now + TURN, self, self.deal)
-        members, shares = self.members, self.shares
+        self.loop.call_at(now + TIMER_INTERVAL, self, self.deal)
+        members, shares = self.members, self.quota_allocation
         others = [one for one in members.members.values() if one.reachability != GONE]
         self.look_at_clocks(now)
         self.look_at_division(now, others)
         if any(one.metadata.name == self.spec.name for one in others):
-            shares.fence(now)  # a second process of this name holds the same homes
+            shares.extend_fence(now)  # a second process of this name holds the same homes
         by_name = {one.metadata.name: one.id for one in others if one.connected}
-        shares.turn(now, lambda limit: [by_name[home] for home in limit.homes if home in by_name])
+        shares.on_timer(
+            now, lambda limit: [by_name[home] for home in limit.homes if home in by_name]
+        )
         self.tell_nearly(now, others)
-        self.gates.turn(now, self.life.pools.values())
+        self.limit_enforcer.on_timer(now, self.process.pools.values())
         if self.outlier_monitor:
             self.outlier_monitor.on_timer(now)
         if self.state_store:
-            if self.first_notes or any(part.notes for part in shares.units()):
+            if self.first_notes or any(part.pending_records for part in shares.calendar_quotas()):
                 self.state_store.wake()
             self.members.publish(STAMP, self.state_store.sequence.to_bytes(8, "big"))
             if now >= self.forget_at:
-                over, self.forget_at = self.shares.over(now), now + FORGET
+                over, self.forget_at = self.quota_allocation.make_expiry_filter(now), now + FORGET
                 self.state_store.discard(lambda key: key[0] == WINDOW and over(key[1], key[3]))
         self.send_application_messages()
 
@@ -596,10 +607,10 @@
         )
 
     def look_at_division(self, now: int, others: list[Member]) -> None:
-        shares = self.shares
-        if shares.agreed and shares.told == shares.epoch:
+        shares = self.quota_allocation
+        if shares.agreed and shares.announced_epoch == shares.epoch:
             return
-        if shares.tell(now):
+        if shares.announce(now):
             self.members.reconfigure(
                 now,
                 self.spec.seeds,
@@ -610,11 +621,11 @@
         heard = [one for one in others if one.connected]
         there = {one.metadata.name for one in heard if one.metadata.limits_epoch == shares.epoch}
         apart = {one.metadata.name for one in heard if one.metadata.limits_epoch != shares.epoch}
-        since, silent = shares.since, {one.metadata.name for one in others if one.unreachable}
-        agreed = shares.look(now, there, apart, silent, self.clocks.voices)
-        if self.state_store and shares.since != since:
+        since, silent = shares.known_since, {one.metadata.name for one in others if one.unreachable}
+        agreed = shares.check_agreement(now, there, apart, silent, self.clocks.voices)
+        if self.state_store and shares.known_since != since:
             # From here on the file knows of all that is used; what was before it does not say.
-            self.first_notes[BEGUN,] = (shares.since,)
+            self.first_notes[BEGUN,] = (shares.known_since,)
         if agreed:
             log.info(
                 "quota_allocation_agreed", limits=",".join(shares.tables), epoch=f"{shares.epoch:x}"
@@ -622,20 +633,20 @@
 
     def tell_nearly(self, now: int, others: list[Member]) -> None:
         """Tell what is asked for of limits that are nearly kept, and hear what the others tell."""
-        nearly = self.shares.nearly
+        nearly = self.quota_allocation.approximate_quotas
         if not nearly:
             return
         heard, soon = {one.id: one.connected for one in others}, False
         for one in nearly.values():
-            changed, at_once = one.turn(now, heard, self.counting.floor(now))
+            changed, at_once = one.on_timer(now, heard, self.counting.floor(now))
             if changed:
-                self.members.publish(one.limit.mark, one.word(now))
+                self.members.publish(one.limit.wire_id, one.encode_report(now))
             soon = soon or at_once
         if soon:
             self.members.broadcast_payloads(now)
 
     def send_application_messages(self) -> None:
-        deals = self.shares.take_out()
+        deals = self.quota_allocation.take_messages()
         pleas = self.outlier_monitor.take_messages() if self.outlier_monitor else []
         if deals or pleas:
             self.members.send_application_messages(deals, self.loop.clock(), pleas)
@@ -643,7 +654,7 @@
 
     def limits(self) -> list[dict[str, Any]]:
         """How each limit stands here."""
-        return self.shares.rows(self.loop.clock())
+        return self.quota_allocation.status_rows(self.loop.clock())
 
     def compare(self, member: int, contents: bytes) -> None:
         """A new run whose state file has fewer notes than the last one's: an old copy, or none."""
@@ -674,8 +685,8 @@
         )
         self.begun_stamp = deal.nonce
         self.state_store.sequence = max(self.state_store.sequence, deal.nonce)
-        self.shares.void(self.loop.clock())
-        self.first_notes[BEGUN,] = (self.shares.since,)
+        self.quota_allocation.invalidate_records(self.loop.clock())
+        self.first_notes[BEGUN,] = (self.quota_allocation.known_since,)
 
     # Pools.
 
@@ -686,32 +697,32 @@
             return
         if mark == LOG_PROGRESS_CHANNEL:
             if self.agreed:
-                self.agreed.told_news(member, contents)
+                self.agreed.on_announcement(member, contents)
             return
         if mark in self.nearly_marks:
-            self.nearly_marks[mark].hear(member, contents, self.loop.clock())
+            self.nearly_marks[mark].on_report(member, contents, self.loop.clock())
             return
         name = self.by_mark.get(mark)
         counted = self.counting.pools.get(name) if name else None
-        pool = self.life.pools.get(name) if name else None
+        pool = self.process.pools.get(name) if name else None
         if counted is None or pool is None or (number := counted.ids.get(member)) is None:
             return
         if len(self.said) > 4 * self.members.max_members:
             self.said.clear()
         if self.said.get((member, mark)) != contents:
             self.said[member, mark] = contents
-            pool.hears(number, contents)
+            pool.receive_peer_message(number, contents)
 
     def recount(self) -> None:
-        self.loop.at(self.now + COUNT, self, self.recount)
+        self.loop.call_at(self.now + COUNT, self, self.recount)
         self.count(self.now)
 
     def count(self, now: int) -> None:
         """Tell pools how many share them, and which this one is."""
         for counted in self.counting.update(now):
-            pool: Pool | None = self.life.pools.get(counted.name)
+            pool: Pool | None = self.process.pools.get(counted.name)
             if pool is not None:
-                pool.shared(counted.balancers, counted.number)
+                pool.set_fleet_size(counted.balancers, counted.number)
                 self.said.clear()  # by other numbers now
                 log.info(
                     "pool_fleet_size_changed",
