--- a/tests/test_forms_kept.py
+++ b/tests/test_forms_kept.py
@@ -73,7 +73,7 @@
     data = base64.b85decode(TALKS)
     found = KEY.open(data)
     assert (
-        found.consensus_messages[0].lines == [LogEntry(5, 2, b"line")]
+        found.consensus_messages[0].entries == [LogEntry(5, 2, b"line")]
         and found.consensus_messages[0].data == b"more"
     )
     before = msgspec.msgpack.decode(
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -47,7 +47,7 @@
         it.limits_epoch,
     ],
     messages.MemberUpdate: lambda it: [it.id, it.incarnation, it.state, it.reason, it.reporter],
-    messages.QuotaMessage: lambda it: [it.kind, it.limit, it.nonce, it.amount, it.turn, it.key],
+    messages.QuotaMessage: lambda it: [it.kind, it.limit, it.nonce, it.amount, it.sequence, it.key],
     messages.EjectionMessage: lambda it: [
         it.kind,
         it.pool,
@@ -60,14 +60,14 @@
     messages.LogEntry: lambda it: [it.term, it.kind, it.data],
     messages.ConsensusMessage: lambda it: [
         it.kind,
-        it.record,
-        it.disk,
+        it.cluster_id,
+        it.disk_id,
         it.term,
         it.arg1,
         it.arg2,
         it.arg3,
         it.arg4,
-        it.lines,
+        it.entries,
         it.data,
     ],
     messages.DatagramWithoutConsensus: lambda it: [
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -468,7 +468,7 @@
         if talk.term == self.term and self.can_grant_vote(talk):
             if not self.voted_for:
                 self.role = FOLLOWER
-                self.set_term_and_vote(self.term, talk.disk)
+                self.set_term_and_vote(self.term, talk.disk_id)
             self.reset_election_timer()
             self.send(sender, VOTE_RESPONSE, 1)
         else:
@@ -476,7 +476,7 @@
 
     def can_grant_vote(self, talk: ConsensusMessage) -> bool:
         return (
-            self.voted_for in (0, talk.disk)
+            self.voted_for in (0, talk.disk_id)
             and self.now >= self.vote_allowed_at
             and self.is_up_to_date(talk.arg1, talk.arg2)
         )
@@ -493,7 +493,7 @@
 
     def is_from_voter(self, talk: ConsensusMessage, sender: str) -> bool:
         """Whether a voter's word is that of the disk that votes under its name."""
-        return self.config.get(sender) == talk.disk
+        return self.config.get(sender) == talk.disk_id
 
     def count_votes(self) -> None:
         if self.role == CANDIDATE and self.is_quorum(self.votes):
@@ -589,7 +589,7 @@
         if not self.matches_previous_entry(talk):
             self.send(sender, APPEND_ACCEPTED, 0, self.conflict_index(talk.arg1), 0, talk.arg4)
             return
-        for index, line in enumerate(talk.lines, talk.arg1 + 1):
+        for index, line in enumerate(talk.entries, talk.arg1 + 1):
             if (
                 index <= self.log_offset
                 or index <= self.last_index
@@ -597,11 +597,11 @@
             ):
                 continue
             self.append_entry(index, line)
-        self.matched_index = max(self.matched_index, talk.arg1 + len(talk.lines))
+        self.matched_index = max(self.matched_index, talk.arg1 + len(talk.entries))
         self.send(
             sender, APPEND_ACCEPTED, 1, self.durable_match_index(), self.matched_index, talk.arg4
         )
-        self.commit_through(min(talk.arg3, talk.arg1 + len(talk.lines)))
+        self.commit_through(min(talk.arg3, talk.arg1 + len(talk.entries)))
 
     def durable_match_index(self) -> int:
         """Up to which line of the leader's is on the disk here."""
@@ -772,7 +772,7 @@
         return True
 
     def on_forwarded_command(self, talk: ConsensusMessage, sender: str) -> None:
-        for line in talk.lines[:1]:
+        for line in talk.entries[:1]:
             if line.kind > CONFIG_ENTRY:
                 self.propose(line.kind, line.data)
 
@@ -959,13 +959,13 @@
         """Lines that are agreed."""
         if talk.arg1 > self.commit_index + 1:
             return
-        for index, line in enumerate(talk.lines, talk.arg1):
+        for index, line in enumerate(talk.entries, talk.arg1):
             if index <= self.commit_index:
                 continue
             if index > self.last_index or self.term_at(index) != line.term:
                 self.append_entry(index, line)
-        self.adopt_term(talk.lines)
-        self.commit_through(talk.arg1 + len(talk.lines) - 1)
+        self.adopt_term(talk.entries)
+        self.commit_through(talk.arg1 + len(talk.entries) - 1)
         if talk.arg2 and self.is_behind():
             self.fetch_missing()
 
@@ -1032,9 +1032,9 @@
     def receive(self, talk: ConsensusMessage, sender: str, now: int) -> None:
         """A talk of a member that is proved to be of the fleet."""
         self.now = max(self.now, now)
-        if talk.record != self.cluster_id:
-            if self.is_superseded_by(talk.record):
-                self.join_cluster(talk.record)
+        if talk.cluster_id != self.cluster_id:
+            if self.is_superseded_by(talk.cluster_id):
+                self.join_cluster(talk.cluster_id)
             else:
                 self.counts["other_record"] += 1
                 return
@@ -1059,7 +1059,7 @@
         elif kind == APPEND_ACCEPTED:
             self.on_append_response(talk, sender)
         elif kind == APPEND_REJECTED:
-            self.on_commit_announced(sender, talk.record, talk.arg1)
+            self.on_commit_announced(sender, talk.cluster_id, talk.arg1)
             if self.is_behind():
                 self.fetch_missing()
         elif kind == FETCH_ENTRIES:
--- a/whinpier/fleet/messages.py
+++ b/whinpier/fleet/messages.py
@@ -168,8 +168,8 @@
     """A message about a leased part of a limit, or about units of a calendar window.
 
     - LEASE_REQUEST, LEASE_GRANT, LEASE_RETURN: `nonce` names the lease, `amount` is asked for,
-      granted or given back, `turn` counts the requests under this nonce.
-    - UNITS_REQUEST, UNITS_GRANT: `amount` units of the window that starts at `turn`, in seconds
+      granted or given back, `sequence` counts the requests under this nonce.
+    - UNITS_REQUEST, UNITS_GRANT: `amount` units of the window that starts at `sequence`, in seconds
       since the epoch.
     - STALE_STATE: the receiver's state file is older than its last run's, which had `nonce`
       records.
@@ -179,7 +179,7 @@
     limit: Uint32  # hash of the limit
     nonce: Uint
     amount: Annotated[int, Meta(ge=0, le=2**48)]
-    turn: Uint32
+    sequence: Uint32
     key: Uint32 = 0  # of the tenant or upstream, where each has the limit for itself
 
 
@@ -213,13 +213,13 @@
 
 
 class ConsensusMessage(Struct, frozen=True, array_like=True):
-    """A message of the consensus protocol (Raft), about the replicated log `record`.
+    """A message of the consensus protocol (Raft), about the replicated log `cluster_id`.
 
     - PRE_VOTE_REQUEST: `arg1` index and `arg2` term of the last entry; `term` is the term that the
       sender would campaign for. PRE_VOTE_RESPONSE: `arg1` 1 if granted.
     - VOTE_REQUEST: `arg1` index and `arg2` term of the last entry, `arg3` 1 if the leader asked for
       the election. VOTE_RESPONSE: `arg1` 1 if granted.
-    - APPEND_ENTRIES: `arg1` index and `arg2` term of the entry before `lines`, `arg3` commit index,
+    - APPEND_ENTRIES: `arg1` index and `arg2` term of the entry before `entries`, `arg3` commit index,
       `arg4` round.
     - APPEND_ACCEPTED: the answer to it. `arg1` 1 if the entries fit, `arg2` index up to which they
       are on the follower's disk, else the index to continue from, `arg3` index up to which they
@@ -228,25 +228,25 @@
       index.
     - FETCH_ENTRIES: `arg1` first index wanted, `arg2` bytes already received of the snapshot that
       ends at index `arg3`.
-    - FETCHED_ENTRIES: `arg1` index of the first of `lines`, `arg2` 1 on the last message.
+    - FETCHED_ENTRIES: `arg1` index of the first of `entries`, `arg2` 1 on the last message.
     - INSTALL_SNAPSHOT: `arg1` last index in the snapshot, `arg2` offset of `data`, `arg3` size of
       the snapshot.
-    - FORWARD_COMMAND: commands for the leader, in `lines`.
+    - FORWARD_COMMAND: commands for the leader, in `entries`.
     - READ_INDEX_REQUEST: `arg1` nonce. READ_INDEX_RESPONSE: `arg1` nonce, `arg2` index.
     - TIMEOUT_NOW: no arguments; the receiver is to campaign at once.
-    - STALE_DISK: the disk `arg2` had `arg1` journal records before its last restart.
+    - STALE_DISK: the disk with id `arg2` had `arg1` journal records before its last restart.
     - MEMBER_REPORT: the sender's report, in `data`.
     """
 
     kind: Annotated[int, Meta(ge=PRE_VOTE_REQUEST, le=MEMBER_REPORT)]
-    record: Uint  # id of the replicated log
-    disk: Uint  # id of the sender's persistent state
+    cluster_id: Uint  # of the replicated log
+    disk_id: Uint  # of the sender's persistent state
     term: Uint40
     arg1: Uint = 0
     arg2: Uint = 0
     arg3: Uint = 0
     arg4: Uint = 0
-    lines: Annotated[list[LogEntry], Meta(max_length=MAX_LOG_ENTRIES)] = []
+    entries: Annotated[list[LogEntry], Meta(max_length=MAX_LOG_ENTRIES)] = []
     data: Annotated[bytes, Meta(max_length=MAX_CONSENSUS_BYTES)] = b""
 
 
--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -369,7 +369,7 @@
         amount = self.grants.get(deal.nonce)
         if amount is None:
             self.update_windows(now)
-            slot = next((slot for slot in self.windows if slot.start == deal.turn), None)
+            slot = next((slot for slot in self.windows if slot.start == deal.sequence), None)
             if slot is None or now < self.fenced_until:
                 return
             full = len(self.held_grants) >= MAX_LEASES  # the disk does not take them
@@ -392,12 +392,12 @@
 
     def answer(self, deal: QuotaMessage, amount: int) -> QuotaMessage:
         return QuotaMessage(
-            UNITS_GRANT, self.limit.wire_id, deal.nonce, amount, deal.turn, self.limit.key
+            UNITS_GRANT, self.limit.wire_id, deal.nonce, amount, deal.sequence, self.limit.key
         )
 
     def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         ask = self.pending.pop(deal.nonce, None)
-        if ask is None or ask.member != other or ask.start != deal.turn:
+        if ask is None or ask.member != other or ask.start != deal.sequence:
             return  # of another window, another run, or come before
         if deal.amount <= 0:
             self.declined_at[other] = now
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -384,23 +384,23 @@
             return
         amount = lease.amount if lease else min(deal.amount, self.compute_spare(now))
         if lease is not None and (
-            deal.turn <= lease.renewal or self.compute_need(now) > self.known(now)
+            deal.sequence <= lease.renewal or self.compute_need(now) > self.known(now)
         ):
             return  # an old message, or it is needed here: the loan ends by itself
         if amount > 0 and (lease or len(self.lent) < MAX_LEASES):
             # Off here first, and for longer than there.
             self.lent[deal.nonce] = Lease(
-                other, amount, now + self.lend_duration + LEASE_GRACE, deal.turn
+                other, amount, now + self.lend_duration + LEASE_GRACE, deal.sequence
             )
             self.on_leases_changed(now)
         else:
             amount = 0
-        self.say(other, LEASE_GRANT, deal.nonce, amount, deal.turn)
+        self.say(other, LEASE_GRANT, deal.nonce, amount, deal.sequence)
 
     def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         """A loan, if it is the one that was asked for last: its span runs from when it was asked for."""
         asked = self.pending.get(deal.nonce)
-        if asked is None or asked.member != other or asked.renewal != deal.turn:
+        if asked is None or asked.member != other or asked.renewal != deal.sequence:
             return  # of another turn, another run, or given back since
         del self.pending[deal.nonce]
         if deal.amount <= 0:
@@ -412,7 +412,7 @@
         held = self.borrowed.get(deal.nonce)
         if until > now and (held or not asked.renewal):
             self.borrowed[deal.nonce] = Lease(
-                other, min(deal.amount, asked.amount), until, deal.turn
+                other, min(deal.amount, asked.amount), until, deal.sequence
             )
             self.on_leases_changed(now)
 
--- a/whinpier/model_checking/consensus.py
+++ b/whinpier/model_checking/consensus.py
@@ -187,7 +187,7 @@
         ]
 
     def describe(self, message: ConsensusMessage) -> str:
-        return f"{NAMES[message.kind]} {message.term}/{message.arg1}/{message.arg2}+{len(message.lines)}"
+        return f"{NAMES[message.kind]} {message.term}/{message.arg1}/{message.arg2}+{len(message.entries)}"
 
     def deliver(self, place: int, message: ConsensusMessage, sender: int) -> None:
         self.parties[place].receive(message, f"m{(sender - 1) % 100}", self.now)
@@ -391,7 +391,7 @@
                     talk.arg2,
                     talk.arg3,
                     talk.arg4,
-                    tuple((line.term, line.data) for line in talk.lines),
+                    tuple((line.term, line.data) for line in talk.entries),
                     talk.data,
                 )
                 for sender, to, talk in self.network
@@ -593,8 +593,8 @@
     """What comes late and is there already cuts off what has come since."""
 
     def on_append_entries(self, talk: ConsensusMessage, sender: str) -> None:
-        if talk.term == self.term and talk.lines and self.matches_previous_entry(talk):
-            end = talk.arg1 + len(talk.lines)
+        if talk.term == self.term and talk.entries and self.matches_previous_entry(talk):
+            end = talk.arg1 + len(talk.entries)
             if self.commit_index <= end < self.last_index:
                 self.truncate_from(end + 1)
         super().on_append_entries(talk, sender)
@@ -661,7 +661,7 @@
 class CountsRefusals(RaftNode):
     def on_vote_response(self, talk: ConsensusMessage, sender: str) -> None:
         super().on_vote_response(
-            ConsensusMessage(talk.kind, talk.record, talk.disk, talk.term, 1), sender
+            ConsensusMessage(talk.kind, talk.cluster_id, talk.disk_id, talk.term, 1), sender
         )
 
 
@@ -690,8 +690,8 @@
         super().on_append_response(
             ConsensusMessage(
                 APPEND_ACCEPTED,
-                talk.record,
-                talk.disk,
+                talk.cluster_id,
+                talk.disk_id,
                 self.term,
                 talk.arg1,
                 talk.arg2,
@@ -707,14 +707,14 @@
         super().on_append_entries(
             ConsensusMessage(
                 talk.kind,
-                talk.record,
-                talk.disk,
+                talk.cluster_id,
+                talk.disk_id,
                 self.term,
                 talk.arg1,
                 talk.arg2,
                 talk.arg3,
                 talk.arg4,
-                talk.lines,
+                talk.entries,
             ),
             sender,
         )
--- a/whinpier/model_checking/count_mutants.py
+++ b/whinpier/model_checking/count_mutants.py
@@ -26,11 +26,11 @@
     def on_request(self, deal: QuotaMessage, other: int, now: int) -> None:
         for slot in self.windows:
             if (
-                slot.start == deal.turn
+                slot.start == deal.sequence
                 and (spare := min(deal.amount, slot.remaining - self.wish)) > 0
             ):
                 self.out.append(
-                    (other, QuotaMessage(UNITS_GRANT, deal.limit, deal.nonce, spare, deal.turn))
+                    (other, QuotaMessage(UNITS_GRANT, deal.limit, deal.nonce, spare, deal.sequence))
                 )
 
 
@@ -68,7 +68,7 @@
 class TakesAnybodysUnits(Wishful):
     def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         for slot in self.windows:
-            if slot.start == deal.turn:
+            if slot.start == deal.sequence:
                 slot.transferred += deal.amount
         self.pending.pop(deal.nonce, None)
 
--- a/whinpier/model_checking/counts.py
+++ b/whinpier/model_checking/counts.py
@@ -216,7 +216,7 @@
         )
         network = tuple(
             sorted(
-                (sender, to, deal.kind, name(deal.nonce), deal.amount, deal.turn)
+                (sender, to, deal.kind, name(deal.nonce), deal.amount, deal.sequence)
                 for sender, to, deal in self.network
             )
         )
--- a/whinpier/model_checking/quota_mutants.py
+++ b/whinpier/model_checking/quota_mutants.py
@@ -18,7 +18,7 @@
     def on_request(self, deal: QuotaMessage, other: int, now: int) -> None:
         amount = min(deal.amount, self.compute_spare(now))
         self.out.append(
-            (other, QuotaMessage(LEASE_GRANT, deal.limit, deal.nonce, amount, deal.turn))
+            (other, QuotaMessage(LEASE_GRANT, deal.limit, deal.nonce, amount, deal.sequence))
         )
 
 
@@ -39,7 +39,7 @@
 class ComparesNoTurn(Wishing):
     def on_grant(self, deal: QuotaMessage, other: int, now: int) -> None:
         if (asked := self.pending.get(deal.nonce)) is not None:
-            asked.renewal = deal.turn
+            asked.renewal = deal.sequence
         super().on_grant(deal, other, now)
 
 
@@ -154,7 +154,7 @@
     def on_message(self, deal: QuotaMessage, other: int, now: int) -> None:
         if deal.kind == LEASE_RETURN and self.lent:
             deal = QuotaMessage(
-                LEASE_RETURN, deal.limit, next(iter(self.lent)), deal.amount, deal.turn
+                LEASE_RETURN, deal.limit, next(iter(self.lent)), deal.amount, deal.sequence
             )
             other = self.lent[deal.nonce].member
         super().on_message(deal, other, now)
--- a/whinpier/model_checking/quotas.py
+++ b/whinpier/model_checking/quotas.py
@@ -181,7 +181,7 @@
         )
         network = tuple(
             sorted(
-                (sender, to, deal.kind, name(deal.nonce), deal.amount, deal.turn)
+                (sender, to, deal.kind, name(deal.nonce), deal.amount, deal.sequence)
                 for sender, to, deal in self.network
             )
         )
