--- a/whinpier/fleet/quotas/calendar_quota.py
+++ b/whinpier/fleet/quotas/calendar_quota.py
@@ -415,7 +415,9 @@
         amount = self.grants.get(message.nonce)
         if amount is None:
             self.update_windows(now)
-            window = next((window for window in self.windows if window.start == message.turn), None)
+            window = next(
+                (window for window in self.windows if window.start == message.sequence), None
+            )
             if window is None or now < self.fenced_until:
                 return
             if len(self.held_grants) >= MAX_LEASES:  # the disk does not accept them
@@ -441,13 +443,13 @@
     def make_grant(self, message: QuotaMessage, amount: int) -> QuotaMessage:
         """Return the answer to a request."""
         return QuotaMessage(
-            UNITS_GRANT, self.limit.wire_id, message.nonce, amount, message.turn, self.limit.key
+            UNITS_GRANT, self.limit.wire_id, message.nonce, amount, message.sequence, self.limit.key
         )
 
     def on_grant(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Add what was transferred, if it answers a request that is pending."""
         transfer = self.pending.pop(message.nonce, None)
-        if transfer is None or transfer.member != sender or transfer.start != message.turn:
+        if transfer is None or transfer.member != sender or transfer.start != message.sequence:
             return  # answers another window or an earlier run, or is a duplicate
         if message.amount <= 0:
             self.declined_at[sender] = now
--- a/whinpier/fleet/quotas/leases.py
+++ b/whinpier/fleet/quotas/leases.py
@@ -84,8 +84,7 @@
         window = f"/{self.window}" * bool(self.window)
         duration = f"/{self.lease_duration}" * (self.lease_duration != LEASE_DURATION)
         return pool_hash(
-            f"{self.name}/{self.kind}/{self.amount}/{self.burst}/{','.join(self.homes)}"
-            f"{window}{duration}"
+            f"{self.name}/{self.kind}/{self.amount}/{self.burst}/{','.join(self.homes)}{window}{duration}"
         )
 
 
@@ -425,22 +424,22 @@
             return
         amount = lease.amount if lease else min(message.amount, self.compute_spare(now))
         if lease is not None and (
-            message.turn <= lease.renewal or self.compute_need(now) > self.get_available(now)
+            message.sequence <= lease.renewal or self.compute_need(now) > self.get_available(now)
         ):
             return  # an outdated message, or the lease is needed here and is left to expire
         if amount > 0 and (lease or len(self.lent) < MAX_LEASES):
             # Subtracted here before the borrower adds it, and for longer than it holds there.
             expires_at = now + self.lend_duration + LEASE_GRACE
-            self.lent[message.nonce] = Lease(sender, amount, expires_at, message.turn)
+            self.lent[message.nonce] = Lease(sender, amount, expires_at, message.sequence)
             self.on_leases_changed(now)
         else:
             amount = 0
-        self.send(sender, LEASE_GRANT, message.nonce, amount, message.turn)
+        self.send(sender, LEASE_GRANT, message.nonce, amount, message.sequence)
 
     def on_grant(self, message: QuotaMessage, sender: int, now: int) -> None:
         """Add a lease if it answers the last request; it runs from when that was sent."""
         request = self.pending.get(message.nonce)
-        if request is None or request.member != sender or request.renewal != message.turn:
+        if request is None or request.member != sender or request.renewal != message.sequence:
             return  # answers an earlier renewal, an earlier run, or a lease returned since
         del self.pending[message.nonce]
         if message.amount <= 0:
@@ -452,7 +451,7 @@
         held = self.borrowed.get(message.nonce)
         if expires_at > now and (held or not request.renewal):
             amount = min(message.amount, request.amount)
-            self.borrowed[message.nonce] = Lease(sender, amount, expires_at, message.turn)
+            self.borrowed[message.nonce] = Lease(sender, amount, expires_at, message.sequence)
             self.on_leases_changed(now)
 
     # Another allocation.
