--- a/whinpier/policy/policy.py
+++ b/whinpier/policy/policy.py
@@ -4,7 +4,8 @@
 the calls that `Policy` makes on its `Host` (whinpier/policy/model.py). A request passes three
 stages: AdmissionQueue, RetryPolicy and UpstreamSelector. Each passes it on, accepts it (it is
 queued or sent) or finishes it (it has its final answer); outcomes of attempts pass the stages in
-the opposite order. The reasons for the design are in docs/design.md.
+the opposite order. Times are in nanoseconds unless a comment says otherwise. The reasons for the
+design are in docs/design.md.
 """
 
 from __future__ import annotations
@@ -55,8 +56,8 @@
     """Return each server's part of `rate` that minimises the highest mean latency over those used.
 
     `costs` are the servers' mean service times in seconds. All servers in use come to the same
-    level of mean latency; those whose service time is above it get nothing. A rate above the
-    capacity of all is split in proportion to capacity.
+    level of mean latency; those whose service time is above it get nothing. A rate that is at least
+    the capacity of all is split in proportion to capacity.
     """
     total = sum(1.0 / cost for cost in costs)
     if rate >= total:
@@ -178,8 +179,7 @@
         """Send queued requests on while there is capacity: best class first, oldest first."""
         for requests in self.queues.values():
             while requests and (
-                requests[0].ended
-                or self.policy.run(requests[0], self.policy.retry_policy) != StageResult.PASSED_ON
+                requests[0].ended or self.policy.send(requests[0]) is not StageResult.PASSED_ON
             ):
                 requests.popleft()
 
@@ -304,7 +304,7 @@
         return affordable
 
     def on_attempt_started(self, attempt: Attempt) -> None:
-        """Check an attempt that may be hedged again when its answer is late."""
+        """Schedule a check of an attempt for when its answer is late, if it may be hedged."""
         request_class = attempt.request.request_class
         due = self.host.now + int(self.HEDGE_DELAY * request_class.statistics.mean_latency)
         if (
@@ -343,7 +343,7 @@
             self.cancel(others if first else [])
         elif attempt.outcome not in NEVER_RAN and not self.afford():
             self.policy.finish(request)
-        elif self.policy.run(request, self) == StageResult.PASSED_ON:
+        elif self.policy.send(request) is StageResult.PASSED_ON:
             self.policy.admission_queue.enqueue(request)
 
     def cancel(self, attempts: list[Attempt]) -> None:
@@ -803,7 +803,7 @@
         trial = self.select_trial(request)
         if trial is not None:
             return trial
-        # Upstreams that are warming up come first, as a permit of their pacer lapses.
+        # Upstreams that are warming up and have a permit come first, then draws by share.
         draws = self.DRAWS if self.drawn else 0
         points = (self.random() * self.cumulative_shares[-1] for _ in range(draws))
         warm = (
@@ -885,14 +885,11 @@
         self.update_capacity(statistics)
 
 
-Stage = AdmissionQueue | RetryPolicy | UpstreamSelector
-
-
 class Policy:
     """The decisions of one balancer; its host calls the `on_...` methods."""
 
-    # Seconds within which the endpoint list is first asked for.
-    FOLLOW_WITHIN = 2
+    # Longest random delay until the endpoint list is first asked for.
+    FIRST_FOLLOW_DELAY = 2 * SECOND
     MAX_BACKOFF_DOUBLINGS = 9
 
     def __init__(
@@ -927,8 +924,7 @@
         # delay is random, and doubles with each attempt in vain, which may itself take half of it.
         if self.subscribes and not self.following:
             delay = min(
-                self.FOLLOW_WITHIN * SECOND
-                << min(self.follow_attempts, self.MAX_BACKOFF_DOUBLINGS),
+                self.FIRST_FOLLOW_DELAY << min(self.follow_attempts, self.MAX_BACKOFF_DOUBLINGS),
                 self.max_follow_delay,
             )
             random = self.selector.random()
@@ -966,17 +962,18 @@
         self.selector.on_request()
         self.retry_policy.requests.add(self.host.now)
         request.request_class.statistics.requests.add(self.host.now)
-        if self.run(request, self.admission_queue) == StageResult.PASSED_ON:
+        result = self.admission_queue.process(request)
+        if result is StageResult.PASSED_ON:
+            result = self.send(request)
+        if result is StageResult.PASSED_ON:
             self.admission_queue.enqueue(request)
 
-    def run(self, request: Request, first: Stage) -> StageResult:
-        """Pass a request along the stages from `first` on, until one accepts or finishes it."""
-        stages: list[Stage] = [self.admission_queue, self.retry_policy, self.selector]
-        for stage in stages[stages.index(first) :]:
-            result = stage.process(request)
-            if result != StageResult.PASSED_ON:
-                return result
-        return StageResult.PASSED_ON
+    def send(self, request: Request) -> StageResult:
+        """Pass a new, queued or failed request through the stages after the queue."""
+        result = self.retry_policy.process(request)
+        if result is StageResult.PASSED_ON:
+            result = self.selector.process(request)
+        return result
 
     def on_attempt_finished(
         self, attempt: Attempt, load: dict[str, float] | None, first: bool
@@ -999,7 +996,7 @@
     def finish(self, request: Request) -> StageResult:
         """Give the final answer to a request that failed: rejected if a retry is harmless."""
         if self.retry_policy.harmless(request) and self.host.now < request.deadline:
-            # A quarter of the latency objective: a congestion has eased by then, and a retry can
+            # A quarter of the latency objective: congestion has eased by then, and a retry can
             # still be in time.
             wait = request.request_class.latency_objective // 4 if self.sends_retry_after else 0
             self.host.reject(request, wait)
