--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -34,7 +34,7 @@
 
 # What each typed message says, field by field in the order of its bytes.
 READERS = {
-    messages.Card: lambda it: [
+    messages.MemberMetadata: lambda it: [
         it.name,
         it.run,
         it.version,
@@ -44,42 +44,53 @@
         it.zone,
         it.revision,
         it.pools,
-        it.limits,
+        it.limits_epoch,
     ],
-    messages.Word: lambda it: [it.id, it.life, it.state, it.why, it.by],
-    messages.Deal: lambda it: [it.kind, it.limit, it.nonce, it.amount, it.turn, it.key],
-    messages.Plea: lambda it: [it.kind, it.pool, it.key, it.nonce, it.one, it.two, it.three],
-    messages.Line: lambda it: [it.term, it.kind, it.data],
-    messages.Talk: lambda it: [
+    messages.MemberUpdate: lambda it: [it.id, it.incarnation, it.state, it.reason, it.reporter],
+    messages.QuotaMessage: lambda it: [it.kind, it.limit, it.nonce, it.amount, it.sequence, it.key],
+    messages.EjectionMessage: lambda it: [
         it.kind,
-        it.record,
-        it.disk,
+        it.pool,
+        it.key,
+        it.nonce,
+        it.arg1,
+        it.arg2,
+        it.arg3,
+    ],
+    messages.LogEntry: lambda it: [it.term, it.kind, it.data],
+    messages.ConsensusMessage: lambda it: [
+        it.kind,
+        it.cluster_id,
+        it.disk_id,
         it.term,
-        it.one,
-        it.two,
-        it.three,
-        it.four,
-        it.lines,
+        it.arg1,
+        it.arg2,
+        it.arg3,
+        it.arg4,
+        it.entries,
         it.data,
     ],
-    messages.Plainly: lambda it: [
+    messages.DatagramWithoutConsensus: lambda it: [
         it.kind,
         it.sender,
-        it.count,
+        it.sequence,
         it.nonce,
         it.target,
         it.digest,
-        it.words,
-        it.cards,
-        it.said,
-        it.ids,
-        it.deals,
-        it.wall,
-        it.register,
-        it.entries,
-        it.pleas,
+        it.updates,
+        it.metadata,
+        it.payloads,
+        it.requested_ids,
+        it.quota_messages,
+        it.wall_clock_ns,
+        it.registry_digest,
+        it.registry_entries,
+        it.ejection_messages,
+    ],
+    messages.Datagram: lambda it: [
+        *READERS[messages.DatagramWithoutConsensus](it),
+        it.consensus_messages,
     ],
-    messages.Datagram: lambda it: [*READERS[messages.Plainly](it), it.talks],
     registry.RegistryEntry: lambda it: [it.key, it.value, it.version, it.origin, it.remaining_ms],
     MemberReport: lambda it: [
         it.applied_index,
@@ -97,7 +108,7 @@
         it.rejected,
         it.memory_bytes,
     ],
-    allocation.Kept: lambda it: [it.epoch, it.home, it.homes, it.span],
+    allocation.StoredAllocation: lambda it: [it.epoch, it.home_quota, it.homes, it.lease_duration],
     commands.CommandHeader: lambda it: [
         it.id,
         it.operator,
@@ -188,16 +199,16 @@
         it.results,
         it.last_applied,
     ],
-    agreement.Copy: lambda it: [
-        it.record,
-        it.disk,
+    agreement.PersistentState: lambda it: [
+        it.cluster_id,
+        it.disk_id,
         it.term,
-        it.voted,
-        it.start,
-        it.start_term,
-        it.base,
-        it.state,
-        it.lines,
+        it.voted_for,
+        it.log_offset,
+        it.log_offset_term,
+        it.snapshot_index,
+        it.snapshot,
+        it.entries,
     ],
 }
 # Which typed message a kept group holds, and which log entry kind carries which.
@@ -255,7 +266,7 @@
 
 def sealed(values):
     """A datagram as it is sent: without consensus messages it has the shorter form."""
-    form = messages.Datagram if len(values) == 16 else messages.Plainly
+    form = messages.Datagram if len(values) == 16 else messages.DatagramWithoutConsensus
     return SEAL.seal(typed(form, values))
 
 
@@ -263,7 +274,7 @@
     """What log entries, from the first on, come to."""
     machine = RolloutStateMachine()
     for index, (kind, data) in enumerate(entries, 1):
-        machine.apply(index, messages.Line(1, kind, data))
+        machine.apply(index, messages.LogEntry(1, kind, data))
     return machine
 
 
@@ -283,53 +294,59 @@
         [
             messages.PING,
             messages.ACK,
-            messages.ASK,
-            messages.STANDS,
-            messages.EXCHANGE,
-            messages.WANT,
-            messages.DEALS,
+            messages.PING_REQUEST,
+            messages.INDIRECT_ACK,
+            messages.STATE_EXCHANGE,
+            messages.METADATA_REQUEST,
+            messages.APPLICATION_DATA,
         ],
         0,
     ),
     "lease": (
         [
-            messages.ASK_FOR,
-            messages.LEND,
-            messages.BACK,
-            messages.ASK_UNITS,
-            messages.UNITS,
-            messages.OLD,
+            messages.LEASE_REQUEST,
+            messages.LEASE_GRANT,
+            messages.LEASE_RETURN,
+            messages.UNITS_REQUEST,
+            messages.UNITS_GRANT,
+            messages.STALE_STATE,
         ],
         0,
     ),
     "ejection": (
-        [messages.HEARING, messages.EVIDENCE, messages.VOTE_FOR, messages.VOTE, messages.REST],
+        [
+            messages.OBSERVATION_REQUEST,
+            messages.OBSERVATION_REPLY,
+            messages.EJECTION_VOTE_REQUEST,
+            messages.EJECTION_VOTE_REPLY,
+            messages.EJECTION_NOTICE,
+        ],
         0,
     ),
     "consensus": (
         [
-            messages.ASK_EARLY,
-            messages.EARLY,
-            messages.ASK_VOTE,
-            messages.VOTED,
-            messages.APPEND,
-            messages.TAKEN,
-            messages.BEHIND,
-            messages.FETCH,
-            messages.LINES,
-            messages.PIECE,
-            messages.FORWARD,
-            messages.READ,
-            messages.READ_AT,
-            messages.HURRY,
-            messages.STALE,
-            messages.REPORT,
+            messages.PRE_VOTE_REQUEST,
+            messages.PRE_VOTE_RESPONSE,
+            messages.VOTE_REQUEST,
+            messages.VOTE_RESPONSE,
+            messages.APPEND_ENTRIES,
+            messages.APPEND_ACCEPTED,
+            messages.APPEND_REJECTED,
+            messages.FETCH_ENTRIES,
+            messages.FETCHED_ENTRIES,
+            messages.INSTALL_SNAPSHOT,
+            messages.FORWARD_COMMAND,
+            messages.READ_INDEX_REQUEST,
+            messages.READ_INDEX_RESPONSE,
+            messages.TIMEOUT_NOW,
+            messages.STALE_DISK,
+            messages.MEMBER_REPORT,
         ],
         0,
     ),
     "member_state": (
         [
-            messages.HERE,
+            messages.ALIVE,
             messages.LEAVING,
             messages.SUSPECT,
             messages.LOST,
@@ -339,11 +356,25 @@
         0,
     ),
     "member_evidence": (
-        [messages.SAID, messages.SILENT, messages.REFUSED, messages.RENAMED, messages.STRUCK],
+        [
+            messages.SELF_REPORTED,
+            messages.NO_RESPONSE,
+            messages.PORT_UNREACHABLE,
+            messages.SUPERSEDED,
+            messages.DECLARED_DEAD,
+        ],
+        0,
+    ),
+    "log_note": (
+        [
+            agreement.IDENTITY_RECORD,
+            agreement.TERM_RECORD,
+            agreement.ENTRY_RECORD,
+            agreement.SNAPSHOT_RECORD,
+        ],
         0,
     ),
-    "log_note": ([agreement.WHO, agreement.TERM, agreement.LINE, agreement.BASE], 0),
-    "log_entry_of_the_log_itself": ([agreement.NOTHING, agreement.VOTERS], 0),
+    "log_entry_of_the_log_itself": ([agreement.NO_OP_ENTRY, agreement.CONFIG_ENTRY], 0),
     "log_entry": (
         [
             commands.EntryKind.SET_BUDGET,
@@ -382,17 +413,13 @@
 
 
 def test_words_in_snapshots_and_states_keep_their_spelling():
-    assert messages.STATES == ("here", "leaving", "suspect", "lost", "left", "replaced")
-    assert messages.WHY == ("said", "silent", "refused", "renamed", "struck")
+    assert messages.STATE_NAMES == ("here", "leaving", "suspect", "lost", "left", "replaced")
+    assert messages.REASON_NAMES == ("said", "silent", "refused", "renamed", "struck")
     assert (
         commands.BudgetTarget.BALANCERS,
         commands.BudgetTarget.UPSTREAMS,
         model.FLEET_ACTOR,
-    ) == (
-        "balancers",
-        "upstreams",
-        "bank",
-    )
+    ) == ("balancers", "upstreams", "bank")
     assert (model.DrainPhase.DRAINING, model.DrainPhase.DRAINED, model.DrainPhase.UNDRAINING) == (
         "draining",
         "done",
@@ -423,37 +450,37 @@
     entry = registry.RegistryEntry("limit/all", b"{}", 7, 99, 1_000)
     found = [
         messages.member_id("m1", 0xABC),
-        messages.pool_mark("web"),
-        messages.RECORD_NEWS,
+        messages.pool_hash("web"),
+        messages.LOG_PROGRESS_CHANNEL,
         service.STAMP,
-        limit.mark,
+        limit.wire_id,
         limit.epoch(),
-        window.mark,
+        window.wire_id,
         window.epoch(),
-        allocation.key_of("tenant-a"),
+        allocation.hash_tenant_name("tenant-a"),
         registry.digest_part(entry),
         hash_file(b"file"),
         compute_digest(b"before", (1, 2, "who", "what", "why", True, "text")).hex(),
-        consensus_service.stamp_of(
-            agreement.Copy(256, 7, 3, 8, 20, 2, 20, b"", [messages.Line(3, 0)])
+        consensus_service.disk_version_of(
+            agreement.PersistentState(256, 7, 3, 8, 20, 2, 20, b"", [messages.LogEntry(3, 0)])
         ),
     ]
     assert found == KEPT["marks"]
 
 
 def test_a_datagram_keeps_its_frame():
-    assert (messages.MAGIC, messages.FORM, messages.HEAD, messages.TAG, messages.LARGEST) == (
-        b"wB",
-        1,
-        3,
-        16,
-        1_200,
-    )
     assert (
-        messages.DEAL_SIZE,
-        messages.PLEA_SIZE,
-        messages.WORD_SIZE,
-        messages.EMPTY_SIZE,
+        messages.MAGIC,
+        messages.FORMAT_VERSION,
+        messages.HEADER_BYTES,
+        messages.TAG_BYTES,
+        messages.MAX_DATAGRAM_BYTES,
+    ) == (b"wB", 1, 3, 16, 1_200)
+    assert (
+        messages.QUOTA_MESSAGE_BYTES,
+        messages.EJECTION_MESSAGE_BYTES,
+        messages.MEMBER_UPDATE_BYTES,
+        messages.EMPTY_DATAGRAM_BYTES,
     ) == tuple(KEPT["sizes"])
 
 
@@ -466,7 +493,7 @@
     found = SEAL.open(data)
     assert plain(found) == (values if len(values) == 16 else [*values, []])
     assert sealed(values) == data
-    again = messages.Datagram if len(values) == 16 else messages.Plainly
+    again = messages.Datagram if len(values) == 16 else messages.DatagramWithoutConsensus
     assert SEAL.seal(typed(again, plain(found)[: len(values)])) == data
 
 
@@ -490,7 +517,7 @@
 
 @pytest.mark.parametrize("data, reason", kept("refused_datagrams"))
 def test_a_datagram_that_is_not_taken_says_why(data, reason):
-    with pytest.raises(messages.Unread) as fault:
+    with pytest.raises(messages.DatagramError) as fault:
         SEAL.open(bytes.fromhex(data))
     assert fault.value.reason == reason
 
@@ -508,18 +535,20 @@
 def test_an_announced_demand_of_a_limit_keeps_its_bytes():
     calendar = calendar_quota.Calendar("minute")
     limit = leases.Limit("near", leases.COUNT, 1_000, (), 0, window="minute/UTC")
-    here = fair_share.Nearly(limit, calendar, 0, lambda now: (now, now))
-    here.told_demand, here.spent, here.window = 300, 21, 60
-    assert here.word(0).hex() == KEPT["announced"]["demand"]
-    here.hear(5, bytes.fromhex(KEPT["announced"]["demand"]), 0)
-    other = here.others[5]
-    assert (other.used, other.window) == (21, 60) and 300 in [one for _, one in other.words]
+    here = fair_share.ApproximateQuota(limit, calendar, 0, lambda now: (now, now))
+    here.reported_demand, here.window_used, here.window_start = 300, 21, 60
+    assert here.encode_report(0).hex() == KEPT["announced"]["demand"]
+    here.on_report(5, bytes.fromhex(KEPT["announced"]["demand"]), 0)
+    other = here.peers[5]
+    assert (other.window_used, other.window_start) == (21, 60) and 300 in [
+        one for _, one in other.reports
+    ]
 
 
 def test_an_announced_place_in_the_log_keeps_its_bytes():
     raft = voter("a", 1)
-    raft.record, raft.term, raft.commit, raft.leader = 256, 3, 17, "b"
-    assert raft.news(99).hex() == KEPT["announced"]["news"]
+    raft.cluster_id, raft.term, raft.commit_index, raft.leader = 256, 3, 17, "b"
+    assert raft.announcement(99).hex() == KEPT["announced"]["news"]
 
 
 # Log entries and their snapshot.
@@ -562,27 +591,29 @@
 
 
 def log_of(data):
-    return agreement.replayed(
+    return agreement.replay_journal(
         note
         for _, note in read_records(
-            "record", data, consensus_service.MAGIC, consensus_service.LONGEST
+            "record", data, consensus_service.JOURNAL_MAGIC, consensus_service.MAX_RECORD_BYTES
         )
     )
 
 
 def log_written(values):
-    copy = agreement.Copy(
-        *natural(values)[:-1], [messages.Line(*natural(line)) for line in values[-1]]
+    copy = agreement.PersistentState(
+        *natural(values)[:-1], [messages.LogEntry(*natural(line)) for line in values[-1]]
+    )
+    return consensus_service.JOURNAL_MAGIC + b"".join(
+        map(encode_record, agreement.compact_journal(copy))
     )
-    return consensus_service.MAGIC + b"".join(map(encode_record, agreement.compacted(copy)))
 
 
 def test_a_log_file_begins_with_its_magic():
     assert (
-        consensus_service.MAGIC == b"whinpier bank record 1\n"
-        and consensus_service.LONGEST == 6 << 20
+        consensus_service.JOURNAL_MAGIC == b"whinpier bank record 1\n"
+        and consensus_service.MAX_RECORD_BYTES == 6 << 20
     )
-    assert file_of("log").startswith(consensus_service.MAGIC)
+    assert file_of("log").startswith(consensus_service.JOURNAL_MAGIC)
 
 
 def test_a_log_file_with_a_snapshot_is_read_and_written_as_it_was():
@@ -597,21 +628,25 @@
 
 def test_the_state_of_a_log_file_is_taken_up():
     found = log_of(file_of("log"))
-    raft = agreement.Agreement("a", found, RolloutStateMachine(), 0, Chance(), agreement.Pace())
-    applied_to, term, (since, voters), inner = msgspec.msgpack.decode(found.state)
+    raft = agreement.RaftNode(
+        "a", found, RolloutStateMachine(), 0, Chance(), agreement.RaftTiming()
+    )
+    applied_to, term, (since, voters), inner = msgspec.msgpack.decode(found.snapshot)
     assert [applied_to, term, since, voters] == [14, 2, 1, {"a": 11, "b": 12, "c": 13}]
     assert inner.hex() == KEPT["snapshots"]["files, gates and drains"][1]
-    assert (raft.commit, raft.last, raft.config) == (14, 16, {"a": 11, "b": 12})
-    assert plain(raft.copy()) == KEPT["log"]
-    assert raft.machine.state.last_applied == 14
+    assert (raft.commit_index, raft.last_index, raft.config) == (14, 16, {"a": 11, "b": 12})
+    assert plain(raft.persistent_state()) == KEPT["log"]
+    assert raft.state_machine.state.last_applied == 14
 
 
 @pytest.mark.parametrize("cut", [1, 7, 14])
 def test_a_torn_tail_of_a_log_file_is_left_out(tmp_path, cut):
     path = tmp_path / "record"
     path.write_bytes(file_of("log")[:-cut])
-    journal = AppendLog(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
-    found = plain(agreement.replayed(journal.open()))
+    journal = AppendLog(
+        str(path), consensus_service.JOURNAL_MAGIC, consensus_service.MAX_RECORD_BYTES
+    )
+    found = plain(agreement.replay_journal(journal.open()))
     journal.close()
     assert found == [*KEPT["log"][:-1], KEPT["log"][-1][:-1]]
     assert path.read_bytes() == file_of("log")[: journal.size] and journal.torn_bytes > 0
@@ -620,8 +655,10 @@
 def test_a_kept_torn_log_file_is_read_up_to_its_tear(tmp_path):
     path = tmp_path / "record"
     path.write_bytes(file_of("log_torn"))
-    journal = AppendLog(str(path), consensus_service.MAGIC, consensus_service.LONGEST)
-    found = plain(agreement.replayed(journal.open()))
+    journal = AppendLog(
+        str(path), consensus_service.JOURNAL_MAGIC, consensus_service.MAX_RECORD_BYTES
+    )
+    found = plain(agreement.replay_journal(journal.open()))
     journal.close()
     assert found == KEPT["log_torn"] and (journal.size, journal.torn_bytes) == tuple(
         KEPT["log_tear"]
@@ -697,14 +734,21 @@
 def test_a_note_of_a_window_keeps_its_order():
     limit = leases.Limit("day", leases.COUNT, 700, ("m1", "m2"), window="day/UTC", key=3)
     calendar = calendar_quota.Calendar("day")
-    units = calendar_quota.Units(limit, calendar, "m1", 0, Chance(), lambda now: (now, now), True)
-    units.remember(calendar_quota.Slot(86_400, 172_800, 350, -40, 25, 20, 60))
-    units.write(units.known[86_400])
-    assert units.take_notes() == (1, [(limit.mark, 3, 86_400, 350, -40, 60)])
-    units.recall([(limit.mark, 3, 172_800, 340, 8, 70)], 90)
-    slot = units.known[172_800]
-    assert (slot.start, slot.end, slot.home, slot.moved) == (172_800, 259_200, 340, 8)
-    assert (slot.used, slot.kept, slot.asked, units.blind_till) == (70, 70, 70, 90)
+    units = calendar_quota.CalendarQuota(
+        limit, calendar, "m1", 0, Chance(), lambda now: (now, now), True
+    )
+    units.add_window(calendar_quota.WindowQuota(86_400, 172_800, 350, -40, 25, 20, 60))
+    units.queue_record(units.known_windows[86_400])
+    assert units.take_records() == (1, [(limit.wire_id, 3, 86_400, 350, -40, 60)])
+    units.restore([(limit.wire_id, 3, 172_800, 340, 8, 70)], 90)
+    slot = units.known_windows[172_800]
+    assert (slot.start, slot.end, slot.home_quota, slot.transferred) == (172_800, 259_200, 340, 8)
+    assert (slot.used, slot.durable_used, slot.pending_used, units.unknown_before) == (
+        70,
+        70,
+        70,
+        90,
+    )
 
 
 # The peer cache.
@@ -766,9 +810,9 @@
 
 
 def voter(name, disk):
-    copy = agreement.Copy(disk=disk)
-    return agreement.Agreement(
-        name, copy, RolloutStateMachine(), 0, Chance(disk / 100), agreement.Pace()
+    copy = agreement.PersistentState(disk_id=disk)
+    return agreement.RaftNode(
+        name, copy, RolloutStateMachine(), 0, Chance(disk / 100), agreement.RaftTiming()
     )
 
 
@@ -781,19 +825,19 @@
         }
         self.sent, self.cut_off, self.now = [], set(), 0
         for name in "abc":
-            self.nodes[name].begin(256, {"a": 11, "b": 12, "c": 13})
+            self.nodes[name].bootstrap(256, {"a": 11, "b": 12, "c": 13})
 
     def settle(self):
         busy = True
         for _ in rounds(lambda: busy):
             busy = False
             for name, node in self.nodes.items():
-                node.written(node.noted)
-                for to, message in node.take():
+                node.on_records_synced(node.records_issued)
+                for to, message in node.take_messages():
                     busy = True
                     self.sent.append([name, to, plain(message), encoded(message).hex()])
                     if not {name, to} & self.cut_off:
-                        self.nodes[to].hear(message, name, self.now)
+                        self.nodes[to].receive(message, name, self.now)
 
     def run(self, until):
         while self.now < until:
@@ -813,29 +857,37 @@
     other = next(node for node in nodes.values() if node is not leader and node.name != "d")
     third = next(name for name in "abc" if name not in (leader.name, other.name))
     data = bytes.fromhex(KEPT["entries"]["drain of an upstream"][1])
-    other.say(
-        leader.name, messages.FORWARD, lines=[messages.Line(0, commands.EntryKind.DRAIN, data)]
+    other.send(
+        leader.name,
+        messages.FORWARD_COMMAND,
+        lines=[messages.LogEntry(0, commands.EntryKind.DRAIN, data)],
     )
     cluster.settle()
-    other.ask_read(77)
+    other.request_read_index(77)
     cluster.settle()
-    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    nodes["d"].on_commit_announced(
+        leader.name, 256, leader.commit_index, leader.term, leader.disk_id
+    )
     cluster.run(2 * SECOND)
     cluster.cut_off = {third, "d"}
     for number in range(3):
-        leader.command(commands.EntryKind.HALT, bytes.fromhex(KEPT["halts"][number]))
+        leader.propose(commands.EntryKind.HALT, bytes.fromhex(KEPT["halts"][number]))
     cluster.settle()
     for node in (leader, other):
-        node.kept = 1
+        node.retained_entries = 1
         node.compact()
     cluster.cut_off = set()
     cluster.run(2 * SECOND + SECOND // 2)
-    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    nodes["d"].on_commit_announced(
+        leader.name, 256, leader.commit_index, leader.term, leader.disk_id
+    )
     cluster.run(3 * SECOND)
-    leader.retire()
+    leader.transfer_leadership()
     cluster.run(3 * SECOND + SECOND // 2)
     leader = next(node for node in nodes.values() if node.role == agreement.LEADER)
-    nodes["d"].told(leader.name, 256, leader.commit, leader.term, leader.disk)
+    nodes["d"].on_commit_announced(
+        leader.name, 256, leader.commit_index, leader.term, leader.disk_id
+    )
     cluster.run(4 * SECOND)
     return cluster
 
@@ -844,7 +896,7 @@
     """Without the beats that say nothing new."""
     found = {}
     for sender, to, values, data in sent:
-        beat = values[0] in (messages.APPEND, messages.TAKEN) and not values[8]
+        beat = values[0] in (messages.APPEND_ENTRIES, messages.APPEND_ACCEPTED) and not values[8]
         found.setdefault((sender, to, str(values[:7]) if beat else data), [sender, to, data])
     return list(found.values())
 
@@ -853,8 +905,8 @@
     cluster = consensus_run()
     assert {row[2][0] for row in cluster.sent} == set(range(14))
     assert first_of_each(cluster.sent) == KEPT["consensus_run"]
-    assert len({node.commit for node in cluster.nodes.values()}) == 1
-    assert {encoded(node.machine.state).hex() for node in cluster.nodes.values()} == {
+    assert len({node.commit_index for node in cluster.nodes.values()}) == 1
+    assert {encoded(node.state_machine.state).hex() for node in cluster.nodes.values()} == {
         KEPT["consensus_end"]
     }
 
@@ -863,19 +915,25 @@
     """A share that is asked for, lent and given back; units of a window that are handed over."""
     limit = leases.Limit("flight", leases.IN_FLIGHT, 100, ("m1", "m2"))
     sent, now = [], 10 * SECOND
-    share = leases.Share(limit, "m1", now, Chance(), 0)
-    share.ask(now, 2, 9, 1_001, 0)
-    share.deal(messages.Deal(messages.LEND, limit.mark, 1_001, 9, 0, 0), 2, now)
-    share.deal(messages.Deal(messages.ASK_FOR, limit.mark, 55, 7, 0, 0), 3, now)
-    share.turn(now + SECOND // 10, [])
+    share = leases.LeasedQuota(limit, "m1", now, Chance(), 0)
+    share.send_request(now, 2, 9, 1_001, 0)
+    share.on_message(
+        messages.QuotaMessage(messages.LEASE_GRANT, limit.wire_id, 1_001, 9, 0, 0), 2, now
+    )
+    share.on_message(
+        messages.QuotaMessage(messages.LEASE_REQUEST, limit.wire_id, 55, 7, 0, 0), 3, now
+    )
+    share.on_timer(now + SECOND // 10, [])
     sent += share.out
     window = leases.Limit("day", leases.COUNT, 700, ("m1", "m2"), window="day/UTC", key=3)
-    units = calendar_quota.Units(
+    units = calendar_quota.CalendarQuota(
         window, calendar_quota.Calendar("day"), "m1", now, Chance(), lambda now: (now, now), False
     )
-    units.settle(now)
-    units.look_for(units.slots[0], now, 12, [4])
-    units.deal(messages.Deal(messages.ASK_UNITS, window.mark, 66, 11, 0, 3), 5, now)
+    units.update_windows(now)
+    units.request_from_members(units.windows[0], now, 12, [4])
+    units.on_message(
+        messages.QuotaMessage(messages.UNITS_REQUEST, window.wire_id, 66, 11, 0, 3), 5, now
+    )
     sent += units.out
     return [[other, plain(lease), encoded(lease).hex()] for other, lease in sent]
 
@@ -924,10 +982,12 @@
 
 
 def member(name, run, port):
-    card = messages.Card(name, run, 1, "10.0.0.1", port, "0.1.0", "z1", "rev", (7, 8), 9)
-    found = membership.Members(card, [("10.0.0.1", 7001)], SEAL, membership.Times(), Chance(), 0)
-    found.carry(7, b"ways")
-    found.wall = 1_700_000_000 * SECOND
+    card = messages.MemberMetadata(name, run, 1, "10.0.0.1", port, "0.1.0", "z1", "rev", (7, 8), 9)
+    found = membership.Membership(
+        card, [("10.0.0.1", 7001)], SEAL, membership.MembershipTiming(), Chance(), 0
+    )
+    found.publish(7, b"ways")
+    found.wall_offset = 1_700_000_000 * SECOND
     found.registry.put("limit/all", b"{}", 60 * SECOND, card.id, 0)
     return found
 
@@ -947,7 +1007,7 @@
         for _ in rounds(lambda: busy):
             busy = False
             for address, one in nodes.items():
-                for to, data in one.take()[0]:
+                for to, data in one.take_output()[0]:
                     busy = True
                     way = address[1], to[1], SEAL.open(data).kind
                     counts[way] = counts.get(way, 0) + 1
@@ -963,7 +1023,7 @@
     sent, nodes = membership_run()
     assert sent == KEPT["membership_run"]
     kinds = {SEAL.open(bytes.fromhex(data)).kind for _, _, data in sent}
-    assert {messages.PING, messages.ACK, messages.ASK, messages.EXCHANGE} <= kinds
+    assert {messages.PING, messages.ACK, messages.PING_REQUEST, messages.STATE_EXCHANGE} <= kinds
     first, second, _ = nodes.values()
     third = messages.member_id("m3", 0xA3)
     assert first.members[third].state == second.members[third].state == messages.LOST
--- a/tests/test_seeded_day.py
+++ b/tests/test_seeded_day.py
@@ -22,10 +22,10 @@
 import msgspec
 import pytest
 
-from whinpier.fleet.consensus.node import Agreement
+from whinpier.fleet.consensus.node import RaftNode
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.ejection import EjectionCoordinator
-from whinpier.fleet.quotas.calendar_quota import LEAST_AHEAD
+from whinpier.fleet.quotas.calendar_quota import MIN_WRITE_AHEAD
 from whinpier.fleet.rollouts.commands import CommandHeader, DrainCommand, EntryKind, encode
 from whinpier.model_checking import (
     consensus_scenarios,
@@ -768,13 +768,18 @@
         fleet.until(at)
         leader = fleet.leader()
         data = encode(DrainCommand(CommandHeader(100 + number, "seeded", "w" * 20), f"n{number}"))
-        leader.agreement.command(EntryKind.DRAIN, data)
+        leader.agreement.propose(EntryKind.DRAIN, data)
         leader.pass_on()
     fleet.until(45.0)
     for node in fleet.record_nodes():
         agreement = node.agreement
         actions.note(
-            4, node.number, agreement.term, agreement.last, agreement.commit, agreement.applied
+            4,
+            node.number,
+            agreement.term,
+            agreement.last_index,
+            agreement.commit_index,
+            agreement.last_applied,
         )
     return digest_of_members(fleet, actions)
 
@@ -822,7 +827,7 @@
 def day_of_windows(seed):
     world = seeded(Counting)
     return walked(
-        lambda: world(4, 90, 12, 2_000, 3, 40, Wishful, failures=5, ahead=LEAST_AHEAD),
+        lambda: world(4, 90, 12, 2_000, 3, 40, Wishful, failures=5, ahead=MIN_WRITE_AHEAD),
         seed,
         5_000,
         500,
@@ -927,7 +932,7 @@
     "explored limits": lambda: explored(quota_scenarios, Wishing, SHARE_FAULTS, 5),
     "explored windows": lambda: explored(count_scenarios, Wishful, COUNT_FAULTS, 4),
     "explored verdicts": lambda: explored(ejection_scenarios, EjectionCoordinator, VOTE_FAULTS, 4),
-    "explored agreement": lambda: explored(consensus_scenarios, Agreement, RECORD_FAULTS, 3),
+    "explored agreement": lambda: explored(consensus_scenarios, RaftNode, RECORD_FAULTS, 3),
 }
 
 
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -20,7 +20,7 @@
 from msgspec import Struct
 
 from whinpier import log
-from whinpier.fleet.membership.membership import MS, UNHEARD
+from whinpier.fleet.membership.membership import MS, UNREACHABLE
 from whinpier.fleet.registry import MAX_LIFETIME_MS
 from whinpier.fleet.spec import CALLERS
 
@@ -149,13 +149,13 @@
     def found(self, asked: ControlRequest) -> Any:
         link = self.link
         members = link.members
-        members.enter(link.loop.clock())
+        members.advance_clock(link.loop.clock())
         if asked.ask == "members":
             return {
                 "self": link.spec.name,
                 "position": members.position,
                 "here": members.count(),
-                "unheard": members.tally[UNHEARD],
+                "unheard": members.reachability_counts[UNREACHABLE],
                 "shares": {
                     name: {"balancers": one.balancers, "number": one.number}
                     for name, one in link.counting.pools.items()
@@ -233,14 +233,14 @@
             if value and not (isinstance(amount, (int, float)) and 0 < amount <= 1e9):
                 raise Refused(f"amount: {amount!r} is none")
         elif kind == "route":
-            table = link.life.spec.table
+            table = link.process.spec.table
             if table is None or name not in {route.name for route in table.routes}:
                 raise Refused(f"{name!r} is no route of this file")
         elif kind == "rest":
             pool, _, host = name.partition("/")
             if link.outlier_monitor is None:
                 raise Refused("bank.verdicts is not in this file, so that nobody votes")
-            if pool not in link.life.pools or host not in link.life.pools[pool].held:
+            if pool not in link.process.pools or host not in link.process.pools[pool].endpoints:
                 raise Refused(f"{host!r} is no upstream of a pool {pool!r}")
         elif kind != "tenant" or not name:
             raise Refused(f"{kind}/{name}: nothing of this kind is said to the bank")
