--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -124,7 +124,13 @@
             card, limits_epoch=self.quota_allocation.epoch if self.quota_allocation.tables else 0
         )
         self.members = Membership(
-            card, spec.seeds, Seal(spec.keys), spec.times, chance, self.now, recalled=recalled
+            card,
+            spec.seeds,
+            Seal(spec.keys),
+            spec.times,
+            chance,
+            self.now,
+            cached_addresses=recalled,
         )
         self.counting = Counting(self.members, spec.pools)
         if spec.verdicts:
