--- a/tests/http/test_buffers.py
+++ b/tests/http/test_buffers.py
@@ -1,6 +1,4 @@
-"""Stories of how a head's bytes are judged: by what they are, not by how they were cut on their
-way.
-"""
+"""Checks that a message head is accepted or refused however it is split into reads."""
 
 import h11
 import pytest
@@ -15,8 +13,8 @@
 }
 
 
-def verdict(side, *parts):
-    """What becomes of a head that comes in these parts: 200 where it is taken, or its refusal's status."""
+def parse_status(side, *parts):
+    """Parse a head that arrives in these parts: 200 if it is accepted, else the error's status."""
     form = buffers.SIMPLE_REQUEST if side is h11.SERVER else buffers.SIMPLE_RESPONSE
     if buffers.parse_simple_message(form, parts[0]):
         assert len(parts) == 1 or not parts[1]
@@ -37,34 +35,34 @@
     return None
 
 
-def filled(side, size):
-    """A head of so many bytes."""
+def head_of_bytes(side, size):
+    """Return a valid head of this many bytes."""
     start = STARTS[side] + b"x-fill: "
     return start + b"y" * (size - len(start) - 4) + b"\r\n\r\n"
 
 
-def lined(side, count):
-    """A head of so many lines, the first among them."""
+def head_of_lines(side, count):
+    """Return a valid head of this many lines, the start line included."""
     return STARTS[side] + b"a: b\r\n" * (count - 2) + b"\r\n"
 
 
 @pytest.mark.parametrize("side", STARTS, ids=["request", "answer"])
 @pytest.mark.parametrize(
-    "kind, of, wanted",
+    "build, amount, expected_status",
     [
-        (filled, MAX_HEAD_BYTES, 200),
-        (filled, MAX_HEAD_BYTES + 1, 431),
-        (filled, 55_000, 431),
-        (lined, MAX_HEAD_LINES, 200),
-        (lined, MAX_HEAD_LINES + 1, 431),
-        (lined, 5_000, 431),
+        (head_of_bytes, MAX_HEAD_BYTES, 200),
+        (head_of_bytes, MAX_HEAD_BYTES + 1, 431),
+        (head_of_bytes, 55_000, 431),
+        (head_of_lines, MAX_HEAD_LINES, 200),
+        (head_of_lines, MAX_HEAD_LINES + 1, 431),
+        (head_of_lines, 5_000, 431),
     ],
 )
-def test_a_head_is_taken_or_refused_the_same_however_it_is_cut(side, kind, of, wanted):
-    """A request of 5,000 lines that came in one read was passed on, while in two it was refused."""
-    head, before = kind(side, of), log.counters["heads_too_large"]
-    assert verdict(side, head) == wanted
-    near = sorted(
+def test_head_limits_do_not_depend_on_how_the_head_is_split(side, build, amount, expected_status):
+    """Guard against a head of 5,000 lines that is forwarded if it arrives in a single read."""
+    head, before = build(side, amount), log.counters["heads_too_large"]
+    assert parse_status(side, head) == expected_status
+    cuts = sorted(
         {
             *range(1, len(head), 211),
             *range(1, 60),
@@ -72,28 +70,30 @@
             *(at for at in range(MAX_HEAD_BYTES - 4, MAX_HEAD_BYTES + 5) if at < len(head)),
         }
     )
-    assert {verdict(side, head[:cut], head[cut:]) for cut in near} == {wanted}
-    assert (log.counters["heads_too_large"] > before) == (wanted == 431)
+    assert {parse_status(side, head[:cut], head[cut:]) for cut in cuts} == {expected_status}
+    assert (log.counters["heads_too_large"] > before) == (expected_status == 431)
 
 
 @pytest.mark.parametrize("side", STARTS, ids=["request", "answer"])
-@pytest.mark.parametrize("first, wanted", [(40, 400), (MAX_HEAD_BYTES + 90, 431)])
-def test_of_two_faults_the_one_that_stands_first_decides_however_it_is_cut(side, first, wanted):
-    head = bytearray(filled(side, MAX_HEAD_BYTES + 200))
+@pytest.mark.parametrize("first, expected_status", [(40, 400), (MAX_HEAD_BYTES + 90, 431)])
+def test_first_fault_in_a_head_decides_however_the_head_is_split(side, first, expected_status):
+    head = bytearray(head_of_bytes(side, MAX_HEAD_BYTES + 200))
     head[first] = ord("\n")
-    told = {
-        verdict(side, bytes(head[:cut]), bytes(head[cut:]))
+    statuses = {
+        parse_status(side, bytes(head[:cut]), bytes(head[cut:]))
         for cut in (*range(1, 80), *range(MAX_HEAD_BYTES - 3, len(head)))
     }
-    assert told | {verdict(side, bytes(head))} == {wanted}
+    assert statuses | {parse_status(side, bytes(head))} == {expected_status}
 
 
-@pytest.mark.parametrize("count, wanted", [(MAX_HEAD_LINES, 200), (MAX_HEAD_LINES + 1, 431)])
-def test_what_follows_a_body_in_chunks_is_bounded_as_a_head_is(count, wanted):
+@pytest.mark.parametrize(
+    "count, expected_status", [(MAX_HEAD_LINES, 200), (MAX_HEAD_LINES + 1, 431)]
+)
+def test_trailers_are_limited_as_a_head_is(count, expected_status):
     head = b"POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n0\r\n"
     data = head + b"a: b\r\n" * count + b"\r\n"
     for cut in range(len(head), len(data), 7):
-        parser, told = h11.Connection(h11.SERVER), 200
+        parser, status = h11.Connection(h11.SERVER), 200
         try:
             for part in (data[:cut], data[cut:]):
                 parser.receive_data(part)
@@ -104,5 +104,5 @@
                         buffers.check_trailers(event)
                         break
         except h11.RemoteProtocolError as refused:
-            told = refused.error_status_hint
-        assert told == wanted
+            status = refused.error_status_hint
+        assert status == expected_status
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -1,6 +1,4 @@
-"""Stories of following the list: pieces in every form, watches that die in every way; scripted
-discovery.
-"""
+"""Tests the discovery client against a scripted service: document forms, and watches that fail."""
 
 import json
 import socket
@@ -23,9 +21,8 @@
 pytestmark = pytest.mark.xdist_group("sockets")
 
 WHOLE, WATCH = b"GET /discovery/hosts HTTP/1.1", b"GET /discovery/hosts?watch=1&from=%d HTTP/1.1"
-TOLD_BY = (
-    6.0  # seconds after which what a silent watch misses counts as told, whether or not it came
-)
+# Seconds after which a change is in force, whether or not a silent watch has delivered it.
+CHANGE_DEADLINE_S = 6.0
 
 
 def host(name, health="up"):
@@ -41,11 +38,11 @@
     }
 
 
-def listed(seq, *hosts, whole=True, indent=None):
+def endpoint_list(seq, *hosts, whole=True, indent=None):
     return json.dumps({"seq": seq, "whole": whole, "hosts": hosts}, indent=indent).encode()
 
 
-def answer(body):
+def ok_response(body):
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
@@ -56,20 +53,24 @@
 OPEN = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Scripted:
-    """A discovery whose test says, question by question, what goes out and when."""
+class ScriptedDiscovery:
+    """A discovery service whose test sends each response itself."""
 
     def __init__(self):
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
-        self.told = []
+        self.updates = []
         chance = Random(1).random
         self.client = DiscoveryClient(
-            self.listener.getsockname(), None, lambda *told: self.told.append(told), chance, dict
+            self.listener.getsockname(),
+            None,
+            lambda *updates: self.updates.append(updates),
+            chance,
+            dict,
         )
 
-    async def asked(self):
-        """The next question: its first line, and where the answer goes."""
+    async def next_request(self):
+        """Return the next request's first line, and the socket for the response."""
         with anyio.fail_after(LIMIT):
             await anyio.wait_readable(self.listener)
             sock, _ = self.listener.accept()
@@ -77,26 +78,26 @@
             await anyio.wait_readable(sock)
             return sock.recv(4096).split(b"\r\n")[0], sock
 
-    async def watched(self, seq):
-        """It is told a list of one upstream, and opens its watch: both ways."""
-        _, sock = await self.asked()
-        sock.send(answer(listed(seq, host("s-0"))))
-        _, watch = await self.asked()
+    async def start_watch(self, seq):
+        """Send a list of one upstream, and return the sockets of that request and of the watch."""
+        _, sock = await self.next_request()
+        sock.send(ok_response(endpoint_list(seq, host("s-0"))))
+        _, watch = await self.next_request()
         return sock, watch
 
-    async def heard(self, count):
+    async def nth_update(self, count):
         with anyio.fail_after(LIMIT):
-            while len(self.told) < count:
+            while len(self.updates) < count:
                 await anyio.sleep(0.002)
         return [
             (sorted((entry.host, entry.state) for entry in entries), whole)
-            for entries, whole in self.told
+            for entries, whole in self.updates
         ][count - 1]
 
 
 @asynccontextmanager
-async def followed():
-    scripted = Scripted()
+async def following_client():
+    scripted = ScriptedDiscovery()
     try:
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(scripted.client.run)
@@ -107,21 +108,21 @@
         scripted.listener.close()
 
 
-async def dribble(sock, data):
-    """A byte at a time until the other side has gone; how long that took."""
+async def send_slowly(sock, data):
+    """Send a byte at a time until the client disconnects; return the seconds that took."""
     began = time.monotonic()
     try:
         for at in range(len(data)):
             sock.send(data[at : at + 1])
             await anyio.sleep(0.05)
-            if time.monotonic() > began + TOLD_BY:
+            if time.monotonic() > began + CHANGE_DEADLINE_S:
                 break
     except OSError:
         return time.monotonic() - began
-    raise AssertionError("it went on listening to bytes that made no piece")
+    raise AssertionError("the client kept a watch whose bytes never completed a document")
 
 
-def taken(data, size):
+def split_documents(data, size):
     splitter = JsonStreamSplitter()
     found = [
         piece for at in range(0, len(data), size) for piece in splitter.feed(data[at : at + size])
@@ -130,10 +131,12 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 64, 1 << 20])
-def test_pieces_come_apart_alike_however_they_are_cut_and_indented(size):
+def test_documents_are_split_however_they_arrive_and_are_indented(size):
     odd = host('a"{[\\') | {"site": "]}\\\\"}
-    first, second = listed(1, odd, indent=2), listed(2, odd, whole=False)
-    found, rest = taken(first + b"\n\n" + second + b"\n" + first + b"\n" + second[:9], size)
+    first, second = endpoint_list(1, odd, indent=2), endpoint_list(2, odd, whole=False)
+    found, rest = split_documents(
+        first + b"\n\n" + second + b"\n" + first + b"\n" + second[:9], size
+    )
     assert [json.loads(piece) if piece else None for piece in found] == [
         json.loads(first),
         None,
@@ -143,42 +146,42 @@
     assert rest == second[:9]
 
 
-def test_a_piece_has_a_largest_size_on_one_line_or_many():
+def test_document_size_is_limited_on_one_line_or_many():
     for text in (b"x" * 100, b"{\n" * 50):
         with pytest.raises(ConfigFault):
-            taken(text * (MAX_DOCUMENT_BYTES // 100 + 1), 4096)
+            split_documents(text * (MAX_DOCUMENT_BYTES // 100 + 1), 4096)
 
 
 @pytest.mark.anyio
-async def test_lists_may_come_indented_whole_and_as_changes():
-    # The short days' herd: each whole list came indented after a new configuration, none was
-    # understood, and for twenty seconds requests went to upstreams that were draining.
-    async with followed() as scripted:
-        line, sock = await scripted.asked()
+async def test_indented_lists_and_changes_are_understood():
+    # Guards against indented lists that are not understood: requests then went on to draining
+    # upstreams for twenty seconds.
+    async with following_client() as scripted:
+        line, sock = await scripted.next_request()
         assert line == WHOLE
-        sock.send(answer(listed(3, host("s-0"), host("s-1"), indent=4)))
-        assert await scripted.heard(1) == ([("s-0", "ready"), ("s-1", "ready")], True)
-        line, watch = await scripted.asked()
+        sock.send(ok_response(endpoint_list(3, host("s-0"), host("s-1"), indent=4)))
+        assert await scripted.nth_update(1) == ([("s-0", "ready"), ("s-1", "ready")], True)
+        line, watch = await scripted.next_request()
         assert line == WATCH % 3
-        change = listed(4, host("s-1", "draining"), whole=False, indent="\t") + b"\n"
+        change = endpoint_list(4, host("s-1", "draining"), whole=False, indent="\t") + b"\n"
         watch.send(OPEN + b"".join(chunk(change[at : at + 5]) for at in range(0, len(change), 5)))
-        assert await scripted.heard(2) == ([("s-1", "draining")], False)
+        assert await scripted.nth_update(2) == ([("s-1", "draining")], False)
         sock.close(), watch.close()
 
 
 @pytest.mark.anyio
-async def test_a_watch_of_bytes_that_never_make_a_piece_is_silent_and_opened_anew_in_time():
-    async with followed() as scripted:
-        sock, watch = await scripted.watched(3)
+async def test_watch_without_a_complete_document_times_out_and_is_reopened():
+    async with following_client() as scripted:
+        sock, watch = await scripted.start_watch(3)
         watch.send(OPEN)
-        took = await dribble(
-            watch, chunk(listed(4, *[host("s-0", "draining")] * 40, whole=False))[:2000]
+        duration = await send_slowly(
+            watch, chunk(endpoint_list(4, *[host("s-0", "draining")] * 40, whole=False))[:2000]
         )
-        assert MAX_SILENCE_S <= took < TOLD_BY - MAX_SILENCE_S
-        line, sock = await scripted.asked()
-        assert line == WHOLE  # what was missed is not known
-        sock.send(answer(listed(4, host("s-0", "draining"))))
-        assert await scripted.heard(2) == ([("s-0", "draining")], True)
+        assert MAX_SILENCE_S <= duration < CHANGE_DEADLINE_S - MAX_SILENCE_S
+        line, sock = await scripted.next_request()
+        assert line == WHOLE  # changes may have been missed
+        sock.send(ok_response(endpoint_list(4, host("s-0", "draining"))))
+        assert await scripted.nth_update(2) == ([("s-0", "draining")], True)
         sock.close(), watch.close()
 
 
@@ -191,48 +194,46 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{" + b" " * 3999,
     ],
 )
-async def test_a_whole_list_that_never_ends_is_asked_for_anew_in_time(data):
-    async with followed() as scripted:
-        line, sock = await scripted.asked()
+async def test_whole_list_that_never_ends_times_out_and_is_fetched_again(data):
+    async with following_client() as scripted:
+        line, sock = await scripted.next_request()
         assert line == WHOLE
-        assert await dribble(sock, data) < TOLD_BY - MAX_SILENCE_S
-        line, again = await scripted.asked()
+        assert await send_slowly(sock, data) < CHANGE_DEADLINE_S - MAX_SILENCE_S
+        line, retry = await scripted.next_request()
         assert line == WHOLE
-        again.send(answer(listed(3, host("s-0"))))
-        await scripted.heard(1)
-        sock.close(), again.close()
+        retry.send(ok_response(endpoint_list(3, host("s-0"))))
+        await scripted.nth_update(1)
+        sock.close(), retry.close()
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize(
-    "end", [b"", chunk(b"\n"), chunk(listed(4, host("s-0", "draining"), whole=False))]
+    "end", [b"", chunk(b"\n"), chunk(endpoint_list(4, host("s-0", "draining"), whole=False))]
 )
-async def test_a_watch_that_ends_or_is_reset_instead_of_telling_is_opened_anew_where_it_was(end):
-    async with followed() as scripted:
-        sock, watch = await scripted.watched(3)
+async def test_watch_that_ends_is_reopened_from_the_last_sequence_number(end):
+    async with following_client() as scripted:
+        sock, watch = await scripted.start_watch(3)
         watch.send(OPEN + end + (b"0\r\n\r\n" if end else b""))
         watch.close()
-        line, again = await scripted.asked()
+        line, retry = await scripted.next_request()
         assert line == WATCH % 3
-        again.send(
-            OPEN + chunk(listed(5, host("s-1")) + b"\n")
-        )  # the first answer may be the whole list
-        assert await scripted.heard(2) == ([("s-1", "ready")], True)
-        sock.close(), again.close()
+        # The first document may be the whole list.
+        retry.send(OPEN + chunk(endpoint_list(5, host("s-1")) + b"\n"))
+        assert await scripted.nth_update(2) == ([("s-1", "ready")], True)
+        sock.close(), retry.close()
 
 
 @pytest.mark.anyio
-async def test_a_discovery_that_counts_from_the_start_again_is_believed():
-    async with followed() as scripted:
-        sock, watch = await scripted.watched(40)
-        watch.send(
-            OPEN + chunk(listed(2, host("s-1"), whole=False) + b"\n")
-        )  # does not join what is known
-        line, again = await scripted.asked()
+async def test_discovery_whose_sequence_numbers_restart_is_followed():
+    async with following_client() as scripted:
+        sock, watch = await scripted.start_watch(40)
+        # Older than the known sequence number.
+        watch.send(OPEN + chunk(endpoint_list(2, host("s-1"), whole=False) + b"\n"))
+        line, retry = await scripted.next_request()
         assert line == WHOLE
-        again.send(answer(listed(2, host("s-1"))))
-        assert await scripted.heard(2) == ([("s-1", "ready")], True)
-        line, last = await scripted.asked()
+        retry.send(ok_response(endpoint_list(2, host("s-1"))))
+        assert await scripted.nth_update(2) == ([("s-1", "ready")], True)
+        line, last = await scripted.next_request()
         assert line == WATCH % 2
-        for one in (sock, watch, again, last):
+        for one in (sock, watch, retry, last):
             one.close()
--- a/tests/http/test_endings.py
+++ b/tests/http/test_endings.py
@@ -1,7 +1,7 @@
-"""Stories of the instant in which something ends while something is still owed.
+"""Tests races between a connection, attempt or process that ends and work that is pending.
 
-The balancer runs in the test's own loop, its clients and upstreams are bare sockets: between two
-awaits of the test nothing else happens, so that each crossing is forced and none depends on luck.
+The balancer runs in the test's event loop, and clients and upstreams are plain sockets. Nothing
+else runs between two awaits of a test, so that each order of events is forced.
 """
 
 import json
@@ -28,8 +28,8 @@
 from whinpier.runtime.process import Process
 
 GIVEN = json.loads(Path("example/config.json").read_text())
-FULL = b"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+OVERLOADED_RESPONSE = b"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 ids = numbers(1)
 
 pytestmark = [pytest.mark.anyio, pytest.mark.xdist_group("sockets")]
@@ -41,7 +41,7 @@
 
 
 def request(lane="charge", remaining=2.0, key=""):
-    """The bytes of a request: `charge` is non-idempotent, `settle` keyed."""
+    """Return the bytes of a request: `charge` is non-idempotent, `settle` keyed."""
     key = f"Idempotency-Key: {key or next(ids)}\r\n" if lane == "settle" else ""
     return (
         f"POST /{lane} HTTP/1.1\r\nHost: a\r\nX-Txn: {next(ids):x}\r\nX-Remaining: "
@@ -54,22 +54,21 @@
     sock.close()
 
 
-class Stage:
-    """One balancer, and all that it meets."""
+class Harness:
+    """One balancer with its upstreams, clients and discovery, all on sockets of the test."""
 
     def __init__(self, count, sockets=1024, **limits):
         self.upstreams = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-        self.nobody = socket.create_server(
-            ("127.0.0.1", 0)
-        )  # where discovery is asked, and says nothing
+        # A discovery service that never responds.
+        self.discovery = socket.create_server(("127.0.0.1", 0))
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.sockets = [*self.upstreams, self.nobody, self.listener]
+        self.sockets = [*self.upstreams, self.discovery, self.listener]
         for listener in self.sockets:
             listener.setblocking(False)
         hosts = [
             {
                 "host": f"s-{number}",
-                "dial": "%s:%d" % up.getsockname(),
+                "dial": "%s:%d" % listener.getsockname(),
                 "site": "a",
                 "class": "m",
                 "block": 0,
@@ -77,11 +76,11 @@
                 "share": 1.0,
                 "born_ms": 0,
             }
-            for number, up in enumerate(self.upstreams)
+            for number, listener in enumerate(self.upstreams)
         ]
         self.given = json.loads(json.dumps(GIVEN)) | {
             "listen": "%s:%d" % self.listener.getsockname(),
-            "discovery": "%s:%d" % self.nobody.getsockname(),
+            "discovery": "%s:%d" % self.discovery.getsockname(),
             "known": {"seq": 1, "whole": True, "hosts": hosts},
         }
         self.given["limits"]["sockets"] = sockets
@@ -90,9 +89,12 @@
         self.process = Process(spec, Http1Transport(), lambda: spec, kept_till_restart)
         self.pool = self.process.pools["all"]
         self.frontend, self.accepted = self.process.frontends[0], 0
-        self.accept_client, self.frontend.accept_client = self.frontend.accept_client, self.counted
+        self.accept_client, self.frontend.accept_client = (
+            self.frontend.accept_client,
+            self.count_accepted,
+        )
 
-    def counted(self, listener):
+    def count_accepted(self, listener):
         taken = self.accept_client(listener)
         self.accepted += taken
         return taken
@@ -104,15 +106,15 @@
             return read({"BALANCER_CONFIG": file.name})
 
     def client(self, data=b""):
-        """A client that has connected and sent something; the balancer has seen nothing of it yet."""
+        """Connect a client and send data; the balancer has not read any of it yet."""
         sock = socket.create_connection(self.listener.getsockname(), LIMIT)
         sock.sendall(data)
         sock.setblocking(False)
         self.sockets.append(sock)
         return sock
 
-    async def met(self, number=0):
-        """The next connection that comes to an upstream, with the request on it."""
+    async def accept_attempt(self, number=0):
+        """Accept an upstream's next connection, and read the request on it."""
         with anyio.fail_after(LIMIT):
             await anyio.wait_readable(self.upstreams[number])
             sock, _ = self.upstreams[number].accept()
@@ -121,7 +123,7 @@
         return sock, await self.read(sock, b"{}")
 
     async def read(self, sock, end):
-        """What comes on a socket up to some bytes."""
+        """Read from a socket until the data ends with these bytes, or to its end."""
         data = b""
         with anyio.fail_after(LIMIT):
             while not data.endswith(end) or not data:
@@ -131,312 +133,315 @@
                     break
         return data
 
-    async def until(self, holds):
+    async def until(self, condition):
         with anyio.fail_after(LIMIT):
-            while not holds():
+            while not condition():
                 await anyio.sleep(0)
 
-    async def turns(self, count=50):
-        """Let the loop turn: whatever is ready is done."""
+    async def run_loop(self, count=50):
+        """Run the event loop so often that all that is ready is done."""
         for _ in range(count):
             await anyio.sleep(0)
 
-    def begun(self):
-        """How many attempts have begun."""
+    def attempts_started(self):
+        """Return how many attempts have been started."""
         return self.pool.counts["attempts"]
 
 
 @asynccontextmanager
-async def staged(count=1, **limits):
-    stage = Stage(count, **limits)
-    stage.pool.counts.clear()
+async def running_harness(count=1, **limits):
+    harness = Harness(count, **limits)
+    harness.pool.counts.clear()
     try:
         async with anyio.create_task_group() as task_group:
-            task_group.start_soon(stage.process.serve, [stage.listener])
-            await stage.turns()
-            yield stage
+            task_group.start_soon(harness.process.serve, [harness.listener])
+            await harness.run_loop()
+            yield harness
             task_group.cancel_scope.cancel()
     finally:
-        for sock in stage.sockets:
+        for sock in harness.sockets:
             sock.close()
 
 
-# The client leaves.
+# The client disconnects.
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
-async def test_who_has_left_before_the_request_is_read_has_no_attempt_begun(leave):
-    async with staged() as stage:
-        client = stage.client(request())
-        leave(client)  # all of this has come before the balancer looks
-        await stage.until(lambda: stage.accepted and not stage.frontend.clients)
-        await stage.turns()
-        assert stage.begun() == 0 and stage.pool.in_flight == 0
+async def test_no_attempt_is_made_if_the_client_left_before_its_request_was_read(leave):
+    async with running_harness() as harness:
+        client = harness.client(request())
+        leave(client)  # before the balancer reads anything
+        await harness.until(lambda: harness.accepted and not harness.frontend.clients)
+        await harness.run_loop()
+        assert harness.attempts_started() == 0 and harness.pool.in_flight == 0
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
-async def test_who_leaves_as_an_attempt_comes_back_unrun_has_no_further_one_begun(leave):
-    async with staged(2, cancelling=False) as stage:
-        client = stage.client(request())
-        await stage.until(lambda: stage.begun() == 1)
-        at = next(
-            number for number, peer in enumerate(stage.pool.endpoints.values()) if peer.in_flight()
+async def test_no_retry_is_made_if_the_client_left_when_an_attempt_was_refused(leave):
+    async with running_harness(2, cancelling=False) as harness:
+        client = harness.client(request())
+        await harness.until(lambda: harness.attempts_started() == 1)
+        index = next(
+            number
+            for number, endpoint in enumerate(harness.pool.endpoints.values())
+            if endpoint.in_flight()
         )
-        upstream, _ = await stage.met(at)
-        link = next(iter(list(stage.pool.endpoints.values())[at].connections))
-        upstream.sendall(FULL)
+        upstream, _ = await harness.accept_attempt(index)
+        connection = next(iter(list(harness.pool.endpoints.values())[index].connections))
+        upstream.sendall(OVERLOADED_RESPONSE)
         leave(client)
-        link.on_readable()  # the answer is read first, the client's leaving waits
-        await stage.until(lambda: stage.pool.counts["clients_left"] == 1)
-        await stage.turns()
-        assert stage.begun() == 1
+        connection.on_readable()  # the response is read before the client's disconnect
+        await harness.until(lambda: harness.pool.counts["clients_left"] == 1)
+        await harness.run_loop()
+        assert harness.attempts_started() == 1
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
-async def test_who_leaves_while_an_attempt_waits_to_be_sent_has_it_never_sent(
-    cancelling, monkeypatch
-):
-    up, run = anyio.Event(), UpstreamConnection.run
-
-    async def late(link):
-        await up.wait()
-        await run(link)
-
-    monkeypatch.setattr(UpstreamConnection, "run", late)
-    async with staged(cancelling=cancelling) as stage:
-        server = stage.pool.endpoints["s-0"]
-        client = stage.client(request())
-        await stage.until(lambda: server.waiting)
+async def test_waiting_attempt_is_not_sent_after_its_client_left(cancelling, monkeypatch):
+    connect_now, run = anyio.Event(), UpstreamConnection.run
+
+    async def run_later(connection):
+        await connect_now.wait()
+        await run(connection)
+
+    monkeypatch.setattr(UpstreamConnection, "run", run_later)
+    async with running_harness(cancelling=cancelling) as harness:
+        endpoint = harness.pool.endpoints["s-0"]
+        client = harness.client(request())
+        await harness.until(lambda: endpoint.waiting)
         client.close()
-        await stage.until(lambda: stage.pool.counts["clients_left"] == 1)
-        assert not server.waiting and stage.pool.count_in_flight() == 0
-        up.set()  # the connection comes up, for nobody
-        await stage.until(lambda: server.idle)
-        await stage.turns()
-        sock, _ = stage.upstreams[0].accept()
+        await harness.until(lambda: harness.pool.counts["clients_left"] == 1)
+        assert not endpoint.waiting and harness.pool.count_in_flight() == 0
+        connect_now.set()  # the connection is established with no attempt waiting
+        await harness.until(lambda: endpoint.idle)
+        await harness.run_loop()
+        sock, _ = harness.upstreams[0].accept()
         sock.setblocking(False)
         with pytest.raises(BlockingIOError):
             sock.recv(1)
         sock.close()
 
 
-async def test_an_attempt_that_waits_for_a_connection_to_where_its_upstream_was_goes_elsewhere(
+async def test_waiting_attempt_goes_to_the_new_address_of_its_upstream(
     monkeypatch,
 ):
-    up, run = anyio.Event(), UpstreamConnection.run
-
-    async def late(link):
-        await up.wait()
-        await run(link)
-
-    monkeypatch.setattr(UpstreamConnection, "run", late)
-    async with staged(2) as stage:
-        client = stage.client(request())
-        await stage.until(lambda: stage.begun() == 1)
-        peers = list(stage.pool.endpoints.values())
-        at = next(number for number, peer in enumerate(peers) if peer.in_flight())
-        peers[at].set_address(
-            peers[1 - at].address
-        )  # as the list says; the connection to the old address comes up
-        up.set()
-        with anyio.fail_after(1.0):  # well before its time is up
-            upstream, _ = await stage.met(1 - at)
-        upstream.sendall(GOOD)
-        assert (await stage.read(client, b"done")).startswith(b"HTTP/1.1 200")
-
-
-async def test_an_attempt_that_is_out_is_called_off_when_its_client_leaves_with_requests_unread_behind():
-    async with staged() as stage:
-        client = stage.client(request() + request() + request())
-        upstream, _ = await stage.met()
+    connect_now, run = anyio.Event(), UpstreamConnection.run
+
+    async def run_later(connection):
+        await connect_now.wait()
+        await run(connection)
+
+    monkeypatch.setattr(UpstreamConnection, "run", run_later)
+    async with running_harness(2) as harness:
+        client = harness.client(request())
+        await harness.until(lambda: harness.attempts_started() == 1)
+        endpoints = list(harness.pool.endpoints.values())
+        index = next(number for number, endpoint in enumerate(endpoints) if endpoint.in_flight())
+        # As the list says; the connection to the old address is established.
+        endpoints[index].set_address(endpoints[1 - index].address)
+        connect_now.set()
+        with anyio.fail_after(1.0):  # well before the request's deadline
+            upstream, _ = await harness.accept_attempt(1 - index)
+        upstream.sendall(OK_RESPONSE)
+        assert (await harness.read(client, b"done")).startswith(b"HTTP/1.1 200")
+
+
+async def test_attempt_is_cancelled_when_a_client_with_pipelined_requests_leaves():
+    async with running_harness() as harness:
+        client = harness.client(request() + request() + request())
+        upstream, _ = await harness.accept_attempt()
         client.close()
-        assert await stage.read(upstream, b"never") == b""  # the attempt's connection is ended
-        await stage.turns()
-        assert stage.begun() == 1 and not stage.frontend.clients
+        assert await harness.read(upstream, b"never") == b""  # the attempt's connection is closed
+        await harness.run_loop()
+        assert harness.attempts_started() == 1 and not harness.frontend.clients
 
 
-async def test_who_leaves_in_the_middle_of_a_body_has_no_attempt_begun():
-    async with staged() as stage:
-        client = stage.client(request()[:-1])
-        await stage.until(lambda: any(client.receiving for client in stage.frontend.clients))
+async def test_no_attempt_is_made_if_the_client_leaves_within_a_body():
+    async with running_harness() as harness:
+        client = harness.client(request()[:-1])
+        await harness.until(lambda: any(client.receiving for client in harness.frontend.clients))
         client.close()
-        await stage.until(lambda: not stage.frontend.clients)
-        assert stage.begun() == 0 and stage.pool.budget.request_bytes.used == 0
+        await harness.until(lambda: not harness.frontend.clients)
+        assert harness.attempts_started() == 0 and harness.pool.budget.request_bytes.used == 0
 
 
-async def test_who_leaves_while_held_for_room_is_not_sent_when_there_is():
-    async with staged() as stage:
-        server = stage.pool.endpoints["s-0"]
-        server.spare = 0  # no room, as a limit at the upstream has it
-        client = stage.client(request())
-        await stage.until(lambda: stage.pool.policy.admission_queue.waiting())
+async def test_queued_request_of_a_client_that_left_is_not_sent():
+    async with running_harness() as harness:
+        endpoint = harness.pool.endpoints["s-0"]
+        endpoint.spare = 0  # no capacity, as with a limit at the upstream
+        client = harness.client(request())
+        await harness.until(lambda: harness.pool.policy.admission_queue.waiting())
         client.close()
-        server.spare = 10
-        stage.pool.loop.dispatch(
-            stage.pool, stage.pool.policy.admission_queue.release
-        )  # before its leaving is read
-        await stage.until(lambda: stage.pool.counts["clients_left"] == 1)
-        await stage.turns()
-        assert stage.begun() == 0 and stage.pool.policy.selector.in_flight == 0
+        endpoint.spare = 10
+        # Before the disconnect is read.
+        harness.pool.loop.dispatch(harness.pool, harness.pool.policy.admission_queue.release)
+        await harness.until(lambda: harness.pool.counts["clients_left"] == 1)
+        await harness.run_loop()
+        assert harness.attempts_started() == 0 and harness.pool.policy.selector.in_flight == 0
 
 
-# Told to stop.
+# Stopping.
 
 
-async def ended(stage):
+async def wait_for_exit(harness):
     with anyio.fail_after(LIMIT):
-        while not stage.process.loop.task_group.cancel_scope.cancel_called:
+        while not harness.process.loop.task_group.cancel_scope.cancel_called:
             await anyio.sleep(0.01)
 
 
-async def test_told_to_stop_twice_and_to_reload_between_it_answers_what_is_out_half_read_and_behind():
-    async with staged() as stage:
-        out, half = stage.client(request() + request()), stage.client(request()[:-1])
-        upstream, _ = await stage.met()
-        await stage.until(
-            lambda: len([client for client in stage.frontend.clients if client.receiving]) == 1
+async def test_pending_partial_and_pipelined_requests_are_served_after_stop_reload_stop():
+    async with running_harness() as harness:
+        pending_client, partial_client = (
+            harness.client(request() + request()),
+            harness.client(request()[:-1]),
         )
-        stage.process.stop()
-        await stage.turns()
-        await stage.process.reload()
-        stage.process.stop()
-        upstream.sendall(GOOD)
-        assert (await stage.read(out, b"done")).startswith(b"HTTP/1.1 200")
-        await stage.read(upstream, b"{}")  # the one behind it goes on too
-        half.sendall(b"}")
-        other, _ = await stage.met()
+        upstream, _ = await harness.accept_attempt()
+        await harness.until(
+            lambda: len([client for client in harness.frontend.clients if client.receiving]) == 1
+        )
+        harness.process.stop()
+        await harness.run_loop()
+        await harness.process.reload()
+        harness.process.stop()
+        upstream.sendall(OK_RESPONSE)
+        assert (await harness.read(pending_client, b"done")).startswith(b"HTTP/1.1 200")
+        await harness.read(upstream, b"{}")  # the pipelined request is sent too
+        partial_client.sendall(b"}")
+        other, _ = await harness.accept_attempt()
         for sock in (upstream, other):
-            sock.sendall(GOOD)
-        for sock in (out, half):
-            assert (await stage.read(sock, b"done")).startswith(b"HTTP/1.1 200")
+            sock.sendall(OK_RESPONSE)
+        for sock in (pending_client, partial_client):
+            assert (await harness.read(sock, b"done")).startswith(b"HTTP/1.1 200")
             sock.close()
-        await ended(stage)
-
-
-async def test_who_goes_on_sending_to_the_end_is_refused_cleanly_and_nothing_is_sent_on():
-    async with staged() as stage:
-        client = stage.client(request())
-        upstream, _ = await stage.met()
-        upstream.sendall(GOOD)
-        await stage.read(client, b"done")
-        stage.process.closing = True
-        client.sendall(request() + request())  # the second is read behind the last answer
-        answer = await stage.read(client, b"never")
-        assert answer.startswith(b"HTTP/1.1 503") and answer.count(b"HTTP/1.1") == 1
-        assert b"connection: close" in answer
+        await wait_for_exit(harness)
+
+
+async def test_request_behind_the_last_response_is_rejected_while_stopping():
+    async with running_harness() as harness:
+        client = harness.client(request())
+        upstream, _ = await harness.accept_attempt()
+        upstream.sendall(OK_RESPONSE)
+        await harness.read(client, b"done")
+        harness.process.closing = True
+        client.sendall(request() + request())  # the second is read after the last response
+        response = await harness.read(client, b"never")
+        assert response.startswith(b"HTTP/1.1 503") and response.count(b"HTTP/1.1") == 1
+        assert b"connection: close" in response
         client.sendall(request())
-        await stage.turns()
-        assert stage.begun() == 1
-
-
-async def test_an_upstream_that_hangs_through_the_end_leaves_nobody_without_an_answer():
-    async with staged() as stage:
-        client = stage.client(request(remaining=30))
-        await stage.met()
-        stage.process.stop()
-        await stage.turns()
-        stage.process.stop_deadline = stage.process.loop.clock() + SECOND // 5  # soon
-        for pending in list(stage.process.ids.values()):
-            stage.pool.shorten_deadline(pending, stage.process.stop_deadline)
-        assert (await stage.read(client, b"\n")).startswith(b"HTTP/1.1 502")
+        await harness.run_loop()
+        assert harness.attempts_started() == 1
+
+
+async def test_hanging_upstream_gets_its_clients_a_502_when_stopping():
+    async with running_harness() as harness:
+        client = harness.client(request(remaining=30))
+        await harness.accept_attempt()
+        harness.process.stop()
+        await harness.run_loop()
+        harness.process.stop_deadline = harness.process.loop.clock() + SECOND // 5  # soon
+        for pending in list(harness.process.ids.values()):
+            harness.pool.shorten_deadline(pending, harness.process.stop_deadline)
+        assert (await harness.read(client, b"\n")).startswith(b"HTTP/1.1 502")
         client.close()
-        await ended(stage)
+        await wait_for_exit(harness)
 
 
 # Descriptors.
 
 
-async def test_idle_clients_that_fill_the_descriptors_leave_room_for_discovery_and_for_who_asks():
-    async with staged(sockets=64) as stage:
-        idle = [stage.client() for _ in range(80)]
-        await stage.until(lambda: len(stage.frontend.clients) >= stage.process.budget.max_clients)
-        for _ in range(2):  # it is asked again, though it says nothing
+async def test_idle_clients_leave_descriptors_for_discovery_and_for_requests():
+    async with running_harness(sockets=64) as harness:
+        idle = [harness.client() for _ in range(80)]
+        await harness.until(
+            lambda: len(harness.frontend.clients) >= harness.process.budget.max_clients
+        )
+        for _ in range(2):  # a retry, though the service never responds
             with anyio.fail_after(LIMIT):
-                await anyio.wait_readable(stage.nobody)
-                stage.sockets.append(stage.nobody.accept()[0])
+                await anyio.wait_readable(harness.discovery)
+                harness.sockets.append(harness.discovery.accept()[0])
         idle[-1].sendall(request())
-        upstream, _ = await stage.met()
-        upstream.sendall(GOOD)
-        assert (await stage.read(idle[-1], b"done")).startswith(b"HTTP/1.1 200")
+        upstream, _ = await harness.accept_attempt()
+        upstream.sendall(OK_RESPONSE)
+        assert (await harness.read(idle[-1], b"done")).startswith(b"HTTP/1.1 200")
 
 
 # Closing.
 
 
-async def test_who_sends_too_much_ahead_is_answered_what_is_owed_before_the_connection_ends():
-    async with staged() as stage:
-        client = stage.client(request())
-        upstream, _ = await stage.met()
+async def test_client_that_pipelines_too_much_gets_the_pending_response():
+    async with running_harness() as harness:
+        client = harness.client(request())
+        upstream, _ = await harness.accept_attempt()
         client.sendall(request() * (2 * MAX_PIPELINED_BYTES // len(request())))
-        await stage.until(lambda: next(iter(stage.frontend.clients)).pipeline_overflow)
-        upstream.sendall(GOOD)
-        answer = await stage.read(client, b"never")  # up to the end of the connection
-        assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"\r\n\r\ndone")
-        assert b"connection: close" in answer and stage.begun() == 1
+        await harness.until(lambda: next(iter(harness.frontend.clients)).pipeline_overflow)
+        upstream.sendall(OK_RESPONSE)
+        response = await harness.read(client, b"never")  # until the connection is closed
+        assert response.startswith(b"HTTP/1.1 200") and response.endswith(b"\r\n\r\ndone")
+        assert b"connection: close" in response and harness.attempts_started() == 1
 
 
-async def test_who_sends_too_much_ahead_and_leaves_is_seen_to_leave():
-    async with staged() as stage:
-        client = stage.client(request())
-        upstream, _ = await stage.met()
+async def test_disconnect_of_a_client_that_pipelined_too_much_is_noticed():
+    async with running_harness() as harness:
+        client = harness.client(request())
+        upstream, _ = await harness.accept_attempt()
         client.sendall(b"x" * (2 * MAX_PIPELINED_BYTES))
-        await stage.until(lambda: next(iter(stage.frontend.clients)).pipeline_overflow)
+        await harness.until(lambda: next(iter(harness.frontend.clients)).pipeline_overflow)
         client.close()
-        assert await stage.read(upstream, b"never") == b""
-        assert stage.pool.counts["clients_left"] == 1
+        assert await harness.read(upstream, b"never") == b""
+        assert harness.pool.counts["clients_left"] == 1
 
 
-async def rested(stage):
-    """A client that has had an answer and has been idle for long, as the balancer has it."""
-    client = stage.client(request())
-    upstream, _ = await stage.met()
-    upstream.sendall(GOOD)
-    await stage.read(client, b"done")
-    inner = next(iter(stage.frontend.clients))
-    inner.state_since -= IDLE_TIMEOUT_NS + 1
-    return client, upstream, inner
+async def idle_client(harness):
+    """Return a client that had a response and whose idle time-out is over."""
+    client = harness.client(request())
+    upstream, _ = await harness.accept_attempt()
+    upstream.sendall(OK_RESPONSE)
+    await harness.read(client, b"done")
+    connection = next(iter(harness.frontend.clients))
+    connection.state_since -= IDLE_TIMEOUT_NS + 1
+    return client, upstream, connection
 
 
-async def test_a_request_that_arrives_as_a_resting_connection_is_to_be_closed_is_served():
-    async with staged() as stage:
-        client, upstream, inner = await rested(stage)
+async def test_request_that_arrives_as_its_idle_connection_expires_is_served():
+    async with running_harness() as harness:
+        client, upstream, connection = await idle_client(harness)
         client.sendall(request())
-        inner.enforce_timeouts(stage.process.loop.clock())  # it has come, and is not read
-        await stage.read(upstream, b"{}")
-        upstream.sendall(GOOD)
-        assert (await stage.read(client, b"done")).startswith(b"HTTP/1.1 200")
-
-
-async def test_a_request_that_arrives_after_the_shutdown_is_not_sent_on_and_resets_nothing_at_once():
-    async with staged() as stage:
-        client, upstream, inner = await rested(stage)
-        inner.enforce_timeouts(stage.process.loop.clock())
-        assert await stage.read(client, b"never") == b""
+        # The request has arrived and is unread.
+        connection.enforce_timeouts(harness.process.loop.clock())
+        await harness.read(upstream, b"{}")
+        upstream.sendall(OK_RESPONSE)
+        assert (await harness.read(client, b"done")).startswith(b"HTTP/1.1 200")
+
+
+async def test_request_after_the_half_close_is_dropped_without_a_reset():
+    async with running_harness() as harness:
+        client, upstream, connection = await idle_client(harness)
+        connection.enforce_timeouts(harness.process.loop.clock())
+        assert await harness.read(client, b"never") == b""
         client.sendall(request())
-        await stage.turns()
-        assert not inner.closed and client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
-        assert stage.begun() == 1
-        inner.state_since -= LINGER_TIMEOUT_NS + 1
-        inner.enforce_timeouts(stage.process.loop.clock())
-        assert inner.closed and stage.begun() == 1
-
-
-async def test_the_end_waits_for_answers_that_may_still_be_on_their_way():
-    async with staged() as stage:
-        client = stage.client(
-            request() + b"POST"
-        )  # a close over what is unread would reset the connection
-        upstream, _ = await stage.met()
-        stage.process.closing = True
-        upstream.sendall(GOOD)
-        await stage.until(lambda: not stage.pool.in_flight)
-        assert stage.frontend.has_pending_responses()
-        assert (await stage.read(client, b"never")).endswith(b"done")
+        await harness.run_loop()
+        assert not connection.closed and client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
+        assert harness.attempts_started() == 1
+        connection.state_since -= LINGER_TIMEOUT_NS + 1
+        connection.enforce_timeouts(harness.process.loop.clock())
+        assert connection.closed and harness.attempts_started() == 1
+
+
+async def test_responses_that_may_be_on_their_way_count_as_pending():
+    async with running_harness() as harness:
+        # Closing with unread bytes would reset the connection.
+        client = harness.client(request() + b"POST")
+        upstream, _ = await harness.accept_attempt()
+        harness.process.closing = True
+        upstream.sendall(OK_RESPONSE)
+        await harness.until(lambda: not harness.pool.in_flight)
+        assert harness.frontend.has_pending_responses()
+        assert (await harness.read(client, b"never")).endswith(b"done")
         client.close()
-        await stage.until(lambda: not stage.frontend.has_pending_responses())
+        await harness.until(lambda: not harness.frontend.has_pending_responses())
 
 
-# Answers that break off.
+# Truncated responses.
 
 
 @pytest.mark.parametrize("how", [socket.socket.close, reset])
@@ -450,141 +455,148 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
     ],
 )
-async def test_what_breaks_off_is_no_answer_and_a_non_idempotent_request_is_not_sent_again(
-    part, how
-):
-    async with staged(2) as stage:
-        client = stage.client(request())
-        await stage.until(lambda: stage.begun() == 1)
-        at = next(
-            number for number, peer in enumerate(stage.pool.endpoints.values()) if peer.in_flight()
+async def test_truncated_response_fails_and_a_non_idempotent_request_is_not_retried(part, how):
+    async with running_harness(2) as harness:
+        client = harness.client(request())
+        await harness.until(lambda: harness.attempts_started() == 1)
+        index = next(
+            number
+            for number, endpoint in enumerate(harness.pool.endpoints.values())
+            if endpoint.in_flight()
         )
-        upstream, _ = await stage.met(at)
+        upstream, _ = await harness.accept_attempt(index)
         upstream.sendall(part)
-        await stage.turns()
+        await harness.run_loop()
         how(upstream)
-        answer = await stage.read(client, b"fulfilled\n")
-        assert answer.startswith(b"HTTP/1.1 502") and b"half" not in answer and stage.begun() == 1
+        response = await harness.read(client, b"fulfilled\n")
+        assert (
+            response.startswith(b"HTTP/1.1 502")
+            and b"half" not in response
+            and harness.attempts_started() == 1
+        )
 
 
 @pytest.mark.parametrize("how", [socket.socket.close, reset])
-async def test_a_connection_closed_as_it_is_to_be_used_carries_nothing_and_the_request_goes_on_another(
+async def test_idle_connection_closed_by_the_upstream_is_replaced_before_use(
     how,
 ):
-    async with staged() as stage:
-        client, upstream, _ = await rested(stage)
-        server = stage.pool.endpoints["s-0"]
+    async with running_harness() as harness:
+        client, upstream, _ = await idle_client(harness)
+        endpoint = harness.pool.endpoints["s-0"]
         with anyio.fail_after(LIMIT):
-            while not server.idle:
+            while not endpoint.idle:
                 await anyio.sleep(0.001)
-        how(upstream)  # not read yet as the request is
+        how(upstream)  # the close is still unread when the request is read
         client.sendall(request())
-        next(iter(stage.frontend.clients)).on_readable()
-        anew, _ = await stage.met()
-        anew.sendall(GOOD)
-        assert (await stage.read(client, b"done")).startswith(b"HTTP/1.1 200")
-        assert stage.begun() == 2 and stage.pool.counts["came_back_reset"] == 0
-
-
-# A second answer.
-
-
-@pytest.mark.parametrize("second", [GOOD.replace(b"done", b"evil"), b"HTTP/1.1 2"])
-async def test_a_second_answer_that_comes_late_reaches_nobody_else(second, monkeypatch):
-    monkeypatch.setattr(
-        upstream_connection, "REUSE_DELAY_NS", 100 * SECOND
-    )  # the moment lasts until the second answer has come
-    async with staged() as stage:
-        first = stage.client(request())
-        upstream, _ = await stage.met()
-        upstream.sendall(GOOD)
-        await stage.read(first, b"done")
-        other = stage.client(request())
-        await stage.until(lambda: stage.begun() == 2)
+        next(iter(harness.frontend.clients)).on_readable()
+        new_connection, _ = await harness.accept_attempt()
+        new_connection.sendall(OK_RESPONSE)
+        assert (await harness.read(client, b"done")).startswith(b"HTTP/1.1 200")
+        assert harness.attempts_started() == 2 and harness.pool.counts["came_back_reset"] == 0
+
+
+# A second response.
+
+
+@pytest.mark.parametrize("second", [OK_RESPONSE.replace(b"done", b"evil"), b"HTTP/1.1 2"])
+async def test_late_second_response_does_not_reach_another_client(second, monkeypatch):
+    # Reuse is delayed until the second response has arrived.
+    monkeypatch.setattr(upstream_connection, "REUSE_DELAY_NS", 100 * SECOND)
+    async with running_harness() as harness:
+        first = harness.client(request())
+        upstream, _ = await harness.accept_attempt()
+        upstream.sendall(OK_RESPONSE)
+        await harness.read(first, b"done")
+        other = harness.client(request())
+        await harness.until(lambda: harness.attempts_started() == 2)
         upstream.sendall(second)
-        anew, _ = await stage.met()  # on another connection
-        anew.sendall(GOOD.replace(b"done", b"mine"))
-        assert (await stage.read(other, b"e")).endswith(b"mine")
-        assert await stage.read(upstream, b"never") == b""
+        new_connection, _ = await harness.accept_attempt()  # on another connection
+        new_connection.sendall(OK_RESPONSE.replace(b"done", b"mine"))
+        assert (await harness.read(other, b"e")).endswith(b"mine")
+        assert await harness.read(upstream, b"never") == b""
 
 
-async def test_after_its_rest_a_connection_carries_the_next_request_also_one_that_waits():
-    async with staged() as stage:
-        client = stage.client(request())
-        upstream, _ = await stage.met()
+async def test_connection_is_reused_after_the_reuse_delay():
+    async with running_harness() as harness:
+        client = harness.client(request())
+        upstream, _ = await harness.accept_attempt()
         for _ in range(3):
-            upstream.sendall(GOOD)
-            await stage.read(client, b"done")
+            upstream.sendall(OK_RESPONSE)
+            await harness.read(client, b"done")
             client.sendall(request())
-            assert (await stage.read(upstream, b"{}")).startswith(b"POST /charge")
-        assert stage.pool.budget.connections.used == 1
+            assert (await harness.read(upstream, b"{}")).startswith(b"POST /charge")
+        assert harness.pool.budget.connections.used == 1
 
 
-# One revision of the settings.
+# Reloads.
 
 
-def reloaded(stage, lane, **request_class):
-    """The balancer goes on by other settings of a request class."""
-    for given in stage.given["settings"]["workloads"]:
+def reload_request_class(harness, lane, **request_class):
+    """Apply other settings of a request class."""
+    for given in harness.given["settings"]["workloads"]:
         if given["name"] == lane:
             given |= request_class
-    stage.process.apply_platform_settings(stage.spec())
+    harness.process.apply_platform_settings(harness.spec())
 
 
-async def test_a_request_keeps_the_settings_it_came_with_and_one_behind_it_has_the_new_ones():
-    async with staged(2, cancelling=True) as stage:
-        client = stage.client(request("settle") + request("settle"))
-        await stage.until(lambda: stage.begun() == 1)
-        at = next(
-            number for number, peer in enumerate(stage.pool.endpoints.values()) if peer.in_flight()
+async def test_pending_request_keeps_its_settings_across_a_reload():
+    async with running_harness(2, cancelling=True) as harness:
+        client = harness.client(request("settle") + request("settle"))
+        await harness.until(lambda: harness.attempts_started() == 1)
+        index = next(
+            number
+            for number, endpoint in enumerate(harness.pool.endpoints.values())
+            if endpoint.in_flight()
         )
-        upstream, _ = await stage.met(at)
-        stage.given["settings"]["limits"]["max_hand_offs"] = 1
-        reloaded(stage, "settle", window_us=1000, patience_us=900_000)
-        reset(upstream)  # it may have run: under the new settings it could not be sent again
-        again, head = await stage.met(1 - at)
+        upstream, _ = await harness.accept_attempt(index)
+        harness.given["settings"]["limits"]["max_hand_offs"] = 1
+        reload_request_class(harness, "settle", window_us=1000, patience_us=900_000)
+        reset(upstream)  # it may have run: the new settings would allow no retry
+        retry, head = await harness.accept_attempt(1 - index)
         assert 1.0 < float(head.split(b"x-remaining: ")[1].split(b"\r\n")[0]) < 2.0
-        again.sendall(GOOD)
-        assert (await stage.read(client, b"done")).startswith(b"HTTP/1.1 200")
-        await stage.until(lambda: stage.begun() == 3)
-        links = [link for peer in stage.pool.endpoints.values() for link in peer.connections]
-        await stage.until(lambda: any(link.attempt for link in links))
-        link = next(link for link in links if link.attempt)
-        pending = link.attempt.request
+        retry.sendall(OK_RESPONSE)
+        assert (await harness.read(client, b"done")).startswith(b"HTTP/1.1 200")
+        await harness.until(lambda: harness.attempts_started() == 3)
+        connections = [
+            connection
+            for endpoint in harness.pool.endpoints.values()
+            for connection in endpoint.connections
+        ]
+        await harness.until(lambda: any(connection.attempt for connection in connections))
+        connection = next(connection for connection in connections if connection.attempt)
+        pending = connection.attempt.request
         assert (
             pending.request_class.max_attempts == 1
             and pending.deadline - pending.arrived_at < SECOND
         )
-        link.close()  # as a reset: it may have run
-        await stage.turns()
-        assert stage.begun() == 3
+        connection.close()  # as a reset: it may have run
+        await harness.run_loop()
+        assert harness.attempts_started() == 3
 
 
 @pytest.mark.parametrize("before, after", [("once", "by_key"), ("once", "repeatable")])
-async def test_what_came_as_non_idempotent_is_not_resent_because_a_new_file_says_otherwise(
-    before, after
-):
-    async with staged(2) as stage:
-        client = stage.client(request("charge"))
-        await stage.until(lambda: stage.begun() == 1)
-        at = next(
-            number for number, peer in enumerate(stage.pool.endpoints.values()) if peer.in_flight()
+async def test_pending_non_idempotent_request_is_not_retried_after_a_reload(before, after):
+    async with running_harness(2) as harness:
+        client = harness.client(request("charge"))
+        await harness.until(lambda: harness.attempts_started() == 1)
+        index = next(
+            number
+            for number, endpoint in enumerate(harness.pool.endpoints.values())
+            if endpoint.in_flight()
         )
-        upstream, _ = await stage.met(at)
-        reloaded(stage, "charge", semantics=after, window_us=9_000_000)
+        upstream, _ = await harness.accept_attempt(index)
+        reload_request_class(harness, "charge", semantics=after, window_us=9_000_000)
         reset(upstream)
-        assert (await stage.read(client, b"\n")).startswith(b"HTTP/1.1 502")
-        assert stage.begun() == 1
+        assert (await harness.read(client, b"\n")).startswith(b"HTTP/1.1 502")
+        assert harness.attempts_started() == 1
 
 
-# Windows for repeats.
+# Retry windows.
 
 
 @pytest.mark.parametrize("after, attempts", [(1500, 2), (1800, 1)])
-def test_a_keyed_request_is_not_resent_when_it_could_arrive_outside_its_window(after, attempts):
-    host = FakeHost(
-        Effect.KEYED
-    )  # a window of 2 s; a connection may take a quarter of one to come up
+def test_keyed_request_is_not_retried_outside_its_window(after, attempts):
+    host = FakeHost(Effect.KEYED)  # a window of 2 s; connecting may take a quarter of a second
     host.policy.retry_policy.configure({"limits.max_hand_offs": 3})
     host.request()
     host.wait(after * MS)
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -1,6 +1,4 @@
-"""Stories of the whole program: it is started and spoken to over sockets, by the example's toy
-servers.
-"""
+"""Tests the whole program over sockets, with the upstreams and discovery of the example."""
 
 import gc
 import json
@@ -35,17 +33,17 @@
 
 GIVEN = json.loads(Path("example/config.json").read_text())
 HEAD = "POST /charge HTTP/1.1\r\nHost: a\r\n"
-ids = numbers()  # no two requests have the same
+ids = numbers()  # unique per request
 
 
 class Deployment:
-    """One balancer, the upstreams it is given and the discovery that lists them."""
+    """A balancer process, its upstreams and the discovery service that lists them."""
 
     def __init__(self, folder, *upstreams, known=(), **settings):
         self.upstreams = upstreams
         self.discovery = Discovery(
             *(up.entry(f"s-{number}") for number, up in enumerate(upstreams)),
-            port=free(socket.SOCK_STREAM)[1],  # nobody else takes it when it has stopped
+            port=free(socket.SOCK_STREAM)[1],  # stays reserved after a stop
         )
         self.address = free(socket.SOCK_STREAM, "127.0.0.2")
         given = json.loads(json.dumps(GIVEN)) | {
@@ -91,26 +89,26 @@
         given = {"X-Txn": f"f{next(ids):x}", "X-Remaining": "1.5"}
         given |= {name.replace("_", "-"): value for name, value in headers.items()}
         client.request(method, path, body, {name: value for name, value in given.items() if value})
-        answer = client.getresponse()
-        answer.body = answer.read()
-        return answer
+        response = client.getresponse()
+        response.body = response.read()
+        return response
 
     def charge(self, **more):
-        """An exclusive request."""
+        """Send a non-idempotent request."""
         return self.ask("POST", "/charge", b"{}", **more)
 
     def settle(self, **more):
-        """A ticketed request."""
+        """Send a keyed request."""
         return self.ask("POST", "/settle", b"{}", Idempotency_Key="5c", **more)
 
     def met(self):
         return [request for upstream in self.upstreams for request in upstream.met]
 
-    def said(self, text):
+    def log_contains(self, text):
         return text in self.log.read_text()
 
-    def lists(self):
-        """How often it was told the list or a change of it."""
+    def list_update_count(self):
+        """Return how many lists or changes the balancer has received."""
         return self.log.read_text().count("event=endpoints_updated ")
 
     def end(self):
@@ -121,9 +119,9 @@
         self.process.wait()
         for server in (*self.upstreams, self.discovery):
             server.stop()
-        assert not self.said("event=invariant_violated") and not self.said("level=error"), (
-            self.log.read_text()
-        )
+        assert not self.log_contains("event=invariant_violated") and not self.log_contains(
+            "level=error"
+        ), self.log.read_text()
 
 
 @contextmanager
@@ -140,14 +138,14 @@
 
 
 def silent(request):
-    """Answers nothing, until whoever asked has gone."""
+    """Send no response until the client has disconnected."""
     request.connection.settimeout(LIMIT)
     request.gone = request.connection.recv(1) == b""
     request.close_connection = True
 
 
 def raw(data):
-    """Answers with these bytes and ends the connection."""
+    """Return a behaviour that sends these bytes and closes the connection."""
 
     def behave(request):
         request.wfile.write(data)
@@ -171,48 +169,51 @@
     request.connection.close()
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged(tmp_path):
+def test_request_and_response_are_forwarded_unchanged(tmp_path):
     body, sent = os.urandom(64 * 1024), os.urandom(64 * 1024)
     with started(
         tmp_path, Upstream(lambda request: request.reply(200, body, X_Note="n"))
     ) as deployment:
-        answer = deployment.ask(
+        response = deployment.ask(
             "POST", "/charge/some?a=b", sent, X_Lane="charge", X_Txn="9b", X_Labels="w=1"
         )
-        assert (answer.status, answer.body, answer.headers["X-Note"]) == (200, body, "n")
+        assert (response.status, response.body, response.headers["X-Note"]) == (200, body, "n")
         (met,) = deployment.met()
         assert (met.command, met.path, met.body) == ("POST", "/charge/some?a=b", sent)
         assert (met.headers["X-Txn"], met.headers["X-Labels"]) == ("9b", "w=1")
         assert 1.3 < float(met.headers["X-Remaining"]) < 1.5
 
 
-def test_an_answer_larger_than_the_protocol_says_is_passed_on(tmp_path):
+def test_response_larger_than_the_protocol_allows_is_forwarded(tmp_path):
     sent = os.urandom(400_000)
     with started(tmp_path, Upstream(lambda request: request.reply(200, sent))) as deployment:
         assert [deployment.charge().body == sent for _ in range(3)] == [True] * 3
 
 
-def test_connections_are_kept_on_both_sides_and_a_body_in_chunks_is_a_body(tmp_path):
+def test_connections_are_kept_alive_and_chunked_bodies_are_forwarded(tmp_path):
     with started(tmp_path, Upstream(good)) as deployment:
         client = deployment.client()
         assert [deployment.charge(client=client).status for _ in range(5)] == [200] * 5
-        answer = deployment.ask(
+        response = deployment.ask(
             "POST", "/settle", iter([b"a", b"bc"]), client, Idempotency_Key="5c"
         )
-        assert answer.status == 200 and deployment.met()[-1].body == b"abc"
+        assert response.status == 200 and deployment.met()[-1].body == b"abc"
         assert (
             deployment.met()[-1].headers["Idempotency-Key"] == "5c"
             and deployment.upstreams[0].opened == 1
         )
 
 
-def test_two_requests_sent_at_once_on_one_connection_are_answered_in_turn(tmp_path):
+def test_pipelined_requests_are_answered_in_order(tmp_path):
     request = b"GET /look/%d HTTP/1.1\r\nHost: a\r\nX-Txn: %d\r\nX-Remaining: 1\r\n%s\r\n"
     echo = Upstream(lambda request: request.reply(200, request.path.encode()))
     with started(tmp_path, echo) as deployment:
         sock = deployment.raw(request % (1, 1, b"") + request % (2, 2, b"Connection: close\r\n"))
-        said = sock.makefile("rb").read()
-        assert said.index(b"/look/1") < said.index(b"/look/2") and said.count(b"200 OK") == 2
+        received = sock.makefile("rb").read()
+        assert (
+            received.index(b"/look/1") < received.index(b"/look/2")
+            and received.count(b"200 OK") == 2
+        )
 
 
 @pytest.mark.parametrize("kind", ["charge", "settle"])
@@ -235,7 +236,7 @@
         raw(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
         raw(b"HTTP/1.1 200 OK\nContent-Length: 0\r\n\r\n"),
         raw(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + b"X-Many: 1\r\n" * 5000 + b"\r\n"),
-        # From here on with the connection left open, and no more.
+        # From here on the connection is left open and nothing more is sent.
         lambda request: request.wfile.write(b"HTTP/1.1 200 OK\r\nX-Never: e"),
         lambda request: request.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
         lambda request: request.wfile.write(
@@ -244,7 +245,7 @@
         lambda request: request.wfile.write(b"\0\1noise" * 10),
     ],
 )
-def test_what_may_have_run_is_sent_again_only_for_a_ticketed_request(tmp_path, bad, kind):
+def test_attempt_that_may_have_run_is_retried_only_for_a_keyed_request(tmp_path, bad, kind):
     turns = iter([bad, good])
     with started(
         tmp_path, *(Upstream(lambda request: next(turns)(request)) for _ in range(2))
@@ -254,78 +255,75 @@
         assert len(deployment.met()) == 1 + again
 
 
-def test_interim_answers_are_passed_over(tmp_path):
+def test_interim_responses_are_skipped(tmp_path):
     both = raw(b"HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     with started(tmp_path, Upstream(both)) as deployment:
         assert deployment.charge().body == b"ok"
 
 
-def test_where_no_connection_comes_up_nothing_ran_and_the_request_goes_elsewhere(tmp_path):
+def test_refused_connection_is_retried_at_another_upstream(tmp_path):
     gone, works = Upstream(good, free(socket.SOCK_STREAM)[1]), Upstream(good)
-    gone.stop()  # its port refuses, and nobody else takes it
+    gone.stop()  # its port refuses connections and stays reserved
     with started(tmp_path, works) as deployment:
         deployment.discovery.change(gone.entry("s-gone"))
-        until(lambda: deployment.said("ready=2"))
+        until(lambda: deployment.log_contains("ready=2"))
         assert [deployment.charge().status for _ in range(10)] == [200] * 10
 
 
-def test_where_connecting_gets_no_answer_the_request_goes_elsewhere_in_time(tmp_path):
+def test_connect_timeout_is_retried_at_another_upstream(tmp_path):
     with socket.socket() as vanished, started(tmp_path, Upstream(good)) as deployment:
         vanished.bind(("127.0.0.1", 0))
         vanished.listen(0)
-        deployment.clients.append(
-            socket.create_connection(vanished.getsockname())
-        )  # its queue is full now
+        # Fills the backlog.
+        deployment.clients.append(socket.create_connection(vanished.getsockname()))
         deployment.discovery.change(
             deployment.upstreams[0].entry("s-1") | {"dial": "%s:%d" % vanished.getsockname()}
         )
-        until(lambda: deployment.lists() == 2)
+        until(lambda: deployment.list_update_count() == 2)
         assert [deployment.charge().status for _ in range(6)] == [200] * 6
 
 
 @pytest.mark.parametrize("pressure", ["", "x", "served_ps=nan", "served_ps=1e999,,=", "\x01;\xff"])
-def test_a_load_report_that_cannot_be_read_costs_its_answer_nothing(tmp_path, pressure):
+def test_invalid_load_report_is_ignored(tmp_path, pressure):
     with started(
         tmp_path, Upstream(lambda request: request.reply(200, b"ok", X_Pressure=pressure))
     ) as deployment:
         assert [deployment.charge().body for _ in range(3)] == [b"ok"] * 3
 
 
-def test_surplus_bytes_do_not_pass_for_the_next_answer(tmp_path):
-    answer = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
-    two = Upstream(lambda request: request.wfile.write(answer + b"mine" + answer + b"none"))
+def test_surplus_bytes_are_not_taken_for_the_next_response(tmp_path):
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
+    two = Upstream(lambda request: request.wfile.write(response + b"mine" + response + b"none"))
     with started(tmp_path, two) as deployment:
         assert [deployment.charge().body for _ in range(3)] == [
             b"mine"
         ] * 3 and deployment.upstreams[0].opened == 3
 
 
-def test_a_silent_upstream_is_waited_for_until_the_client_gives_up_and_not_longer(tmp_path):
+def test_silent_upstream_is_awaited_until_the_deadline(tmp_path):
     with started(tmp_path, Upstream(silent)) as deployment:
         began = time.monotonic()
         assert deployment.charge(X_Remaining="1").status == 502
-        assert 0.7 < time.monotonic() - began < 1.2  # a late loop answers up to 0.2 s early
+        assert 0.7 < time.monotonic() - began < 1.2  # with a lagging event loop up to 0.2 s early
         assert len(deployment.met()) == 1 and until(lambda: deployment.met()[0].gone)
 
 
 @pytest.mark.parametrize("remaining, status", [("0", 504), ("-1.5", 504), ("0.004", 504)])
-def test_a_request_that_comes_too_late_is_answered_at_once_and_not_sent(
-    tmp_path, remaining, status
-):
+def test_expired_request_is_rejected_and_not_sent(tmp_path, remaining, status):
     with started(tmp_path, Upstream(good)) as deployment:
         assert deployment.charge(X_Remaining=remaining).status == status and not deployment.met()
 
 
-def test_with_no_upstream_ready_a_request_is_rejected_soon_with_a_time_to_come_back(tmp_path):
+def test_request_without_a_ready_upstream_is_rejected_with_retry_after(tmp_path):
     with started(tmp_path, Upstream(good)) as deployment:
         deployment.discovery.change(deployment.upstreams[0].entry("s-0", "draining"))
-        until(lambda: deployment.said("draining=1"))
-        began, answer = time.monotonic(), deployment.charge()
-        assert answer.status == 503 and float(answer.headers["Retry-After"]) > 0
+        until(lambda: deployment.log_contains("draining=1"))
+        began, response = time.monotonic(), deployment.charge()
+        assert response.status == 503 and float(response.headers["Retry-After"]) > 0
         assert time.monotonic() - began < 1.0 and not deployment.met()
 
 
-def test_a_client_that_leaves_takes_its_request_with_it(tmp_path):
+def test_attempt_is_cancelled_when_its_client_leaves(tmp_path):
     with started(tmp_path, Upstream(silent)) as deployment:
         deployment.raw(f"{HEAD}X-Txn: 1\r\nX-Remaining: 3\r\nContent-Length: 0\r\n\r\n".encode())
         until(deployment.met)
@@ -333,7 +331,7 @@
         until(lambda: deployment.met()[0].gone)
 
 
-def test_what_drains_finishes_what_it_has_and_gets_nothing_new(tmp_path):
+def test_draining_upstream_finishes_its_requests_and_gets_no_new_ones(tmp_path):
     held = []
     slow, other = Upstream(held.append), Upstream(good)
 
@@ -348,57 +346,57 @@
         client.request("POST", "/charge", b"{}", {"X-Txn": "1", "X-Remaining": "3"})
         until(lambda: held)
         deployment.discovery.change(slow.entry("s-0", "draining"), other.entry("s-1"))
-        until(lambda: deployment.said("draining=1"))
+        until(lambda: deployment.log_contains("draining=1"))
         assert [deployment.charge().status for _ in range(5)] == [200] * 5 and len(other.met) == 5
         slow.let_go.append(held[0])
         assert client.getresponse().status == 200 and len(held) == 1
         deployment.discovery.change(slow.entry("s-0", "removed"))
-        until(lambda: deployment.lists() == 3)
+        until(lambda: deployment.list_update_count() == 3)
         assert deployment.charge().status == 200 and len(other.met) == 6
         other.stop()
 
 
-def test_a_new_run_of_an_upstream_gets_connections_of_its_own(tmp_path):
+def test_restarted_upstream_gets_new_connections(tmp_path):
     with started(tmp_path, Upstream(good)) as deployment:
         deployment.charge()
         deployment.discovery.change(deployment.upstreams[0].entry("s-0", born_ms=1_000))
-        until(lambda: deployment.lists() == 2)
+        until(lambda: deployment.list_update_count() == 2)
         assert deployment.charge().status == 200 and deployment.upstreams[0].opened == 2
 
 
-def test_an_upstream_that_moves_is_met_at_its_new_address(tmp_path):
+def test_upstream_with_a_new_address_is_reached_there(tmp_path):
     new = Upstream(good)
     with started(tmp_path, Upstream(good)) as deployment:
         deployment.charge()
         deployment.discovery.change(new.entry("s-0"))
-        until(lambda: deployment.lists() == 2)
+        until(lambda: deployment.list_update_count() == 2)
         assert deployment.charge().status == 200 and len(new.met) == 1
     new.stop()
 
 
-def test_the_list_that_was_known_serves_while_discovery_is_down(tmp_path):
+def test_known_list_is_used_while_discovery_is_down(tmp_path):
     upstream, down = Upstream(good), Upstream(silent)
     with started(tmp_path, upstream, known=[upstream.entry("s-0")]) as deployment:
         deployment.discovery.stop()
         deployment.discovery.hang_up()
-        until(lambda: deployment.said("discovery_disconnected"))
+        until(lambda: deployment.log_contains("discovery_disconnected"))
         assert deployment.charge().status == 200
     down.stop()
 
 
-def test_a_lost_watch_is_taken_up_again_where_it_was(tmp_path):
+def test_lost_watch_is_reopened_from_the_last_sequence_number(tmp_path):
     other = Upstream(good)
     with started(tmp_path, Upstream(good)) as deployment:
         deployment.discovery.change(deployment.upstreams[0].entry("s-0"))
-        until(lambda: deployment.lists() == 2)
+        until(lambda: deployment.list_update_count() == 2)
         deployment.discovery.hang_up()
         until(lambda: deployment.discovery.asked[-1] == "/discovery/hosts?watch=1&from=2")
         deployment.discovery.change(other.entry("s-1"))
-        until(lambda: deployment.said("ready=2"))
+        until(lambda: deployment.log_contains("ready=2"))
     other.stop()
 
 
-def test_told_to_read_its_configuration_again_it_follows_the_list_elsewhere_and_keeps_all_it_has(
+def test_reload_changes_the_discovery_address_and_keeps_requests_and_connections(
     tmp_path,
 ):
     told, other = [], Upstream(good)
@@ -423,23 +421,23 @@
         until(lambda: "/discovery/hosts?watch=1&from=1" in moved.asked)
         deployment.discovery.hang_up()
         moved.change(other.entry("s-1"))
-        until(lambda: deployment.said("ready=2"))
+        until(lambda: deployment.log_contains("ready=2"))
         told.append("go on")
         assert (
             client.getresponse().status == 200 and len(deployment.met()) == 1 and slow.opened == 1
         )
-        assert deployment.log.read_text().count("configuration_rejected") == 3 and deployment.said(
-            "discovery: 'nowhere'"
-        )
+        assert deployment.log.read_text().count(
+            "configuration_rejected"
+        ) == 3 and deployment.log_contains("discovery: 'nowhere'")
         deployment.process.send_signal(signal.SIGTERM)
-        until(lambda: deployment.said("event=stopping"))
+        until(lambda: deployment.log_contains("event=stopping"))
         deployment.process.send_signal(signal.SIGHUP)
         assert deployment.process.wait(LIMIT) == 0
     moved.stop()
     other.stop()
 
 
-def test_a_watch_that_falls_silent_is_taken_up_again(tmp_path):
+def test_silent_watch_is_reopened(tmp_path):
     with started(tmp_path, Upstream(good)) as deployment:
         deployment.discovery.beat = 60.0
         until(lambda: len(deployment.discovery.asked) == 2)
@@ -459,9 +457,7 @@
         b"\xff\xfe",
     ],
 )
-def test_what_discovery_garbles_leaves_the_last_good_list_and_the_whole_is_asked_for(
-    tmp_path, line
-):
+def test_invalid_document_keeps_the_last_list_and_the_whole_list_is_fetched(tmp_path, line):
     with started(tmp_path, Upstream(good)) as deployment:
         until(lambda: "/discovery/hosts?watch=1&from=0" in deployment.discovery.asked)
         asked = len(deployment.discovery.asked)
@@ -531,18 +527,18 @@
         ("CONNECT charge HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Remaining: 1\r\n\r\n", 405),
     ],
 )
-def test_what_is_no_request_is_answered_and_never_sent(tmp_path, data, status):
+def test_invalid_request_is_rejected_and_not_sent(tmp_path, data, status):
     with started(tmp_path, Upstream(good)) as deployment:
-        answer = HTTPResponse(deployment.raw(data.encode()))
-        answer.begin()
+        response = HTTPResponse(deployment.raw(data.encode()))
+        response.begin()
         assert (
-            answer.status == status
+            response.status == status
             and deployment.charge().status == 200
             and len(deployment.met()) == 1
         )
 
 
-def test_a_client_that_sends_half_a_request_and_stops_is_let_go(tmp_path):
+def test_client_that_stalls_within_a_request_gets_a_408(tmp_path):
     with started(tmp_path, Upstream(good)) as deployment:
         for sock in [
             deployment.raw(b"POST /charge HT"),
@@ -552,7 +548,7 @@
         assert not deployment.met()
 
 
-def test_an_id_that_another_request_has_or_had_is_refused(tmp_path):
+def test_duplicate_request_id_is_rejected(tmp_path):
     let_go = []
     with started(
         tmp_path, Upstream(lambda request: until(lambda: let_go) and good(request))
@@ -566,12 +562,10 @@
         assert len(deployment.met()) == 1
 
 
-def test_a_client_that_says_nothing_or_too_much_is_let_go_and_others_are_served(tmp_path):
+def test_silent_and_flooding_clients_are_closed_and_others_are_served(tmp_path):
     with started(tmp_path, Upstream(good), sockets={"sockets": 64}) as deployment:
-        began, silent = (
-            time.monotonic(),
-            [deployment.raw() for _ in range(60)],
-        )  # more than it can hold
+        began = time.monotonic()
+        silent = [deployment.raw() for _ in range(60)]  # more than the limit
         assert [deployment.charge().status for _ in range(5)] == [200] * 5
         sock = deployment.raw(
             f"{HEAD}X-Txn: 1\r\nX-Remaining: 1\r\nContent-Length: 60000000\r\n\r\n".encode()
@@ -582,44 +576,46 @@
         assert all(sock.recv(1) == b"" for sock in silent) and time.monotonic() - began < 3
 
 
-def test_clients_that_ask_once_and_stay_are_let_go_before_they_hold_what_others_need(tmp_path):
+def test_idle_clients_are_closed_before_they_exhaust_the_descriptors(tmp_path):
     with started(tmp_path, Upstream(good), sockets={"sockets": 256}) as deployment:
         stay = [deployment.client() for _ in range(80)]  # they may hold 85
-        answers = [deployment.charge(client=client) for client in stay]
-        assert {answer.status for answer in answers} == {200}
-        assert sum(answer.headers["Connection"] == "close" for answer in answers) > 10
+        responses = [deployment.charge(client=client) for client in stay]
+        assert {response.status for response in responses} == {200}
+        assert sum(response.headers["Connection"] == "close" for response in responses) > 10
         began = time.monotonic()
         assert all(client.sock is None or client.sock.recv(1) == b"" for client in stay)
         assert time.monotonic() - began < 4
 
 
-def test_more_clients_than_descriptors_wait_their_turn(tmp_path):
+def test_more_clients_than_descriptors_are_served_in_turn(tmp_path):
     with started(tmp_path, Upstream(good), sockets={"sockets": 64}) as deployment:
-        answers = [
-            deployment.charge() for _ in range(100)
-        ]  # each on a connection that its client keeps
-        assert {answer.status for answer in answers} <= {200, 503} and answers[0].status == 200
+        # Each on a connection that the client keeps open.
+        responses = [deployment.charge() for _ in range(100)]
+        assert {response.status for response in responses} <= {200, 503} and responses[
+            0
+        ].status == 200
         assert all(
-            float(answer.headers["Retry-After"]) > 0 for answer in answers if answer.status == 503
+            float(response.headers["Retry-After"]) > 0
+            for response in responses
+            if response.status == 503
         )
         until(lambda: deployment.charge().status == 200)
 
 
-def test_at_the_limit_of_descriptors_no_client_that_has_asked_is_closed_unheard(tmp_path):
+def test_clients_with_a_request_get_a_response_at_the_descriptor_limit(tmp_path):
     let_go = []
     request = HEAD + "X-Txn: %d\r\nX-Remaining: 3\r\nContent-Length: 0\r\n\r\n"
     slow = Upstream(lambda request: until(lambda: let_go) and good(request))
     with started(tmp_path, slow, sockets={"sockets": 64}) as deployment:
-        asked = [
-            deployment.raw((request % n).encode()).makefile("rb") for n in range(40)
-        ]  # more than it can hold
+        # More than the limit.
+        asked = [deployment.raw((request % n).encode()).makefile("rb") for n in range(40)]
         turned_back = until(lambda: deployment.met()) and [file.readline() for file in asked[-5:]]
         let_go.append("all")
         lines = turned_back + [file.readline() for file in asked[:-5]]
         assert {line.split()[1] for line in lines} == {b"200", b"503"}
 
 
-def test_told_to_stop_it_serves_who_is_connected_then_closes_in_time_and_leaves_with_nought(
+def test_stopping_process_serves_connected_clients_and_exits_in_time(
     tmp_path,
 ):
     told = []
@@ -630,11 +626,11 @@
         first.request("POST", "/charge", b"{}", {"X-Txn": "1", "X-Remaining": "3"})
         until(deployment.met)
         deployment.process.send_signal(signal.SIGTERM)
-        until(lambda: deployment.said("event=stopping"))
+        until(lambda: deployment.log_contains("event=stopping"))
         began, served = time.monotonic(), 0
         told.append("to stop")
         assert first.getresponse().status == 200 and deployment.ask("GET", "/up").status == 503
-        with suppress(OSError, HTTPException):  # closed between two requests, in the end
+        with suppress(OSError, HTTPException):  # closed between two requests at last
             while deployment.charge(client=stays, X_Remaining="3").status == 200:
                 served += 1
         # The longest timeout is 4 s, which counts for 3: it may be killed 3.7 s after the signal.
@@ -642,7 +638,7 @@
         assert deployment.process.wait(LIMIT) == 0 and time.monotonic() - began < 3.7
 
 
-def test_told_to_stop_with_nobody_connected_it_leaves_soon(tmp_path):
+def test_stopping_process_without_clients_exits_soon(tmp_path):
     with started(tmp_path, Upstream(good)) as deployment:
         for client in deployment.clients:
             client.close()
@@ -652,18 +648,18 @@
 
 
 def new_process(spec):
-    """A balancer that runs in the test itself."""
+    """Create a balancer that runs in the test's process."""
     return Process(spec, Http1Transport(), lambda: spec, kept_till_restart)
 
 
-def held(process):
-    """Its one pool."""
+def only_pool(process):
+    """Return the process's only pool."""
     return process.pools["all"]
 
 
 @contextmanager
-def inside(folder, *upstreams):
-    """A configuration and a listener for a balancer that runs in the test itself."""
+def stopped_deployment(folder, *upstreams):
+    """Yield a configuration and a listener for a balancer that runs in the test's process."""
     with started(folder, *upstreams) as deployment:
         config = read(deployment.environment)
         deployment.process.kill()
@@ -676,10 +672,10 @@
             yield config, listener
 
 
-def test_what_is_over_is_freed_without_the_collector(tmp_path):
+def test_finished_requests_are_freed_without_the_garbage_collector(tmp_path):
     request = f"{HEAD}X-Txn: 1\r\nX-Remaining: 0.5\r\nContent-Length: 0\r\n\r\n".encode()
 
-    async def story(config, listener):
+    async def scenario(config, listener):
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(new_process(config).serve, [listener])
             async with await anyio.connect_tcp(*config.listen[0]) as client:
@@ -697,17 +693,17 @@
                     gc.enable()
             task_group.cancel_scope.cancel()
 
-    with inside(tmp_path, Upstream(good)) as (config, listener):
-        anyio.run(story, config, listener)
+    with stopped_deployment(tmp_path, Upstream(good)) as (config, listener):
+        anyio.run(scenario, config, listener)
 
 
-def test_however_attempts_end_what_is_counted_is_what_is_on_the_sockets_and_nothing_stays(tmp_path):
+def test_counts_of_attempts_agree_with_the_sockets_and_return_to_zero(tmp_path):
     ways = cycle([good, silent, error, reset, raw(b"noise\r\n\r\n"), turned_away, silent])
     banks = [Upstream(lambda request: next(ways)(request)) for _ in range(3)]
 
-    async def story(config, listener):
+    async def scenario(config, listener):
         balancer, pictures = new_process(config), []
-        pool = held(balancer)
+        pool = only_pool(balancer)
 
         async def client(number):
             kind = ("charge", "settle")[number % 2]
@@ -715,7 +711,7 @@
             request = HEAD.replace("charge", kind) + f"X-Txn: {number}\r\nX-Remaining: 0.6\r\n{key}"
             async with await anyio.connect_tcp(*config.listen[0]) as stream:
                 await stream.send(f"{request}Content-Length: 2\r\n\r\n{{}}".encode())
-                if number % 5:  # each fifth leaves at once
+                if number % 5:  # each fifth disconnects at once
                     await stream.receive()
             split = pool.policy.selector
             pictures.append(
@@ -751,16 +747,16 @@
             )
             task_group.cancel_scope.cancel()
 
-    with inside(tmp_path, *banks) as (config, listener):
-        anyio.run(story, config, listener)
+    with stopped_deployment(tmp_path, *banks) as (config, listener):
+        anyio.run(scenario, config, listener)
 
 
-def test_a_late_loop_ends_requests_sooner_and_rejects_a_part_of_what_comes_while_it_is_far_behind():
-    whole = new_process(read({"BALANCER_CONFIG": "example/config.json"}))
-    balancer, pool = whole.loop, held(whole)
+def test_event_loop_lag_shortens_deadlines_and_sheds_requests():
+    process = new_process(read({"BALANCER_CONFIG": "example/config.json"}))
+    balancer, pool = process.loop, only_pool(process)
 
     def turned_back():
-        return whole.frontends[0].rejects(pool) or pool.budget.requests.release()
+        return process.frontends[0].rejects(pool) or pool.budget.requests.release()
 
     at, at_ease = balancer.clock(), balancer.deadline_margin()
     balancer.clock = lambda: at
@@ -770,9 +766,8 @@
         at += SECOND // 5
         balancer.record_lag(SECOND)
     part = sum(bool(turned_back()) for _ in range(1000))
-    assert (
-        balancer.deadline_margin() < SECOND // 2 and 800 < part < 1000
-    )  # never all: those come again at once
+    # Never all: rejected requests are retried at once.
+    assert balancer.deadline_margin() < SECOND // 2 and 800 < part < 1000
     for _ in range(100):
         at += SECOND // 5
         balancer.record_lag(0)
@@ -781,12 +776,12 @@
     assert balancer.deadline_margin() == at_ease and not any(turned_back() for _ in range(100))
 
 
-def test_a_decision_that_fails_costs_its_request_and_no_more(tmp_path, monkeypatch):
+def test_exception_in_the_policy_fails_only_its_request(tmp_path, monkeypatch):
     monkeypatch.setattr(log, "invariant", lambda holds, what: None)  # as in release builds
 
-    async def story(config, listener):
+    async def scenario(config, listener):
         balancer = new_process(config)
-        held(balancer).policy.on_request = lambda request: 1 / 0
+        only_pool(balancer).policy.on_request = lambda request: 1 / 0
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(balancer.serve, [listener])
             async with await anyio.connect_tcp(*config.listen[0]) as client:
@@ -799,5 +794,5 @@
                         assert (await client.receive()).startswith(b"HTTP/1.1 502")
             task_group.cancel_scope.cancel()
 
-    with inside(tmp_path, Upstream(good)) as (config, listener):
-        anyio.run(story, config, listener)
+    with stopped_deployment(tmp_path, Upstream(good)) as (config, listener):
+        anyio.run(scenario, config, listener)
