--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -1,4 +1,4 @@
-"""Stories of the record's voters: orders explored, faults put in, disks read back, states learned."""
+"""Tests of the Raft node: model checking, mutants, elections, journals, snapshots and reads."""
 
 from random import Random
 
@@ -44,153 +44,157 @@
 
 
 @pytest.mark.parametrize("days", WHOLE, ids=lambda days: days.what)
-def test_every_order_of_a_small_world_keeps_one_order_and_one_leader_a_term(days):
+def test_exhaustive_search_finds_one_log_and_one_leader_per_term(days):
     result = every(days.make(RaftNode), 4)
     assert result.deepest == 4 and not result.broken, result
 
 
 @pytest.mark.parametrize("days", WALKS, ids=lambda days: days.what)
-def test_walks_at_random_lose_nothing_that_was_agreed(days):
+def test_random_walks_never_lose_a_committed_entry(days):
     result = days.gone_through(RaftNode, steps=20_000)
     assert not result.broken, (result.broken, result.path)
 
 
 @pytest.mark.parametrize("name", QUICK)
-def test_each_fault_that_is_put_in_is_found_and_its_path_replays(name):
+def test_each_mutant_is_found_and_its_path_replays(name):
     days, broken, path = found(name)
     assert broken and replay(days.make(FAULTS[name]), path) == broken
 
 
-# Disks.
+# A cluster whose messages and disks are instantaneous.
 
 
-class Voters:
-    """Three voters whose talks arrive at once, and whose disks sync at once."""
+class Cluster:
+    """Voters and learners whose messages arrive at once and whose disks sync at once."""
 
-    def __init__(self, count=3, spare=0, copies=None):
+    def __init__(self, count=3, learners=0, disks=None):
         config = {f"m{n}": n + 1 for n in range(count)}
         self.now = 0
-        self.disks = copies or [
+        self.disks = disks or [
             [
                 (raft.IDENTITY_RECORD, 256, n + 1),
                 (raft.TERM_RECORD, 1, 0),
                 *([(raft.ENTRY_RECORD, 1, 1, CONFIG_ENTRY, pack(config))] if n < count else []),
             ]
-            for n in range(count + spare)
+            for n in range(count + learners)
         ]
-        self.those = {
+        self.nodes = {
             f"m{n}": RaftNode(f"m{n}", replay_journal(disk), Lines(), 0, Random(n))
             for n, disk in enumerate(self.disks)
         }
-        self.cut = set()
-        self.largest = 0
+        self.partitioned = set()
+        self.largest_message = 0
 
-    def sync(self, one):
-        self.disks[int(one.name[1:])] += one.pending_records
-        one.pending_records = []
-        one.on_records_synced(one.records_issued)
+    def sync(self, node):
+        self.disks[int(node.name[1:])] += node.pending_records
+        node.pending_records = []
+        node.on_records_synced(node.records_issued)
 
     def settle(self):
+        """Sync disks and deliver messages until there are none."""
         for _ in range(400):
             sent = []
-            for one in self.those.values():
-                self.sync(one)
-                sent += [(one.name, to, talk) for to, talk in one.take_messages()]
+            for node in self.nodes.values():
+                self.sync(node)
+                sent += [(node.name, to, message) for to, message in node.take_messages()]
             if not sent:
                 return
-            for name, to, talk in sent:
-                self.largest = max(self.largest, size_of(talk))
-                if name not in self.cut and to not in self.cut and to in self.those:
-                    self.those[to].receive(talk, name, self.now)
-        raise AssertionError("it does not come to rest")
+            for name, to, message in sent:
+                self.largest_message = max(self.largest_message, size_of(message))
+                if name not in self.partitioned and to not in self.partitioned and to in self.nodes:
+                    self.nodes[to].receive(message, name, self.now)
+        raise AssertionError("messages are still sent after 400 rounds")
 
     def run(self, seconds):
-        ends = self.now + int(seconds * SECOND)
-        while self.now < ends:
+        """Let time pass; learners hear at once how far the others have committed."""
+        deadline = self.now + int(seconds * SECOND)
+        while self.now < deadline:
             self.now += SECOND // 20
-            for one in self.those.values():
-                if one.name not in self.cut:
-                    for other in self.those.values():
+            for node in self.nodes.values():
+                if node.name not in self.partitioned:
+                    for other in self.nodes.values():
                         if (
-                            other.name not in self.cut
-                            and other.commit_index > one.commit_index
-                            and not one.is_voter
+                            other.name not in self.partitioned
+                            and other.commit_index > node.commit_index
+                            and not node.is_voter
                         ):
-                            one.on_commit_announced(
+                            node.on_commit_announced(
                                 other.name, other.cluster_id, other.commit_index, other.term, 0
                             )
-                    while one.next_deadline() <= self.now:
-                        one.tick(self.now)
+                    while node.next_deadline() <= self.now:
+                        node.tick(self.now)
                         self.settle()
 
     @property
     def leader(self):
         return next(
-            one for one in self.those.values() if one.role == LEADER and one.name not in self.cut
+            node
+            for node in self.nodes.values()
+            if node.role == LEADER and node.name not in self.partitioned
         )
 
 
-def test_a_leader_comes_within_two_patiences_and_the_next_after_it_is_cut_off():
-    three = Voters()
-    three.run(2.0)
-    first = three.leader
+def test_a_leader_is_elected_within_two_seconds_and_replaced_when_partitioned():
+    cluster = Cluster()
+    cluster.run(2.0)
+    first = cluster.leader
     first.propose(COMMAND, b"one")
-    three.settle()
-    assert all(one.state_machine.all == [(3, b"one")] for one in three.those.values())
-    three.cut.add(first.name)
-    three.run(2.0)
-    assert three.leader is not first
-    first.propose(COMMAND, b"lost")  # it does not know yet
-    three.leader.propose(COMMAND, b"two")
-    three.settle()
-    three.cut.clear()
-    three.run(1.0)
+    cluster.settle()
+    assert all(node.state_machine.all == [(3, b"one")] for node in cluster.nodes.values())
+    cluster.partitioned.add(first.name)
+    cluster.run(2.0)
+    assert cluster.leader is not first
+    first.propose(COMMAND, b"lost")  # it still believes that it leads
+    cluster.leader.propose(COMMAND, b"two")
+    cluster.settle()
+    cluster.partitioned.clear()
+    cluster.run(1.0)
     assert all(
-        [data for _, data in one.state_machine.all] == [b"one", b"two"]
-        for one in three.those.values()
+        [data for _, data in node.state_machine.all] == [b"one", b"two"]
+        for node in cluster.nodes.values()
     )
 
 
-def test_a_member_that_was_cut_off_disturbs_nobody_when_it_comes_back():
-    three = Voters()
-    three.run(2.0)
-    leader, term = three.leader, three.leader.term
-    other = next(name for name in three.those if name != leader.name)
-    three.cut.add(other)
-    three.run(10.0)
-    three.cut.clear()
-    three.run(2.0)
-    assert three.leader is leader and leader.term == term
+def test_a_partitioned_member_does_not_depose_the_leader_when_it_comes_back():
+    cluster = Cluster()
+    cluster.run(2.0)
+    leader, term = cluster.leader, cluster.leader.term
+    other = next(name for name in cluster.nodes if name != leader.name)
+    cluster.partitioned.add(other)
+    cluster.run(10.0)
+    cluster.partitioned.clear()
+    cluster.run(2.0)
+    assert cluster.leader is leader and leader.term == term
 
 
-def test_a_leader_that_most_do_not_answer_steps_down_and_takes_no_more_than_its_room():
-    three = Voters()
-    three.run(2.0)
-    leader = three.leader
-    three.cut |= set(three.those) - {leader.name}
+def test_a_leader_without_a_quorum_bounds_its_uncommitted_entries_and_steps_down():
+    cluster = Cluster()
+    cluster.run(2.0)
+    leader = cluster.leader
+    cluster.partitioned |= set(cluster.nodes) - {leader.name}
     for number in range(MAX_UNCOMMITTED + 10):
         leader.propose(COMMAND, b"%d" % number)
     assert leader.last_index - leader.commit_index == MAX_UNCOMMITTED
-    three.run(3.0)
+    cluster.run(3.0)
     assert leader.role != LEADER and not leader.propose(COMMAND, b"more")
 
 
-def test_a_disk_is_read_back_as_it_was_and_a_torn_one_up_to_its_tear():
-    three = Voters()
-    three.run(2.0)
+def test_a_journal_replays_to_the_same_state_and_a_torn_one_to_a_prefix_of_it():
+    cluster = Cluster()
+    cluster.run(2.0)
     for number in range(30):
-        three.leader.propose(COMMAND, b"c%d" % number)
-        three.settle()
-    for one, disk in zip(three.those.values(), three.disks):
+        cluster.leader.propose(COMMAND, b"c%d" % number)
+        cluster.settle()
+    for node, disk in zip(cluster.nodes.values(), cluster.disks):
         assert (
             replay_journal(disk)
-            == one.persistent_state()
-            == replay_journal(compact_journal(one.persistent_state()))
+            == node.persistent_state()
+            == replay_journal(compact_journal(node.persistent_state()))
         )
         for end in range(3, len(disk)):
             assert (
                 replay_journal(disk[:end]).entries
-                == one.persistent_state().entries[: len(replay_journal(disk[:end]).entries)]
+                == node.persistent_state().entries[: len(replay_journal(disk[:end]).entries)]
             )
     for wrong in (
         [(raft.ENTRY_RECORD, 5, 1, 2, b"")],
@@ -202,112 +206,126 @@
             replay_journal([(raft.IDENTITY_RECORD, 256, 1), *wrong])
 
 
-def test_old_lines_are_kept_as_what_they_come_to_and_learned_so_by_who_was_away():
-    four = Voters(3, 1)
-    four.cut.add("m3")
-    four.run(2.0)
-    away = next(name for name in ("m0", "m1", "m2") if name != four.leader.name)
+def test_old_entries_are_compacted_and_lagging_members_learn_the_snapshot():
+    cluster = Cluster(3, 1)
+    cluster.partitioned.add("m3")
+    cluster.run(2.0)
+    away = next(name for name in ("m0", "m1", "m2") if name != cluster.leader.name)
     for number in range(COMPACTION_THRESHOLD + 100):
         if number == 50:
-            four.cut.add(away)
-        four.leader.propose(COMMAND, b"c%d" % number)
-        four.settle()
-    leader = four.leader
+            cluster.partitioned.add(away)
+        cluster.leader.propose(COMMAND, b"c%d" % number)
+        cluster.settle()
+    leader = cluster.leader
     assert leader.log_offset > RETAINED_ENTRIES and len(leader.entries) <= COMPACTION_THRESHOLD
-    four.cut.clear()
-    four.run(20.0)
-    for one in four.those.values():
+    cluster.partitioned.clear()
+    cluster.run(20.0)
+    for node in cluster.nodes.values():
         assert (
-            len(one.state_machine.all) == COMPACTION_THRESHOLD + 100
-            and one.state_machine.all == leader.state_machine.all
+            len(node.state_machine.all) == COMPACTION_THRESHOLD + 100
+            and node.state_machine.all == leader.state_machine.all
         )
-        again = RaftNode(
-            one.name, replay_journal(four.disks[int(one.name[1:])]), Lines(), 0, Random(1)
+        restarted = RaftNode(
+            node.name, replay_journal(cluster.disks[int(node.name[1:])]), Lines(), 0, Random(1)
         )
-        assert again.config == leader.config and again.last_index == one.last_index
-        assert again.state_machine.all == one.state_machine.all[: len(again.state_machine.all)]
-    assert four.those[away].counts["states_learned"] and four.those["m3"].counts["states_learned"]
-    assert four.largest <= MOST_TALK + 100
-
-
-def test_a_voter_whose_disk_is_another_is_no_voter_until_it_is_taken_in():
-    three = Voters()
-    three.run(2.0)
-    leader = three.leader
-    lost = next(name for name in three.those if name != leader.name)
-    three.disks[int(lost[1:])] = [(raft.IDENTITY_RECORD, 0, 77)]
-    fresh = three.those[lost] = RaftNode(
-        lost, PersistentState(disk_id=77), Lines(), three.now, Random(9)
+        assert restarted.config == leader.config and restarted.last_index == node.last_index
+        assert (
+            restarted.state_machine.all
+            == node.state_machine.all[: len(restarted.state_machine.all)]
+        )
+    assert (
+        cluster.nodes[away].counts["states_learned"]
+        and cluster.nodes["m3"].counts["states_learned"]
     )
-    three.run(1.0)
-    assert leader.match_index.get(lost, 0) <= leader.last_index and not fresh.is_voter
-    leader.is_from_voter = lambda talk, sender: RaftNode.is_from_voter(leader, talk, sender)
-    assert not leader.is_from_voter(Talk(raft.TAKEN, 256, 77, leader.term, 1, 99), lost)
+    assert cluster.largest_message <= MOST_TALK + 100
+
+
+def test_a_voter_with_a_replaced_disk_does_not_vote_until_it_is_added_again():
+    cluster = Cluster()
+    cluster.run(2.0)
+    leader = cluster.leader
+    replaced = next(name for name in cluster.nodes if name != leader.name)
+    cluster.disks[int(replaced[1:])] = [(raft.IDENTITY_RECORD, 0, 77)]
+    replacement = cluster.nodes[replaced] = RaftNode(
+        replaced, PersistentState(disk_id=77), Lines(), cluster.now, Random(9)
+    )
+    cluster.run(1.0)
+    assert leader.match_index.get(replaced, 0) <= leader.last_index and not replacement.is_voter
+    leader.is_from_voter = lambda message, sender: RaftNode.is_from_voter(leader, message, sender)
+    assert not leader.is_from_voter(Talk(raft.TAKEN, 256, 77, leader.term, 1, 99), replaced)
     config = leader.config
     assert (
-        leader.change_voters({**config, lost: 77}) == "one voter at a time is added or taken away"
+        leader.change_voters({**config, replaced: 77})
+        == "one voter at a time is added or taken away"
     )
-    assert leader.change_voters({name: disk for name, disk in config.items() if name != lost}) == ""
-    three.run(0.5)
-    assert leader.change_voters({**leader.config, lost: 77}) == ""
-    three.run(0.5)
-    assert fresh.is_voter and fresh.commit_index == leader.commit_index
-
-
-def test_most_voters_lost_for_good_one_copy_goes_on_by_hand_and_the_others_take_it():
-    three = Voters()
-    three.run(2.0)
-    three.leader.propose(COMMAND, b"kept")
-    three.settle()
+    assert (
+        leader.change_voters({name: disk for name, disk in config.items() if name != replaced})
+        == ""
+    )
+    cluster.run(0.5)
+    assert leader.change_voters({**leader.config, replaced: 77}) == ""
+    cluster.run(0.5)
+    assert replacement.is_voter and replacement.commit_index == leader.commit_index
+
+
+def test_after_a_manual_recovery_the_others_join_the_survivors_cluster():
+    cluster = Cluster()
+    cluster.run(2.0)
+    cluster.leader.propose(COMMAND, b"kept")
+    cluster.settle()
     for name in ("m1", "m2"):
-        three.those[name] = RaftNode(
-            name, PersistentState(disk_id=50 + int(name[1:])), Lines(), three.now, Random(9)
+        cluster.nodes[name] = RaftNode(
+            name, PersistentState(disk_id=50 + int(name[1:])), Lines(), cluster.now, Random(9)
         )
-        three.disks[int(name[1:])] = []
-    alone = three.those["m0"]
-    three.run(3.0)
-    assert alone.role != LEADER
-    alone.recover()
-    three.run(2.0)
-    assert alone.role == LEADER and alone.cluster_id == 257 and alone.config == {"m0": 1}
-    alone.propose(COMMAND, b"more")
-    three.run(3.0)
-    for one in three.those.values():
-        assert one.cluster_id == 257 and [data for _, data in one.state_machine.all] == [
+        cluster.disks[int(name[1:])] = []
+    survivor = cluster.nodes["m0"]
+    cluster.run(3.0)
+    assert survivor.role != LEADER
+    survivor.recover()
+    cluster.run(2.0)
+    assert survivor.role == LEADER and survivor.cluster_id == 257 and survivor.config == {"m0": 1}
+    survivor.propose(COMMAND, b"more")
+    cluster.run(3.0)
+    for node in cluster.nodes.values():
+        assert node.cluster_id == 257 and [data for _, data in node.state_machine.all] == [
             b"kept",
             b"more",
         ]
-    assert replay_journal(compact_journal(alone.persistent_state())) == alone.persistent_state()
+    assert (
+        replay_journal(compact_journal(survivor.persistent_state())) == survivor.persistent_state()
+    )
 
 
-def test_a_read_is_answered_by_a_leader_that_most_have_answered_since():
-    three = Voters()
-    three.run(2.0)
-    leader = three.leader
-    follower = next(one for one in three.those.values() if one is not leader)
+def test_a_read_index_is_answered_only_after_a_quorum_confirms_the_leader():
+    cluster = Cluster()
+    cluster.run(2.0)
+    leader = cluster.leader
+    follower = next(node for node in cluster.nodes.values() if node is not leader)
     follower.request_read_index(7)
-    three.settle()
+    cluster.settle()
     assert follower.read_results == [(7, leader.commit_index)]
-    three.cut |= set(three.those) - {leader.name}
+    cluster.partitioned |= set(cluster.nodes) - {leader.name}
     leader.request_read_index(8)
-    three.settle()
+    cluster.settle()
     assert not leader.read_results
     for nonce in range(200):
         leader.on_read_index_request(Talk(READ, 256, 1, leader.term, nonce), "m9")
     assert len(leader.pending_reads) <= raft.MAX_PENDING_READS
 
 
-def test_learners_cannot_drown_whom_they_ask():
-    three = Voters()
-    three.run(2.0)
+def test_learners_cannot_overload_the_member_they_fetch_from():
+    cluster = Cluster()
+    cluster.run(2.0)
     for number in range(100):
-        three.leader.propose(COMMAND, b"x" * 800 + b"%d" % number)
-        three.settle()
-    leader = three.leader
+        cluster.leader.propose(COMMAND, b"x" * 800 + b"%d" % number)
+        cluster.settle()
+    leader = cluster.leader
     for number in range(200):
-        leader.receive(Talk(FETCH, 256, 9, 0, 1), f"x{number}", three.now)
-    given_ = leader.take_messages()
-    assert len(given_) == MAX_SERVED_PER_HEARTBEAT and all(talk.kind == LINES for _, talk in given_)
+        leader.receive(Talk(FETCH, 256, 9, 0, 1), f"x{number}", cluster.now)
+    messages = leader.take_messages()
+    assert len(messages) == MAX_SERVED_PER_HEARTBEAT and all(
+        message.kind == LINES for _, message in messages
+    )
 
 
 @settings(max_examples=300, deadline=None)
@@ -333,19 +351,19 @@
     ),
     st.integers(0, 3),
 )
-def test_no_talk_makes_it_raise_or_grow(talks, which):
-    three = Voters()
-    three.run(2.0)
-    one = three.those[f"m{which % 3}"]
+def test_arbitrary_messages_neither_raise_nor_use_unbounded_memory(talks, which):
+    cluster = Cluster()
+    cluster.run(2.0)
+    node = cluster.nodes[f"m{which % 3}"]
     for talk in talks:
-        if talk.kind == raft.APPEND and one.role == LEADER and talk.term == one.term:
-            continue  # only a leader of its own term sends that, and there is one
+        if talk.kind == raft.APPEND and node.role == LEADER and talk.term == node.term:
+            continue  # a term has only one leader, which is this node
         if talk.kind in (APPEND, LINES):
             talk = Talk(ASK_EARLY, *[getattr(talk, key) for key in Talk.__struct_fields__[1:]])
         if talk.kind == PIECE and talk.three > 2**22:
-            assert not one.snapshot_chunks
-        one.receive(talk, "m1", three.now)
-        one.next_deadline()
+            assert not node.snapshot_chunks
+        node.receive(talk, "m1", cluster.now)
+        node.next_deadline()
         data = Seal((b"0123456789abcdef",)).seal(Datagram(6, 1, 1, talks=[talk]))
         assert Seal((b"0123456789abcdef",)).open(data).talks == [talk]
-    assert len(one.snapshot_chunks) <= 5 and len(one.pending_reads) <= raft.MAX_PENDING_READS
+    assert len(node.snapshot_chunks) <= 5 and len(node.pending_reads) <= raft.MAX_PENDING_READS
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -1,14 +1,15 @@
-"""Decides one ordered record that a few voters of the fleet keep and all members learn.
-
-After Raft (Ongaro, Ousterhout 2014): terms, votes asked for before an election is begun, a log that
-a leader copies to voters, what most of them hold for good is agreed, voters are changed one at a
-time. Who does not vote learns what is agreed from whoever is ahead. Why so, what was weighed:
-docs/design/agreement.md.
-
-A state machine without I/O: it is handed talks, time, chance and word of what is on the disk; it
-gives talks, notes for the disk and lines that are agreed. Must never let a vote or a term out
-before it is on the disk, count a line as held before it is there, vote twice in a term, or let a
-member act on what is not agreed.
+"""Replicates one ordered log among a few voters of the fleet; every other member learns it.
+
+Implements Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014;
+section numbers below are of Ongaro's dissertation): leader election with pre-vote (9.6), log
+replication (3.5), membership changes one voter at a time (4.1), leadership transfer (3.10), log
+compaction by snapshots (5) and linearizable reads by read index (6.4). Members that are not voters
+are learners: they fetch committed entries from whichever member is ahead of them.
+
+`RaftNode` does no I/O. It is given messages, the time, random numbers and the count of journal
+records that are on disk; it yields messages, journal records and committed entries. Invariants: a
+term or a vote is on disk before any message shows it; an entry counts as stored only once it is on
+disk; a node votes at most once in a term; only committed entries are applied.
 """
 
 from __future__ import annotations
@@ -45,30 +46,29 @@
 from whinpier.policy.decaying_sum import SECOND
 
 MS = SECOND // 1000
+
+# Roles, and their names in the status that operators see.
 FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = range(4)
 ROLES = ("follower", "about to ask", "candidate", "leader")
-NO_OP_ENTRY, CONFIG_ENTRY = range(
-    2
-)  # kinds of lines that mean something to the record itself; others are commands
-MAX_VOTERS = 9  # more only make each line wait for more disks
-COMPACTION_THRESHOLD = (
-    768  # lines after which what they come to is kept instead, but for the last `RETAINED_ENTRIES`
-)
-RETAINED_ENTRIES = (
-    256  # lines that whoever is behind by less than that may still be given one by one
-)
-MAX_UNCOMMITTED = 256  # lines that are not agreed yet: a cut must not fill memory
+
+# Kinds of log entries that the log itself interprets; all higher kinds are commands.
+NO_OP_ENTRY, CONFIG_ENTRY = range(2)
+
+MAX_VOTERS = 9  # each further voter is one more disk that may delay a commit
+COMPACTION_THRESHOLD = 768  # log entries beyond which the oldest are replaced by a snapshot
+RETAINED_ENTRIES = 256  # entries that survive a compaction, for members that lag by fewer
+MAX_UNCOMMITTED = 256  # entries: bounds a leader's memory while it is partitioned from the others
 MAX_PENDING_READS = 64
-MAX_SNAPSHOT_BYTES = 4 << 20  # bytes of a state that is learned as a whole
-SNAPSHOT_CHUNK_BYTES, MAX_MESSAGES_PER_FETCH = (
-    900,
-    12,
-)  # bytes of one, and how many are sent for each that is asked for
-# talks with lines that a member gives learners in one beat: 60 kB a second, however many ask
-MAX_SERVED_PER_HEARTBEAT = 12
-CLUSTER_ID_STRIDE = (
-    256  # a record's number is what it was at first, times this, and how often it was recovered
-)
+MAX_SNAPSHOT_BYTES = 4 << 20  # of a snapshot that is fetched from another member
+SNAPSHOT_CHUNK_BYTES = 900
+MAX_MESSAGES_PER_FETCH = 12  # chunks, or messages with entries
+MAX_SERVED_PER_HEARTBEAT = 12  # messages to learners: 60 kB/s however many of them fetch
+MAX_PEERS_AHEAD = 4_096  # members whose commit index is remembered
+# A cluster id is a random number times this, plus how often the cluster was recovered by hand.
+CLUSTER_ID_STRIDE = 256
+# Bytes of a message that are left free for its other fields, and that an entry takes beside its data.
+MESSAGE_OVERHEAD_BYTES = 80
+ENTRY_OVERHEAD_BYTES = 12
 
 pack = msgspec.msgpack.Encoder().encode
 unpack = msgspec.msgpack.Decoder().decode
@@ -76,258 +76,294 @@
 
 @dataclass(frozen=True)
 class RaftTiming:
-    """How quick it is. A leader that is killed is followed by the next within two seconds."""
+    """Time-outs in nanoseconds. With the defaults a leader is replaced within two seconds of its death."""
+
+    heartbeat_interval: int = 200 * MS
+    election_timeout: int = 900 * MS  # the shortest; each one is random, up to twice as long
+    retry_interval: int = 300 * MS  # between two fetches of the same entries
 
-    heartbeat_interval: int = 200 * MS  # between a leader's talks
-    election_timeout: int = (
-        900 * MS
-    )  # without a leader till one asks for votes; up to twice that, by chance
-    retry_interval: int = 300 * MS  # until what was asked for is asked for again
+
+DEFAULT_TIMING = RaftTiming()
 
 
 @dataclass
 class PersistentState:
-    """What one member has on its disk of the record."""
+    """What a member has on disk of the log."""
 
-    cluster_id: int = 0  # which; 0: none yet
-    disk_id: int = 0  # drawn with the file: another disk is another voter
+    cluster_id: int = 0  # 0: not yet part of a cluster
+    disk_id: int = 0  # drawn when the journal is created; a voter is a name with its disk id
     term: int = 0
-    voted_for: int = 0  # for whose disk in this term; 0: for nobody
-    log_offset: int = 0  # the number of the line before `lines`
-    log_offset_term: int = 0
-    snapshot_index: int = 0  # the number of the last line that `state` holds
+    voted_for: int = 0  # disk id that got the vote of this term; 0: none
+    log_offset: int = 0  # index of the entry before `entries`
+    log_offset_term: int = 0  # term of that entry
+    snapshot_index: int = 0  # index of the last entry that `snapshot` covers
     snapshot: bytes = b""
     entries: list[Line] = field(default_factory=list)
 
 
+# A journal record is its kind and the values that `replay_journal` reads.
 JournalRecord = tuple[Any, ...]
 IDENTITY_RECORD, TERM_RECORD, ENTRY_RECORD, SNAPSHOT_RECORD = range(4)
 
 
-def replay_journal(notes: Iterable[JournalRecord]) -> PersistentState:
-    """A disk's notes in order come to this. Raises ValueError, TypeError, IndexError for what is none."""
-    copy = PersistentState()
-    for kind, *rest in notes:
+def replay_journal(records: Iterable[JournalRecord]) -> PersistentState:
+    """Return the state that journal records, in order, describe.
+
+    Raises ValueError, TypeError or IndexError for records that are malformed or out of order.
+    """
+    state = PersistentState()
+    for kind, *values in records:
         if kind == IDENTITY_RECORD:
-            copy = PersistentState(*rest)
+            state = PersistentState(*values)
         elif kind == TERM_RECORD:
-            copy.term, copy.voted_for = rest
+            state.term, state.voted_for = values
         elif kind == ENTRY_RECORD:
-            index, term, what, data = rest
-            if not copy.log_offset < index <= copy.log_offset + len(copy.entries) + 1:
-                raise ValueError(f"line {index} behind line {copy.log_offset + len(copy.entries)}")
-            del copy.entries[index - copy.log_offset - 1 :]
-            copy.entries.append(Line(term, what, data))
+            _replay_entry(state, *values)
         elif kind == SNAPSHOT_RECORD:
-            base, state, start, start_term = rest
-            there = 0 <= start - copy.log_offset <= len(copy.entries) and start >= copy.log_offset
-            held = copy.entries[start - copy.log_offset :] if there else []
-            if (
-                start > copy.log_offset
-                and there
-                and copy.entries[start - copy.log_offset - 1].term != start_term
-            ):
-                held = []
-            copy.snapshot_index, copy.snapshot, copy.entries = base, state, held
-            copy.log_offset, copy.log_offset_term = start, start_term
+            _replay_snapshot(state, *values)
         else:
-            raise ValueError(f"a note of kind {kind}")
-    return copy
+            raise ValueError(
+                f"journal record of kind {kind}; kinds {IDENTITY_RECORD} to {SNAPSHOT_RECORD} are known"
+            )
+    return state
 
 
-def compact_journal(copy: PersistentState) -> list[JournalRecord]:
-    """The fewest notes that come to the same."""
-    found: list[JournalRecord] = [
-        (IDENTITY_RECORD, copy.cluster_id, copy.disk_id),
-        (TERM_RECORD, copy.term, copy.voted_for),
+def _replay_entry(state: PersistentState, index: int, term: int, kind: int, data: bytes) -> None:
+    """Append an entry, in place of those from its index on."""
+    last_index = state.log_offset + len(state.entries)
+    if not state.log_offset < index <= last_index + 1:
+        raise ValueError(
+            f"log entry {index} out of order; {state.log_offset + 1} to {last_index + 1} can follow"
+        )
+    del state.entries[index - state.log_offset - 1 :]
+    state.entries.append(Line(term, kind, data))
+
+
+def _replay_snapshot(
+    state: PersistentState, snapshot_index: int, snapshot: bytes, offset: int, offset_term: int
+) -> None:
+    """Take over a snapshot and drop the log up to `offset`, or all of it where it does not match."""
+    skipped = offset - state.log_offset
+    is_in_log = 0 <= skipped <= len(state.entries)
+    retained = state.entries[skipped:] if is_in_log else []
+    if is_in_log and skipped > 0 and state.entries[skipped - 1].term != offset_term:
+        retained = []
+    state.snapshot_index = snapshot_index
+    state.snapshot = snapshot
+    state.entries = retained
+    state.log_offset = offset
+    state.log_offset_term = offset_term
+
+
+def compact_journal(state: PersistentState) -> list[JournalRecord]:
+    """Return the fewest journal records from which `replay_journal` gives this state."""
+    header: list[JournalRecord] = [
+        (IDENTITY_RECORD, state.cluster_id, state.disk_id),
+        (TERM_RECORD, state.term, state.voted_for),
         (
             SNAPSHOT_RECORD,
-            copy.snapshot_index,
-            copy.snapshot,
-            copy.log_offset,
-            copy.log_offset_term,
+            state.snapshot_index,
+            state.snapshot,
+            state.log_offset,
+            state.log_offset_term,
         ),
     ]
-    return found + [
-        (ENTRY_RECORD, copy.log_offset + number, line.term, line.kind, line.data)
-        for number, line in enumerate(copy.entries, 1)
+    return header + [
+        (ENTRY_RECORD, index, entry.term, entry.kind, entry.data)
+        for index, entry in enumerate(state.entries, state.log_offset + 1)
     ]
 
 
 class StateMachine(Protocol):
-    """What the lines of the record come to."""
+    """Applies the committed commands of the log."""
 
     def apply(self, index: int, line: Line) -> None:
-        """One more line is agreed."""
+        """Apply the next committed command."""
 
     def snapshot(self) -> bytes:
-        """All of it, from which another can go on."""
+        """Return the whole state, as `restore` takes it."""
 
     def restore(self, data: bytes) -> None:
-        """Go on from what another has frozen; empty: from the beginning."""
+        """Replace the state by a snapshot; an empty one stands for the initial state."""
 
     def has_applied(self, data: bytes) -> bool:
-        """Whether this command was applied already."""
+        """Return whether this command was applied already."""
 
 
 class RaftNode:
-    """One member's part in the record."""
+    """Take part in the replicated log as one member: voter or learner."""
 
     def __init__(
         self,
         name: str,
-        copy: PersistentState,
-        machine: StateMachine,
+        state: PersistentState,
+        state_machine: StateMachine,
         now: int,
-        chance: Random,
-        pace: RaftTiming = RaftTiming(),
-        fence: int = 0,
+        random: Random,
+        timing: RaftTiming = DEFAULT_TIMING,
+        vote_delay: int = 0,
     ) -> None:
-        """`fence`: till then it neither votes nor asks: others may say that its disk is old."""
-        self.name, self.state_machine, self.timing, self.now = name, machine, pace, now
-        self.random, self.sample = chance.random, chance.sample
-        self.cluster_id, self.disk_id, self.term, self.voted_for = (
-            copy.cluster_id,
-            copy.disk_id,
-            copy.term,
-            copy.voted_for,
-        )
-        self.log_offset, self.log_offset_term, self.entries = (
-            copy.log_offset,
-            copy.log_offset_term,
-            list(copy.entries),
-        )
-        self.snapshot_index, self.snapshot = copy.snapshot_index, copy.snapshot
-        self.commit_index = self.last_applied = copy.snapshot_index
-        self.configs: list[
-            tuple[int, dict[str, int]]
-        ] = []  # from which line on who votes, with disk
-        self.pending_records: list[JournalRecord] = []  # for the disk, in order
-        self.records_issued = self.records_synced = self.term_record = (
-            0  # notes given, on the disk; with which terms and votes are
-        )
-        self.durable_index, self.unsynced_entries = (
-            self.last_index,
-            deque[tuple[int, int]](),
-        )  # lines on the disk; notes to lines
-        self.outbox: deque[tuple[int, str, Talk]] = deque()  # behind which note, to whom, what
-        self.role, self.leader = FOLLOWER, ""
+        """Continue from what is on disk.
+
+        `vote_delay`: nanoseconds during which the node neither votes nor stands for election, so
+        that others can tell it first that its disk is an old copy.
+        """
+        self.name = name
+        self.state_machine = state_machine
+        self.timing = timing
+        self.now = now
+        self.random = random.random
+        self.sample = random.sample
+        # What is on disk, or will be once `pending_records` are.
+        self.cluster_id = state.cluster_id
+        self.disk_id = state.disk_id
+        self.term = state.term
+        self.voted_for = state.voted_for
+        self.log_offset = state.log_offset
+        self.log_offset_term = state.log_offset_term
+        self.entries = list(state.entries)
+        self.snapshot_index = state.snapshot_index
+        self.snapshot = state.snapshot
+        self.commit_index = self.last_applied = state.snapshot_index
+        # Voters with their disk ids, by the index of the entry from which on they hold.
+        self.configs: list[tuple[int, dict[str, int]]] = []
+        # The journal. Records are numbered from 1 in the order in which they are issued.
+        self.pending_records: list[JournalRecord] = []  # not yet taken for writing
+        self.records_issued = 0
+        self.records_synced = 0
+        self.term_record = 0  # number of the record with the latest term or vote
+        self.durable_index = self.last_index  # last entry that is on disk
+        # Number of the record and index of the entry, for entries not yet on disk.
+        self.unsynced_entries = deque[tuple[int, int]]()
+        # Number of the record to wait for, recipient, message.
+        self.outbox: deque[tuple[int, str, Talk]] = deque()
+        self.role = FOLLOWER
+        self.leader = ""
         self.votes: set[str] = set()
-        self.next_index: dict[str, int] = {}  # of each voter: the line that it is sent next
-        self.match_index: dict[str, int] = {}  # up to which it holds ours on its disk
-        self.acked_rounds: dict[str, int] = {}  # of which of our rounds it has last answered
-        self.in_flight_since: dict[str, int] = {}  # since when an answer is owed
-        self.sent_commit_index: dict[
-            str, int
-        ] = {}  # up to which line it was told that all is agreed
+        # A leader's view of the other voters, by name.
+        self.next_index: dict[str, int] = {}  # first entry to send next
+        self.match_index: dict[str, int] = {}  # last entry of this log on the voter's disk
+        self.acked_rounds: dict[str, int] = {}  # last round of AppendEntries it answered
+        self.in_flight_since: dict[str, int] = {}  # when entries were sent that it has not answered
+        self.sent_commit_index: dict[str, int] = {}
         self.last_response_at: dict[str, int] = {}
-        self.round, self.matched_index, self.leader_hint_term = 0, 0, 0
-        self.pending_reads: list[
-            tuple[int, str, int, int]
-        ] = []  # by which round, whose, its nonce, which line
-        self.read_results: list[tuple[int, int]] = []  # nonce and line of what was asked for here
-        self.peers_ahead: dict[str, int] = {}  # who tells of more agreed lines than are here
-        self.last_fetch_at, self.snapshot_chunks = now - pace.retry_interval, dict[int, bytes]()
-        self.incoming_snapshot = (0, 0, 0)  # line, its term, bytes
-        self.served_messages, self.served_since = 0, now
-        self.leader_contact_at = now - 2 * pace.election_timeout
-        self.vote_allowed_at = now + fence
+        self.round = 0  # counts broadcasts of AppendEntries
+        self.matched_index = 0  # a follower's last entry that is known to be in the leader's log
+        self.leader_hint_term = 0  # term of the latest announcement from which `leader` was taken
+        # Round that must be answered, requester, nonce, commit index when it was asked for.
+        self.pending_reads: list[tuple[int, str, int, int]] = []
+        self.read_results: list[tuple[int, int]] = []  # nonce and read index of local requests
+        self.peers_ahead: dict[str, int] = {}  # commit index of members with a higher one than here
+        self.last_fetch_at = now - timing.retry_interval
+        self.snapshot_chunks = dict[int, bytes]()  # by offset
+        self.incoming_snapshot = (0, 0, 0)  # its last index, 0, its size in bytes
+        self.served_messages = 0  # sent to learners since `served_since`
+        self.served_since = now
+        self.leader_contact_at = now - 2 * timing.election_timeout
+        self.vote_allowed_at = now + vote_delay
         self.heartbeat_due = now
         self.reset_election_timer()
-        self.retained_entries, self.max_entries_per_append = RETAINED_ENTRIES, MOST_LINES
+        self.retained_entries = RETAINED_ENTRIES
+        self.max_entries_per_append = MOST_LINES
         self.counts: Counter[str] = Counter()
-        self.events: list[tuple[str, dict[str, Any]]] = []
-        if copy.snapshot:
-            self.load_snapshot(copy.snapshot)
+        self.events: list[tuple[str, dict[str, Any]]] = []  # name and fields, for the log
+        if state.snapshot:
+            self.load_snapshot(state.snapshot)
         self.load_configs()
 
-    # Lines.
+    # Log and journal.
 
     @property
     def last_index(self) -> int:
+        """Index of the last entry of the log."""
         return self.log_offset + len(self.entries)
 
     def term_at(self, index: int) -> int:
-        return (
-            self.log_offset_term
-            if index <= self.log_offset
-            else self.entries[index - self.log_offset - 1].term
-        )
+        """Return the term of the entry at an index; up to `log_offset` that of the last dropped one."""
+        if index <= self.log_offset:
+            return self.log_offset_term
+        return self.entry(index).term
 
     def entry(self, index: int) -> Line:
+        """Return the entry at an index, which must be above `log_offset`."""
         return self.entries[index - self.log_offset - 1]
 
     @property
     def config(self) -> dict[str, int]:
-        """Who votes: by the latest line that says so, agreed or not."""
+        """Voters with their disk ids by the latest configuration entry, committed or not (4.1)."""
         return self.configs[-1][1] if self.configs else {}
 
     def load_configs(self) -> None:
-        """Who votes by lines that are behind the state."""
-        for index, line in enumerate(self.entries, self.log_offset + 1):
-            if line.kind == CONFIG_ENTRY and index > self.snapshot_index:
-                self.configs.append((index, unpack(line.data)))
+        """Read the configuration entries behind the snapshot."""
+        for index, entry in enumerate(self.entries, self.log_offset + 1):
+            if entry.kind == CONFIG_ENTRY and index > self.snapshot_index:
+                self.configs.append((index, unpack(entry.data)))
 
     @property
     def is_voter(self) -> bool:
+        """Whether this member, with this disk, is a voter."""
         return self.config.get(self.name) == self.disk_id
 
     def other_voters(self) -> list[str]:
+        """Return the names of the voters but for this one."""
         return [name for name in self.config if name != self.name]
 
-    def is_quorum(self, those: Iterable[str]) -> bool:
-        """Whether these are more than half of the voters."""
+    def is_quorum(self, names: Iterable[str]) -> bool:
+        """Return whether the voters among these names are more than half of all voters."""
         config = self.config
-        return 2 * sum(name in config for name in set(those)) > len(config)
+        return 2 * sum(name in config for name in set(names)) > len(config)
 
-    def add_record(self, *note: Any) -> int:
-        self.pending_records.append(note)
+    def add_record(self, *record: Any) -> int:
+        """Issue a journal record and return its number."""
+        self.pending_records.append(record)
         self.records_issued += 1
         return self.records_issued
 
-    def append_entry(self, index: int, line: Line) -> None:
-        """A line becomes the last one; what was there from it on was never agreed."""
+    def append_entry(self, index: int, entry: Line) -> None:
+        """Store an entry as the last one; uncommitted entries from its index on are removed."""
         if index <= self.last_index:
             self.truncate_from(index)
-        self.entries.append(line)
-        self.unsynced_entries.append(
-            (self.add_record(ENTRY_RECORD, index, line.term, line.kind, line.data), index)
-        )
-        if line.kind == CONFIG_ENTRY:
-            self.configs.append((index, unpack(line.data)))
+        self.entries.append(entry)
+        record = self.add_record(ENTRY_RECORD, index, entry.term, entry.kind, entry.data)
+        self.unsynced_entries.append((record, index))
+        if entry.kind == CONFIG_ENTRY:
+            self.configs.append((index, unpack(entry.data)))
 
     def truncate_from(self, index: int) -> None:
-        assert index > self.commit_index, "what is agreed stays"
+        """Remove the entries from an index on."""
+        assert index > self.commit_index, "committed entries are never removed"
         del self.entries[index - self.log_offset - 1 :]
         self.durable_index = min(self.durable_index, index - 1)
         self.unsynced_entries = deque(
-            (seq, min(at, index - 1)) for seq, at in self.unsynced_entries
+            (record, min(last, index - 1)) for record, last in self.unsynced_entries
         )
         while self.configs and self.configs[-1][0] >= index:
             self.configs.pop()
 
-    def set_term_and_vote(self, term: int, voted: int) -> None:
+    def set_term_and_vote(self, term: int, voted_for: int) -> None:
+        """Record a term and the disk id that has this node's vote in it (0: none)."""
         if term != self.term:
             self.matched_index = 0
-        self.term, self.voted_for = term, voted
-        self.term_record = self.add_record(TERM_RECORD, term, voted)
+        self.term = term
+        self.voted_for = voted_for
+        self.term_record = self.add_record(TERM_RECORD, term, voted_for)
 
     def on_records_synced(self, count: int) -> None:
-        """So many notes, of all that were ever given, are on the disk."""
+        """Take note that the first `count` journal records ever issued are on disk."""
         self.records_synced = max(self.records_synced, count)
-        before = self.durable_index
+        previous_durable_index = self.durable_index
         while self.unsynced_entries and self.unsynced_entries[0][0] <= self.records_synced:
             self.durable_index = max(self.durable_index, self.unsynced_entries.popleft()[1])
         if self.role == CANDIDATE and self.term_record <= self.records_synced:
             self.votes.add(self.name)
             self.count_votes()
-        if self.durable_index > before:
+        if self.durable_index > previous_durable_index:
             if self.role == LEADER:
                 self.advance_commit_index()
             elif self.leader and self.matched_index:
                 self.send(self.leader, TAKEN, 1, self.durable_match_index(), self.matched_index)
 
-    # Out.
+    # Sending.
 
     def send(
         self,
@@ -341,7 +377,8 @@
         data: bytes = b"",
         term: int | None = None,
     ) -> None:
-        talk = Talk(
+        """Queue a message; the numbers and `term` (default: the current one) depend on its kind."""
+        message = Talk(
             kind,
             self.cluster_id,
             self.disk_id,
@@ -353,38 +390,42 @@
             lines or [],
             data,
         )
-        self.outbox.append((self.sync_barrier(), to, talk))
+        self.outbox.append((self.sync_barrier(), to, message))
 
     def sync_barrier(self) -> int:
-        """Behind which note a talk waits: terms and votes are on the disk before anybody hears of them."""
+        """Return the number of the journal record that must be on disk before a message is sent.
+
+        It is that of the latest term and vote: both are durable before any other member sees them.
+        """
         return self.term_record
 
     def take_messages(self) -> list[tuple[str, Talk]]:
-        """What may be sent now: to whom, what."""
-        found = []
+        """Remove and return the messages that may be sent now, with their recipients."""
+        ready = []
         while self.outbox and self.outbox[0][0] <= self.records_synced:
-            _, to, talk = self.outbox.popleft()
-            found.append((to, talk))
-        return found
+            _, to, message = self.outbox.popleft()
+            ready.append((to, message))
+        return ready
 
-    # Time.
+    # Timers.
 
     def reset_election_timer(self) -> None:
-        """From now a leader has to be heard of within a while of its own."""
-        self.election_due = self.now + int(self.timing.election_timeout * (1.0 + self.random()))
+        """Give the leader one more election time-out, randomized against split votes (3.4)."""
+        timeout = int(self.timing.election_timeout * (1.0 + self.random()))
+        self.election_due = self.now + timeout
 
     def next_deadline(self) -> int:
-        """When `tick` wants to be called."""
+        """Return the time at which `tick` is to be called next."""
         if self.role == LEADER:
             return self.heartbeat_due
-        found = (
-            self.last_fetch_at + self.timing.retry_interval
-            if self.is_behind()
-            else self.now + SECOND
-        )
-        return min(found, max(self.election_due, self.vote_allowed_at)) if self.is_voter else found
+        retry_at = self.last_fetch_at + self.timing.retry_interval
+        deadline = retry_at if self.is_behind() else self.now + SECOND
+        if self.is_voter:
+            deadline = min(deadline, max(self.election_due, self.vote_allowed_at))
+        return deadline
 
     def tick(self, now: int) -> None:
+        """Do what is due: heartbeats, an election, a fetch."""
         self.now = max(self.now, now)
         if self.role == LEADER:
             if now >= self.heartbeat_due:
@@ -397,21 +438,26 @@
             self.fetch_missing()
 
     def check_quorum(self) -> None:
-        """A leader that most voters do not answer is none: it steps down, as another may be there."""
-        heard = [
+        """Step down unless a quorum has answered of late: it may have another leader (6.2)."""
+        responsive = [
             name
             for name, at in self.last_response_at.items()
             if self.now - at <= 2 * self.timing.election_timeout
         ]
-        if not self.is_quorum([self.name, *heard]):
+        if not self.is_quorum([self.name, *responsive]):
             self.step_down("unheard")
 
     # Elections.
 
     def start_pre_vote(self) -> None:
-        """Would most vote for this one? Only then it stands: one that was cut off disturbs nobody."""
+        """Ask whether a quorum would vote for this node before the term is raised (9.6).
+
+        A node that was partitioned thus does not depose a working leader when it comes back.
+        """
         self.reset_election_timer()
-        self.role, self.leader, self.votes = PRE_CANDIDATE, "", {self.name}
+        self.role = PRE_CANDIDATE
+        self.leader = ""
+        self.votes = {self.name}
         self.counts["early"] += 1
         for name in self.other_voters():
             self.send(
@@ -420,183 +466,220 @@
         if self.is_quorum(self.votes):
             self.start_election()
 
-    def start_election(self, hurried: bool = False) -> None:
-        self.role, self.leader, self.votes = CANDIDATE, "", set()
+    def start_election(self, is_transfer: bool = False) -> None:
+        """Stand for election in the next term; `is_transfer`: the leader has asked for it."""
+        self.role = CANDIDATE
+        self.leader = ""
+        self.votes = set()  # the own vote counts once it is on disk
         self.reset_election_timer()
         self.set_term_and_vote(self.term + 1, self.disk_id)
         self.counts["elections"] += 1
         for name in self.other_voters():
-            self.send(name, ASK_VOTE, self.last_index, self.term_at(self.last_index), int(hurried))
+            self.send(
+                name, ASK_VOTE, self.last_index, self.term_at(self.last_index), int(is_transfer)
+            )
 
-    def is_up_to_date(self, last: int, term: int) -> bool:
-        """Whether a log that ends so holds all that this one may know to be agreed."""
-        return (term, last) >= (self.term_at(self.last_index), self.last_index)
+    def is_up_to_date(self, last_index: int, last_term: int) -> bool:
+        """Return whether a log with this last entry is at least as up-to-date as this one (3.6.1)."""
+        return (last_term, last_index) >= (self.term_at(self.last_index), self.last_index)
 
     def has_leader_contact(self) -> bool:
-        """Whether a leader was heard of late, so that nobody need ask for votes."""
+        """Return whether a leader was heard within the shortest election time-out."""
         return (
             self.role == LEADER or self.now - self.leader_contact_at < self.timing.election_timeout
         )
 
-    def on_pre_vote_request(self, talk: Talk, sender: str) -> None:
-        good = (
-            talk.term > self.term
-            and self.is_up_to_date(talk.one, talk.two)
+    def on_pre_vote_request(self, message: Talk, sender: str) -> None:
+        """Answer whether this node would vote for the sender."""
+        is_granted = (
+            message.term > self.term
+            and self.is_up_to_date(message.one, message.two)
             and not self.has_leader_contact()
             and self.now >= self.vote_allowed_at
         )
-        self.send(sender, EARLY, int(good), term=talk.term if good else self.term)
+        self.send(sender, EARLY, int(is_granted), term=message.term if is_granted else self.term)
 
-    def on_pre_vote_response(self, talk: Talk, sender: str) -> None:
-        wanted = self.role == PRE_CANDIDATE and talk.one and talk.term == self.term + 1
-        if wanted and self.is_from_voter(talk, sender):
+    def on_pre_vote_response(self, message: Talk, sender: str) -> None:
+        """Count a pre-vote; a quorum of them starts the election."""
+        is_granted = self.role == PRE_CANDIDATE and message.one and message.term == self.term + 1
+        if is_granted and self.is_from_voter(message, sender):
             self.votes.add(sender)
             if self.is_quorum(self.votes):
                 self.start_election()
 
-    def on_vote_request(self, talk: Talk, sender: str) -> None:
-        if talk.term == self.term and self.can_grant_vote(talk):
+    def on_vote_request(self, message: Talk, sender: str) -> None:
+        """Answer RequestVote (3.4)."""
+        if message.term == self.term and self.can_grant_vote(message):
             if not self.voted_for:
                 self.role = FOLLOWER
-                self.set_term_and_vote(self.term, talk.disk)
+                self.set_term_and_vote(self.term, message.disk)
             self.reset_election_timer()
             self.send(sender, VOTED, 1)
         else:
             self.send(sender, VOTED, 0)
 
-    def can_grant_vote(self, talk: Talk) -> bool:
+    def can_grant_vote(self, message: Talk) -> bool:
+        """Return whether this node may vote for a candidate of the current term."""
         return (
-            self.voted_for in (0, talk.disk)
+            self.voted_for in (0, message.disk)
             and self.now >= self.vote_allowed_at
-            and self.is_up_to_date(talk.one, talk.two)
+            and self.is_up_to_date(message.one, message.two)
         )
 
-    def on_vote_response(self, talk: Talk, sender: str) -> None:
+    def on_vote_response(self, message: Talk, sender: str) -> None:
+        """Count a vote for this node."""
         if (
             self.role == CANDIDATE
-            and talk.term == self.term
-            and talk.one
-            and self.is_from_voter(talk, sender)
+            and message.term == self.term
+            and message.one
+            and self.is_from_voter(message, sender)
         ):
             self.votes.add(sender)
             self.count_votes()
 
-    def is_from_voter(self, talk: Talk, sender: str) -> bool:
-        """Whether a voter's word is that of the disk that votes under its name."""
-        return self.config.get(sender) == talk.disk
+    def is_from_voter(self, message: Talk, sender: str) -> bool:
+        """Return whether a message comes from the disk that is the voter under its sender's name."""
+        return self.config.get(sender) == message.disk
 
     def count_votes(self) -> None:
+        """Become the leader once a quorum has voted for this node."""
         if self.role == CANDIDATE and self.is_quorum(self.votes):
             self.become_leader()
 
     def become_leader(self) -> None:
-        self.role, self.leader = LEADER, self.name
-        self.next_index, self.match_index, self.in_flight_since, self.sent_commit_index = (
-            {},
-            {},
-            {},
-            {},
-        )
-        self.acked_rounds, self.pending_reads = {}, []
-        self.last_response_at = {name: self.now for name in self.other_voters()}
+        """Lead, beginning with a no-op entry: only an entry of its own term commits earlier ones."""
+        self.role = LEADER
+        self.leader = self.name
+        self.next_index = {}
+        self.match_index = {}
+        self.in_flight_since = {}
+        self.sent_commit_index = {}
+        self.acked_rounds = {}
+        self.pending_reads = []
+        self.last_response_at = dict.fromkeys(self.other_voters(), self.now)
         self.counts["led"] += 1
         self.events.append(("consensus_leader_elected", {"term": self.term}))
         self.append_as_leader(NO_OP_ENTRY, b"")
 
     def step_down(self, why: str) -> None:
+        """Become a follower."""
         if self.role == LEADER:
             self.events.append(("agreement_led", {"term": self.term, "why": why}))
         if self.leader == self.name:
             self.leader = ""
-        self.role, self.votes, self.pending_reads = FOLLOWER, set(), []
+        self.role = FOLLOWER
+        self.votes = set()
+        self.pending_reads = []
         self.reset_election_timer()
 
     def transfer_leadership(self) -> None:
-        """It ends soon: whoever holds most is asked to take over at once."""
+        """Ask the voter with the longest matching log to stand for election at once (3.10)."""
         if self.role == LEADER and self.match_index:
-            best = max(self.match_index, key=lambda name: (self.match_index[name], name))
-            if best in self.config:
-                self.send(best, HURRY)
+            successor = max(self.match_index, key=lambda name: (self.match_index[name], name))
+            if successor in self.config:
+                self.send(successor, HURRY)
 
-    # Copies.
+    # Replication.
 
     def append_as_leader(self, kind: int, data: bytes) -> int:
-        """A leader's new line; its number."""
+        """Append an entry of the current term, send it to the voters and return its index."""
         index = self.last_index + 1
         self.append_entry(index, Line(self.term, kind, data))
         self.broadcast(False)
         return index
 
-    def broadcast(self, beat: bool) -> None:
+    def broadcast(self, is_heartbeat: bool) -> None:
+        """Begin a round of AppendEntries.
+
+        Heartbeats go to all voters. Otherwise those that have yet to answer are left out, except
+        while reads wait for a round to be answered.
+        """
         self.round += 1
-        if beat:
+        if is_heartbeat:
             self.heartbeat_due = self.now + self.timing.heartbeat_interval
         for name in self.other_voters():
-            if beat or name not in self.in_flight_since or self.pending_reads:
+            if is_heartbeat or name not in self.in_flight_since or self.pending_reads:
                 self.send_entries(name)
 
     def send_entries(self, name: str) -> None:
-        """To one voter: its next lines, and what is agreed."""
+        """Send AppendEntries to one voter: its next entries and the commit index."""
         first = max(self.next_index.setdefault(name, self.last_index), self.log_offset + 1)
-        lines = self.entries_for_message(
-            first, min(self.last_index, first + self.max_entries_per_append - 1)
-        )
-        if lines:
+        last = min(self.last_index, first + self.max_entries_per_append - 1)
+        entries = self.entries_for_message(first, last)
+        if entries:
             self.in_flight_since[name] = self.now
         self.sent_commit_index[name] = self.commit_index
         self.send(
-            name, APPEND, first - 1, self.term_at(first - 1), self.commit_index, self.round, lines
+            name,
+            APPEND,
+            first - 1,
+            self.term_at(first - 1),
+            self.commit_index,
+            self.round,
+            entries,
         )
 
     def entries_for_message(self, first: int, last: int) -> list[Line]:
-        """Lines from the first on, as many as fit into one talk: one at least, if there is one."""
-        lines, room = list[Line](), MOST_TALK - 80
+        """Return as many of the entries from `first` to `last` as fit into one message.
+
+        The first one is returned in any case, if there is one.
+        """
+        entries = list[Line]()
+        remaining_bytes = MOST_TALK - MESSAGE_OVERHEAD_BYTES
         for index in range(first, min(last, first + MOST_LINES - 1) + 1):
-            line = self.entry(index)
-            room -= len(line.data) + 12
-            if room < 0 and lines:
+            entry = self.entry(index)
+            remaining_bytes -= len(entry.data) + ENTRY_OVERHEAD_BYTES
+            if remaining_bytes < 0 and entries:
                 break
-            lines.append(line)
-        return lines
-
-    def on_append_entries(self, talk: Talk, sender: str) -> None:
-        if talk.term < self.term:
+            entries.append(entry)
+        return entries
+
+    def on_append_entries(self, message: Talk, sender: str) -> None:
+        """Follow the sender, store its entries and commit what it has committed (3.5)."""
+        previous_index = message.one
+        leader_commit = message.three
+        round_number = message.four
+        if message.term < self.term:
             self.send(sender, TAKEN, 0, 0, 0, 0)
             return
         if self.leader != sender:
             self.leader = sender
             self.events.append(("agreement_follows", {"leader": sender, "term": self.term}))
         if self.role != FOLLOWER:
-            self.role, self.votes = FOLLOWER, set()
+            self.role = FOLLOWER
+            self.votes = set()
         self.leader_contact_at = self.now
         self.reset_election_timer()
-        if not self.matches_previous_entry(talk):
-            self.send(sender, TAKEN, 0, self.conflict_index(talk.one), 0, talk.four)
+        if not self.matches_previous_entry(message):
+            self.send(sender, TAKEN, 0, self.conflict_index(previous_index), 0, round_number)
             return
-        for index, line in enumerate(talk.lines, talk.one + 1):
-            if (
-                index <= self.log_offset
-                or index <= self.last_index
-                and self.term_at(index) == line.term
-            ):
+        for index, entry in enumerate(message.lines, previous_index + 1):
+            is_present = index <= self.last_index and self.term_at(index) == entry.term
+            if index <= self.log_offset or is_present:
                 continue
-            self.append_entry(index, line)
-        self.matched_index = max(self.matched_index, talk.one + len(talk.lines))
-        self.send(sender, TAKEN, 1, self.durable_match_index(), self.matched_index, talk.four)
-        self.commit_through(min(talk.three, talk.one + len(talk.lines)))
+            self.append_entry(index, entry)
+        last_new_index = previous_index + len(message.lines)
+        self.matched_index = max(self.matched_index, last_new_index)
+        self.send(sender, TAKEN, 1, self.durable_match_index(), self.matched_index, round_number)
+        self.commit_through(min(leader_commit, last_new_index))
 
     def durable_match_index(self) -> int:
-        """Up to which line of the leader's is on the disk here."""
+        """Return the last entry of the leader's log that is on this node's disk."""
         return min(self.durable_index, self.matched_index)
 
-    def matches_previous_entry(self, talk: Talk) -> bool:
-        """Whether the line before those that come is the one that the leader has."""
-        return talk.one <= self.last_index and (
-            talk.one < self.log_offset or self.term_at(talk.one) == talk.two
+    def matches_previous_entry(self, message: Talk) -> bool:
+        """Return whether the entry before those of an AppendEntries is the same in both logs."""
+        previous_index = message.one
+        previous_term = message.two
+        return previous_index <= self.last_index and (
+            previous_index < self.log_offset or self.term_at(previous_index) == previous_term
         )
 
     def conflict_index(self, index: int) -> int:
-        """From which line on a leader had better send: the first of the term that differs."""
+        """Return the index from which a leader is to send after a mismatch at `index`.
+
+        It is the first entry of the conflicting term (the optimization at the end of 3.5).
+        """
         if index > self.last_index:
             return self.last_index + 1
         term = self.term_at(index)
@@ -604,24 +687,30 @@
             index -= 1
         return max(index, self.commit_index + 1)
 
-    def on_append_response(self, talk: Talk, sender: str) -> None:
-        if self.role != LEADER or talk.term != self.term or not self.is_from_voter(talk, sender):
+    def on_append_response(self, message: Talk, sender: str) -> None:
+        """Move a voter's next and match index, and send it what it lacks."""
+        if (
+            self.role != LEADER
+            or message.term != self.term
+            or not self.is_from_voter(message, sender)
+        ):
             return
         self.last_response_at[sender] = self.now
-        self.acked_rounds[sender] = max(self.acked_rounds.get(sender, 0), talk.four)
+        self.acked_rounds[sender] = max(self.acked_rounds.get(sender, 0), message.four)
         self.in_flight_since.pop(sender, None)
-        if talk.one:
-            self.match_index[sender] = max(self.match_index.get(sender, 0), talk.two)
-            self.next_index[sender] = max(self.next_index.get(sender, 1), talk.three + 1)
+        is_success = message.one
+        if is_success:
+            self.match_index[sender] = max(self.match_index.get(sender, 0), message.two)
+            self.next_index[sender] = max(self.next_index.get(sender, 1), message.three + 1)
             self.advance_commit_index()
-            behind = (
+            lacks_something = (
                 self.next_index[sender] <= self.last_index
                 or self.sent_commit_index.get(sender, 0) < self.commit_index
             )
-            if behind and sender not in self.in_flight_since:
+            if lacks_something and sender not in self.in_flight_since:
                 self.send_entries(sender)
-        elif talk.two > self.match_index.get(sender, 0):
-            self.next_index[sender] = min(talk.two, self.last_index + 1)
+        elif message.two > self.match_index.get(sender, 0):
+            self.next_index[sender] = min(message.two, self.last_index + 1)
             if self.next_index[sender] <= self.log_offset:
                 self.send(sender, BEHIND, self.commit_index)
             else:
@@ -629,7 +718,10 @@
         self.answer_pending_reads()
 
     def advance_commit_index(self) -> None:
-        """What most voters have on their disks is agreed, once a line of this leader's own is among it."""
+        """Commit what a quorum has on disk, up to an entry of the current term.
+
+        Entries of earlier terms are committed only together with such an entry (3.6.2, figure 3.7).
+        """
         for index in range(self.last_index, self.commit_index, -1):
             if self.term_at(index) != self.term:
                 return
@@ -642,209 +734,226 @@
                 return
 
     def commit_through(self, index: int) -> None:
-        """Lines up to this one are agreed."""
+        """Commit the entries up to an index and apply their commands."""
         if index <= self.commit_index:
             return
         self.commit_index = index
         while self.last_applied < self.commit_index:
             self.last_applied += 1
-            line = self.entry(self.last_applied)
-            if line.kind > CONFIG_ENTRY:
-                self.state_machine.apply(self.last_applied, line)
+            entry = self.entry(self.last_applied)
+            if entry.kind > CONFIG_ENTRY:
+                self.state_machine.apply(self.last_applied, entry)
         if self.role == LEADER and self.name not in self.config:
             self.step_down("votes no longer")
         self.peers_ahead = {
-            name: line for name, line in self.peers_ahead.items() if line > self.commit_index
+            name: commit for name, commit in self.peers_ahead.items() if commit > self.commit_index
         }
         if len(self.entries) > COMPACTION_THRESHOLD:
             self.compact()
 
+    # Snapshots.
+
     def compact(self) -> None:
-        """What the lines come to is kept instead of the oldest."""
-        start = min(self.last_applied, self.last_index - self.retained_entries)
-        if start <= self.log_offset:
+        """Take a snapshot and drop all applied entries but the last `retained_entries` (5.1)."""
+        offset = min(self.last_applied, self.last_index - self.retained_entries)
+        if offset <= self.log_offset:
             return
-        known = [config for config in self.configs if config[0] <= self.last_applied]
-        state = pack(
+        covered_configs = [config for config in self.configs if config[0] <= self.last_applied]
+        snapshot = pack(
             (
                 self.last_applied,
                 self.term_at(self.last_applied),
-                known[-1] if known else (0, {}),
+                covered_configs[-1] if covered_configs else (0, {}),
                 self.state_machine.snapshot(),
             )
         )
-        start_term = self.term_at(start)
-        self.entries = self.entries[start - self.log_offset :]
-        self.log_offset, self.log_offset_term, self.snapshot_index, self.snapshot = (
-            start,
-            start_term,
-            self.last_applied,
-            state,
-        )
-        self.add_record(SNAPSHOT_RECORD, self.snapshot_index, state, start, start_term)
-        self.configs = known[-1:] + [
+        offset_term = self.term_at(offset)
+        self.entries = self.entries[offset - self.log_offset :]
+        self.log_offset = offset
+        self.log_offset_term = offset_term
+        self.snapshot_index = self.last_applied
+        self.snapshot = snapshot
+        self.add_record(SNAPSHOT_RECORD, self.snapshot_index, snapshot, offset, offset_term)
+        self.configs = covered_configs[-1:] + [
             config for config in self.configs if config[0] > self.last_applied
         ]
 
-    def load_snapshot(self, state: bytes) -> tuple[int, int]:
-        """Take up what another's lines came to; the last of them, and its term."""
-        index, term, (since, config), inner = unpack(state)
-        self.configs = [(since, config)]
-        self.state_machine.restore(inner)
+    def load_snapshot(self, snapshot: bytes) -> tuple[int, int]:
+        """Restore the state machine and the voters; return the snapshot's last index and its term."""
+        index, term, (config_index, config), machine_state = unpack(snapshot)
+        self.configs = [(config_index, config)]
+        self.state_machine.restore(machine_state)
         return index, term
 
-    # Voters, commands, reads.
+    # Membership changes, commands and reads.
 
     def change_voters(self, config: dict[str, int]) -> str:
-        """Begin to change who votes, by one; why it can't be now, if it can't."""
+        """Begin to add or remove one voter (4.1); return why it can't be done now, or nothing."""
         if self.role != LEADER:
-            return "this member does not lead"
+            return "this member is not the leader"
         if self.term_at(self.commit_index) != self.term:
-            return "the leader has agreed on nothing yet"
+            return "the leader has not committed an entry of its own term yet"
         if self.configs and self.configs[-1][0] > self.commit_index:
-            return "the last change of voters is not agreed yet"
-        before = {(name, disk) for name, disk in self.config.items()}
-        if len(before ^ set(config.items())) != 1:
+            return "the previous change of voters is not committed yet"
+        old_voters = set(self.config.items())
+        if len(old_voters ^ set(config.items())) != 1:
             return "one voter at a time is added or taken away"
         if not config or len(config) > MAX_VOTERS:
-            return f"1 to {MAX_VOTERS} members vote"
+            return f"{len(config)} voters; 1 to {MAX_VOTERS} are allowed"
         self.append_as_leader(CONFIG_ENTRY, pack(config))
         return ""
 
     def bootstrap(
-        self, record: int, config: dict[str, int], first: Iterable[tuple[int, bytes]] = ()
+        self, cluster_id: int, config: dict[str, int], commands: Iterable[tuple[int, bytes]] = ()
     ) -> None:
-        """A record begins, with these voters and lines."""
-        assert not self.cluster_id and not self.entries
-        self.join_cluster(record)
+        """Begin a new cluster with these voters and first commands; no log may exist here."""
+        assert not self.cluster_id
+        assert not self.entries
+        self.join_cluster(cluster_id)
         self.set_term_and_vote(1, 0)
-        for kind, data in [(CONFIG_ENTRY, pack(config)), *first]:
+        for kind, data in [(CONFIG_ENTRY, pack(config)), *commands]:
             self.append_entry(self.last_index + 1, Line(1, kind, data))
         self.election_due = self.now
 
     def recover(self) -> None:
-        """By an operator's word, where most voters are lost for good: this member's copy goes on alone.
+        """Continue as the only voter of a new cluster, by an operator's decision.
 
-        All that is agreed here stays; who goes by the record as it was takes this one instead.
+        It is for the case that a quorum is lost for good. What is committed here stays; members of
+        the old cluster change over to the new one, whose id is higher by one.
         """
         self.cluster_id += 1
         if self.last_index > self.commit_index:
             self.truncate_from(self.commit_index + 1)
-        for note in compact_journal(self.persistent_state()):
-            self.add_record(*note)
+        for record in compact_journal(self.persistent_state()):
+            self.add_record(*record)
         self.step_down("recovered")
         self.set_term_and_vote(self.term + 1, 0)
-        self.append_entry(
-            self.last_index + 1, Line(self.term, CONFIG_ENTRY, pack({self.name: self.disk_id}))
-        )
+        config = pack({self.name: self.disk_id})
+        self.append_entry(self.last_index + 1, Line(self.term, CONFIG_ENTRY, config))
         self.election_due = self.vote_allowed_at = self.now
 
     def propose(self, kind: int, data: bytes) -> bool:
-        """A command of a member; whether this one leads and has room for it."""
+        """Append a command unless it is in the log already.
+
+        Returns whether this node leads, has room for one more uncommitted entry, and the command
+        is small enough for one.
+        """
         if (
             self.role != LEADER
             or self.last_index - self.commit_index >= MAX_UNCOMMITTED
             or len(data) > MOST_LINE
         ):
             return False
+        uncommitted = self.entries[self.commit_index - self.log_offset :]
         if not self.state_machine.has_applied(data) and not any(
-            line.data == data for line in self.entries[self.commit_index - self.log_offset :]
+            entry.data == data for entry in uncommitted
         ):
             self.append_as_leader(kind, data)
         return True
 
-    def on_forwarded_command(self, talk: Talk, sender: str) -> None:
-        for line in talk.lines[:1]:
-            if line.kind > CONFIG_ENTRY:
-                self.propose(line.kind, line.data)
+    def on_forwarded_command(self, message: Talk) -> None:
+        """Propose a command that another member was given."""
+        for entry in message.lines[:1]:
+            if entry.kind > CONFIG_ENTRY:
+                self.propose(entry.kind, entry.data)
 
     def request_read_index(self, nonce: int) -> None:
-        """Up to which line one has to have learned to know all that is agreed by now: `read_at` will say."""
+        """Ask the leader for the read index (6.4), which comes into `read_results` with the nonce.
+
+        Once that entry is applied here, a read sees all that was committed when it was asked for.
+        """
         if self.role == LEADER:
-            self.on_read_index_request(
-                Talk(READ, self.cluster_id, self.disk_id, self.term, nonce), self.name
-            )
+            request = Talk(READ, self.cluster_id, self.disk_id, self.term, nonce)
+            self.on_read_index_request(request, self.name)
         elif self.leader:
             self.send(self.leader, READ, nonce)
 
-    def on_read_index_request(self, talk: Talk, sender: str) -> None:
+    def on_read_index_request(self, message: Talk, sender: str) -> None:
+        """Note the commit index and begin a round that confirms this node's leadership.
+
+        Without an answer the sender asks again: this node doesn't lead, has not committed an entry
+        of its own term, or has too many reads waiting.
+        """
         if (
             self.role != LEADER
             or self.term_at(self.commit_index) != self.term
             or len(self.pending_reads) >= MAX_PENDING_READS
         ):
-            return  # it asks again
-        self.pending_reads.append((self.round + 1, sender, talk.one, self.commit_index))
+            return
+        self.pending_reads.append((self.round + 1, sender, message.one, self.commit_index))
         self.broadcast(False)
         self.answer_pending_reads()
 
     def answer_pending_reads(self) -> None:
-        """A read is answered once most voters have answered a round that began after it."""
-        left = []
+        """Answer the reads for which a quorum has answered a round that began after them."""
+        unanswered = []
         for read in self.pending_reads:
-            by, sender, nonce, index = read
-            if not self.is_quorum(
-                [self.name, *(name for name, done in self.acked_rounds.items() if done >= by)]
-            ):
-                left.append(read)
+            required_round, sender, nonce, index = read
+            confirming = [
+                name for name, answered in self.acked_rounds.items() if answered >= required_round
+            ]
+            if not self.is_quorum([self.name, *confirming]):
+                unanswered.append(read)
             elif sender == self.name:
                 self.read_results.append((nonce, index))
             else:
                 self.send(sender, READ_AT, nonce, index)
-        self.pending_reads = left
+        self.pending_reads = unanswered
 
-    # Learning.
+    # Learning from other members.
 
     def is_behind(self) -> bool:
+        """Return whether a member is known that has committed more than is committed here."""
         return bool(self.peers_ahead) and max(self.peers_ahead.values()) > self.commit_index
 
     def on_commit_announced(
-        self, sender: str, record: int, commit: int, term: int = 0, leader: int = 0
+        self, sender: str, cluster_id: int, commit_index: int, term: int = 0, leader_disk: int = 0
     ) -> None:
-        """Another tells up to which line it has learned the record, and whose disk leads."""
-        if self.is_superseded_by(record):
-            self.join_cluster(record)
+        """Take note of how much a member has committed and, at a learner, which disk leads."""
+        if self.is_superseded_by(cluster_id):
+            self.join_cluster(cluster_id)
         if (
-            record == self.cluster_id
-            and commit > self.commit_index
-            and len(self.peers_ahead) < 4_096
+            cluster_id == self.cluster_id
+            and commit_index > self.commit_index
+            and len(self.peers_ahead) < MAX_PEERS_AHEAD
         ):
-            self.peers_ahead[sender] = commit
+            self.peers_ahead[sender] = commit_index
         elif sender in self.peers_ahead:
             del self.peers_ahead[sender]
         if (
-            record == self.cluster_id
+            cluster_id == self.cluster_id
             and not self.is_voter
-            and leader
+            and leader_disk
             and term >= self.leader_hint_term
         ):
             self.leader_hint_term = term
             self.leader = next(
-                (name for name, disk in self.config.items() if disk == leader), self.leader
+                (name for name, disk in self.config.items() if disk == leader_disk), self.leader
             )
 
-    def is_superseded_by(self, record: int) -> bool:
-        """Whether another record is to be gone by: any where there is none, or one recovered since."""
-        return record > self.cluster_id and self.cluster_id // CLUSTER_ID_STRIDE in (
+    def is_superseded_by(self, cluster_id: int) -> bool:
+        """Return whether to join that cluster: there is none here, or it is a later recovery of it."""
+        return cluster_id > self.cluster_id and self.cluster_id // CLUSTER_ID_STRIDE in (
             0,
-            record // CLUSTER_ID_STRIDE,
+            cluster_id // CLUSTER_ID_STRIDE,
         )
 
-    def announcement(self, stamp: int) -> bytes:
-        """What others are told in passing: which record and disk, how far, who leads, what is promised."""
+    def announcement(self, disk_version: int) -> bytes:
+        """Return what other members are told by gossip: cluster, disk, term, commit index, leader."""
+        leader_disk = self.config.get(self.leader, 0)
         return pack(
             (
                 self.cluster_id,
                 self.disk_id,
                 self.term,
                 self.commit_index,
-                self.config.get(self.leader, 0),
-                stamp,
+                leader_disk,
+                disk_version,
             )
         )
 
     def persistent_state(self) -> PersistentState:
-        """What all notes that were given come to."""
+        """Return the state that all journal records issued so far describe."""
         return PersistentState(
             self.cluster_id,
             self.disk_id,
@@ -857,211 +966,227 @@
             list(self.entries),
         )
 
-    def join_cluster(self, record: int) -> None:
-        """Go by another record, of which nothing is known here."""
-        self.events.append(("consensus_cluster_id", {"record": f"{record:x}"}))
-        fresh = self.cluster_id != 0
-        self.cluster_id, self.term, self.voted_for = record, 0, 0
-        self.log_offset = self.log_offset_term = self.snapshot_index = self.commit_index = (
-            self.last_applied
-        ) = self.durable_index = 0
-        self.entries, self.snapshot, self.configs, self.peers_ahead, self.snapshot_chunks = (
-            [],
-            b"",
-            [],
-            {},
-            {},
-        )
+    def join_cluster(self, cluster_id: int) -> None:
+        """Become a member of another cluster with an empty log."""
+        self.events.append(("consensus_cluster_id", {"record": f"{cluster_id:x}"}))
+        had_cluster = self.cluster_id != 0
+        self.cluster_id = cluster_id
+        self.term = 0
+        self.voted_for = 0
+        self.log_offset = self.log_offset_term = 0
+        self.snapshot_index = self.commit_index = self.last_applied = self.durable_index = 0
+        self.entries = []
+        self.snapshot = b""
+        self.configs = []
+        self.peers_ahead = {}
+        self.snapshot_chunks = {}
         self.unsynced_entries.clear()
         self.outbox.clear()
-        self.role, self.leader, self.matched_index = FOLLOWER, "", 0
-        self.term_record = self.add_record(IDENTITY_RECORD, record, self.disk_id)
-        if fresh:
+        self.role = FOLLOWER
+        self.leader = ""
+        self.matched_index = 0
+        self.term_record = self.add_record(IDENTITY_RECORD, cluster_id, self.disk_id)
+        if had_cluster:
             self.state_machine.restore(b"")
 
     def fetch_missing(self) -> None:
-        """Ask one that is ahead for what is missing here."""
+        """Ask a random member that is ahead for the next committed entries or snapshot chunks.
+
+        Learners are preferred, to spare the voters.
+        """
         self.last_fetch_at = self.now
-        those = [one for one, line in self.peers_ahead.items() if line > self.commit_index]
-        # Who votes has enough to do: another learner is asked where one is ahead.
-        name = self.sample([one for one in those if one not in self.config] or those, 1)[0]
-        missing = 0
-        while missing in self.snapshot_chunks:
-            missing += SNAPSHOT_CHUNK_BYTES
-        self.send(name, FETCH, self.commit_index + 1, missing, self.incoming_snapshot[0])
+        ahead = [name for name, commit in self.peers_ahead.items() if commit > self.commit_index]
+        learners = [name for name in ahead if name not in self.config]
+        source = self.sample(learners or ahead, 1)[0]
+        missing_offset = 0
+        while missing_offset in self.snapshot_chunks:
+            missing_offset += SNAPSHOT_CHUNK_BYTES
+        self.send(source, FETCH, self.commit_index + 1, missing_offset, self.incoming_snapshot[0])
 
     def may_serve_learner(self) -> bool:
+        """Count one message to a learner; return whether it is within the limit of the interval."""
         if self.now - self.served_since >= self.timing.heartbeat_interval:
-            self.served_messages, self.served_since = 0, self.now
+            self.served_messages = 0
+            self.served_since = self.now
         self.served_messages += 1
         return self.served_messages <= MAX_SERVED_PER_HEARTBEAT
 
-    def on_fetch(self, talk: Talk, sender: str) -> None:
-        """Give what is agreed here: lines, or the whole state in pieces where the lines are gone."""
-        if talk.one > self.commit_index:
+    def on_fetch(self, message: Talk, sender: str) -> None:
+        """Send committed entries, or chunks of the snapshot where the entries are compacted away."""
+        first = message.one
+        if first > self.commit_index:
             return
-        if talk.one <= self.log_offset:
-            offset = talk.two if talk.three == self.snapshot_index else 0
-            for at in range(
-                offset,
-                min(len(self.snapshot), offset + MAX_MESSAGES_PER_FETCH * SNAPSHOT_CHUNK_BYTES),
-                SNAPSHOT_CHUNK_BYTES,
-            ):
-                if self.may_serve_learner():
-                    self.send(
-                        sender,
-                        PIECE,
-                        self.snapshot_index,
-                        at,
-                        len(self.snapshot),
-                        0,
-                        data=self.snapshot[at : at + SNAPSHOT_CHUNK_BYTES],
-                    )
+        if first <= self.log_offset:
+            self.send_snapshot_chunks(message, sender)
             return
-        index, talks = talk.one, 0
+        index = first
+        sent_messages = 0
         while (
             index <= self.commit_index
-            and talks < MAX_MESSAGES_PER_FETCH
+            and sent_messages < MAX_MESSAGES_PER_FETCH
             and self.may_serve_learner()
         ):
-            lines = self.entries_for_message(index, self.commit_index)
-            index, talks = index + len(lines), talks + 1
-            self.send(
-                sender,
-                LINES,
-                index - len(lines),
-                int(index > self.commit_index or talks == MAX_MESSAGES_PER_FETCH),
-                lines=lines,
-            )
-
-    def on_fetched_entries(self, talk: Talk, sender: str) -> None:
-        """Lines that are agreed."""
-        if talk.one > self.commit_index + 1:
+            entries = self.entries_for_message(index, self.commit_index)
+            index += len(entries)
+            sent_messages += 1
+            is_last = index > self.commit_index or sent_messages == MAX_MESSAGES_PER_FETCH
+            self.send(sender, LINES, index - len(entries), int(is_last), lines=entries)
+
+    def send_snapshot_chunks(self, message: Talk, sender: str) -> None:
+        """Send the chunks that follow those which the sender of a fetch has of this snapshot."""
+        offset = message.two if message.three == self.snapshot_index else 0
+        end = min(len(self.snapshot), offset + MAX_MESSAGES_PER_FETCH * SNAPSHOT_CHUNK_BYTES)
+        for start in range(offset, end, SNAPSHOT_CHUNK_BYTES):
+            if self.may_serve_learner():
+                chunk = self.snapshot[start : start + SNAPSHOT_CHUNK_BYTES]
+                self.send(
+                    sender, PIECE, self.snapshot_index, start, len(self.snapshot), 0, data=chunk
+                )
+
+    def on_fetched_entries(self, message: Talk) -> None:
+        """Store and commit entries that another member knows to be committed."""
+        first = message.one
+        is_last = message.two
+        if first > self.commit_index + 1:
             return
-        for index, line in enumerate(talk.lines, talk.one):
+        for index, entry in enumerate(message.lines, first):
             if index <= self.commit_index:
                 continue
-            if index > self.last_index or self.term_at(index) != line.term:
-                self.append_entry(index, line)
-        self.adopt_term(talk.lines)
-        self.commit_through(talk.one + len(talk.lines) - 1)
-        if talk.two and self.is_behind():
+            if index > self.last_index or self.term_at(index) != entry.term:
+                self.append_entry(index, entry)
+        self.adopt_term(message.lines)
+        self.commit_through(first + len(message.lines) - 1)
+        if is_last and self.is_behind():
             self.fetch_missing()
 
-    def adopt_term(self, lines: Iterable[Line]) -> None:
-        """Whoever has learned a later term's lines follows no leader of an earlier one."""
-        term = max((line.term for line in lines), default=0)
+    def adopt_term(self, entries: Iterable[Line]) -> None:
+        """Raise the term to that of learned entries, so that no leader of an earlier one is followed."""
+        term = max((entry.term for entry in entries), default=0)
         if term > self.term:
             self.set_term_and_vote(term, 0)
             self.step_down("has learned of a later term")
             self.leader = ""
 
-    def on_snapshot_chunk(self, talk: Talk, sender: str) -> None:
-        """A piece of a state whose lines are gone everywhere."""
+    def on_snapshot_chunk(self, message: Talk) -> None:
+        """Collect the chunks of a snapshot and install it once it is complete."""
+        snapshot_index = message.one
+        offset = message.two
+        size = message.three
         if (
-            talk.one <= self.commit_index
-            or talk.three > MAX_SNAPSHOT_BYTES
-            or talk.two % SNAPSHOT_CHUNK_BYTES
+            snapshot_index <= self.commit_index
+            or size > MAX_SNAPSHOT_BYTES
+            or offset % SNAPSHOT_CHUNK_BYTES
         ):
             return
-        if talk.one != self.incoming_snapshot[0]:
-            if talk.one < self.incoming_snapshot[0]:
+        if snapshot_index != self.incoming_snapshot[0]:
+            if snapshot_index < self.incoming_snapshot[0]:
                 return
-            self.snapshot_chunks, self.incoming_snapshot = {}, (talk.one, 0, talk.three)
-        self.snapshot_chunks[talk.two] = talk.data
+            self.snapshot_chunks = {}
+            self.incoming_snapshot = (snapshot_index, 0, size)
+        self.snapshot_chunks[offset] = message.data
         self.last_fetch_at = self.now
-        size = sum(map(len, self.snapshot_chunks.values()))
-        if size >= self.incoming_snapshot[2]:
-            state = b"".join(data for _, data in sorted(self.snapshot_chunks.items()))
-            self.snapshot_chunks, self.incoming_snapshot = {}, (0, 0, 0)
-            self.install_snapshot(state)
-        elif (
-            talk.two // SNAPSHOT_CHUNK_BYTES % MAX_MESSAGES_PER_FETCH == MAX_MESSAGES_PER_FETCH - 1
-        ):
+        received_bytes = sum(map(len, self.snapshot_chunks.values()))
+        if received_bytes >= self.incoming_snapshot[2]:
+            snapshot = b"".join(chunk for _, chunk in sorted(self.snapshot_chunks.items()))
+            self.snapshot_chunks = {}
+            self.incoming_snapshot = (0, 0, 0)
+            self.install_snapshot(snapshot)
+        elif offset // SNAPSHOT_CHUNK_BYTES % MAX_MESSAGES_PER_FETCH == MAX_MESSAGES_PER_FETCH - 1:
             self.fetch_missing()
 
-    def install_snapshot(self, state: bytes) -> None:
+    def install_snapshot(self, snapshot: bytes) -> None:
+        """Replace the log up to the snapshot's last entry; later entries stay if the log matches it."""
         try:
-            index, term = self.load_snapshot(state)
+            index, term = self.load_snapshot(snapshot)
         except (msgspec.DecodeError, ValueError, TypeError):
             self.counts["states_torn"] += 1
             return
         if index <= self.commit_index:
             return
-        fits = self.log_offset <= index <= self.last_index and self.term_at(index) == term
-        self.entries = self.entries[index - self.log_offset :] if fits else []
-        self.log_offset, self.log_offset_term, self.snapshot_index, self.snapshot = (
-            index,
-            term,
-            index,
-            state,
-        )
+        matches_log = self.log_offset <= index <= self.last_index and self.term_at(index) == term
+        self.entries = self.entries[index - self.log_offset :] if matches_log else []
+        self.log_offset = index
+        self.log_offset_term = term
+        self.snapshot_index = index
+        self.snapshot = snapshot
         self.load_configs()
         self.commit_index = self.last_applied = index
         self.unsynced_entries = deque(
-            (seq, at) for seq, at in self.unsynced_entries if fits and at > index
+            (record, last) for record, last in self.unsynced_entries if matches_log and last > index
         )
-        self.durable_index = max(index, min(self.durable_index, self.last_index)) if fits else index
-        self.add_record(SNAPSHOT_RECORD, index, state, index, term)
+        if matches_log:
+            self.durable_index = max(index, min(self.durable_index, self.last_index))
+        else:
+            self.durable_index = index
+        self.add_record(SNAPSHOT_RECORD, index, snapshot, index, term)
         self.counts["states_learned"] += 1
         self.adopt_term([Line(term, NO_OP_ENTRY)])
 
-    # What comes.
+    # Receiving.
 
-    def receive(self, talk: Talk, sender: str, now: int) -> None:
-        """A talk of a member that is proved to be of the fleet."""
+    def receive(self, message: Talk, sender: str, now: int) -> None:
+        """Handle a message whose sender is authenticated as a member of the fleet."""
         self.now = max(self.now, now)
-        if talk.record != self.cluster_id:
-            if self.is_superseded_by(talk.record):
-                self.join_cluster(talk.record)
+        if message.record != self.cluster_id:
+            if self.is_superseded_by(message.record):
+                self.join_cluster(message.record)
             else:
                 self.counts["other_record"] += 1
                 return
+        kind = message.kind
+        # A granted pre-vote carries the term that its sender would vote in, not the one it is in.
+        carries_sender_term = kind in (ASK_VOTE, VOTED, APPEND, TAKEN, HURRY) or (
+            kind == EARLY and not message.one
+        )
         if (
-            talk.kind in (ASK_VOTE, VOTED, APPEND, TAKEN, HURRY)
-            or talk.kind == EARLY
-            and not talk.one
+            carries_sender_term
+            and message.term > self.term
+            and not self.ignores_vote_request(message)
         ):
-            if talk.term > self.term and not self.ignores_vote_request(talk):
-                self.on_later_term(talk)
-        kind = talk.kind
+            self.on_later_term(message)
         if kind == ASK_EARLY:
-            self.on_pre_vote_request(talk, sender)
+            self.on_pre_vote_request(message, sender)
         elif kind == EARLY:
-            self.on_pre_vote_response(talk, sender)
+            self.on_pre_vote_response(message, sender)
         elif kind == ASK_VOTE:
-            self.on_vote_request(talk, sender)
+            self.on_vote_request(message, sender)
         elif kind == VOTED:
-            self.on_vote_response(talk, sender)
+            self.on_vote_response(message, sender)
         elif kind == APPEND:
-            self.on_append_entries(talk, sender)
+            self.on_append_entries(message, sender)
         elif kind == TAKEN:
-            self.on_append_response(talk, sender)
+            self.on_append_response(message, sender)
         elif kind == BEHIND:
-            self.on_commit_announced(sender, talk.record, talk.one)
+            self.on_commit_announced(sender, message.record, message.one)
             if self.is_behind():
                 self.fetch_missing()
         elif kind == FETCH:
-            self.on_fetch(talk, sender)
+            self.on_fetch(message, sender)
         elif kind == LINES:
-            self.on_fetched_entries(talk, sender)
+            self.on_fetched_entries(message)
         elif kind == PIECE:
-            self.on_snapshot_chunk(talk, sender)
+            self.on_snapshot_chunk(message)
         elif kind == FORWARD:
-            self.on_forwarded_command(talk, sender)
+            self.on_forwarded_command(message)
         elif kind == READ:
-            self.on_read_index_request(talk, sender)
+            self.on_read_index_request(message, sender)
         elif kind == READ_AT:
-            self.read_results.append((talk.one, talk.two))
+            self.read_results.append((message.one, message.two))
             del self.read_results[:-MAX_PENDING_READS]
-        elif kind == HURRY and self.is_voter and talk.term == self.term and sender == self.leader:
+        elif (
+            kind == HURRY and self.is_voter and message.term == self.term and sender == self.leader
+        ):
             self.start_election(True)
 
-    def ignores_vote_request(self, talk: Talk) -> bool:
-        """One that asks for votes though a leader is there, and does not say so, was taken out or cut off."""
-        return talk.kind == ASK_VOTE and not talk.three and self.has_leader_contact()
+    def ignores_vote_request(self, message: Talk) -> bool:
+        """Return whether to disregard the term of a vote request because a leader is in contact.
+
+        Its sender was removed or partitioned (4.2.3), unless the leader itself asked it to stand.
+        """
+        return message.kind == ASK_VOTE and not message.three and self.has_leader_contact()
 
-    def on_later_term(self, talk: Talk) -> None:
-        self.set_term_and_vote(talk.term, 0)
+    def on_later_term(self, message: Talk) -> None:
+        """Enter the later term of a message as a follower."""
+        self.set_term_and_vote(message.term, 0)
         self.step_down("a later term")
         self.leader = ""
