--- a/tests/fleet/test_consensus_service.py
+++ b/tests/fleet/test_consensus_service.py
@@ -1,4 +1,4 @@
-"""Stories of several processes that agree on drains and releases, with faults between them."""
+"""End-to-end tests of drains, releases and voters in fleets of several processes, with faults."""
 
 import json
 import shutil
@@ -30,8 +30,8 @@
 }
 
 
-class Trial:
-    """A fleet that agrees, with upstreams of its own."""
+class ConsensusTestbed:
+    """A fleet of processes with consensus and emulated upstreams."""
 
     def __init__(self, count, folder, relayed=False, **more):
         self.folder = folder
@@ -70,23 +70,23 @@
             span,
         )
 
-    def say(self, number, *words, code=0):
-        """One command at one process, to its end."""
+    def run_command(self, number, *words, code=0):
+        """Run one `bank` command at one process, wait for its end and return its output."""
         found = CliRunner().invoke(
             cli, ["bank", *words, "--socket", self.fleet.processes[number].control]
         )
         assert found.exit_code == code, (words, found.exit_code, found.output)
         return found.output
 
-    def one_state(self):
-        """Whether all that run hold the same."""
+    def has_converged(self):
+        """Return whether all running processes have the same replicated state."""
         states = {
             json.dumps([self.status(n)[key] for key in ("record", "line", "digest")])
             for n in self.alive()
         }
         return len(states) == 1
 
-    def end(self):
+    def stop(self):
         if self.loads:
             self.loads.stop()
         self.fleet.end()
@@ -94,138 +94,156 @@
 
 
 @pytest.fixture
-def trial(tmp_path):
+def start_testbed(tmp_path):
     made = []
 
     def make(count, **more):
-        made.append(Trial(count, tmp_path, **more))
+        made.append(ConsensusTestbed(count, tmp_path, **more))
         return made[-1].start()
 
     yield make
-    for one in made:
-        one.end()
-
-
-def test_drains_at_five_processes_of_which_the_leader_is_killed_lose_no_request(trial):
-    five = trial(5)
-    five.load(9.0, 3, 4)
-    five.say(1, "drain", "balancer", "m4")
-    assert "all: 1 may be out; out are m4" in five.say(2, "drain", "balancer", "m3", code=1)
-    assert five.status(0)["drains"][0]["state"] == "done"
-    assert {one["balancers"] for one in [five.fleet.ask(0, "members")["shares"]["t"]]} <= {4, 5}
-    five.say(3, "drain", "upstream", "t/s-0")
-    until(lambda: five.upstream_fleet.tell("s-0")["met"] == five.upstream_fleet.tell("s-0")["met"])
-    met = five.upstream_fleet.tell("s-0")["met"]
-    leader = five.leader()
-    five.fleet.kill(leader)
-    other = next(n for n in five.alive() if n != 4)
-    until(lambda: f"m{leader}" in five.status(other)["lost"])
-    five.say(other, "undrain", "balancer", "m4")
-    # One is lost, so that nothing else may go out.
-    assert f"out are m{leader}" in five.say(other, "drain", "balancer", "m4", code=1)
-    five.fleet.processes[leader].start()
-    until(lambda: not five.status(other)["lost"])
-    assert five.upstream_fleet.tell("s-0")["met"] == met  # drained all the time, whoever led
-    five.say(other, "undrain", "upstream", "t/s-0")
-    until(five.one_state)
-    seen = five.loads.results()
+    for testbed in made:
+        testbed.stop()
+
+
+def test_drains_lose_no_request_when_the_leader_of_five_processes_is_killed(start_testbed):
+    testbed = start_testbed(5)
+    testbed.load(9.0, 3, 4)
+    testbed.run_command(1, "drain", "balancer", "m4")
+    assert "all: 1 may be out; out are m4" in testbed.run_command(
+        2, "drain", "balancer", "m3", code=1
+    )
+    assert testbed.status(0)["drains"][0]["state"] == "done"
+    assert {one["balancers"] for one in [testbed.fleet.ask(0, "members")["shares"]["t"]]} <= {4, 5}
+    testbed.run_command(3, "drain", "upstream", "t/s-0")
+    until(
+        lambda: testbed.upstream_fleet.tell("s-0")["met"]
+        == testbed.upstream_fleet.tell("s-0")["met"]
+    )
+    met = testbed.upstream_fleet.tell("s-0")["met"]
+    leader = testbed.leader()
+    testbed.fleet.kill(leader)
+    other = next(n for n in testbed.alive() if n != 4)
+    until(lambda: f"m{leader}" in testbed.status(other)["lost"])
+    testbed.run_command(other, "undrain", "balancer", "m4")
+    # The lost member uses up the disruption budget, so no other may be drained.
+    assert f"out are m{leader}" in testbed.run_command(other, "drain", "balancer", "m4", code=1)
+    testbed.fleet.processes[leader].start()
+    until(lambda: not testbed.status(other)["lost"])
+    assert testbed.upstream_fleet.tell("s-0")["met"] == met  # it stayed drained under both leaders
+    testbed.run_command(other, "undrain", "upstream", "t/s-0")
+    until(testbed.has_converged)
+    seen = testbed.loads.results()
     assert not any(one.unanswered() or one.answered_twice() for one in seen)
     assert (
-        not five.upstream_fleet.ledger().twice() and min(one.share_on_time() for one in seen) > 0.95
+        not testbed.upstream_fleet.ledger().twice()
+        and min(one.share_on_time() for one in seen) > 0.95
     )
 
 
-def test_a_release_goes_to_all_and_a_bad_one_is_met_by_its_canary_alone(trial, tmp_path):
-    four = trial(4)
+def test_a_release_goes_to_all_and_a_bad_one_is_met_by_its_canary_alone(start_testbed, tmp_path):
+    testbed = start_testbed(4)
     good, bad, faulty = (tmp_path / name for name in ("good.toml", "bad.toml", "faulty.toml"))
     good.write_text(
         files.document(
-            four.service(
+            testbed.service(
                 upstreams=files.upstreams(
                     {
                         name: address
-                        for name, address in four.upstream_fleet.addresses.items()
+                        for name, address in testbed.upstream_fleet.addresses.items()
                         if name != "s-2"
                     }
                 )
             )
         )
     )
-    bad.write_text(files.document(four.service(upstreams=files.upstreams({"s-0": "127.0.0.1:9"}))))
+    bad.write_text(
+        files.document(testbed.service(upstreams=files.upstreams({"s-0": "127.0.0.1:9"})))
+    )
     faulty.write_text(good.read_text().replace("exclusive", "inclusive"))
-    four.load(16.0, 0, 1, 2, 3)
-    four.say(3, "release", str(good), "--waves", "1", "--window", "1s")
-    until(four.one_state)
-    assert {four.status(n)["runs"] for n in range(4)} == {four.status(0)["good"]} != {""}
-    met = four.upstream_fleet.tell("s-2")["met"]
-    said = four.say(1, "release", str(faulty), "--waves", "1", "--window", "1s", code=3)
+    testbed.load(16.0, 0, 1, 2, 3)
+    testbed.run_command(3, "release", str(good), "--waves", "1", "--window", "1s")
+    until(testbed.has_converged)
+    assert {testbed.status(n)["runs"] for n in range(4)} == {testbed.status(0)["good"]} != {""}
+    met = testbed.upstream_fleet.tell("s-2")["met"]
+    said = testbed.run_command(1, "release", str(faulty), "--waves", "1", "--window", "1s", code=3)
     assert "m0: refuses the file" in said and "is none of rerunnable" in said
     begun = time.monotonic()
-    said = four.say(2, "release", str(bad), "--waves", "1", "--window", "1s", code=3)
+    said = testbed.run_command(2, "release", str(bad), "--waves", "1", "--window", "1s", code=3)
     assert "undone" in said and "gate of wave 1" in said and time.monotonic() - begun < 8.0
-    logs = [one.balancer.log() for one in four.fleet.processes]
+    logs = [one.balancer.log() for one in testbed.fleet.processes]
     assert [log.count("event=release_applied") for log in logs] == [3, 1, 1, 1]
-    assert four.upstream_fleet.tell("s-2")["met"] == met
-    until(four.one_state)
-    # A process that starts again takes up what was released, before it serves.
-    four.fleet.kill(1)
-    four.fleet.processes[1].start()
-    four.fleet.processes[1].balancer.wait_ready()
-    assert four.status(1)["runs"] == four.status(0)["good"]
-    four.say(0, "undo")
-    until(lambda: {four.status(n)["runs"] for n in range(4)} == {""})
-    assert "released" in four.say(0, "history") and four.say(0, "history", "--json")
-    seen = four.loads.results()
+    assert testbed.upstream_fleet.tell("s-2")["met"] == met
+    until(testbed.has_converged)
+    # A restarted process applies the release before it serves.
+    testbed.fleet.kill(1)
+    testbed.fleet.processes[1].start()
+    testbed.fleet.processes[1].balancer.wait_ready()
+    assert testbed.status(1)["runs"] == testbed.status(0)["good"]
+    testbed.run_command(0, "undo")
+    until(lambda: {testbed.status(n)["runs"] for n in range(4)} == {""})
+    assert "released" in testbed.run_command(0, "history") and testbed.run_command(
+        0, "history", "--json"
+    )
+    seen = testbed.loads.results()
     assert not any(one.unanswered() or one.answered_twice() for one in seen)
-    assert not four.upstream_fleet.ledger().twice()
-
-
-def test_voters_with_a_lost_disk_an_old_one_a_cut_and_a_whole_restart(trial):
-    four = trial(4, relayed=True)
-    voter = next(n for n in range(3) if n != four.leader())
-    folder = four.fleet.processes[voter].folder / "agreed"
-    shutil.copy(folder / "record", four.folder / "old")
-    four.say(3, "drain", "balancer", "m3")
-    four.fleet.kill(voter)
-    shutil.copy(four.folder / "old", folder / "record")
-    four.fleet.processes[voter].start()
-    until(lambda: "consensus_log_stale" in four.fleet.processes[voter].balancer.log())
-    until(lambda: len(four.status(four.leader())["voters"]) == 3 and four.status(voter)["votes"])
-    four.fleet.kill(voter)
+    assert not testbed.upstream_fleet.ledger().twice()
+
+
+def test_voters_recover_from_lost_and_stale_disks_a_partition_and_a_full_restart(start_testbed):
+    testbed = start_testbed(4, relayed=True)
+    voter = next(n for n in range(3) if n != testbed.leader())
+    folder = testbed.fleet.processes[voter].folder / "agreed"
+    # A voter restarts with an old copy of its journal.
+    shutil.copy(folder / "record", testbed.folder / "old")
+    testbed.run_command(3, "drain", "balancer", "m3")
+    testbed.fleet.kill(voter)
+    shutil.copy(testbed.folder / "old", folder / "record")
+    testbed.fleet.processes[voter].start()
+    until(lambda: "consensus_log_stale" in testbed.fleet.processes[voter].balancer.log())
+    until(
+        lambda: len(testbed.status(testbed.leader())["voters"]) == 3
+        and testbed.status(voter)["votes"]
+    )
+    # A voter restarts without its journal.
+    testbed.fleet.kill(voter)
     shutil.rmtree(folder)
-    four.fleet.processes[voter].start()
-    until(lambda: len(four.status(four.leader())["voters"]) == 3 and four.status(voter)["votes"])
-    leader = four.leader()
+    testbed.fleet.processes[voter].start()
+    until(
+        lambda: len(testbed.status(testbed.leader())["voters"]) == 3
+        and testbed.status(voter)["votes"]
+    )
+    # The leader is partitioned from the rest.
+    leader = testbed.leader()
     rest = [n for n in range(4) if n != leader]
-    four.fleet.cut("apart", [leader], rest)
-    until(lambda: [n for n in rest if four.status(n)["role"] == "leader"])
-    until(lambda: four.status(leader)["role"] != "leader")
-    assert "most voters are not heard" in four.say(
+    testbed.fleet.cut("apart", [leader], rest)
+    until(lambda: [n for n in rest if testbed.status(n)["role"] == "leader"])
+    until(lambda: testbed.status(leader)["role"] != "leader")
+    assert "most voters are not heard" in testbed.run_command(
         leader, "undrain", "balancer", "m3", "--wait", "1", code=1
     )
-    four.fleet.heal("apart")
-    until(lambda: four.one_state() and not four.status(0)["lost"])
+    testbed.fleet.heal("apart")
+    until(lambda: testbed.has_converged() and not testbed.status(0)["lost"])
+    # All processes restart.
     for number in range(4):
-        four.fleet.kill(number)
+        testbed.fleet.kill(number)
     for number in range(4):
-        four.fleet.processes[number].start()
+        testbed.fleet.processes[number].start()
     for number in range(3):
-        four.fleet.processes[number].balancer.wait_ready()
-    until(
-        lambda: four.status(3)["current"] and four.status(3)["aside"]
-    )  # it is drained, as the record says
-    four.say(0, "undrain", "balancer", "m3")
-    four.fleet.processes[3].balancer.wait_ready()
+        testbed.fleet.processes[number].balancer.wait_ready()
+    until(lambda: testbed.status(3)["current"] and testbed.status(3)["aside"])  # still drained
+    testbed.run_command(0, "undrain", "balancer", "m3")
+    testbed.fleet.processes[3].balancer.wait_ready()
 
 
-def test_two_operators_at_two_ends_and_a_command_that_is_said_again(trial):
-    three = trial(3)
-    ends, said = threading.Barrier(2), {}
+def test_of_two_concurrent_commands_one_wins_and_a_repeated_command_is_applied_once(start_testbed):
+    testbed = start_testbed(3)
+    barrier, said = threading.Barrier(2), {}
 
     def operate(number, name):
-        found = three.status(number)["revision"]
-        ends.wait(10.0)
-        three.fleet.ask(
+        found = testbed.status(number)["revision"]
+        barrier.wait(10.0)
+        testbed.fleet.ask(
             number,
             "command",
             name="drain",
@@ -234,7 +252,7 @@
         said[name] = until(
             lambda: [
                 one
-                for one in [three.fleet.ask(number, "outcome", name=str(7 + number))]
+                for one in [testbed.fleet.ask(number, "outcome", name=str(7 + number))]
                 if one["known"]
             ]
         )[0]
@@ -246,44 +264,44 @@
         one.join(30.0)
     (won, _), (_, lost) = sorted(said.items(), key=lambda one: not one[1]["good"])
     assert not lost["good"] and f"op-{won} said drain {won}" in lost["text"]
-    until(three.one_state)
-    three.say(0, "undrain", "balancer", won)
-    three.say(0, "drain", "balancer", "m1", "--id", "4242")
-    three.say(0, "undrain", "balancer", "m1")
-    line = three.status(0)["line"]
-    assert three.fleet.ask(1, "outcome", name="4242")["good"]
-    again = three.say(1, "drain", "balancer", "m1", "--id", "4242", "--wait", "2", code=3)
+    until(testbed.has_converged)
+    testbed.run_command(0, "undrain", "balancer", won)
+    testbed.run_command(0, "drain", "balancer", "m1", "--id", "4242")
+    testbed.run_command(0, "undrain", "balancer", "m1")
+    line = testbed.status(0)["line"]
+    assert testbed.fleet.ask(1, "outcome", name="4242")["good"]
+    again = testbed.run_command(1, "drain", "balancer", "m1", "--id", "4242", "--wait", "2", code=3)
     assert "was undrained meanwhile" in again
-    assert three.status(0)["line"] == line
-    assert "would" not in three.say(2, "drain", "balancer", "m2", "--dry-run")
-    assert not three.status(0)["drains"]
-    assert "one" in three.say(0, "status", "--json") or three.say(0, "permits")
-
-
-def test_a_drained_upstream_stays_drained_over_its_restart_and_an_unknown_one_is_refused(trial):
-    three = trial(3)
-    assert "'s-9' is no upstream" in three.say(0, "drain", "upstream", "t/s-9", code=1)
-    assert "no member" in three.say(0, "drain", "balancer", "m9", code=1)
-    three.say(0, "drain", "upstream", "t/s-1")
-    three.load(3.0, 0, 1, 2)
-    met = three.upstream_fleet.tell("s-1")["met"]
-    for one in three.fleet.processes:  # listed anew under its name, as another run
+    assert testbed.status(0)["line"] == line
+    assert "would" not in testbed.run_command(2, "drain", "balancer", "m2", "--dry-run")
+    assert not testbed.status(0)["drains"]
+    assert "one" in testbed.run_command(0, "status", "--json") or testbed.run_command(0, "permits")
+
+
+def test_a_drained_upstream_stays_drained_when_it_restarts_and_unknown_names_are_refused(
+    start_testbed,
+):
+    testbed = start_testbed(3)
+    assert "'s-9' is no upstream" in testbed.run_command(0, "drain", "upstream", "t/s-9", code=1)
+    assert "no member" in testbed.run_command(0, "drain", "balancer", "m9", code=1)
+    testbed.run_command(0, "drain", "upstream", "t/s-1")
+    testbed.load(3.0, 0, 1, 2)
+    met = testbed.upstream_fleet.tell("s-1")["met"]
+    for one in testbed.fleet.processes:  # listed under its name again, as restarted
         again = [
             {
                 "name": name,
                 "address": address,
                 **({"started_ms": int(time.time() * 1000)} if name == "s-1" else {}),
             }
-            for name, address in three.upstream_fleet.addresses.items()
+            for name, address in testbed.upstream_fleet.addresses.items()
         ]
-        one.balancer.reload(files.document(one.file() | three.service(upstreams=again)))
-    assert not any(one.unanswered() for one in three.loads.results())
-    assert three.upstream_fleet.tell("s-1")["met"] == met
+        one.balancer.reload(files.document(one.file() | testbed.service(upstreams=again)))
+    assert not any(one.unanswered() for one in testbed.loads.results())
+    assert testbed.upstream_fleet.tell("s-1")["met"] == met
 
 
-def test_faulty_keys_of_the_record_are_named_and_without_its_table_nothing_of_it_is_there(
-    trial, tmp_path
-):
+def test_invalid_consensus_settings_and_releases_are_refused_by_name(start_testbed, tmp_path):
     key = tmp_path / "key"
     key.write_text("a key for a trial, not a secret")
     key.chmod(0o600)
@@ -335,15 +353,15 @@
             operator.read(str(path), text.encode(), False)
 
 
-def test_a_file_that_cuts_its_process_off_is_taken_back_there_by_itself(trial, tmp_path):
-    three = trial(3, relayed=True, cut_off="5s")
+def test_a_release_that_partitions_its_process_is_rolled_back_there(start_testbed, tmp_path):
+    testbed = start_testbed(3, relayed=True, cut_off="5s")
     file = tmp_path / "new.toml"
-    file.write_text(files.document(three.service(connect_timeout="150ms")))
-    three.load(12.0, 1, 2)
-    # Its canary runs it, and is not heard from then on.
+    file.write_text(files.document(testbed.service(connect_timeout="150ms")))
+    testbed.load(12.0, 1, 2)
+    # The canary is partitioned once it runs the release.
     content = {}
 
-    def say():
+    def release():
         content["said"] = CliRunner().invoke(
             cli,
             [
@@ -357,21 +375,23 @@
                 "--back",
                 "2s",
                 "--socket",
-                three.fleet.processes[2].control,
+                testbed.fleet.processes[2].control,
             ],
         )
 
-    thread = threading.Thread(target=say)
+    thread = threading.Thread(target=release)
     thread.start()
-    until(lambda: three.status(0)["runs"])
-    three.fleet.cut("off", [0], [1, 2])
-    until(lambda: "event=release_rolled_back" in three.fleet.processes[0].balancer.log())
-    until(lambda: three.status(0)["runs"] == "")
+    until(lambda: testbed.status(0)["runs"])
+    testbed.fleet.cut("off", [0], [1, 2])
+    until(lambda: "event=release_rolled_back" in testbed.fleet.processes[0].balancer.log())
+    until(lambda: testbed.status(0)["runs"] == "")
     thread.join(20.0)
     assert content["said"].exit_code == 3 and "m0" in content["said"].output
-    three.fleet.heal("off")
+    testbed.fleet.heal("off")
     until(
-        lambda: three.one_state() and not three.status(1)["lost"] and not three.status(1)["release"]
+        lambda: testbed.has_converged()
+        and not testbed.status(1)["lost"]
+        and not testbed.status(1)["release"]
     )
-    assert {three.status(n)["runs"] for n in range(3)} == {""}
-    assert not any(one.unanswered() or one.answered_twice() for one in three.loads.results())
+    assert {testbed.status(n)["runs"] for n in range(3)} == {""}
+    assert not any(one.unanswered() or one.answered_twice() for one in testbed.loads.results())
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -1,10 +1,11 @@
-"""Puts the record beside the process: its file, its talks, what the process is told to do, what it
-reports.
+"""Runs this process's Raft node and carries out what the fleet has committed.
 
-Hands time, talks and word of the disk to `agreement`, what is agreed to pools and the process,
-commands of operators to whoever leads; asks `controller` while this one leads. Must never decide
-anything, act on what is not agreed, wait for a disk or a member on the request path, or call done
-what the record does not.
+Connects `RaftNode` to the clock, the journal on disk and the fleet's messages. Applies committed
+orders (drains, releases, builds) to this process, reports its state to the leader, forwards
+operators' commands and, while this process leads, runs the rollout controller.
+
+Invariants: it acts only on committed entries, decides nothing by itself, reports nothing as done
+before it is committed, and the request path never waits for the disk or for another member.
 """
 
 from __future__ import annotations
@@ -24,9 +25,13 @@
 
 from whinpier import log
 from whinpier.config.model import ConfigFault, Spec
-from whinpier.fleet.consensus import node as raft
 from whinpier.fleet.consensus.node import (
+    CLUSTER_ID_STRIDE,
+    DEFAULT_TIMING,
+    IDENTITY_RECORD,
     LEADER,
+    ROLES,
+    SNAPSHOT_RECORD,
     PersistentState,
     RaftNode,
     compact_journal,
@@ -49,123 +54,139 @@
     from whinpier.fleet.service import Link
 
 MS = SECOND // 1000
+
+# The journal.
 JOURNAL_MAGIC = b"whinpier bank record 1\n"
-MAX_RECORD_BYTES = 6 << 20  # bytes of a note: a whole state fits
-REWRITE_MIN_BYTES, REWRITE_GROWTH_FACTOR = (
-    1 << 20,
-    2,
-)  # bytes below which the file is not rewritten; times what is live that it may hold
-WRITE_RETRY_SECONDS = 0.5  # seconds until what could not be written is tried again
-PERIOD, BUSY_PERIOD = SECOND // 4, SECOND // 10  # between looks; while a drain or release is on
-REPORT_INTERVAL, BUSY_REPORT_INTERVAL = 2 * SECOND, 400 * MS  # between reports that say nothing new
-MAX_PENDING_COMMANDS, COMMAND_RETRY_INTERVAL, COMMAND_TIMEOUT = (
-    256,
-    250 * MS,
-    60 * SECOND,
-)  # commands on their way: how many, how often, how long
-MAX_RELEASE_BYTES = 1 << 20  # bytes of a released file
-RELEASE_CHUNK_BYTES = (
-    560  # bytes of a file in one line of the record: with its names it fits into a control line
-)
+MAX_RECORD_BYTES = 6 << 20  # fits the largest snapshot
+# The journal is rewritten once it is larger than the minimum plus so many times the snapshot.
+REWRITE_MIN_BYTES = 1 << 20
+REWRITE_GROWTH_FACTOR = 2
+WRITE_RETRY_SECONDS = 0.5
+
+# Periodic tasks and reports to the leader; the busy ones hold during a drain or a rollout.
+PERIOD = SECOND // 4
+BUSY_PERIOD = SECOND // 10
+REPORT_INTERVAL = 2 * SECOND  # between reports without news
+BUSY_REPORT_INTERVAL = 400 * MS
+
+# Commands that are not applied here yet.
+MAX_PENDING_COMMANDS = 256
+MAX_COMMANDS_PER_RESEND = 16
+COMMAND_RETRY_INTERVAL = 250 * MS
+COMMAND_TIMEOUT = 60 * SECOND
+
+MAX_PENDING_READS = 64
+MAX_KNOWN_MEMBERS = 4_096  # whose announcements are remembered
+MAX_REPORTED_DRAINS = 64  # in one report
+
+# Release files.
+MAX_RELEASE_BYTES = 1 << 20  # uncompressed
+RELEASE_CHUNK_BYTES = 560  # with its names a chunk fits into one line of the control socket
 RELEASE_HEADER = re.compile(rb"# release ([0-9a-f]{1,64})\n")
+RELEASE_HEADER_BYTES = 100  # at least the longest header
+MAX_REFUSAL_LENGTH = 200  # characters
+
 MEMORY_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class ReleaseReader(Protocol):
-    """Reads the process's file, with what was released over it."""
+    """Reads the process's configuration file together with the release over it."""
 
-    def __call__(self) -> Spec: ...
+    def __call__(self) -> Spec:
+        """Return the configuration with the release that is on disk."""
 
     def check(self, released: bytes | None) -> Spec:
-        """What the file comes to with another release over it; raises ConfigFault."""
+        """Return the configuration as it would be with another release; raises ConfigFault."""
 
 
 class PendingCommand:
-    """A command on its way into the record."""
+    """A command that is sent to the leader until `done` says that it is applied here."""
 
-    __slots__ = ("kind", "data", "done", "since", "sent")
+    __slots__ = ("data", "done", "kind", "sent", "since")
 
     def __init__(self, kind: int, data: bytes, done: Callable[[], bool], now: int) -> None:
-        self.kind, self.data, self.done, self.since, self.sent = (
-            kind,
-            data,
-            done,
-            now,
-            now - COMMAND_RETRY_INTERVAL,
-        )
+        """Make a command that is due to be sent at once."""
+        self.kind = kind
+        self.data = data
+        self.done = done
+        self.since = now
+        self.sent = now - COMMAND_RETRY_INTERVAL
 
 
 class ConsensusService:
-    """This process's part in the record."""
+    """Run this process's Raft node and carry out committed orders."""
 
     def __init__(self, link: Link, spec: AgreementSpec) -> None:
-        self.link, self.spec, self.loop, self.process = link, spec, link.loop, link.life
+        """Open the journal and continue from it; raises AppendLogError."""
+        self.link = link
+        self.spec = spec
+        self.loop = link.loop
+        self.process = link.life
         self.now = self.started_at = self.loop.clock()
-        self.random = Random(
-            Random().getrandbits(64)
-        )  # numbers of disks and commands are nobody else's
+        # Seeded by the operating system: ids of disks and commands must be unique.
+        self.random = Random(Random().getrandbits(64))
         self.journal = AppendLog(str(Path(spec.folder) / "record"), JOURNAL_MAGIC, MAX_RECORD_BYTES)
         self.release_file = Path(spec.folder) / RELEASED
-        copy = self.open_journal()
-        self.disk_version = self.disk_version_at_start = disk_version_of(
-            copy
-        )  # how much this disk has promised
+        state = self.open_journal()
+        # `disk_version_of` what is on disk now, and of what was there at the start.
+        self.disk_version = self.disk_version_at_start = disk_version_of(state)
         self.state_machine = RolloutStateMachine()
-        pace = raft.RaftTiming()
         self.node = RaftNode(
             link.spec.name,
-            copy,
+            state,
             self.state_machine,
             self.now,
             Random(self.random.random()),
-            pace,
-            pace.election_timeout if copy.cluster_id else 0,
+            DEFAULT_TIMING,
+            DEFAULT_TIMING.election_timeout if state.cluster_id else 0,
         )
-        if not copy.disk_id:
+        if not state.disk_id:
             self.assign_disk_id()
-        self.records_pending, self.disk_error = anyio.Event(), ""
-        self.known_disks: dict[
-            int, tuple[int, int]
-        ] = {}  # by disk: whose run told of it, how much it has promised
-        self.announced_disks: dict[
-            str, tuple[int, int]
-        ] = {}  # by name: which disk a member has, of which record
+        self.records_pending = anyio.Event()
+        self.disk_error = ""
+        # By disk id: the member that announced it, and its highest disk version.
+        self.known_disks: dict[int, tuple[int, int]] = {}
+        self.announced_disks: dict[str, tuple[int, int]] = {}  # by name: disk id, cluster id
         self.has_heard_announcement = False
-        self.controller: RolloutController | None = None
+        self.controller: RolloutController | None = None  # while this process leads
         self.pending_commands: list[PendingCommand] = []
-        self.read_indexes: dict[int, int] = {}  # by nonce: up to which line; 0: not known yet
-        self.seen_changes, self.seen_commit = -1, -1
-        self.running_content = self.read_released_content()
-        self.previous_content, self.switched_at = (
-            self.running_content,
-            0,
-        )  # what ran before the last switch, and when that was
-        self.switching, self.refusal_reason = False, ""
-        self.avoided_content: str | None = None  # a file that cut this process off
-        self.refused_content: str | None = None  # one that it does not take
-        self.first_build: str | None = None
-        self.requests_finished = self.requests_on_time = self.requests_scrapped = (
-            self.requests_turned_back
-        ) = 0
-        self.last_report, self.last_report_at = MemberReport(), self.now - REPORT_INTERVAL
-        self.is_current, self.scheduled_tick, self.is_drained = False, 0, False
-        self.process.aside = True  # till it has learned what it is to do
+        self.read_indexes: dict[int, int] = {}  # by nonce; 0 until the leader answers
+        self.seen_changes = -1
+        self.seen_commit = -1
+        self.running_content = self.read_released_content()  # hash of the release; empty: none
+        self.previous_content = self.running_content  # before the last switch
+        self.switched_at = 0  # 0: no switch that may still be rolled back
+        self.switching = False
+        self.refusal_reason = ""
+        self.avoided_content: str | None = None  # partitioned this process from the fleet
+        self.refused_content: str | None = None  # invalid here
+        self.first_build: str | None = None  # that was ordered when this process became current
+        self.requests_finished = 0
+        self.requests_on_time = 0
+        self.requests_scrapped = 0
+        self.requests_turned_back = 0
+        self.last_report = MemberReport()
+        self.last_report_at = self.now - REPORT_INTERVAL
+        self.is_current = False  # whether the orders that are known here may be acted on
+        self.scheduled_tick = 0  # 0: none
+        self.is_drained = False
+        self.process.aside = True  # until the orders are known
         self.member_ids: dict[str, int] = {}
         self.member_ids_version = -1
 
-    # The file.
+    # Journal and release file.
 
     def assign_disk_id(self) -> None:
-        """From now on this file is another disk than any before."""
+        """Give this disk a new id: for the others it is a new voter or learner."""
         self.node.disk_id = self.random.getrandbits(62) | 1
-        self.node.add_record(raft.IDENTITY_RECORD, 0, self.node.disk_id)
+        self.node.add_record(IDENTITY_RECORD, 0, self.node.disk_id)
 
     def open_journal(self) -> PersistentState:
-        """Open the log and replay it. Raises AppendLogError where it can't be used."""
+        """Open the journal and replay it; raises AppendLogError if it can't be used."""
         Path(self.spec.folder).mkdir(parents=True, exist_ok=True)
-        notes = self.journal.open()
+        records = self.journal.open()
         try:
-            copy = replay_journal(notes)
+            state = replay_journal(records)
         except (ValueError, TypeError, IndexError) as fault:
             self.journal.close()
             raise AppendLogError(
@@ -180,24 +201,24 @@
             )
         log.info(
             "agreement",
-            record=f"{copy.cluster_id:x}",
-            disk=f"{copy.disk_id:x}",
-            term=copy.term,
-            lines=copy.log_offset + len(copy.entries),
+            record=f"{state.cluster_id:x}",
+            disk=f"{state.disk_id:x}",
+            term=state.term,
+            lines=state.log_offset + len(state.entries),
         )
-        return copy
+        return state
 
     def read_released_content(self) -> str:
-        """Which released file is in force, by its first line."""
+        """Return the hash in the first line of the release file, or an empty text without one."""
         try:
             with self.release_file.open("rb") as file:
-                found = RELEASE_HEADER.match(file.read(100))
+                header = RELEASE_HEADER.match(file.read(RELEASE_HEADER_BYTES))
         except OSError:
             return ""
-        return found[1].decode() if found else ""
+        return header[1].decode() if header else ""
 
     async def run_journal_writer(self) -> None:
-        """Notes to the disk, off the loop, as they come."""
+        """Write journal records in a thread as they are issued; close the journal at the end."""
         try:
             while True:
                 await self.records_pending.wait()
@@ -210,22 +231,22 @@
             self.journal.close()
 
     async def write_pending_records(self) -> bool:
-        """What there is now; whether it is on the disk."""
-        agreement, journal = self.node, self.journal
-        notes, count, stamp = (
-            list(agreement.pending_records),
-            agreement.records_issued,
-            disk_version_of(agreement),
-        )
-        anew = any(note[0] in (raft.IDENTITY_RECORD, raft.SNAPSHOT_RECORD) for note in notes) or (
-            journal.size > REWRITE_MIN_BYTES + REWRITE_GROWTH_FACTOR * len(agreement.snapshot)
-        )
-        whole = compact_journal(agreement.persistent_state()) if anew else []
+        """Append the pending records, or rewrite the journal; return whether they are on disk."""
+        node = self.node
+        journal = self.journal
+        records = list(node.pending_records)
+        issued = node.records_issued
+        disk_version = disk_version_of(node)
+        replaces_state = any(record[0] in (IDENTITY_RECORD, SNAPSHOT_RECORD) for record in records)
+        max_size = REWRITE_MIN_BYTES + REWRITE_GROWTH_FACTOR * len(node.snapshot)
+        is_rewrite = replaces_state or journal.size > max_size
+        compacted = compact_journal(node.persistent_state()) if is_rewrite else []
         try:
-            if anew:
-                await anyio.to_thread.run_sync(journal.compact, whole)
+            if is_rewrite:
+                await anyio.to_thread.run_sync(journal.compact, compacted)
             else:
-                await anyio.to_thread.run_sync(journal.append, b"".join(map(encode_record, notes)))
+                appended = b"".join(map(encode_record, records))
+                await anyio.to_thread.run_sync(journal.append, appended)
         except OSError as fault:
             if not self.disk_error:
                 log.warning("consensus_log_failed", file=journal.path, fault=fault)
@@ -234,34 +255,37 @@
         if self.disk_error:
             log.info("consensus_log_recovered", file=journal.path)
             self.disk_error = ""
-        del agreement.pending_records[: len(notes)]
-        self.disk_version = stamp
-        agreement.on_records_synced(count)
+        del node.pending_records[: len(records)]
+        self.disk_version = disk_version
+        node.on_records_synced(issued)
         return True
 
-    # The life of the process.
+    # Life cycle of the process.
 
     def start(self) -> None:
+        """Start the journal's writer, the periodic tasks and the node's timers."""
         self.observe_pools()
         self.loop.spawn(self.run_journal_writer, lambda: None)
         self.loop.at(self.now, self, self.run_periodic_tasks)
         self.flush()
 
     def on_pools_changed(self) -> None:
-        """Pools may be others now."""
+        """Observe the pools of a new configuration and drain their upstreams as ordered."""
         self.observe_pools()
         self.apply_orders()
 
     def observe_pools(self) -> None:
+        """Count the finished requests of all pools."""
         for pool in self.process.pools.values():
             pool.judge = self.on_request_finished
 
     def leave(self) -> None:
+        """Hand over leadership before the process ends."""
         self.node.transfer_leadership()
         self.flush()
 
     def on_request_finished(self, request: PendingRequest, how: str) -> None:
-        """A request has its final answer."""
+        """Count a request that has its final answer."""
         self.requests_finished += 1
         if how == Outcome.SUCCEEDED:
             self.requests_on_time += (
@@ -272,42 +296,45 @@
         else:
             self.requests_turned_back += 1
 
-    # Talks.
+    # Messages.
 
-    def receive(self, sender: int, talk: Talk) -> None:
-        """A talk from another member."""
+    def receive(self, sender: int, message: Talk) -> None:
+        """Handle a consensus message of another member; unknown senders are ignored."""
         member = self.link.members.members.get(sender)
         if member is None:
             return
-        name, now = member.card.name, self.loop.clock()
-        if talk.kind == REPORT:
-            self.on_member_report(name, sender, talk, now)
+        name = member.card.name
+        now = self.loop.clock()
+        if message.kind == REPORT:
+            self.on_member_report(name, sender, message, now)
             return
-        if talk.kind == STALE:
-            self.on_stale_disk(talk)
+        if message.kind == STALE:
+            self.on_stale_disk(message)
             return
-        self.node.receive(talk, name, now)
+        self.node.receive(message, name, now)
 
-    def on_member_report(self, name: str, sender: int, talk: Talk, now: int) -> None:
+    def on_member_report(self, name: str, sender: int, message: Talk, now: int) -> None:
+        """Hand a member's report to the rollout controller, while this process leads."""
         if self.controller is None:
             return
         try:
-            report: MemberReport = msgspec.msgpack.decode(talk.data, type=MemberReport)
+            report: MemberReport = msgspec.msgpack.decode(message.data, type=MemberReport)
         except (msgspec.DecodeError, ValueError):
             return
         self.controller.on_report(name, sender, report, now)
 
-    def on_stale_disk(self, talk: Talk) -> None:
-        """Another knows that this disk has promised more than its file knew when this run began."""
-        agreement = self.node
-        if talk.two != agreement.disk_id or talk.one <= self.disk_version_at_start:
+    def on_stale_disk(self, message: Talk) -> None:
+        """Start over with a new disk id if this disk is an old copy.
+
+        Another member has heard a higher version of this disk than it had when this process
+        started. An old copy could vote a second time in a term or lack entries that it confirmed.
+        """
+        known_version = message.one
+        disk_id = message.two
+        old = self.node
+        if disk_id != old.disk_id or known_version <= self.disk_version_at_start:
             return
-        log.warning("consensus_log_stale", disk=f"{agreement.disk_id:x}", known=talk.one)
-        noted, synced, waiting = (
-            agreement.records_issued,
-            agreement.records_synced,
-            agreement.pending_records,
-        )
+        log.warning("consensus_log_stale", disk=f"{old.disk_id:x}", known=known_version)
         self.state_machine.restore(b"")
         self.node = RaftNode(
             self.link.spec.name,
@@ -316,94 +343,109 @@
             self.loop.clock(),
             Random(self.random.random()),
         )
-        self.node.records_issued, self.node.records_synced, self.node.pending_records = (
-            noted,
-            synced,
-            waiting,
-        )
+        # The journal goes on: records that are being written keep their numbers.
+        self.node.records_issued = old.records_issued
+        self.node.records_synced = old.records_synced
+        self.node.pending_records = old.pending_records
         self.assign_disk_id()
         self.disk_version_at_start = 0
         self.records_pending.set()
 
     def on_announcement(self, member: int, contents: bytes) -> None:
-        there = self.link.members.members.get(member)
+        """Take note of another member's cluster, disk and commit index; tell it if its disk is old."""
+        sender = self.link.members.members.get(member)
         try:
-            record, disk, term, commit, leader, stamp = map(int, unpack(contents))
+            cluster_id, disk_id, term, commit_index, leader_disk, disk_version = map(
+                int, unpack(contents)
+            )
         except (msgspec.DecodeError, ValueError, TypeError):
             return
-        if there is None or min(record, disk, term, commit, leader, stamp) < 0:
+        if (
+            sender is None
+            or min(cluster_id, disk_id, term, commit_index, leader_disk, disk_version) < 0
+        ):
             return
-        name = there.card.name
+        name = sender.card.name
         self.has_heard_announcement = True
-        if name in self.announced_disks or len(self.announced_disks) < 4_096:
-            self.announced_disks[name] = disk, record
-        run, most = self.known_disks.get(disk, (member, 0))
-        if run != member and stamp < most:
-            talk = Talk(STALE, self.node.cluster_id, self.node.disk_id, 0, most, disk)
-            self.link.members.send_talks([(member, talk)], self.loop.clock())
-        elif disk in self.known_disks or len(self.known_disks) < 4_096:
-            self.known_disks[disk] = member, max(stamp, most)
+        if name in self.announced_disks or len(self.announced_disks) < MAX_KNOWN_MEMBERS:
+            self.announced_disks[name] = disk_id, cluster_id
+        last_member, highest_version = self.known_disks.get(disk_id, (member, 0))
+        if last_member != member and disk_version < highest_version:
+            message = Talk(
+                STALE, self.node.cluster_id, self.node.disk_id, 0, highest_version, disk_id
+            )
+            self.link.members.send_talks([(member, message)], self.loop.clock())
+        elif disk_id in self.known_disks or len(self.known_disks) < MAX_KNOWN_MEMBERS:
+            self.known_disks[disk_id] = member, max(disk_version, highest_version)
         self.node.now = max(self.node.now, self.loop.clock())
-        self.node.on_commit_announced(name, record, commit, term, leader)
+        self.node.on_commit_announced(name, cluster_id, commit_index, term, leader_disk)
 
     def connected_members(self) -> dict[str, int]:
+        """Return the ids of the members that are connected, by name."""
         members = self.link.members
         if self.member_ids_version != members.changes:
             self.member_ids_version = members.changes
             self.member_ids = {
-                one.card.name: one.id for one in members.members.values() if one.connected
+                member.card.name: member.id
+                for member in members.members.values()
+                if member.connected
             }
         return self.member_ids
 
     def flush(self) -> None:
-        """Send what may be sent, write what is to be written, act on what is agreed."""
-        agreement, names = self.node, self.connected_members()
-        talks = [(names[to], talk) for to, talk in agreement.take_messages() if to in names]
-        if talks:
-            self.link.members.send_talks(talks, self.loop.clock())
+        """Send messages, wake the journal's writer and act on what is committed."""
+        node = self.node
+        member_ids = self.connected_members()
+        messages = [
+            (member_ids[to], message) for to, message in node.take_messages() if to in member_ids
+        ]
+        if messages:
+            self.link.members.send_talks(messages, self.loop.clock())
             self.link.pass_on()
-        if agreement.pending_records:
+        if node.pending_records:
             self.records_pending.set()
-        for nonce, index in agreement.read_results:
+        for nonce, index in node.read_results:
             if nonce in self.read_indexes:
                 self.read_indexes[nonce] = index
-        agreement.read_results = []
-        for name, pairs in agreement.events:
-            self.emit_event(name, **pairs)
-        agreement.events = []
-        if agreement.commit_index != self.seen_commit:
-            self.seen_commit = agreement.commit_index
-            self.link.members.carry(RECORD_NEWS, agreement.announcement(self.disk_version))
+        node.read_results = []
+        for name, fields in node.events:
+            self.emit_event(name, **fields)
+        node.events = []
+        if node.commit_index != self.seen_commit:
+            self.seen_commit = node.commit_index
+            self.link.members.carry(RECORD_NEWS, node.announcement(self.disk_version))
         if self.state_machine.changes != self.seen_changes:
             self.seen_changes = self.state_machine.changes
             self.apply_orders()
             self.send_report()
         self.schedule()
 
-    def emit_event(self, name: str, **pairs: Any) -> None:
-        """To the log, and to whoever watches."""
-        self.link.say_event(name, pairs)
+    def emit_event(self, name: str, **fields: Any) -> None:
+        """Write an event to the log and to those who watch the control socket."""
+        self.link.say_event(name, fields)
 
     def schedule(self) -> None:
-        due = self.node.next_deadline()
-        if not self.scheduled_tick or due < self.scheduled_tick:
-            self.scheduled_tick = due
-            self.loop.at(due, self, self.tick, due)
-
-    def tick(self, due: int) -> None:
-        if due == self.scheduled_tick:
+        """Schedule the node's next tick unless an earlier one is scheduled."""
+        deadline = self.node.next_deadline()
+        if not self.scheduled_tick or deadline < self.scheduled_tick:
+            self.scheduled_tick = deadline
+            self.loop.at(deadline, self, self.tick, deadline)
+
+    def tick(self, deadline: int) -> None:
+        """Let the node do what is due; a tick that an earlier one has replaced does nothing."""
+        if deadline == self.scheduled_tick:
             self.scheduled_tick = 0
             self.node.tick(self.now)
             self.flush()
 
-    # Looking round.
+    # Periodic tasks.
 
     def run_periodic_tasks(self) -> None:
-        """Once in a while: begin a record, lead, report, ask again."""
+        """Announce, bootstrap, lead, report and resend, and schedule the next run."""
         now = self.now = self.loop.clock()
         state = self.state_machine.state
-        busy = bool(state.rollout or state.drains or self.pending_commands)
-        self.loop.at(now + (BUSY_PERIOD if busy else PERIOD), self, self.run_periodic_tasks)
+        is_busy = bool(state.rollout or state.drains or self.pending_commands)
+        self.loop.at(now + (BUSY_PERIOD if is_busy else PERIOD), self, self.run_periodic_tasks)
         self.link.members.carry(RECORD_NEWS, self.node.announcement(self.disk_version))
         self.update_is_current(now)
         self.bootstrap_if_ready()
@@ -411,7 +453,7 @@
             if self.controller is None:
                 self.controller = RolloutController(now, self.spec.write_off)
                 self.controller.known_zones = {
-                    name: seat.zone for name, seat in self.member_views().items() if seat.is_present
+                    name: view.zone for name, view in self.member_views().items() if view.is_present
                 }
             self.run_as_leader(now)
         else:
@@ -422,20 +464,21 @@
         self.flush()
 
     def update_is_current(self, now: int) -> None:
+        """Decide whether this process knows its orders, or has waited for them long enough."""
         if self.is_current:
             return
-        waited, agreement = now - self.started_at >= self.spec.wait, self.node
-        if agreement.cluster_id:
-            known = (
-                bool(agreement.leader) and agreement.commit_index > 0 and not agreement.is_behind()
-            )
+        has_waited = now - self.started_at >= self.spec.wait
+        node = self.node
+        if node.cluster_id:
+            is_up_to_date = bool(node.leader) and node.commit_index > 0 and not node.is_behind()
         else:
-            known = self.has_heard_announcement and all(
-                record == 0 for _, record in self.announced_disks.values()
+            # No other member is part of a cluster either, so there are no orders.
+            is_up_to_date = self.has_heard_announcement and all(
+                cluster_id == 0 for _, cluster_id in self.announced_disks.values()
             )
-        if waited or known:
+        if has_waited or is_up_to_date:
             self.is_current = True
-            if waited:
+            if has_waited:
                 log.warning(
                     "consensus_quorum_lost",
                     waited_ms=(now - self.started_at) // MS,
@@ -444,32 +487,31 @@
             self.apply_orders()
 
     def bootstrap_if_ready(self) -> None:
-        """Begin a record where none is: the first voter does, once all of them are there, all blank."""
-        agreement, voters = self.node, self.spec.voters
-        if agreement.cluster_id or not voters or voters[0] != self.link.spec.name:
+        """Begin a cluster if this is the first voter and all voters are connected without one."""
+        node = self.node
+        voters = self.spec.voters
+        if node.cluster_id or not voters or voters[0] != self.link.spec.name:
             return
-        there = self.connected_members()
-        disks = {self.link.spec.name: agreement.disk_id}
+        connected = self.connected_members()
+        disks = {self.link.spec.name: node.disk_id}
         for name in voters[1:]:
-            disk, record = self.announced_disks.get(name, (0, 1))
-            if name not in there or record or not disk:
+            disk_id, cluster_id = self.announced_disks.get(name, (0, 1))
+            if name not in connected or cluster_id or not disk_id:
                 return
-            disks[name] = disk
-        said = CommandHeader(
+            disks[name] = disk_id
+        header = CommandHeader(
             self.random.getrandbits(62) | 1,
             self.link.spec.name,
             "as its file has it",
             wall_clock_ms(),
         )
-        number = (self.random.getrandbits(40) | 1) * raft.CLUSTER_ID_STRIDE
-        agreement.bootstrap(
-            number,
-            disks,
-            [(EntryKind.SET_BUDGET, encode(SetBudget(said, list(self.spec.permits))))],
-        )
-        log.info("consensus_bootstrapped", record=f"{number:x}", voters=",".join(disks))
+        cluster_id = (self.random.getrandbits(40) | 1) * CLUSTER_ID_STRIDE
+        set_budget = encode(SetBudget(header, list(self.spec.permits)))
+        node.bootstrap(cluster_id, disks, [(EntryKind.SET_BUDGET, set_budget)])
+        log.info("consensus_bootstrapped", record=f"{cluster_id:x}", voters=",".join(disks))
 
     def run_as_leader(self, now: int) -> None:
+        """Let the rollout controller propose entries, and repair the set of voters."""
         assert self.controller
         self.controller.on_report(
             self.link.spec.name,
@@ -482,45 +524,57 @@
         self.reconcile_voters()
 
     def reconcile_voters(self) -> None:
-        """A voter whose disk is another is taken out; one that the file names, and is there, is taken in."""
-        agreement, there = self.node, self.connected_members()
-        config = agreement.config
-        for name, disk in config.items():
-            known, record = self.announced_disks.get(name, (disk, 0))
-            if name != agreement.name and name in there and known != disk:
-                self.change_voters({one: at for one, at in config.items() if one != name})
+        """Remove a voter whose disk was replaced; add a configured one that has joined the cluster."""
+        node = self.node
+        connected = self.connected_members()
+        config = node.config
+        for name, disk_id in config.items():
+            announced_disk, _ = self.announced_disks.get(name, (disk_id, 0))
+            if name != node.name and name in connected and announced_disk != disk_id:
+                self.change_voters({one: disk for one, disk in config.items() if one != name})
                 return
         for name in self.spec.voters:
-            known, record = self.announced_disks.get(name, (0, 0))
-            if name not in config and name in there and known and record == agreement.cluster_id:
-                self.change_voters({**config, name: known})
+            announced_disk, cluster_id = self.announced_disks.get(name, (0, 0))
+            if (
+                name not in config
+                and name in connected
+                and announced_disk
+                and cluster_id == node.cluster_id
+            ):
+                self.change_voters({**config, name: announced_disk})
                 return
 
     def change_voters(self, config: dict[str, int]) -> str:
-        fault = self.node.change_voters(config)
-        if not fault:
+        """Begin to add or remove one voter; return why it can't be done now, or nothing."""
+        refusal = self.node.change_voters(config)
+        if not refusal:
             self.emit_event("consensus_voters_changed", voters=",".join(config))
-        return fault
+        return refusal
 
     def member_views(self) -> dict[str, MemberView]:
-        """Who is there, as this process sees it."""
-        members, own = self.link.members, self.link.members.card
-        found = {own.name: MemberView(own.name, own.id, own.zone, not self.process.stopping)}
-        for one in members.members.values():
-            name = one.card.name
-            here = one.state in (HERE, SUSPECT)
-            if name not in found or here and not found[name].is_present:
-                found[name] = MemberView(name, one.id, one.card.zone, here, one.unheard)
-        return found
-
-    # What this process does and reports.
+        """Return the fleet's members by name, as this process sees them."""
+        members = self.link.members
+        own = members.card
+        views = {own.name: MemberView(own.name, own.id, own.zone, not self.process.stopping)}
+        for member in members.members.values():
+            name = member.card.name
+            is_present = member.state in (HERE, SUSPECT)
+            # A name may have several runs: the one that is present counts.
+            if name not in views or (is_present and not views[name].is_present):
+                views[name] = MemberView(
+                    name, member.id, member.card.zone, is_present, member.unheard
+                )
+        return views
+
+    # Orders and reports.
 
     @property
     def orders(self) -> MemberOrders:
+        """What the fleet has committed for this process."""
         return self.state_machine.orders_for(self.link.spec.name)
 
     def apply_orders(self) -> None:
-        """Do what is agreed, as far as it is this process's."""
+        """Carry out the committed drains, release and build of this process."""
         orders = self.orders
         self.process.aside = orders.is_drained or not self.is_current
         if self.is_current and orders.is_drained != self.is_drained:
@@ -535,7 +589,8 @@
         if self.avoided_content is not None and orders.content_hash != self.avoided_content:
             self.avoided_content = None
         if self.refused_content is not None and orders.content_hash != self.refused_content:
-            self.refused_content, self.refusal_reason = None, ""
+            self.refused_content = None
+            self.refusal_reason = ""
         wanted = orders.content_hash
         if (
             self.is_current
@@ -548,32 +603,37 @@
         self.apply_build_order(orders)
 
     def apply_build_order(self, orders: MemberOrders) -> None:
-        """End for another build: whoever keeps this process up starts that one."""
+        """Stop this process if another build is ordered: its supervisor starts that build."""
         if not self.is_current:
             return
         if self.first_build is None:
-            # Guards against ending for a build that whoever starts this process does not have.
+            # The supervisor may not have the build that was ordered before this process started;
+            # stopping for it would only restart this one again and again.
             self.first_build = orders.build
-        known = orders.build in ("", self.spec.build, self.first_build)
-        if not known and not self.process.stopping:
+        is_expected = orders.build in ("", self.spec.build, self.first_build)
+        if not is_expected and not self.process.stopping:
             self.emit_event("release_finished", build=self.spec.build, wanted=orders.build)
             self.process.stop()
         if orders.build == self.spec.build:
             self.first_build = orders.build
 
     def start_switch(self, wanted: str, data: bytes) -> None:
+        """Start to switch to another release in the background."""
         self.switching = True
         self.loop.spawn(lambda: self.switch_release(wanted, data), self.on_switch_ended)
 
     def on_switch_ended(self) -> None:
+        """Allow the next switch."""
         self.switching = False
 
     def refuse_release(self, wanted: str, fault: object) -> None:
-        """This file is not taken, till another is wanted."""
-        self.refused_content, self.refusal_reason, self.switching = wanted, str(fault)[:200], False
+        """Remember that a release can't be applied, until another one is wanted."""
+        self.refused_content = wanted
+        self.refusal_reason = str(fault)[:MAX_REFUSAL_LENGTH]
+        self.switching = False
 
     async def switch_release(self, wanted: str, data: bytes) -> None:
-        """Go on by another released file: all of it, or none."""
+        """Apply a release (compressed; empty: the process's own file) entirely or not at all."""
         try:
             text = release_file_text(wanted, data)
             reader = cast(ReleaseReader, self.process.reread)
@@ -594,53 +654,60 @@
         self.switching = False
         if self.process.spec.revision != spec.revision:
             self.refuse_release(wanted, "could not be applied")
-            held = (
+            previous = (
                 self.state_machine.read_file(self.previous_content)
                 if self.previous_content
                 else None
             )
-            await anyio.to_thread.run_sync(
-                self.write_release_file, release_file_text(self.previous_content, held or b"")
-            )
+            previous_text = release_file_text(self.previous_content, previous or b"")
+            await anyio.to_thread.run_sync(self.write_release_file, previous_text)
         else:
-            self.running_content, self.switched_at = wanted, self.loop.clock()
+            self.running_content = wanted
+            self.switched_at = self.loop.clock()
             self.emit_event(
                 "release_applied", content=wanted or "own", before=self.previous_content or "own"
             )
         self.loop.enter(self, self.on_release_switched)
 
     def on_release_switched(self) -> None:
+        """Apply orders that came during the switch, and report it."""
         self.apply_orders()
         self.send_report()
         self.flush()
 
     def write_release_file(self, text: bytes | None) -> None:
-        """The released file in place of the old one, or none."""
+        """Replace the release file atomically, or remove it (None)."""
         if text is None:
             self.release_file.unlink(missing_ok=True)
             return
-        other = self.release_file.with_suffix(".new")
-        with other.open("wb") as file:
+        temporary = self.release_file.with_suffix(".new")
+        with temporary.open("wb") as file:
             file.write(text)
             file.flush()
             os.fdatasync(file.fileno())
-        other.replace(self.release_file)
+        temporary.replace(self.release_file)
 
     def check_release_connectivity(self, now: int) -> None:
-        """A file that cuts this process off from the others is taken back here, as nobody can tell it to."""
+        """Roll a release back here if this process lost the majority of the fleet with it.
+
+        A process that is partitioned by its release can't be ordered to roll it back. After
+        `cut_off` a release with which the process is still connected counts as good.
+        """
         if not self.switched_at or self.switching:
             return
+        is_trial_over = now - self.switched_at > self.spec.cut_off
         if self.link.members.position in ("whole", "larger"):
-            if now - self.switched_at > self.spec.cut_off:
-                self.switched_at = 0  # it was tried for long enough
+            if is_trial_over:
+                self.switched_at = 0
             return
-        if now - self.switched_at > self.spec.cut_off:
+        if is_trial_over:
             log.warning(
                 "release_rolled_back",
                 content=self.running_content,
                 position=self.link.members.position,
             )
-            self.avoided_content, self.switched_at = self.running_content, 0
+            self.avoided_content = self.running_content
+            self.switched_at = 0
             data = (
                 self.state_machine.read_file(self.previous_content)
                 if self.previous_content
@@ -649,25 +716,29 @@
             self.start_switch(self.previous_content, data or b"")
 
     def build_report(self) -> MemberReport:
-        life, orders = self.process, self.orders
-        idle = not life.out() and not any(front.has_pending_responses() for front in life.fronts)
-        clean: list[int] = []
-        for pool in life.pools.values():
-            clean += [
-                number
-                for host, number in self.state_machine.drained_upstreams(pool.name).items()
+        """Return this process's state as the leader needs it."""
+        process = self.process
+        orders = self.orders
+        is_idle = not process.out() and not any(
+            front.has_pending_responses() for front in process.fronts
+        )
+        idle_drains: list[int] = []  # permits of drained upstreams without requests from here
+        for pool in process.pools.values():
+            idle_drains += [
+                permit
+                for host, permit in self.state_machine.drained_upstreams(pool.name).items()
                 if not pool.out_at(host)
             ]
         return MemberReport(
             self.node.commit_index,
             self.running_content,
             self.spec.build,
-            life.ready(),
+            process.ready(),
             orders.is_drained,
-            orders.is_drained and life.aside and idle,
+            orders.is_drained and process.aside and is_idle,
             self.refused_content or "",
             self.refusal_reason,
-            tuple(clean[:64]),
+            tuple(idle_drains[:MAX_REPORTED_DRAINS]),
             self.requests_finished,
             self.requests_on_time,
             self.requests_scrapped,
@@ -675,24 +746,27 @@
         )
 
     def send_report(self) -> None:
-        """Tell the leader how this process report_signature, when something is new, and now and then."""
-        agreement, now, state = self.node, self.loop.clock(), self.state_machine.state
-        if not agreement.leader or agreement.leader == agreement.name or not agreement.cluster_id:
+        """Report to the leader if something important changed, else once an interval."""
+        node = self.node
+        now = self.loop.clock()
+        state = self.state_machine.state
+        if not node.leader or node.leader == node.name or not node.cluster_id:
             return
         report = self.build_report()
-        wait = BUSY_REPORT_INTERVAL if state.rollout or state.drains else REPORT_INTERVAL
+        interval = BUSY_REPORT_INTERVAL if state.rollout or state.drains else REPORT_INTERVAL
         if (
             report_signature(report) == report_signature(self.last_report)
-            and now - self.last_report_at < wait
+            and now - self.last_report_at < interval
         ):
             return
-        self.last_report, self.last_report_at = report, now
-        agreement.send(agreement.leader, REPORT, data=encode(with_memory_usage(report)))
+        self.last_report = report
+        self.last_report_at = now
+        node.send(node.leader, REPORT, data=encode(with_memory_usage(report)))
 
-    # Commands of operators.
+    # Operators' commands and questions.
 
     def submit_command(self, kind: int, data: bytes, done: Callable[[], bool]) -> bool:
-        """Bring a command to whoever leads, until it is in the record; whether there is room."""
+        """Send a command to the leader until it is applied here; return whether there is room."""
         if len(self.pending_commands) >= MAX_PENDING_COMMANDS:
             return False
         self.pending_commands.append(PendingCommand(kind, data, done, self.loop.clock()))
@@ -701,26 +775,29 @@
         return True
 
     def resend_commands(self, now: int) -> None:
-        agreement, sent = self.node, 0
+        """Send pending commands that are due to the leader; drop the applied and expired ones."""
+        node = self.node
+        sent = 0
         self.pending_commands = [
-            one
-            for one in self.pending_commands
-            if not one.done() and now - one.since < COMMAND_TIMEOUT
+            command
+            for command in self.pending_commands
+            if not command.done() and now - command.since < COMMAND_TIMEOUT
         ]
-        for one in self.pending_commands:
-            if now - one.sent < COMMAND_RETRY_INTERVAL or sent >= 16:
+        for command in self.pending_commands:
+            if now - command.sent < COMMAND_RETRY_INTERVAL or sent >= MAX_COMMANDS_PER_RESEND:
                 continue
-            if agreement.role == LEADER:
-                agreement.propose(one.kind, one.data)
-            elif agreement.leader:
-                agreement.send(agreement.leader, FORWARD, lines=[Line(0, one.kind, one.data)])
+            if node.role == LEADER:
+                node.propose(command.kind, command.data)
+            elif node.leader:
+                node.send(node.leader, FORWARD, lines=[Line(0, command.kind, command.data)])
             else:
                 continue
-            one.sent, sent = now, sent + 1
+            command.sent = now
+            sent += 1
 
     def request_read(self, nonce: int) -> None:
-        """Ask what is agreed by now; `reads` will say up to which line."""
-        if len(self.read_indexes) >= 64:
+        """Ask the leader for the read index, unless it has answered this nonce already."""
+        if len(self.read_indexes) >= MAX_PENDING_READS:
             del self.read_indexes[next(iter(self.read_indexes))]
         self.read_indexes.setdefault(nonce, 0)
         if not self.read_indexes[nonce]:
@@ -728,28 +805,29 @@
             self.flush()
 
     def is_read_complete(self, nonce: int) -> bool:
-        """Whether all that was agreed when it was asked for is known here."""
+        """Return whether all that was committed when the read was requested is applied here."""
         index = self.read_indexes.get(nonce, 0)
         return bool(index) and self.node.last_applied >= index
 
     def recover(self) -> None:
-        """An operator says that most voters are lost for good, and that this copy is to go on."""
+        """Continue as the only voter, by an operator's decision after a quorum is lost for good."""
         log.warning("consensus_recovered", lines=self.node.commit_index, term=self.node.term)
         self.node.recover()
         self.flush()
 
     def status(self) -> dict[str, Any]:
-        """How the record report_signature, for people."""
-        agreement, state = self.node, self.state_machine.state
+        """Return the node's and this process's state, for the control socket."""
+        node = self.node
+        state = self.state_machine.state
         return {
-            "record": f"{agreement.cluster_id:x}",
-            "role": raft.ROLES[agreement.role],
-            "leader": agreement.leader,
-            "term": agreement.term,
-            "line": agreement.commit_index,
+            "record": f"{node.cluster_id:x}",
+            "role": ROLES[node.role],
+            "leader": node.leader,
+            "term": node.term,
+            "line": node.commit_index,
             "revision": state.revision,
-            "voters": sorted(agreement.config),
-            "votes": agreement.is_voter,
+            "voters": sorted(node.config),
+            "votes": node.is_voter,
             "disk": self.disk_error or "well",
             "digest": hash_file(self.state_machine.snapshot()),
             "runs": self.running_content,
@@ -759,16 +837,14 @@
         }
 
 
-def disk_version_of(copy: PersistentState | RaftNode) -> int:
-    """How much a disk has promised: rises with each vote, term and line; an old copy of its file
-    has less.
-    """
-    last = copy.log_offset + len(copy.entries)
-    return copy.term << 32 | min(2 * last + bool(copy.voted_for), 2**32 - 1)
+def disk_version_of(state: PersistentState | RaftNode) -> int:
+    """Return a number that rises with each vote, term and entry; an old copy of a disk has a lower one."""
+    last_index = state.log_offset + len(state.entries)
+    return state.term << 32 | min(2 * last_index + bool(state.voted_for), 2**32 - 1)
 
 
 def report_signature(report: MemberReport) -> tuple[Any, ...]:
-    """What of a report the leader is told at once where it changes."""
+    """Return the parts of a report whose change the leader is told at once."""
     return (
         report.applied_index,
         report.content_hash,
@@ -781,49 +857,53 @@
 
 
 def with_memory_usage(report: MemberReport) -> MemberReport:
-    """A report that goes out, with what the process holds now: that is read only for it."""
+    """Return a report with this process's memory, which is read only for reports that are sent."""
     return msgspec.structs.replace(report, memory_bytes=resident_memory_bytes())
 
 
 def wall_clock_ms() -> int:
-    """For people to read; nothing is decided by it."""
+    """Return milliseconds since the epoch, for people to read; nothing is decided by them."""
     return int(time.time() * 1000)
 
 
 def decompress_release(data: bytes) -> bytes:
-    """A released file as it was. Raises ValueError for one that is too large, zlib.error for none."""
+    """Return the text of a release.
+
+    Raises ValueError for one that is too large or truncated, zlib.error for corrupt data.
+    """
     engine = zlib.decompressobj()
     text = engine.decompress(data, MAX_RELEASE_BYTES)
     if engine.unconsumed_tail or not engine.eof:
-        raise ValueError(f"the file is over {MAX_RELEASE_BYTES} bytes, or not whole")
+        raise ValueError(f"release file is truncated or larger than {MAX_RELEASE_BYTES} bytes")
     return text
 
 
 def release_file_text(content: str, data: bytes) -> bytes | None:
-    """A released file as it lies on the disk, its name in the first line; None without one. As
-    `decompress_release`.
+    """Return the text of the release file, with the release's hash in its first line.
+
+    None stands for no release. Raises as `decompress_release` does.
     """
     return b"# release %s\n" % content.encode() + decompress_release(data) if data else None
 
 
 def compress_release(text: bytes) -> tuple[str, bytes]:
-    """A file as it goes into the record, and its name there."""
+    """Return the hash by which the log refers to a release, and its compressed text."""
     data = zlib.compress(text, 9)
     return hash_file(data), data
 
 
 def release_chunks(data: bytes) -> Iterator[dict[str, str | int]]:
-    """A file, as `compress_release` gives it, as a control socket takes it in: piece by piece."""
-    for at in range(0, len(data), RELEASE_CHUNK_BYTES):
+    """Yield a compressed release in chunks, as the control socket takes them."""
+    for offset in range(0, len(data), RELEASE_CHUNK_BYTES):
         yield {
-            "at": at,
+            "at": offset,
             "size": len(data),
-            "data": base64.b64encode(data[at : at + RELEASE_CHUNK_BYTES]).decode(),
+            "data": base64.b64encode(data[offset : offset + RELEASE_CHUNK_BYTES]).decode(),
         }
 
 
 def resident_memory_bytes() -> int:
-    """Bytes that this process holds; 0 where the system does not say."""
+    """Return the resident memory of this process; 0 where the system does not tell it."""
     try:
         with open("/proc/self/statm", "rb") as file:
             return int(file.read().split()[1]) * MEMORY_PAGE_BYTES
