--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -369,10 +369,10 @@
         self,
         to: str,
         kind: int,
-        one: int = 0,
-        two: int = 0,
-        three: int = 0,
-        four: int = 0,
+        arg1: int = 0,
+        arg2: int = 0,
+        arg3: int = 0,
+        arg4: int = 0,
         lines: list[Line] | None = None,
         data: bytes = b"",
         term: int | None = None,
@@ -383,10 +383,10 @@
             self.cluster_id,
             self.disk_id,
             self.term if term is None else term,
-            one,
-            two,
-            three,
-            four,
+            arg1,
+            arg2,
+            arg3,
+            arg4,
             lines or [],
             data,
         )
@@ -712,6 +712,7 @@
         elif message.two > self.match_index.get(sender, 0):
             self.next_index[sender] = min(message.two, self.last_index + 1)
             if self.next_index[sender] <= self.log_offset:
+                # The entries that the voter lacks are compacted away: it has to fetch the snapshot.
                 self.send(sender, BEHIND, self.commit_index)
             else:
                 self.send_entries(sender)
@@ -1156,7 +1157,7 @@
             self.on_append_entries(message, sender)
         elif kind == TAKEN:
             self.on_append_response(message, sender)
-        elif kind == BEHIND:
+        elif kind == BEHIND:  # the leader no longer has the entries that this voter lacks
             self.on_commit_announced(sender, message.record, message.one)
             if self.is_behind():
                 self.fetch_missing()
