--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -22,18 +22,18 @@
     replay_journal,
 )
 from whinpier.fleet.messages import (
-    APPEND,
-    ASK_EARLY,
-    FETCH,
-    LINES,
-    MOST_TALK,
-    PIECE,
-    READ,
+    APPEND_ENTRIES,
+    FETCH_ENTRIES,
+    FETCHED_ENTRIES,
+    INSTALL_SNAPSHOT,
+    MAX_CONSENSUS_BYTES,
+    PRE_VOTE_REQUEST,
+    READ_INDEX_REQUEST,
+    ConsensusMessage,
     Datagram,
-    Line,
+    LogEntry,
     Seal,
-    Talk,
-    size_of,
+    encoded_size,
 )
 from whinpier.model_checking.consensus import COMMAND, FAULTS, Lines
 from whinpier.model_checking.consensus_scenarios import SLOW, WALKS, WHOLE, found
@@ -100,7 +100,7 @@
             if not sent:
                 return
             for name, to, message in sent:
-                self.largest_message = max(self.largest_message, size_of(message))
+                self.largest_message = max(self.largest_message, encoded_size(message))
                 if name not in self.partitioned and to not in self.partitioned and to in self.nodes:
                     self.nodes[to].receive(message, name, self.now)
         raise AssertionError("messages are still sent after 400 rounds")
@@ -237,7 +237,7 @@
         cluster.nodes[away].counts["states_learned"]
         and cluster.nodes["m3"].counts["states_learned"]
     )
-    assert cluster.largest_message <= MOST_TALK + 100
+    assert cluster.largest_message <= MAX_CONSENSUS_BYTES + 100
 
 
 def test_a_voter_with_a_replaced_disk_does_not_vote_until_it_is_added_again():
@@ -252,7 +252,9 @@
     cluster.run(1.0)
     assert leader.match_index.get(replaced, 0) <= leader.last_index and not replacement.is_voter
     leader.is_from_voter = lambda message, sender: RaftNode.is_from_voter(leader, message, sender)
-    assert not leader.is_from_voter(Talk(raft.TAKEN, 256, 77, leader.term, 1, 99), replaced)
+    assert not leader.is_from_voter(
+        ConsensusMessage(raft.APPEND_ACCEPTED, 256, 77, leader.term, 1, 99), replaced
+    )
     config = leader.config
     assert (
         leader.change_voters({**config, replaced: 77})
@@ -309,7 +311,9 @@
     cluster.settle()
     assert not leader.read_results
     for nonce in range(200):
-        leader.on_read_index_request(Talk(READ, 256, 1, leader.term, nonce), "m9")
+        leader.on_read_index_request(
+            ConsensusMessage(READ_INDEX_REQUEST, 256, 1, leader.term, nonce), "m9"
+        )
     assert len(leader.pending_reads) <= raft.MAX_PENDING_READS
 
 
@@ -321,10 +325,10 @@
         cluster.settle()
     leader = cluster.leader
     for number in range(200):
-        leader.receive(Talk(FETCH, 256, 9, 0, 1), f"x{number}", cluster.now)
+        leader.receive(ConsensusMessage(FETCH_ENTRIES, 256, 9, 0, 1), f"x{number}", cluster.now)
     messages = leader.take_messages()
     assert len(messages) == MAX_SERVED_PER_HEARTBEAT and all(
-        message.kind == LINES for _, message in messages
+        message.kind == FETCHED_ENTRIES for _, message in messages
     )
 
 
@@ -332,7 +336,7 @@
 @given(
     st.lists(
         st.builds(
-            Talk,
+            ConsensusMessage,
             st.integers(0, 15),
             st.sampled_from((0, 256, 257, 999)),
             st.integers(0, 4),
@@ -342,7 +346,7 @@
             st.integers(0, 2**40),
             st.integers(0, 9),
             st.lists(
-                st.builds(Line, st.integers(0, 6), st.integers(2, 9), st.binary(max_size=9)),
+                st.builds(LogEntry, st.integers(0, 6), st.integers(2, 9), st.binary(max_size=9)),
                 max_size=3,
             ),
             st.binary(max_size=SNAPSHOT_CHUNK_BYTES),
@@ -356,14 +360,17 @@
     cluster.run(2.0)
     node = cluster.nodes[f"m{which % 3}"]
     for talk in talks:
-        if talk.kind == raft.APPEND and node.role == LEADER and talk.term == node.term:
+        if talk.kind == raft.APPEND_ENTRIES and node.role == LEADER and talk.term == node.term:
             continue  # a term has only one leader, which is this node
-        if talk.kind in (APPEND, LINES):
-            talk = Talk(ASK_EARLY, *[getattr(talk, key) for key in Talk.__struct_fields__[1:]])
-        if talk.kind == PIECE and talk.three > 2**22:
+        if talk.kind in (APPEND_ENTRIES, FETCHED_ENTRIES):
+            talk = ConsensusMessage(
+                PRE_VOTE_REQUEST,
+                *[getattr(talk, key) for key in ConsensusMessage.__struct_fields__[1:]],
+            )
+        if talk.kind == INSTALL_SNAPSHOT and talk.arg3 > 2**22:
             assert not node.snapshot_chunks
         node.receive(talk, "m1", cluster.now)
         node.next_deadline()
-        data = Seal((b"0123456789abcdef",)).seal(Datagram(6, 1, 1, talks=[talk]))
-        assert Seal((b"0123456789abcdef",)).open(data).talks == [talk]
+        data = Seal((b"0123456789abcdef",)).seal(Datagram(6, 1, 1, consensus_messages=[talk]))
+        assert Seal((b"0123456789abcdef",)).open(data).consensus_messages == [talk]
     assert len(node.snapshot_chunks) <= 5 and len(node.pending_reads) <= raft.MAX_PENDING_READS
--- a/tests/kept_control_stage.py
+++ b/tests/kept_control_stage.py
@@ -15,17 +15,25 @@
 import whinpier.fleet.service as link_module
 from whinpier.config import operator
 from whinpier.fleet.control_socket import Control
-from whinpier.fleet.messages import HERE, LOST, SILENT, SUSPECT, Card, Word, pool_mark
+from whinpier.fleet.messages import (
+    ALIVE,
+    LOST,
+    NO_RESPONSE,
+    SUSPECT,
+    MemberMetadata,
+    MemberUpdate,
+    pool_hash,
+)
 from whinpier.fleet.service import Link
 from whinpier.http.transport import Http1
-from whinpier.runtime.process import Life
+from whinpier.runtime.process import Process
 from whinpier.testbed import files
 
 DATA = Path(__file__).parent / "data" / "kept"
 START = 1_700_000_000 * 10**9  # of the wall clock, in ns; the other clock begins at 1,000 s
 MS = 10**6
 UPSTREAMS = {f"s-{number}": f"127.0.0.1:{10 + number}" for number in range(6)}
-STATES = {"here": (HERE, 0), "suspect": (SUSPECT, 0), "lost": (LOST, SILENT)}
+STATES = {"here": (ALIVE, 0), "suspect": (SUSPECT, 0), "lost": (LOST, NO_RESPONSE)}
 AGREEMENT = {
     "voters": ["m0"],
     "build": "b0",
@@ -129,15 +137,15 @@
         patch.setattr(link_module, "Random", Seeded)
         patch.setattr(agreed_module, "Random", Seeded)
         spec = spec_of(folder, **fleet)
-        self.life = Life(spec, Http1(), lambda: spec, operator.changes)
-        self.life.loop.requests = SimpleNamespace(start_soon=lambda *given: None)
-        for pool in self.life.pools.values():
+        self.process = Process(spec, Http1(), lambda: spec, operator.changes)
+        self.process.loop.requests = SimpleNamespace(start_soon=lambda *given: None)
+        for pool in self.process.pools.values():
             pool.start()
-        self.link = self.life.fleet = Link(self.life, spec.fleet, Datagrams())
-        self.link.loop.at(self.link.loop.clock(), self.link, self.link.deal)
+        self.link = self.process.fleet = Link(self.process, spec.fleet, Datagrams())
+        self.link.loop.call_at(self.link.loop.clock(), self.link, self.link.deal)
         if self.link.agreed:
             self.link.agreed.observe_pools()
-            self.link.loop.at(
+            self.link.loop.call_at(
                 self.link.loop.clock(), self.link.agreed, self.link.agreed.run_periodic_tasks
             )
         self.link.schedule()
@@ -146,9 +154,9 @@
     def meet(self, name, state, port):
         """Another member, in a state, by this one's own word."""
         members = self.link.members
-        card = Card(name, port, 1, "127.0.0.1", port, "b1", "z", "rev", (pool_mark("t"),))
+        card = MemberMetadata(name, port, 1, "127.0.0.1", port, "b1", "z", "rev", (pool_hash("t"),))
         number, why = STATES[state]
-        members.admit(card, Word(card.id, 0, number, why, members.card.id), 0, True)
+        members.admit(card, MemberUpdate(card.id, 0, number, why, members.metadata.id), 0, True)
         self.link.pass_on()
 
     def advance(self, span):
@@ -157,7 +165,7 @@
         while loop.timers and loop.timers[0][0] <= START + end:
             at, _, host, call, given = heapq.heappop(loop.timers)
             self.clock.passed = max(self.clock.passed, at - START)
-            loop.enter(host, call, *given)
+            loop.dispatch(host, call, *given)
             self.write()
         self.clock.passed = end
 
@@ -166,7 +174,7 @@
         agreed = self.link.agreed
         while agreed and agreed.node.pending_records:
             anyio.run(agreed.write_pending_records)
-            self.link.loop.enter(agreed, agreed.flush)
+            self.link.loop.dispatch(agreed, agreed.flush)
 
     def ask(self, line, after=lambda: None):
         """All lines that are answered, as they come."""
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,20 +1,25 @@
-"""Stories of routes: which takes a request, what is refused, and the table held against a plain
-scan.
-"""
+"""Routes: which one matches, what is refused, and the table compared with a check of all routes."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from whinpier.routing import normal
-from whinpier.routing.table import Missed, Route, RouteFault, RouteQuery, Table, scan
+from whinpier.routing import normalization
+from whinpier.routing.table import (
+    NoRoute,
+    Route,
+    RouteError,
+    RouteQuery,
+    RoutingTable,
+    find_by_scan,
+)
 
 
 def found(routes, **asked):
-    route = Table(routes).find(
+    route = RoutingTable(routes).find(
         RouteQuery(**{"method": "GET", "host": "a.b.c", "path": "/x"} | asked)
     )
-    return route.reason if isinstance(route, Missed) else route.name
+    return route.reason if isinstance(route, NoRoute) else route.name
 
 
 @pytest.mark.parametrize(
@@ -30,7 +35,7 @@
     ],
 )
 def test_a_host_has_one_form(text, host):
-    assert normal.host(text) == host
+    assert normalization.normalize_host(text) == host
 
 
 @pytest.mark.parametrize(
@@ -57,8 +62,8 @@
     ],
 )
 def test_a_host_that_can_be_read_two_ways_is_refused(text):
-    with pytest.raises(normal.Unclear):
-        normal.host(text)
+    with pytest.raises(normalization.AmbiguousNameError):
+        normalization.normalize_host(text)
 
 
 @pytest.mark.parametrize(
@@ -77,7 +82,7 @@
     ],
 )
 def test_a_path_has_one_form(text, path):
-    assert normal.path(text) == path and normal.path(path) == path
+    assert normalization.normalize_path(text) == path and normalization.normalize_path(path) == path
 
 
 @pytest.mark.parametrize(
@@ -111,8 +116,8 @@
     ],
 )
 def test_a_path_that_can_be_read_two_ways_is_refused(text):
-    with pytest.raises(normal.Unclear):
-        normal.path(text)
+    with pytest.raises(normalization.AmbiguousNameError):
+        normalization.normalize_path(text)
 
 
 @pytest.mark.parametrize(
@@ -193,13 +198,13 @@
     ],
 )
 def test_routes_that_are_ambiguous_or_take_nothing_are_faults_that_name_them(routes):
-    with pytest.raises(RouteFault) as fault:
-        Table(routes)
+    with pytest.raises(RouteError) as fault:
+        RoutingTable(routes)
     assert set(fault.value.routes) == {route.name for route in routes}
 
 
 def test_routes_that_cannot_take_the_same_request_are_no_fault():
-    Table(
+    RoutingTable(
         [
             Route("a", headers={"x-a": "1"}),
             Route("b", headers={"x-a": "2"}),
@@ -229,7 +234,7 @@
     headers,
     st.sampled_from(["", "v"]),
 )
-asked = st.builds(
+query = st.builds(
     RouteQuery,
     st.sampled_from(["GET", "POST"]),
     st.sampled_from(["a", "a.b", "b.b", "x.a.b", "q"]),
@@ -240,10 +245,10 @@
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.lists(route, max_size=25), st.lists(asked, min_size=1, max_size=20))
-def test_the_table_finds_what_a_plain_scan_finds(routes, questions):
+@given(st.lists(route, max_size=25), st.lists(query, min_size=1, max_size=20))
+def test_the_table_finds_what_a_plain_scan_finds(routes, queries):
     kept = []
-    for number, one in enumerate(routes):  # as many of them as are no fault together
+    for number, one in enumerate(routes):  # as many as are valid together
         one = Route(
             f"r{number}",
             one.host,
@@ -254,23 +259,23 @@
             one.request_class,
         )
         try:
-            Table([*kept, one])
+            RoutingTable([*kept, one])
             kept.append(one)
-        except RouteFault:
+        except RouteError:
             pass
-    table = Table(kept)
-    for question in questions:
-        got = table.find(question)
-        assert (None if isinstance(got, Missed) else got) is scan(kept, question)
+    table = RoutingTable(kept)
+    for query in queries:
+        got = table.find(query)
+        assert (None if isinstance(got, NoRoute) else got) is find_by_scan(kept, query)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.text(alphabet="/.%2eE5cCfF0a;\\ab", max_size=12).map(lambda text: "/" + text))
 def test_a_path_that_passes_stays_itself_and_hides_nothing(text):
     try:
-        path = normal.path(text)
-    except normal.Unclear:
+        path = normalization.normalize_path(text)
+    except normalization.AmbiguousNameError:
         return
-    assert normal.path(path) == path
+    assert normalization.normalize_path(path) == path
     assert not {".", ".."} & {part.partition(";")[0] for part in path.split("/")}
     assert "//" not in path and "\\" not in path and "%2F" not in path.upper()
--- a/whinpier/config/platform.py
+++ b/whinpier/config/platform.py
@@ -120,8 +120,10 @@
     for key, known in CHOICES.items():
         one_of(found, key, known)
     for name in found["report.columns"]:
-        if name not in common.COLUMNS.values():
-            raise ConfigFault(f"report.columns: {name!r} is none of {', '.join(common.COLUMNS)}")
+        if name not in common.REPORT_COLUMNS.values():
+            raise ConfigFault(
+                f"report.columns: {name!r} is none of {', '.join(common.REPORT_COLUMNS)}"
+            )
     for index in range(found["workloads.count"]):
         one_of(found, f"workloads.{index}.key_scope", ("all", "zone", "cell"))
     try:
@@ -178,7 +180,7 @@
         raise ConfigFault(f"seed: {given.get('seed')!r} is not a hexadecimal number") from None
     if "settings" not in given:
         raise ConfigFault("settings: is missing")
-    found = common.settings(flat(checked(given, "settings", dict, {})))
+    found = common.parse_settings(flat(checked(given, "settings", dict, {})))
     request_classes = check_settings(found)
     refused = honoured(found)
     pool = PoolSpec(
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -23,25 +23,25 @@
 import msgspec
 
 from whinpier.fleet.messages import (
-    APPEND,
-    ASK_EARLY,
-    ASK_VOTE,
-    BEHIND,
-    EARLY,
-    FETCH,
-    FORWARD,
-    HURRY,
-    LINES,
-    MOST_LINE,
-    MOST_LINES,
-    MOST_TALK,
-    PIECE,
-    READ,
-    READ_AT,
-    TAKEN,
-    VOTED,
-    Line,
-    Talk,
+    APPEND_ACCEPTED,
+    APPEND_ENTRIES,
+    APPEND_REJECTED,
+    FETCH_ENTRIES,
+    FETCHED_ENTRIES,
+    FORWARD_COMMAND,
+    INSTALL_SNAPSHOT,
+    MAX_CONSENSUS_BYTES,
+    MAX_LOG_ENTRIES,
+    MAX_LOG_ENTRY_BYTES,
+    PRE_VOTE_REQUEST,
+    PRE_VOTE_RESPONSE,
+    READ_INDEX_REQUEST,
+    READ_INDEX_RESPONSE,
+    TIMEOUT_NOW,
+    VOTE_REQUEST,
+    VOTE_RESPONSE,
+    ConsensusMessage,
+    LogEntry,
 )
 from whinpier.policy.decaying_sum import SECOND
 
@@ -98,7 +98,7 @@
     log_offset_term: int = 0  # term of that entry
     snapshot_index: int = 0  # index of the last entry that `snapshot` covers
     snapshot: bytes = b""
-    entries: list[Line] = field(default_factory=list)
+    entries: list[LogEntry] = field(default_factory=list)
 
 
 # A journal record is its kind and the values that `replay_journal` reads.
@@ -136,7 +136,7 @@
             f"log entry {index} out of order; {state.log_offset + 1} to {last_index + 1} can follow"
         )
     del state.entries[index - state.log_offset - 1 :]
-    state.entries.append(Line(term, kind, data))
+    state.entries.append(LogEntry(term, kind, data))
 
 
 def _replay_snapshot(
@@ -177,7 +177,7 @@
 class StateMachine(Protocol):
     """Applies the committed commands of the log."""
 
-    def apply(self, index: int, line: Line) -> None:
+    def apply(self, index: int, line: LogEntry) -> None:
         """Apply the next committed command."""
 
     def snapshot(self) -> bytes:
@@ -236,7 +236,7 @@
         # Number of the record and index of the entry, for entries not yet on disk.
         self.unsynced_entries = deque[tuple[int, int]]()
         # Number of the record to wait for, recipient, message.
-        self.outbox: deque[tuple[int, str, Talk]] = deque()
+        self.outbox: deque[tuple[int, str, ConsensusMessage]] = deque()
         self.role = FOLLOWER
         self.leader = ""
         self.votes: set[str] = set()
@@ -264,7 +264,7 @@
         self.heartbeat_due = now
         self.reset_election_timer()
         self.retained_entries = RETAINED_ENTRIES
-        self.max_entries_per_append = MOST_LINES
+        self.max_entries_per_append = MAX_LOG_ENTRIES
         self.counts: Counter[str] = Counter()
         self.events: list[tuple[str, dict[str, Any]]] = []  # name and fields, for the log
         if state.snapshot:
@@ -284,7 +284,7 @@
             return self.log_offset_term
         return self.entry(index).term
 
-    def entry(self, index: int) -> Line:
+    def entry(self, index: int) -> LogEntry:
         """Return the entry at an index, which must be above `log_offset`."""
         return self.entries[index - self.log_offset - 1]
 
@@ -319,7 +319,7 @@
         self.records_issued += 1
         return self.records_issued
 
-    def append_entry(self, index: int, entry: Line) -> None:
+    def append_entry(self, index: int, entry: LogEntry) -> None:
         """Store an entry as the last one; uncommitted entries from its index on are removed."""
         if index <= self.last_index:
             self.truncate_from(index)
@@ -361,7 +361,9 @@
             if self.role == LEADER:
                 self.advance_commit_index()
             elif self.leader and self.matched_index:
-                self.send(self.leader, TAKEN, 1, self.durable_match_index(), self.matched_index)
+                self.send(
+                    self.leader, APPEND_ACCEPTED, 1, self.durable_match_index(), self.matched_index
+                )
 
     # Sending.
 
@@ -373,12 +375,12 @@
         arg2: int = 0,
         arg3: int = 0,
         arg4: int = 0,
-        lines: list[Line] | None = None,
+        lines: list[LogEntry] | None = None,
         data: bytes = b"",
         term: int | None = None,
     ) -> None:
         """Queue a message; the numbers and `term` (default: the current one) depend on its kind."""
-        message = Talk(
+        message = ConsensusMessage(
             kind,
             self.cluster_id,
             self.disk_id,
@@ -399,7 +401,7 @@
         """
         return self.term_record
 
-    def take_messages(self) -> list[tuple[str, Talk]]:
+    def take_messages(self) -> list[tuple[str, ConsensusMessage]]:
         """Remove and return the messages that may be sent now, with their recipients."""
         ready = []
         while self.outbox and self.outbox[0][0] <= self.records_synced:
@@ -461,7 +463,11 @@
         self.counts["early"] += 1
         for name in self.other_voters():
             self.send(
-                name, ASK_EARLY, self.last_index, self.term_at(self.last_index), term=self.term + 1
+                name,
+                PRE_VOTE_REQUEST,
+                self.last_index,
+                self.term_at(self.last_index),
+                term=self.term + 1,
             )
         if self.is_quorum(self.votes):
             self.start_election()
@@ -476,7 +482,7 @@
         self.counts["elections"] += 1
         for name in self.other_voters():
             self.send(
-                name, ASK_VOTE, self.last_index, self.term_at(self.last_index), int(is_transfer)
+                name, VOTE_REQUEST, self.last_index, self.term_at(self.last_index), int(is_transfer)
             )
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
@@ -489,55 +495,60 @@
             self.role == LEADER or self.now - self.leader_contact_at < self.timing.election_timeout
         )
 
-    def on_pre_vote_request(self, message: Talk, sender: str) -> None:
+    def on_pre_vote_request(self, message: ConsensusMessage, sender: str) -> None:
         """Answer whether this node would vote for the sender."""
         is_granted = (
             message.term > self.term
-            and self.is_up_to_date(message.one, message.two)
+            and self.is_up_to_date(message.arg1, message.arg2)
             and not self.has_leader_contact()
             and self.now >= self.vote_allowed_at
         )
-        self.send(sender, EARLY, int(is_granted), term=message.term if is_granted else self.term)
+        self.send(
+            sender,
+            PRE_VOTE_RESPONSE,
+            int(is_granted),
+            term=message.term if is_granted else self.term,
+        )
 
-    def on_pre_vote_response(self, message: Talk, sender: str) -> None:
+    def on_pre_vote_response(self, message: ConsensusMessage, sender: str) -> None:
         """Count a pre-vote; a quorum of them starts the election."""
-        is_granted = self.role == PRE_CANDIDATE and message.one and message.term == self.term + 1
+        is_granted = self.role == PRE_CANDIDATE and message.arg1 and message.term == self.term + 1
         if is_granted and self.is_from_voter(message, sender):
             self.votes.add(sender)
             if self.is_quorum(self.votes):
                 self.start_election()
 
-    def on_vote_request(self, message: Talk, sender: str) -> None:
+    def on_vote_request(self, message: ConsensusMessage, sender: str) -> None:
         """Answer RequestVote (3.4)."""
         if message.term == self.term and self.can_grant_vote(message):
             if not self.voted_for:
                 self.role = FOLLOWER
                 self.set_term_and_vote(self.term, message.disk)
             self.reset_election_timer()
-            self.send(sender, VOTED, 1)
+            self.send(sender, VOTE_RESPONSE, 1)
         else:
-            self.send(sender, VOTED, 0)
+            self.send(sender, VOTE_RESPONSE, 0)
 
-    def can_grant_vote(self, message: Talk) -> bool:
+    def can_grant_vote(self, message: ConsensusMessage) -> bool:
         """Return whether this node may vote for a candidate of the current term."""
         return (
             self.voted_for in (0, message.disk)
             and self.now >= self.vote_allowed_at
-            and self.is_up_to_date(message.one, message.two)
+            and self.is_up_to_date(message.arg1, message.arg2)
         )
 
-    def on_vote_response(self, message: Talk, sender: str) -> None:
+    def on_vote_response(self, message: ConsensusMessage, sender: str) -> None:
         """Count a vote for this node."""
         if (
             self.role == CANDIDATE
             and message.term == self.term
-            and message.one
+            and message.arg1
             and self.is_from_voter(message, sender)
         ):
             self.votes.add(sender)
             self.count_votes()
 
-    def is_from_voter(self, message: Talk, sender: str) -> bool:
+    def is_from_voter(self, message: ConsensusMessage, sender: str) -> bool:
         """Return whether a message comes from the disk that is the voter under its sender's name."""
         return self.config.get(sender) == message.disk
 
@@ -577,14 +588,14 @@
         if self.role == LEADER and self.match_index:
             successor = max(self.match_index, key=lambda name: (self.match_index[name], name))
             if successor in self.config:
-                self.send(successor, HURRY)
+                self.send(successor, TIMEOUT_NOW)
 
     # Replication.
 
     def append_as_leader(self, kind: int, data: bytes) -> int:
         """Append an entry of the current term, send it to the voters and return its index."""
         index = self.last_index + 1
-        self.append_entry(index, Line(self.term, kind, data))
+        self.append_entry(index, LogEntry(self.term, kind, data))
         self.broadcast(False)
         return index
 
@@ -611,7 +622,7 @@
         self.sent_commit_index[name] = self.commit_index
         self.send(
             name,
-            APPEND,
+            APPEND_ENTRIES,
             first - 1,
             self.term_at(first - 1),
             self.commit_index,
@@ -619,14 +630,14 @@
             entries,
         )
 
-    def entries_for_message(self, first: int, last: int) -> list[Line]:
+    def entries_for_message(self, first: int, last: int) -> list[LogEntry]:
         """Return as many of the entries from `first` to `last` as fit into one message.
 
         The first one is returned in any case, if there is one.
         """
-        entries = list[Line]()
-        remaining_bytes = MOST_TALK - MESSAGE_OVERHEAD_BYTES
-        for index in range(first, min(last, first + MOST_LINES - 1) + 1):
+        entries = list[LogEntry]()
+        remaining_bytes = MAX_CONSENSUS_BYTES - MESSAGE_OVERHEAD_BYTES
+        for index in range(first, min(last, first + MAX_LOG_ENTRIES - 1) + 1):
             entry = self.entry(index)
             remaining_bytes -= len(entry.data) + ENTRY_OVERHEAD_BYTES
             if remaining_bytes < 0 and entries:
@@ -634,13 +645,13 @@
             entries.append(entry)
         return entries
 
-    def on_append_entries(self, message: Talk, sender: str) -> None:
+    def on_append_entries(self, message: ConsensusMessage, sender: str) -> None:
         """Follow the sender, store its entries and commit what it has committed (3.5)."""
-        previous_index = message.one
-        leader_commit = message.three
-        round_number = message.four
+        previous_index = message.arg1
+        leader_commit = message.arg3
+        round_number = message.arg4
         if message.term < self.term:
-            self.send(sender, TAKEN, 0, 0, 0, 0)
+            self.send(sender, APPEND_ACCEPTED, 0, 0, 0, 0)
             return
         if self.leader != sender:
             self.leader = sender
@@ -651,7 +662,9 @@
         self.leader_contact_at = self.now
         self.reset_election_timer()
         if not self.matches_previous_entry(message):
-            self.send(sender, TAKEN, 0, self.conflict_index(previous_index), 0, round_number)
+            self.send(
+                sender, APPEND_ACCEPTED, 0, self.conflict_index(previous_index), 0, round_number
+            )
             return
         for index, entry in enumerate(message.lines, previous_index + 1):
             is_present = index <= self.last_index and self.term_at(index) == entry.term
@@ -660,17 +673,19 @@
             self.append_entry(index, entry)
         last_new_index = previous_index + len(message.lines)
         self.matched_index = max(self.matched_index, last_new_index)
-        self.send(sender, TAKEN, 1, self.durable_match_index(), self.matched_index, round_number)
+        self.send(
+            sender, APPEND_ACCEPTED, 1, self.durable_match_index(), self.matched_index, round_number
+        )
         self.commit_through(min(leader_commit, last_new_index))
 
     def durable_match_index(self) -> int:
         """Return the last entry of the leader's log that is on this node's disk."""
         return min(self.durable_index, self.matched_index)
 
-    def matches_previous_entry(self, message: Talk) -> bool:
+    def matches_previous_entry(self, message: ConsensusMessage) -> bool:
         """Return whether the entry before those of an AppendEntries is the same in both logs."""
-        previous_index = message.one
-        previous_term = message.two
+        previous_index = message.arg1
+        previous_term = message.arg2
         return previous_index <= self.last_index and (
             previous_index < self.log_offset or self.term_at(previous_index) == previous_term
         )
@@ -687,7 +702,7 @@
             index -= 1
         return max(index, self.commit_index + 1)
 
-    def on_append_response(self, message: Talk, sender: str) -> None:
+    def on_append_response(self, message: ConsensusMessage, sender: str) -> None:
         """Move a voter's next and match index, and send it what it lacks."""
         if (
             self.role != LEADER
@@ -696,12 +711,12 @@
         ):
             return
         self.last_response_at[sender] = self.now
-        self.acked_rounds[sender] = max(self.acked_rounds.get(sender, 0), message.four)
+        self.acked_rounds[sender] = max(self.acked_rounds.get(sender, 0), message.arg4)
         self.in_flight_since.pop(sender, None)
-        is_success = message.one
+        is_success = message.arg1
         if is_success:
-            self.match_index[sender] = max(self.match_index.get(sender, 0), message.two)
-            self.next_index[sender] = max(self.next_index.get(sender, 1), message.three + 1)
+            self.match_index[sender] = max(self.match_index.get(sender, 0), message.arg2)
+            self.next_index[sender] = max(self.next_index.get(sender, 1), message.arg3 + 1)
             self.advance_commit_index()
             lacks_something = (
                 self.next_index[sender] <= self.last_index
@@ -709,11 +724,11 @@
             )
             if lacks_something and sender not in self.in_flight_since:
                 self.send_entries(sender)
-        elif message.two > self.match_index.get(sender, 0):
-            self.next_index[sender] = min(message.two, self.last_index + 1)
+        elif message.arg2 > self.match_index.get(sender, 0):
+            self.next_index[sender] = min(message.arg2, self.last_index + 1)
             if self.next_index[sender] <= self.log_offset:
                 # The entries that the voter lacks are compacted away: it has to fetch the snapshot.
-                self.send(sender, BEHIND, self.commit_index)
+                self.send(sender, APPEND_REJECTED, self.commit_index)
             else:
                 self.send_entries(sender)
         self.answer_pending_reads()
@@ -813,7 +828,7 @@
         self.join_cluster(cluster_id)
         self.set_term_and_vote(1, 0)
         for kind, data in [(CONFIG_ENTRY, pack(config)), *commands]:
-            self.append_entry(self.last_index + 1, Line(1, kind, data))
+            self.append_entry(self.last_index + 1, LogEntry(1, kind, data))
         self.election_due = self.now
 
     def recover(self) -> None:
@@ -830,7 +845,7 @@
         self.step_down("recovered")
         self.set_term_and_vote(self.term + 1, 0)
         config = pack({self.name: self.disk_id})
-        self.append_entry(self.last_index + 1, Line(self.term, CONFIG_ENTRY, config))
+        self.append_entry(self.last_index + 1, LogEntry(self.term, CONFIG_ENTRY, config))
         self.election_due = self.vote_allowed_at = self.now
 
     def propose(self, kind: int, data: bytes) -> bool:
@@ -842,7 +857,7 @@
         if (
             self.role != LEADER
             or self.last_index - self.commit_index >= MAX_UNCOMMITTED
-            or len(data) > MOST_LINE
+            or len(data) > MAX_LOG_ENTRY_BYTES
         ):
             return False
         uncommitted = self.entries[self.commit_index - self.log_offset :]
@@ -852,7 +867,7 @@
             self.append_as_leader(kind, data)
         return True
 
-    def on_forwarded_command(self, message: Talk) -> None:
+    def on_forwarded_command(self, message: ConsensusMessage) -> None:
         """Propose a command that another member was given."""
         for entry in message.lines[:1]:
             if entry.kind > CONFIG_ENTRY:
@@ -864,12 +879,14 @@
         Once that entry is applied here, a read sees all that was committed when it was asked for.
         """
         if self.role == LEADER:
-            request = Talk(READ, self.cluster_id, self.disk_id, self.term, nonce)
+            request = ConsensusMessage(
+                READ_INDEX_REQUEST, self.cluster_id, self.disk_id, self.term, nonce
+            )
             self.on_read_index_request(request, self.name)
         elif self.leader:
-            self.send(self.leader, READ, nonce)
+            self.send(self.leader, READ_INDEX_REQUEST, nonce)
 
-    def on_read_index_request(self, message: Talk, sender: str) -> None:
+    def on_read_index_request(self, message: ConsensusMessage, sender: str) -> None:
         """Note the commit index and begin a round that confirms this node's leadership.
 
         Without an answer the sender asks again: this node doesn't lead, has not committed an entry
@@ -881,7 +898,7 @@
             or len(self.pending_reads) >= MAX_PENDING_READS
         ):
             return
-        self.pending_reads.append((self.round + 1, sender, message.one, self.commit_index))
+        self.pending_reads.append((self.round + 1, sender, message.arg1, self.commit_index))
         self.broadcast(False)
         self.answer_pending_reads()
 
@@ -898,7 +915,7 @@
             elif sender == self.name:
                 self.read_results.append((nonce, index))
             else:
-                self.send(sender, READ_AT, nonce, index)
+                self.send(sender, READ_INDEX_RESPONSE, nonce, index)
         self.pending_reads = unanswered
 
     # Learning from other members.
@@ -1002,7 +1019,9 @@
         missing_offset = 0
         while missing_offset in self.snapshot_chunks:
             missing_offset += SNAPSHOT_CHUNK_BYTES
-        self.send(source, FETCH, self.commit_index + 1, missing_offset, self.incoming_snapshot[0])
+        self.send(
+            source, FETCH_ENTRIES, self.commit_index + 1, missing_offset, self.incoming_snapshot[0]
+        )
 
     def may_serve_learner(self) -> bool:
         """Count one message to a learner; return whether it is within the limit of the interval."""
@@ -1012,9 +1031,9 @@
         self.served_messages += 1
         return self.served_messages <= MAX_SERVED_PER_HEARTBEAT
 
-    def on_fetch(self, message: Talk, sender: str) -> None:
+    def on_fetch(self, message: ConsensusMessage, sender: str) -> None:
         """Send committed entries, or chunks of the snapshot where the entries are compacted away."""
-        first = message.one
+        first = message.arg1
         if first > self.commit_index:
             return
         if first <= self.log_offset:
@@ -1031,23 +1050,29 @@
             index += len(entries)
             sent_messages += 1
             is_last = index > self.commit_index or sent_messages == MAX_MESSAGES_PER_FETCH
-            self.send(sender, LINES, index - len(entries), int(is_last), lines=entries)
+            self.send(sender, FETCHED_ENTRIES, index - len(entries), int(is_last), lines=entries)
 
-    def send_snapshot_chunks(self, message: Talk, sender: str) -> None:
+    def send_snapshot_chunks(self, message: ConsensusMessage, sender: str) -> None:
         """Send the chunks that follow those which the sender of a fetch has of this snapshot."""
-        offset = message.two if message.three == self.snapshot_index else 0
+        offset = message.arg2 if message.arg3 == self.snapshot_index else 0
         end = min(len(self.snapshot), offset + MAX_MESSAGES_PER_FETCH * SNAPSHOT_CHUNK_BYTES)
         for start in range(offset, end, SNAPSHOT_CHUNK_BYTES):
             if self.may_serve_learner():
                 chunk = self.snapshot[start : start + SNAPSHOT_CHUNK_BYTES]
                 self.send(
-                    sender, PIECE, self.snapshot_index, start, len(self.snapshot), 0, data=chunk
+                    sender,
+                    INSTALL_SNAPSHOT,
+                    self.snapshot_index,
+                    start,
+                    len(self.snapshot),
+                    0,
+                    data=chunk,
                 )
 
-    def on_fetched_entries(self, message: Talk) -> None:
+    def on_fetched_entries(self, message: ConsensusMessage) -> None:
         """Store and commit entries that another member knows to be committed."""
-        first = message.one
-        is_last = message.two
+        first = message.arg1
+        is_last = message.arg2
         if first > self.commit_index + 1:
             return
         for index, entry in enumerate(message.lines, first):
@@ -1060,7 +1085,7 @@
         if is_last and self.is_behind():
             self.fetch_missing()
 
-    def adopt_term(self, entries: Iterable[Line]) -> None:
+    def adopt_term(self, entries: Iterable[LogEntry]) -> None:
         """Raise the term to that of learned entries, so that no leader of an earlier one is followed."""
         term = max((entry.term for entry in entries), default=0)
         if term > self.term:
@@ -1068,11 +1093,11 @@
             self.step_down("learned entries of a later term")
             self.leader = ""
 
-    def on_snapshot_chunk(self, message: Talk) -> None:
+    def on_snapshot_chunk(self, message: ConsensusMessage) -> None:
         """Collect the chunks of a snapshot and install it once it is complete."""
-        snapshot_index = message.one
-        offset = message.two
-        size = message.three
+        snapshot_index = message.arg1
+        offset = message.arg2
+        size = message.arg3
         if (
             snapshot_index <= self.commit_index
             or size > MAX_SNAPSHOT_BYTES
@@ -1121,11 +1146,11 @@
             self.durable_index = index
         self.add_record(SNAPSHOT_RECORD, index, snapshot, index, term)
         self.counts["states_learned"] += 1
-        self.adopt_term([Line(term, NO_OP_ENTRY)])
+        self.adopt_term([LogEntry(term, NO_OP_ENTRY)])
 
     # Receiving.
 
-    def receive(self, message: Talk, sender: str, now: int) -> None:
+    def receive(self, message: ConsensusMessage, sender: str, now: int) -> None:
         """Handle a message whose sender is authenticated as a member of the fleet."""
         self.now = max(self.now, now)
         if message.record != self.cluster_id:
@@ -1136,57 +1161,64 @@
                 return
         kind = message.kind
         # A granted pre-vote carries the term that its sender would vote in, not the one it is in.
-        carries_sender_term = kind in (ASK_VOTE, VOTED, APPEND, TAKEN, HURRY) or (
-            kind == EARLY and not message.one
-        )
+        carries_sender_term = kind in (
+            VOTE_REQUEST,
+            VOTE_RESPONSE,
+            APPEND_ENTRIES,
+            APPEND_ACCEPTED,
+            TIMEOUT_NOW,
+        ) or (kind == PRE_VOTE_RESPONSE and not message.arg1)
         if (
             carries_sender_term
             and message.term > self.term
             and not self.ignores_vote_request(message)
         ):
             self.on_later_term(message)
-        if kind == ASK_EARLY:
+        if kind == PRE_VOTE_REQUEST:
             self.on_pre_vote_request(message, sender)
-        elif kind == EARLY:
+        elif kind == PRE_VOTE_RESPONSE:
             self.on_pre_vote_response(message, sender)
-        elif kind == ASK_VOTE:
+        elif kind == VOTE_REQUEST:
             self.on_vote_request(message, sender)
-        elif kind == VOTED:
+        elif kind == VOTE_RESPONSE:
             self.on_vote_response(message, sender)
-        elif kind == APPEND:
+        elif kind == APPEND_ENTRIES:
             self.on_append_entries(message, sender)
-        elif kind == TAKEN:
+        elif kind == APPEND_ACCEPTED:
             self.on_append_response(message, sender)
-        elif kind == BEHIND:  # the leader no longer has the entries that this voter lacks
-            self.on_commit_announced(sender, message.record, message.one)
+        elif kind == APPEND_REJECTED:  # the leader no longer has the entries that this voter lacks
+            self.on_commit_announced(sender, message.record, message.arg1)
             if self.is_behind():
                 self.fetch_missing()
-        elif kind == FETCH:
+        elif kind == FETCH_ENTRIES:
             self.on_fetch(message, sender)
-        elif kind == LINES:
+        elif kind == FETCHED_ENTRIES:
             self.on_fetched_entries(message)
-        elif kind == PIECE:
+        elif kind == INSTALL_SNAPSHOT:
             self.on_snapshot_chunk(message)
-        elif kind == FORWARD:
+        elif kind == FORWARD_COMMAND:
             self.on_forwarded_command(message)
-        elif kind == READ:
+        elif kind == READ_INDEX_REQUEST:
             self.on_read_index_request(message, sender)
-        elif kind == READ_AT:
-            self.read_results.append((message.one, message.two))
+        elif kind == READ_INDEX_RESPONSE:
+            self.read_results.append((message.arg1, message.arg2))
             del self.read_results[:-MAX_PENDING_READS]
         elif (
-            kind == HURRY and self.is_voter and message.term == self.term and sender == self.leader
+            kind == TIMEOUT_NOW
+            and self.is_voter
+            and message.term == self.term
+            and sender == self.leader
         ):
             self.start_election(True)
 
-    def ignores_vote_request(self, message: Talk) -> bool:
+    def ignores_vote_request(self, message: ConsensusMessage) -> bool:
         """Return whether to disregard the term of a vote request because a leader is in contact.
 
         Its sender was removed or partitioned (4.2.3), unless the leader itself asked it to stand.
         """
-        return message.kind == ASK_VOTE and not message.three and self.has_leader_contact()
+        return message.kind == VOTE_REQUEST and not message.arg3 and self.has_leader_contact()
 
-    def on_later_term(self, message: Talk) -> None:
+    def on_later_term(self, message: ConsensusMessage) -> None:
         """Enter the later term of a message as a follower."""
         self.set_term_and_vote(message.term, 0)
         self.step_down("a later term")
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -38,7 +38,16 @@
     replay_journal,
     unpack,
 )
-from whinpier.fleet.messages import FORWARD, HERE, RECORD_NEWS, REPORT, STALE, SUSPECT, Line, Talk
+from whinpier.fleet.messages import (
+    ALIVE,
+    FORWARD_COMMAND,
+    LOG_PROGRESS_CHANNEL,
+    MEMBER_REPORT,
+    STALE_DISK,
+    SUSPECT,
+    ConsensusMessage,
+    LogEntry,
+)
 from whinpier.fleet.rollouts.commands import CommandHeader, EntryKind, SetBudget, encode
 from whinpier.fleet.rollouts.controller import RolloutController
 from whinpier.fleet.rollouts.model import MemberOrders, MemberReport, MemberView
@@ -121,7 +130,7 @@
         self.link = link
         self.spec = spec
         self.loop = link.loop
-        self.process = link.life
+        self.process = link.process
         self.now = self.started_at = self.loop.clock()
         # Seeded by the operating system: ids of disks and commands must be unique.
         self.random = Random(Random().getrandbits(64))
@@ -170,7 +179,7 @@
         self.is_current = False  # whether the orders that are known here may be acted on
         self.scheduled_tick = 0  # 0: none
         self.is_drained = False
-        self.process.aside = True  # until the orders are known
+        self.process.out_of_rotation = True  # until the orders are known
         self.member_ids: dict[str, int] = {}
         self.member_ids_version = -1
 
@@ -226,7 +235,7 @@
                 while self.node.pending_records:
                     if not await self.write_pending_records():
                         await anyio.sleep(WRITE_RETRY_SECONDS)
-                    self.loop.enter(self, self.flush)
+                    self.loop.dispatch(self, self.flush)
         finally:
             self.journal.close()
 
@@ -266,7 +275,7 @@
         """Start the journal's writer, the periodic tasks and the node's timers."""
         self.observe_pools()
         self.loop.spawn(self.run_journal_writer, lambda: None)
-        self.loop.at(self.now, self, self.run_periodic_tasks)
+        self.loop.call_at(self.now, self, self.run_periodic_tasks)
         self.flush()
 
     def on_pools_changed(self) -> None:
@@ -277,7 +286,7 @@
     def observe_pools(self) -> None:
         """Count the finished requests of all pools."""
         for pool in self.process.pools.values():
-            pool.judge = self.on_request_finished
+            pool.on_request_finished = self.on_request_finished
 
     def leave(self) -> None:
         """Hand over leadership before the process ends."""
@@ -289,7 +298,7 @@
         self.requests_finished += 1
         if how == Outcome.SUCCEEDED:
             self.requests_on_time += (
-                request.pool.now - request.came <= request.request_class.latency_objective
+                request.pool.now - request.arrived_at <= request.request_class.latency_objective
             )
         elif how == "scrapped":
             self.requests_scrapped += 1
@@ -298,22 +307,22 @@
 
     # Messages.
 
-    def receive(self, sender: int, message: Talk) -> None:
+    def receive(self, sender: int, message: ConsensusMessage) -> None:
         """Handle a consensus message of another member; unknown senders are ignored."""
         member = self.link.members.members.get(sender)
         if member is None:
             return
-        name = member.card.name
+        name = member.metadata.name
         now = self.loop.clock()
-        if message.kind == REPORT:
+        if message.kind == MEMBER_REPORT:
             self.on_member_report(name, sender, message, now)
             return
-        if message.kind == STALE:
+        if message.kind == STALE_DISK:
             self.on_stale_disk(message)
             return
         self.node.receive(message, name, now)
 
-    def on_member_report(self, name: str, sender: int, message: Talk, now: int) -> None:
+    def on_member_report(self, name: str, sender: int, message: ConsensusMessage, now: int) -> None:
         """Hand a member's report to the rollout controller, while this process leads."""
         if self.controller is None:
             return
@@ -323,14 +332,14 @@
             return
         self.controller.on_report(name, sender, report, now)
 
-    def on_stale_disk(self, message: Talk) -> None:
+    def on_stale_disk(self, message: ConsensusMessage) -> None:
         """Start over with a new disk id if this disk is an old copy.
 
         Another member has heard a higher version of this disk than it had when this process
         started. An old copy could vote a second time in a term or lack entries that it confirmed.
         """
-        known_version = message.one
-        disk_id = message.two
+        known_version = message.arg1
+        disk_id = message.arg2
         old = self.node
         if disk_id != old.disk_id or known_version <= self.disk_version_at_start:
             return
@@ -365,16 +374,16 @@
             or min(cluster_id, disk_id, term, commit_index, leader_disk, disk_version) < 0
         ):
             return
-        name = sender.card.name
+        name = sender.metadata.name
         self.has_heard_announcement = True
         if name in self.announced_disks or len(self.announced_disks) < MAX_KNOWN_MEMBERS:
             self.announced_disks[name] = disk_id, cluster_id
         last_member, highest_version = self.known_disks.get(disk_id, (member, 0))
         if last_member != member and disk_version < highest_version:
-            message = Talk(
-                STALE, self.node.cluster_id, self.node.disk_id, 0, highest_version, disk_id
+            message = ConsensusMessage(
+                STALE_DISK, self.node.cluster_id, self.node.disk_id, 0, highest_version, disk_id
             )
-            self.link.members.send_talks([(member, message)], self.loop.clock())
+            self.link.members.send_consensus_messages([(member, message)], self.loop.clock())
         elif disk_id in self.known_disks or len(self.known_disks) < MAX_KNOWN_MEMBERS:
             self.known_disks[disk_id] = member, max(disk_version, highest_version)
         self.node.now = max(self.node.now, self.loop.clock())
@@ -383,10 +392,10 @@
     def connected_members(self) -> dict[str, int]:
         """Return the ids of the members that are connected, by name."""
         members = self.link.members
-        if self.member_ids_version != members.changes:
-            self.member_ids_version = members.changes
+        if self.member_ids_version != members.change_count:
+            self.member_ids_version = members.change_count
             self.member_ids = {
-                member.card.name: member.id
+                member.metadata.name: member.id
                 for member in members.members.values()
                 if member.connected
             }
@@ -400,7 +409,7 @@
             (member_ids[to], message) for to, message in node.take_messages() if to in member_ids
         ]
         if messages:
-            self.link.members.send_talks(messages, self.loop.clock())
+            self.link.members.send_consensus_messages(messages, self.loop.clock())
             self.link.pass_on()
         if node.pending_records:
             self.records_pending.set()
@@ -413,7 +422,7 @@
         node.events = []
         if node.commit_index != self.seen_commit:
             self.seen_commit = node.commit_index
-            self.link.members.carry(RECORD_NEWS, node.announcement(self.disk_version))
+            self.link.members.publish(LOG_PROGRESS_CHANNEL, node.announcement(self.disk_version))
         if self.state_machine.changes != self.seen_changes:
             self.seen_changes = self.state_machine.changes
             self.apply_orders()
@@ -429,7 +438,7 @@
         deadline = self.node.next_deadline()
         if not self.scheduled_tick or deadline < self.scheduled_tick:
             self.scheduled_tick = deadline
-            self.loop.at(deadline, self, self.tick, deadline)
+            self.loop.call_at(deadline, self, self.tick, deadline)
 
     def tick(self, deadline: int) -> None:
         """Let the node do what is due; a tick that an earlier one has replaced does nothing."""
@@ -445,8 +454,8 @@
         now = self.now = self.loop.clock()
         state = self.state_machine.state
         is_busy = bool(state.rollout or state.drains or self.pending_commands)
-        self.loop.at(now + (BUSY_PERIOD if is_busy else PERIOD), self, self.run_periodic_tasks)
-        self.link.members.carry(RECORD_NEWS, self.node.announcement(self.disk_version))
+        self.loop.call_at(now + (BUSY_PERIOD if is_busy else PERIOD), self, self.run_periodic_tasks)
+        self.link.members.publish(LOG_PROGRESS_CHANNEL, self.node.announcement(self.disk_version))
         self.update_is_current(now)
         self.bootstrap_if_ready()
         if self.node.role == LEADER:
@@ -515,7 +524,7 @@
         assert self.controller
         self.controller.on_report(
             self.link.spec.name,
-            self.link.members.card.id,
+            self.link.members.metadata.id,
             with_memory_usage(self.build_report()),
             now,
         )
@@ -554,15 +563,15 @@
     def member_views(self) -> dict[str, MemberView]:
         """Return the fleet's members by name, as this process sees them."""
         members = self.link.members
-        own = members.card
+        own = members.metadata
         views = {own.name: MemberView(own.name, own.id, own.zone, not self.process.stopping)}
         for member in members.members.values():
-            name = member.card.name
-            is_present = member.state in (HERE, SUSPECT)
+            name = member.metadata.name
+            is_present = member.state in (ALIVE, SUSPECT)
             # A name may have several runs: the one that is present counts.
             if name not in views or (is_present and not views[name].is_present):
                 views[name] = MemberView(
-                    name, member.id, member.card.zone, is_present, member.unheard
+                    name, member.id, member.metadata.zone, is_present, member.unreachable
                 )
         return views
 
@@ -576,7 +585,7 @@
     def apply_orders(self) -> None:
         """Carry out the committed drains, release and build of this process."""
         orders = self.orders
-        self.process.aside = orders.is_drained or not self.is_current
+        self.process.out_of_rotation = orders.is_drained or not self.is_current
         if self.is_current and orders.is_drained != self.is_drained:
             self.is_drained = orders.is_drained
             self.emit_event(
@@ -585,7 +594,7 @@
             )
             self.link.share(not self.is_drained)
         for pool in self.process.pools.values():
-            pool.drain(frozenset(self.state_machine.drained_upstreams(pool.name)))
+            pool.set_drained(frozenset(self.state_machine.drained_upstreams(pool.name)))
         if self.avoided_content is not None and orders.content_hash != self.avoided_content:
             self.avoided_content = None
         if self.refused_content is not None and orders.content_hash != self.refused_content:
@@ -636,12 +645,12 @@
         """Apply a release (compressed; empty: the process's own file) entirely or not at all."""
         try:
             text = release_file_text(wanted, data)
-            reader = cast(ReleaseReader, self.process.reread)
+            reader = cast(ReleaseReader, self.process.read_config)
             spec = await anyio.to_thread.run_sync(reader.check, text)
         except (ConfigFault, ValueError, zlib.error) as fault:
             self.refuse_release(wanted, fault)
             self.emit_event("release_refused", content=wanted, fault=self.refusal_reason)
-            self.loop.enter(self, self.send_report)
+            self.loop.dispatch(self, self.send_report)
             return
         try:
             await anyio.to_thread.run_sync(self.write_release_file, text)
@@ -650,7 +659,7 @@
             log.warning("release_file_failed", file=self.release_file, fault=fault)
             return
         self.previous_content = self.running_content
-        await self.process.configure()
+        await self.process.reload()
         self.switching = False
         if self.process.spec.revision != spec.revision:
             self.refuse_release(wanted, "could not be applied")
@@ -667,7 +676,7 @@
             self.emit_event(
                 "release_applied", content=wanted or "own", before=self.previous_content or "own"
             )
-        self.loop.enter(self, self.on_release_switched)
+        self.loop.dispatch(self, self.on_release_switched)
 
     def on_release_switched(self) -> None:
         """Apply orders that came during the switch, and report it."""
@@ -719,15 +728,15 @@
         """Return this process's state as the leader needs it."""
         process = self.process
         orders = self.orders
-        is_idle = not process.out() and not any(
-            front.has_pending_responses() for front in process.fronts
+        is_idle = not process.in_flight() and not any(
+            front.has_pending_responses() for front in process.frontends
         )
         idle_drains: list[int] = []  # permits of drained upstreams without requests from here
         for pool in process.pools.values():
             idle_drains += [
                 permit
                 for host, permit in self.state_machine.drained_upstreams(pool.name).items()
-                if not pool.out_at(host)
+                if not pool.in_flight_at(host)
             ]
         return MemberReport(
             self.node.commit_index,
@@ -735,7 +744,7 @@
             self.spec.build,
             process.ready(),
             orders.is_drained,
-            orders.is_drained and process.aside and is_idle,
+            orders.is_drained and process.out_of_rotation and is_idle,
             self.refused_content or "",
             self.refusal_reason,
             tuple(idle_drains[:MAX_REPORTED_DRAINS]),
@@ -761,7 +770,7 @@
             return
         self.last_report = report
         self.last_report_at = now
-        node.send(node.leader, REPORT, data=encode(with_memory_usage(report)))
+        node.send(node.leader, MEMBER_REPORT, data=encode(with_memory_usage(report)))
 
     # Operators' commands and questions.
 
@@ -789,7 +798,9 @@
             if node.role == LEADER:
                 node.propose(command.kind, command.data)
             elif node.leader:
-                node.send(node.leader, FORWARD, lines=[Line(0, command.kind, command.data)])
+                node.send(
+                    node.leader, FORWARD_COMMAND, lines=[LogEntry(0, command.kind, command.data)]
+                )
             else:
                 continue
             command.sent = now
@@ -833,7 +844,7 @@
             "runs": self.running_content,
             "build": self.spec.build,
             "current": self.is_current,
-            "aside": self.process.aside,
+            "aside": self.process.out_of_rotation,
         }
 
 
--- a/whinpier/fleet/control_commands.py
+++ b/whinpier/fleet/control_commands.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from whinpier.fleet.consensus.node import LEADER
-from whinpier.fleet.messages import MOST_LINE
+from whinpier.fleet.messages import MAX_LOG_ENTRY_BYTES
 from whinpier.fleet.rollouts.commands import (
     ENTRY_TYPES,
     MAX_TEXT,
@@ -153,8 +153,10 @@
         OverflowError,
     ) as fault:
         raise Fault(f"{what}: {fault}") from None
-    if len(data) > MOST_LINE:
-        raise Fault(f"{what}: {len(data)} bytes, {MOST_LINE} at most; name fewer, or say less")
+    if len(data) > MAX_LOG_ENTRY_BYTES:
+        raise Fault(
+            f"{what}: {len(data)} bytes, {MAX_LOG_ENTRY_BYTES} at most; name fewer, or say less"
+        )
     if not agreed.node.cluster_id:
         raise Fault("there is no record yet: its voters have not all met")
     identity = given.header.id
@@ -207,7 +209,7 @@
         known = agreed.process.pools.get(pool)
         if known is None:
             raise Fault(f"{pool!r} is no pool of this process")
-        peer = known.held.get(name)
+        peer = known.endpoints.get(name)
         if peer is None and f"u/{pool}/{name}" not in agreed.state_machine.state.drains:
             raise Fault(f"{name!r} is no upstream of pool {pool}")
         names = known.spec.zones
--- a/whinpier/model_checking/consensus.py
+++ b/whinpier/model_checking/consensus.py
@@ -24,7 +24,7 @@
     replay_journal,
     unpack,
 )
-from whinpier.fleet.messages import TAKEN, VOTED, Line, Talk
+from whinpier.fleet.messages import APPEND_ACCEPTED, VOTE_RESPONSE, ConsensusMessage, LogEntry
 from whinpier.model_checking.network import Network
 from whinpier.policy.decaying_sum import SECOND
 
@@ -57,7 +57,7 @@
     def __init__(self) -> None:
         self.all: list[tuple[int, bytes]] = []
 
-    def apply(self, index: int, line: Line) -> None:
+    def apply(self, index: int, line: LogEntry) -> None:
         self.all.append((index, line.data))
 
     def snapshot(self) -> bytes:
@@ -98,7 +98,7 @@
         self.changes, self.compacts, self.disks = changes, compacts, disks
         self.voters = members - spare
         config = {f"m{place}": place + 1 for place in range(self.voters)}
-        first = Line(1, CONFIG_ENTRY, pack(config))
+        first = LogEntry(1, CONFIG_ENTRY, pack(config))
         self.disk_notes: list[list[Any]] = [
             [
                 (TERM_RECORD, 1, 0),
@@ -186,12 +186,10 @@
             if other != place
         ]
 
-    def describe(self, message: Talk) -> str:
-        return (
-            f"{NAMES[message.kind]} {message.term}/{message.one}/{message.two}+{len(message.lines)}"
-        )
+    def describe(self, message: ConsensusMessage) -> str:
+        return f"{NAMES[message.kind]} {message.term}/{message.arg1}/{message.arg2}+{len(message.lines)}"
 
-    def deliver(self, place: int, message: Talk, sender: int) -> None:
+    def deliver(self, place: int, message: ConsensusMessage, sender: int) -> None:
         self.parties[place].receive(message, f"m{(sender - 1) % 100}", self.now)
         self.after(place)
 
@@ -345,10 +343,10 @@
                     to,
                     talk.kind,
                     talk.term,
-                    talk.one,
-                    talk.two,
-                    talk.three,
-                    talk.four,
+                    talk.arg1,
+                    talk.arg2,
+                    talk.arg3,
+                    talk.arg4,
                     talk.data,
                 )
                 for sync_barrier, to, talk in party.outbox
@@ -389,10 +387,10 @@
                     to,
                     talk.kind,
                     talk.term,
-                    talk.one,
-                    talk.two,
-                    talk.three,
-                    talk.four,
+                    talk.arg1,
+                    talk.arg2,
+                    talk.arg3,
+                    talk.arg4,
                     tuple((line.term, line.data) for line in talk.lines),
                     talk.data,
                 )
@@ -509,7 +507,7 @@
     def do_sync(self, place: int) -> None:
         self.sync(place)
         for to, talk in self.parties[place].take_messages():
-            if talk.kind in (TAKEN, VOTED):
+            if talk.kind in (APPEND_ACCEPTED, VOTE_RESPONSE):
                 self.parties[int(to[1:])].receive(talk, f"m{place}", self.now)
                 self.look(int(to[1:]))
             elif len(self.network) < self.messages:
@@ -521,13 +519,13 @@
 
 
 class ForgetsItsVote(RaftNode):
-    def can_grant_vote(self, talk: Talk) -> bool:
+    def can_grant_vote(self, talk: ConsensusMessage) -> bool:
         self.voted_for = 0
         return super().can_grant_vote(talk)
 
 
 class VotesWithoutNote(RaftNode):
-    def on_vote_request(self, talk: Talk, sender: str) -> None:
+    def on_vote_request(self, talk: ConsensusMessage, sender: str) -> None:
         before, proof = len(self.pending_records), self.term_record
         super().on_vote_request(talk, sender)
         if len(self.pending_records) > before:
@@ -587,23 +585,23 @@
 
 
 class LooksAtNothingBefore(RaftNode):
-    def matches_previous_entry(self, talk: Talk) -> bool:
-        return talk.one <= self.last_index
+    def matches_previous_entry(self, talk: ConsensusMessage) -> bool:
+        return talk.arg1 <= self.last_index
 
 
 class CutsAtOldAppends(RaftNode):
     """What comes late and is there already cuts off what has come since."""
 
-    def on_append_entries(self, talk: Talk, sender: str) -> None:
+    def on_append_entries(self, talk: ConsensusMessage, sender: str) -> None:
         if talk.term == self.term and talk.lines and self.matches_previous_entry(talk):
-            end = talk.one + len(talk.lines)
+            end = talk.arg1 + len(talk.lines)
             if self.commit_index <= end < self.last_index:
                 self.truncate_from(end + 1)
         super().on_append_entries(talk, sender)
 
 
 class KeepsWhatDiffers(RaftNode):
-    def append_entry(self, index: int, line: Line) -> None:
+    def append_entry(self, index: int, line: LogEntry) -> None:
         if index > self.last_index:
             super().append_entry(index, line)
 
@@ -612,14 +610,14 @@
     def commit_through(self, index: int) -> None:
         super().commit_through(index)
 
-    def on_append_entries(self, talk: Talk, sender: str) -> None:
+    def on_append_entries(self, talk: ConsensusMessage, sender: str) -> None:
         super().on_append_entries(talk, sender)
         if self.leader == sender:
-            self.commit_through(min(talk.three, self.last_index))
+            self.commit_through(min(talk.arg3, self.last_index))
 
 
 class LeadsOnInLaterTerms(RaftNode):
-    def on_later_term(self, talk: Talk) -> None:
+    def on_later_term(self, talk: ConsensusMessage) -> None:
         role, leader, votes = self.role, self.leader, self.votes
         super().on_later_term(talk)
         if role == LEADER:
@@ -627,7 +625,7 @@
 
 
 class NotesNoTerm(RaftNode):
-    def on_later_term(self, talk: Talk) -> None:
+    def on_later_term(self, talk: ConsensusMessage) -> None:
         super().on_later_term(talk)
         self.pending_records.pop()
         self.records_issued -= 1
@@ -635,8 +633,8 @@
 
 
 class CountsVotesOfBefore(RaftNode):
-    def on_vote_response(self, talk: Talk, sender: str) -> None:
-        if self.role == CANDIDATE and talk.one:
+    def on_vote_response(self, talk: ConsensusMessage, sender: str) -> None:
+        if self.role == CANDIDATE and talk.arg1:
             self.votes.add(sender)
             self.count_votes()
 
@@ -651,9 +649,9 @@
 
 
 class CountsAVoteAgain(RaftNode):
-    def on_vote_response(self, talk: Talk, sender: str) -> None:
+    def on_vote_response(self, talk: ConsensusMessage, sender: str) -> None:
         self.again = getattr(self, "again", 0) + (
-            talk.kind == VOTED and talk.one and sender in self.votes
+            talk.kind == VOTE_RESPONSE and talk.arg1 and sender in self.votes
         )
         super().on_vote_response(talk, sender)
         if self.again and self.role == CANDIDATE:
@@ -661,8 +659,10 @@
 
 
 class CountsRefusals(RaftNode):
-    def on_vote_response(self, talk: Talk, sender: str) -> None:
-        super().on_vote_response(Talk(talk.kind, talk.record, talk.disk, talk.term, 1), sender)
+    def on_vote_response(self, talk: ConsensusMessage, sender: str) -> None:
+        super().on_vote_response(
+            ConsensusMessage(talk.kind, talk.record, talk.disk, talk.term, 1), sender
+        )
 
 
 class ReadsWithoutAsking(RaftNode):
@@ -672,9 +672,9 @@
 
 
 class ReadsBeforeItsOwnLine(RaftNode):
-    def on_read_index_request(self, talk: Talk, sender: str) -> None:
+    def on_read_index_request(self, talk: ConsensusMessage, sender: str) -> None:
         if self.role == LEADER:
-            self.pending_reads.append((self.round + 1, sender, talk.one, self.commit_index))
+            self.pending_reads.append((self.round + 1, sender, talk.arg1, self.commit_index))
             self.broadcast(False)
             self.answer_pending_reads()
 
@@ -686,27 +686,34 @@
 
 
 class TakesWordOfOtherTerms(RaftNode):
-    def on_append_response(self, talk: Talk, sender: str) -> None:
+    def on_append_response(self, talk: ConsensusMessage, sender: str) -> None:
         super().on_append_response(
-            Talk(
-                TAKEN, talk.record, talk.disk, self.term, talk.one, talk.two, talk.three, talk.four
+            ConsensusMessage(
+                APPEND_ACCEPTED,
+                talk.record,
+                talk.disk,
+                self.term,
+                talk.arg1,
+                talk.arg2,
+                talk.arg3,
+                talk.arg4,
             ),
             sender,
         )
 
 
 class TakesOldAppends(RaftNode):
-    def on_append_entries(self, talk: Talk, sender: str) -> None:
+    def on_append_entries(self, talk: ConsensusMessage, sender: str) -> None:
         super().on_append_entries(
-            Talk(
+            ConsensusMessage(
                 talk.kind,
                 talk.record,
                 talk.disk,
                 self.term,
-                talk.one,
-                talk.two,
-                talk.three,
-                talk.four,
+                talk.arg1,
+                talk.arg2,
+                talk.arg3,
+                talk.arg4,
                 talk.lines,
             ),
             sender,
@@ -714,7 +721,7 @@
 
 
 class TeachesWhatIsNotAgreed(RaftNode):
-    def on_fetch(self, talk: Talk, sender: str) -> None:
+    def on_fetch(self, talk: ConsensusMessage, sender: str) -> None:
         commit, self.commit_index = self.commit_index, self.last_index
         super().on_fetch(talk, sender)
         self.commit_index = commit
--- a/whinpier/simulation/consensus.py
+++ b/whinpier/simulation/consensus.py
@@ -15,7 +15,7 @@
 from whinpier.fleet.consensus import node as raft
 from whinpier.fleet.consensus.node import LEADER, PersistentState, RaftNode, unpack
 from whinpier.fleet.membership.membership import Address
-from whinpier.fleet.messages import RECORD_NEWS
+from whinpier.fleet.messages import LOG_PROGRESS_CHANNEL
 from whinpier.fleet.rollouts.commands import (
     BudgetRule,
     CommandHeader,
@@ -66,7 +66,7 @@
             return
         now = self.fleet.clock.now
         self.fleet.clock.after(TURN, self.turn)
-        self.members.carry(RECORD_NEWS, self.agreement.announcement(0))
+        self.members.publish(LOG_PROGRESS_CHANNEL, self.agreement.announcement(0))
         if self.agreement.next_deadline() <= now:
             self.agreement.tick(now)
         self.begin()
@@ -89,23 +89,28 @@
 
     def pass_on(self) -> None:
         agreement, now = self.agreement, self.fleet.clock.now
-        by_id = {one.id: one.card.name for one in self.members.members.values()}
-        heard, self.members.heard_talks = self.members.heard_talks, []
+        by_id = {one.id: one.metadata.name for one in self.members.members.values()}
+        heard, self.members.received_consensus_messages = (
+            self.members.received_consensus_messages,
+            [],
+        )
         for sender, talk in heard:
             if sender in by_id:
                 agreement.receive(talk, by_id[sender], now)
-        for sender, mark, contents in self.members.heard_said:
-            if mark == RECORD_NEWS and sender in by_id:
+        for sender, mark, contents in self.members.received_payloads:
+            if mark == LOG_PROGRESS_CHANNEL and sender in by_id:
                 record, disk, term, commit, leader, _ = unpack(contents)
                 self.told[by_id[sender]] = disk, record
                 agreement.now = max(agreement.now, now)
                 agreement.on_commit_announced(by_id[sender], record, commit, term, leader)
         if agreement.next_deadline() <= now:
             agreement.tick(now)
-        names = {one.card.name: one.id for one in self.members.members.values() if one.connected}
+        names = {
+            one.metadata.name: one.id for one in self.members.members.values() if one.connected
+        }
         talks = [(names[to], talk) for to, talk in agreement.take_messages() if to in names]
         if talks:
-            self.members.send_talks(talks, now)
+            self.members.send_consensus_messages(talks, now)
         if agreement.pending_records and not self.syncing:
             self.syncing = True
             self.fleet.clock.after(
@@ -113,7 +118,7 @@
             )
         for index in range(len(self.learned) + 1, agreement.last_applied + 1):
             self.learned[index] = now
-            self.members.carry(RECORD_NEWS, agreement.announcement(0))
+            self.members.publish(LOG_PROGRESS_CHANNEL, agreement.announcement(0))
         agreement.events = []
         super().pass_on()
 
--- a/whinpier/testbed/faulty.py
+++ b/whinpier/testbed/faulty.py
@@ -32,10 +32,14 @@
 
 def share_fault(name: str) -> None:
     from whinpier.fleet.quotas import allocation
-    from whinpier.fleet.quotas.leases import Share
+    from whinpier.fleet.quotas.leases import LeasedQuota
     from whinpier.model_checking.quota_mutants import FAULTS
 
-    swapped(allocation, "Share", type(name, (FAULTS[name],), {"need": Share.need}))
+    swapped(
+        allocation,
+        "LeasedQuota",
+        type(name, (FAULTS[name],), {"compute_need": LeasedQuota.compute_need}),
+    )
 
 
 def permits_without_end() -> None:
@@ -56,7 +60,7 @@
     """What is drained goes on getting requests."""
     from whinpier.runtime.pool import Pool
 
-    Pool.drain = lambda self, hosts: None  # type: ignore[method-assign]
+    Pool.set_drained = lambda self, hosts: None  # type: ignore[method-assign]
 
 
 def sends_again() -> None:
@@ -68,16 +72,16 @@
 
 def never_lost() -> None:
     """Whoever does not answer is suspected for good."""
-    from whinpier.fleet.membership.membership import Members
+    from whinpier.fleet.membership.membership import Membership
 
-    Members.judge = lambda self, *given: None  # type: ignore[method-assign]
+    Membership.on_suspicion_timeout = lambda self, *given: None  # type: ignore[method-assign]
 
 
 def never_answers_for_itself() -> None:
     """Who is suspected does not refute it."""
-    from whinpier.fleet.membership.membership import Members
+    from whinpier.fleet.membership.membership import Membership
 
-    Members.answer_for = lambda self, word, sender: None  # type: ignore[method-assign]
+    Membership.refute = lambda self, update, sender: None  # type: ignore[method-assign]
 
 
 def own_file_refused() -> None:
