--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -355,22 +355,26 @@
     ),
     st.integers(0, 3),
 )
-def test_arbitrary_messages_neither_raise_nor_use_unbounded_memory(talks, which):
+def test_arbitrary_messages_neither_raise_nor_use_unbounded_memory(messages, which):
     cluster = Cluster()
     cluster.run(2.0)
     node = cluster.nodes[f"m{which % 3}"]
-    for talk in talks:
-        if talk.kind == raft.APPEND_ENTRIES and node.role == LEADER and talk.term == node.term:
+    for message in messages:
+        if (
+            message.kind == raft.APPEND_ENTRIES
+            and node.role == LEADER
+            and message.term == node.term
+        ):
             continue  # a term has only one leader, which is this node
-        if talk.kind in (APPEND_ENTRIES, FETCHED_ENTRIES):
-            talk = ConsensusMessage(
+        if message.kind in (APPEND_ENTRIES, FETCHED_ENTRIES):
+            message = ConsensusMessage(
                 PRE_VOTE_REQUEST,
-                *[getattr(talk, key) for key in ConsensusMessage.__struct_fields__[1:]],
+                *[getattr(message, key) for key in ConsensusMessage.__struct_fields__[1:]],
             )
-        if talk.kind == INSTALL_SNAPSHOT and talk.arg3 > 2**22:
+        if message.kind == INSTALL_SNAPSHOT and message.arg3 > 2**22:
             assert not node.snapshot_chunks
-        node.receive(talk, "m1", cluster.now)
+        node.receive(message, "m1", cluster.now)
         node.next_deadline()
-        data = Seal((b"0123456789abcdef",)).seal(Datagram(6, 1, 1, consensus_messages=[talk]))
-        assert Seal((b"0123456789abcdef",)).open(data).consensus_messages == [talk]
+        data = Seal((b"0123456789abcdef",)).seal(Datagram(6, 1, 1, consensus_messages=[message]))
+        assert Seal((b"0123456789abcdef",)).open(data).consensus_messages == [message]
     assert len(node.snapshot_chunks) <= 5 and len(node.pending_reads) <= raft.MAX_PENDING_READS
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -177,7 +177,7 @@
 class StateMachine(Protocol):
     """Applies the committed commands of the log."""
 
-    def apply(self, index: int, line: LogEntry) -> None:
+    def apply(self, index: int, entry: LogEntry) -> None:
         """Apply the next committed command."""
 
     def snapshot(self) -> bytes:
