--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -523,7 +523,7 @@
         if message.term == self.term and self.can_grant_vote(message):
             if not self.voted_for:
                 self.role = FOLLOWER
-                self.set_term_and_vote(self.term, message.disk)
+                self.set_term_and_vote(self.term, message.disk_id)
             self.reset_election_timer()
             self.send(sender, VOTE_RESPONSE, 1)
         else:
@@ -532,7 +532,7 @@
     def can_grant_vote(self, message: ConsensusMessage) -> bool:
         """Return whether this node may vote for a candidate of the current term."""
         return (
-            self.voted_for in (0, message.disk)
+            self.voted_for in (0, message.disk_id)
             and self.now >= self.vote_allowed_at
             and self.is_up_to_date(message.arg1, message.arg2)
         )
@@ -550,7 +550,7 @@
 
     def is_from_voter(self, message: ConsensusMessage, sender: str) -> bool:
         """Return whether a message comes from the disk that is the voter under its sender's name."""
-        return self.config.get(sender) == message.disk
+        return self.config.get(sender) == message.disk_id
 
     def count_votes(self) -> None:
         """Become the leader once a quorum has voted for this node."""
@@ -666,12 +666,12 @@
                 sender, APPEND_ACCEPTED, 0, self.conflict_index(previous_index), 0, round_number
             )
             return
-        for index, entry in enumerate(message.lines, previous_index + 1):
+        for index, entry in enumerate(message.entries, previous_index + 1):
             is_present = index <= self.last_index and self.term_at(index) == entry.term
             if index <= self.log_offset or is_present:
                 continue
             self.append_entry(index, entry)
-        last_new_index = previous_index + len(message.lines)
+        last_new_index = previous_index + len(message.entries)
         self.matched_index = max(self.matched_index, last_new_index)
         self.send(
             sender, APPEND_ACCEPTED, 1, self.durable_match_index(), self.matched_index, round_number
@@ -869,7 +869,7 @@
 
     def on_forwarded_command(self, message: ConsensusMessage) -> None:
         """Propose a command that another member was given."""
-        for entry in message.lines[:1]:
+        for entry in message.entries[:1]:
             if entry.kind > CONFIG_ENTRY:
                 self.propose(entry.kind, entry.data)
 
@@ -1075,13 +1075,13 @@
         is_last = message.arg2
         if first > self.commit_index + 1:
             return
-        for index, entry in enumerate(message.lines, first):
+        for index, entry in enumerate(message.entries, first):
             if index <= self.commit_index:
                 continue
             if index > self.last_index or self.term_at(index) != entry.term:
                 self.append_entry(index, entry)
-        self.adopt_term(message.lines)
-        self.commit_through(first + len(message.lines) - 1)
+        self.adopt_term(message.entries)
+        self.commit_through(first + len(message.entries) - 1)
         if is_last and self.is_behind():
             self.fetch_missing()
 
@@ -1153,9 +1153,9 @@
     def receive(self, message: ConsensusMessage, sender: str, now: int) -> None:
         """Handle a message whose sender is authenticated as a member of the fleet."""
         self.now = max(self.now, now)
-        if message.record != self.cluster_id:
-            if self.is_superseded_by(message.record):
-                self.join_cluster(message.record)
+        if message.cluster_id != self.cluster_id:
+            if self.is_superseded_by(message.cluster_id):
+                self.join_cluster(message.cluster_id)
             else:
                 self.counts["other_record"] += 1
                 return
@@ -1187,7 +1187,7 @@
         elif kind == APPEND_ACCEPTED:
             self.on_append_response(message, sender)
         elif kind == APPEND_REJECTED:  # the leader no longer has the entries that this voter lacks
-            self.on_commit_announced(sender, message.record, message.arg1)
+            self.on_commit_announced(sender, message.cluster_id, message.arg1)
             if self.is_behind():
                 self.fetch_missing()
         elif kind == FETCH_ENTRIES:
