--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -860,7 +860,7 @@
     other.send(
         leader.name,
         messages.FORWARD_COMMAND,
-        lines=[messages.LogEntry(0, commands.EntryKind.DRAIN, data)],
+        entries=[messages.LogEntry(0, commands.EntryKind.DRAIN, data)],
     )
     cluster.settle()
     other.request_read_index(77)
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -375,7 +375,7 @@
         arg2: int = 0,
         arg3: int = 0,
         arg4: int = 0,
-        lines: list[LogEntry] | None = None,
+        entries: list[LogEntry] | None = None,
         data: bytes = b"",
         term: int | None = None,
     ) -> None:
@@ -389,7 +389,7 @@
             arg2,
             arg3,
             arg4,
-            lines or [],
+            entries or [],
             data,
         )
         self.outbox.append((self.sync_barrier(), to, message))
@@ -1050,7 +1050,7 @@
             index += len(entries)
             sent_messages += 1
             is_last = index > self.commit_index or sent_messages == MAX_MESSAGES_PER_FETCH
-            self.send(sender, FETCHED_ENTRIES, index - len(entries), int(is_last), lines=entries)
+            self.send(sender, FETCHED_ENTRIES, index - len(entries), int(is_last), entries=entries)
 
     def send_snapshot_chunks(self, message: ConsensusMessage, sender: str) -> None:
         """Send the chunks that follow those which the sender of a fetch has of this snapshot."""
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -799,7 +799,7 @@
                 node.propose(command.kind, command.data)
             elif node.leader:
                 node.send(
-                    node.leader, FORWARD_COMMAND, lines=[LogEntry(0, command.kind, command.data)]
+                    node.leader, FORWARD_COMMAND, entries=[LogEntry(0, command.kind, command.data)]
                 )
             else:
                 continue
