--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -447,7 +447,7 @@
             if self.now - at <= 2 * self.timing.election_timeout
         ]
         if not self.is_quorum([self.name, *responsive]):
-            self.step_down("no answer from a quorum")
+            self.step_down("unheard")
 
     # Elections.
 
@@ -760,7 +760,7 @@
             if entry.kind > CONFIG_ENTRY:
                 self.state_machine.apply(self.last_applied, entry)
         if self.role == LEADER and self.name not in self.config:
-            self.step_down("no longer a voter")
+            self.step_down("votes no longer")
         self.peers_ahead = {
             name: commit for name, commit in self.peers_ahead.items() if commit > self.commit_index
         }
@@ -1090,7 +1090,7 @@
         term = max((entry.term for entry in entries), default=0)
         if term > self.term:
             self.set_term_and_vote(term, 0)
-            self.step_down("learned entries of a later term")
+            self.step_down("has learned of a later term")
             self.leader = ""
 
     def on_snapshot_chunk(self, message: ConsensusMessage) -> None:
