--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -243,7 +243,7 @@
     assert leader.match_index.get(lost, 0) <= leader.last_index and not fresh.is_voter
     leader.is_from_voter = lambda talk, sender: RaftNode.is_from_voter(leader, talk, sender)
     assert not leader.is_from_voter(
-        ConsensusMessage(raft.APPEND_ACCEPTED, 256, 77, leader.term, 1, 99), lost
+        ConsensusMessage(raft.APPEND_RESPONSE, 256, 77, leader.term, 1, 99), lost
     )
     config = leader.config
     assert (
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -330,8 +330,8 @@
             messages.VOTE_REQUEST,
             messages.VOTE_RESPONSE,
             messages.APPEND_ENTRIES,
-            messages.APPEND_ACCEPTED,
-            messages.APPEND_REJECTED,
+            messages.APPEND_RESPONSE,
+            messages.LOG_COMPACTED,
             messages.FETCH_ENTRIES,
             messages.FETCHED_ENTRIES,
             messages.INSTALL_SNAPSHOT,
@@ -896,7 +896,7 @@
     """Without the beats that say nothing new."""
     found = {}
     for sender, to, values, data in sent:
-        beat = values[0] in (messages.APPEND_ENTRIES, messages.APPEND_ACCEPTED) and not values[8]
+        beat = values[0] in (messages.APPEND_ENTRIES, messages.APPEND_RESPONSE) and not values[8]
         found.setdefault((sender, to, str(values[:7]) if beat else data), [sender, to, data])
     return list(found.values())
 
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -22,13 +22,13 @@
 import msgspec
 
 from whinpier.fleet.messages import (
-    APPEND_ACCEPTED,
     APPEND_ENTRIES,
-    APPEND_REJECTED,
+    APPEND_RESPONSE,
     FETCH_ENTRIES,
     FETCHED_ENTRIES,
     FORWARD_COMMAND,
     INSTALL_SNAPSHOT,
+    LOG_COMPACTED,
     MAX_CONSENSUS_BYTES,
     MAX_LOG_ENTRIES,
     MAX_LOG_ENTRY_BYTES,
@@ -328,7 +328,7 @@
                 self.advance_commit_index()
             elif self.leader and self.matched_index:
                 self.send(
-                    self.leader, APPEND_ACCEPTED, 1, self.durable_match_index(), self.matched_index
+                    self.leader, APPEND_RESPONSE, 1, self.durable_match_index(), self.matched_index
                 )
 
     # Out.
@@ -577,7 +577,7 @@
 
     def on_append_entries(self, talk: ConsensusMessage, sender: str) -> None:
         if talk.term < self.term:
-            self.send(sender, APPEND_ACCEPTED, 0, 0, 0, 0)
+            self.send(sender, APPEND_RESPONSE, 0, 0, 0, 0)
             return
         if self.leader != sender:
             self.leader = sender
@@ -587,7 +587,7 @@
         self.leader_contact_at = self.now
         self.reset_election_timer()
         if not self.matches_previous_entry(talk):
-            self.send(sender, APPEND_ACCEPTED, 0, self.conflict_index(talk.arg1), 0, talk.arg4)
+            self.send(sender, APPEND_RESPONSE, 0, self.conflict_index(talk.arg1), 0, talk.arg4)
             return
         for index, line in enumerate(talk.entries, talk.arg1 + 1):
             if (
@@ -599,7 +599,7 @@
             self.append_entry(index, line)
         self.matched_index = max(self.matched_index, talk.arg1 + len(talk.entries))
         self.send(
-            sender, APPEND_ACCEPTED, 1, self.durable_match_index(), self.matched_index, talk.arg4
+            sender, APPEND_RESPONSE, 1, self.durable_match_index(), self.matched_index, talk.arg4
         )
         self.commit_through(min(talk.arg3, talk.arg1 + len(talk.entries)))
 
@@ -641,7 +641,7 @@
         elif talk.arg2 > self.match_index.get(sender, 0):
             self.next_index[sender] = min(talk.arg2, self.last_index + 1)
             if self.next_index[sender] <= self.log_offset:
-                self.send(sender, APPEND_REJECTED, self.commit_index)
+                self.send(sender, LOG_COMPACTED, self.commit_index)
             else:
                 self.send_entries(sender)
         self.answer_pending_reads()
@@ -1039,7 +1039,7 @@
                 self.counts["other_record"] += 1
                 return
         if (
-            talk.kind in (VOTE_REQUEST, VOTE_RESPONSE, APPEND_ENTRIES, APPEND_ACCEPTED, TIMEOUT_NOW)
+            talk.kind in (VOTE_REQUEST, VOTE_RESPONSE, APPEND_ENTRIES, APPEND_RESPONSE, TIMEOUT_NOW)
             or talk.kind == PRE_VOTE_RESPONSE
             and not talk.arg1
         ):
@@ -1056,9 +1056,9 @@
             self.on_vote_response(talk, sender)
         elif kind == APPEND_ENTRIES:
             self.on_append_entries(talk, sender)
-        elif kind == APPEND_ACCEPTED:
+        elif kind == APPEND_RESPONSE:
             self.on_append_response(talk, sender)
-        elif kind == APPEND_REJECTED:
+        elif kind == LOG_COMPACTED:
             self.on_commit_announced(sender, talk.cluster_id, talk.arg1)
             if self.is_behind():
                 self.fetch_missing()
--- a/whinpier/fleet/messages.py
+++ b/whinpier/fleet/messages.py
@@ -67,8 +67,8 @@
     VOTE_REQUEST,
     VOTE_RESPONSE,
     APPEND_ENTRIES,
-    APPEND_ACCEPTED,
-    APPEND_REJECTED,
+    APPEND_RESPONSE,
+    LOG_COMPACTED,
     FETCH_ENTRIES,
     FETCHED_ENTRIES,
     INSTALL_SNAPSHOT,
@@ -221,11 +221,11 @@
       the election. VOTE_RESPONSE: `arg1` 1 if granted.
     - APPEND_ENTRIES: `arg1` index and `arg2` term of the entry before `entries`, `arg3` commit index,
       `arg4` round.
-    - APPEND_ACCEPTED: the answer to it. `arg1` 1 if the entries fit, `arg2` index up to which they
-      are on the follower's disk, else the index to continue from, `arg3` index up to which they
-      match, `arg4` round.
-    - APPEND_REJECTED: the leader no longer has the entries that the follower lacks; `arg1` commit
-      index.
+    - APPEND_RESPONSE: `arg1` 1 if the entries fit, 0 if not; `arg2` index up to which they are on
+      the follower's disk, else the index to continue from, `arg3` index up to which they match,
+      `arg4` round.
+    - LOG_COMPACTED: the leader's log no longer holds the entries that the follower needs; `arg1`
+      commit index.
     - FETCH_ENTRIES: `arg1` first index wanted, `arg2` bytes already received of the snapshot that
       ends at index `arg3`.
     - FETCHED_ENTRIES: `arg1` index of the first of `entries`, `arg2` 1 on the last message.
--- a/whinpier/model_checking/consensus.py
+++ b/whinpier/model_checking/consensus.py
@@ -24,7 +24,7 @@
     replay_journal,
     unpack,
 )
-from whinpier.fleet.messages import APPEND_ACCEPTED, VOTE_RESPONSE, ConsensusMessage, LogEntry
+from whinpier.fleet.messages import APPEND_RESPONSE, VOTE_RESPONSE, ConsensusMessage, LogEntry
 from whinpier.model_checking.network import Network
 from whinpier.policy.decaying_sum import SECOND
 
@@ -507,7 +507,7 @@
     def do_sync(self, place: int) -> None:
         self.sync(place)
         for to, talk in self.parties[place].take_messages():
-            if talk.kind in (APPEND_ACCEPTED, VOTE_RESPONSE):
+            if talk.kind in (APPEND_RESPONSE, VOTE_RESPONSE):
                 self.parties[int(to[1:])].receive(talk, f"m{place}", self.now)
                 self.look(int(to[1:]))
             elif len(self.network) < self.messages:
@@ -689,7 +689,7 @@
     def on_append_response(self, talk: ConsensusMessage, sender: str) -> None:
         super().on_append_response(
             ConsensusMessage(
-                APPEND_ACCEPTED,
+                APPEND_RESPONSE,
                 talk.cluster_id,
                 talk.disk_id,
                 self.term,
