--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -253,7 +253,7 @@
     assert leader.match_index.get(replaced, 0) <= leader.last_index and not replacement.is_voter
     leader.is_from_voter = lambda message, sender: RaftNode.is_from_voter(leader, message, sender)
     assert not leader.is_from_voter(
-        ConsensusMessage(raft.APPEND_ACCEPTED, 256, 77, leader.term, 1, 99), replaced
+        ConsensusMessage(raft.APPEND_RESPONSE, 256, 77, leader.term, 1, 99), replaced
     )
     config = leader.config
     assert (
--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -23,13 +23,13 @@
 import msgspec
 
 from whinpier.fleet.messages import (
-    APPEND_ACCEPTED,
     APPEND_ENTRIES,
-    APPEND_REJECTED,
+    APPEND_RESPONSE,
     FETCH_ENTRIES,
     FETCHED_ENTRIES,
     FORWARD_COMMAND,
     INSTALL_SNAPSHOT,
+    LOG_COMPACTED,
     MAX_CONSENSUS_BYTES,
     MAX_LOG_ENTRIES,
     MAX_LOG_ENTRY_BYTES,
@@ -362,7 +362,7 @@
                 self.advance_commit_index()
             elif self.leader and self.matched_index:
                 self.send(
-                    self.leader, APPEND_ACCEPTED, 1, self.durable_match_index(), self.matched_index
+                    self.leader, APPEND_RESPONSE, 1, self.durable_match_index(), self.matched_index
                 )
 
     # Sending.
@@ -651,7 +651,7 @@
         leader_commit = message.arg3
         round_number = message.arg4
         if message.term < self.term:
-            self.send(sender, APPEND_ACCEPTED, 0, 0, 0, 0)
+            self.send(sender, APPEND_RESPONSE, 0, 0, 0, 0)
             return
         if self.leader != sender:
             self.leader = sender
@@ -663,7 +663,7 @@
         self.reset_election_timer()
         if not self.matches_previous_entry(message):
             self.send(
-                sender, APPEND_ACCEPTED, 0, self.conflict_index(previous_index), 0, round_number
+                sender, APPEND_RESPONSE, 0, self.conflict_index(previous_index), 0, round_number
             )
             return
         for index, entry in enumerate(message.entries, previous_index + 1):
@@ -674,7 +674,7 @@
         last_new_index = previous_index + len(message.entries)
         self.matched_index = max(self.matched_index, last_new_index)
         self.send(
-            sender, APPEND_ACCEPTED, 1, self.durable_match_index(), self.matched_index, round_number
+            sender, APPEND_RESPONSE, 1, self.durable_match_index(), self.matched_index, round_number
         )
         self.commit_through(min(leader_commit, last_new_index))
 
@@ -728,7 +728,7 @@
             self.next_index[sender] = min(message.arg2, self.last_index + 1)
             if self.next_index[sender] <= self.log_offset:
                 # The entries that the voter lacks are compacted away: it has to fetch the snapshot.
-                self.send(sender, APPEND_REJECTED, self.commit_index)
+                self.send(sender, LOG_COMPACTED, self.commit_index)
             else:
                 self.send_entries(sender)
         self.answer_pending_reads()
@@ -960,14 +960,7 @@
         """Return what other members are told by gossip: cluster, disk, term, commit index, leader."""
         leader_disk = self.config.get(self.leader, 0)
         return pack(
-            (
-                self.cluster_id,
-                self.disk_id,
-                self.term,
-                self.commit_index,
-                leader_disk,
-                disk_version,
-            )
+            (self.cluster_id, self.disk_id, self.term, self.commit_index, leader_disk, disk_version)
         )
 
     def persistent_state(self) -> PersistentState:
@@ -1165,7 +1158,7 @@
             VOTE_REQUEST,
             VOTE_RESPONSE,
             APPEND_ENTRIES,
-            APPEND_ACCEPTED,
+            APPEND_RESPONSE,
             TIMEOUT_NOW,
         ) or (kind == PRE_VOTE_RESPONSE and not message.arg1)
         if (
@@ -1184,9 +1177,9 @@
             self.on_vote_response(message, sender)
         elif kind == APPEND_ENTRIES:
             self.on_append_entries(message, sender)
-        elif kind == APPEND_ACCEPTED:
+        elif kind == APPEND_RESPONSE:
             self.on_append_response(message, sender)
-        elif kind == APPEND_REJECTED:  # the leader no longer has the entries that this voter lacks
+        elif kind == LOG_COMPACTED:  # the leader no longer has the entries that this voter lacks
             self.on_commit_announced(sender, message.cluster_id, message.arg1)
             if self.is_behind():
                 self.fetch_missing()
