--- a/tests/fleet/test_calendar_quotas.py
+++ b/tests/fleet/test_calendar_quotas.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from tests.waiting import until
-from whinpier.fleet.clock_offset import KEPT, MARGIN, Clocks
+from whinpier.fleet.clock_offset import MARGIN, SAMPLE_LIFETIME, Clocks
 from whinpier.fleet.messages import UNITS_GRANT, UNITS_REQUEST, QuotaMessage
 from whinpier.fleet.quotas.calendar_quota import MAX_REMEMBERED_GRANTS, Calendar, CalendarQuota
 from whinpier.fleet.quotas.fair_share import (
@@ -241,30 +241,30 @@
 def test_the_fleets_time_is_where_most_clocks_lie_and_one_that_is_wrong_moves_nothing():
     clocks = Clocks(3_600 * SECOND)  # the own one, an hour ahead
     for member in range(4):
-        clocks.heard(member, -1_000_000 * member, 2_000_000, 0)
-    clocks.settle(SECOND, range(4))
+        clocks.on_sample(member, -1_000_000 * member, 2_000_000, 0)
+    clocks.update(SECOND, range(4))
     low, high = clocks.between(SECOND)
     assert SECOND - 4 * MARGIN < low < SECOND < high < SECOND + 4 * MARGIN
-    clocks.heard(0, 7_200 * SECOND, 7_200 * SECOND + 1, 2 * SECOND)  # one steps
-    clocks.settle(2 * SECOND, range(4))
+    clocks.on_sample(0, 7_200 * SECOND, 7_200 * SECOND + 1, 2 * SECOND)  # one steps
+    clocks.update(2 * SECOND, range(4))
     low, high = clocks.between(2 * SECOND)
     assert 2 * SECOND - 4 * MARGIN < low < high < 2 * SECOND + 4 * MARGIN
 
 
 def test_of_two_clocks_that_differ_either_may_be_right_and_one_cut_off_trusts_not_its_own_alone():
     clocks = Clocks(0)
-    clocks.heard(1, 100 * SECOND, 100 * SECOND, 0)
-    clocks.settle(0, [1])
+    clocks.on_sample(1, 100 * SECOND, 100 * SECOND, 0)
+    clocks.update(0, [1])
     low, high = clocks.between(0)
     assert low <= 0 and high >= 100 * SECOND
     three = Clocks(100 * SECOND)
-    three.heard(1, 0, 0, 0)
-    three.heard(2, 0, 0, 0)
-    three.settle(0, [1, 2])
+    three.on_sample(1, 0, 0, 0)
+    three.on_sample(2, 0, 0, 0)
+    three.update(0, [1, 2])
     assert three.between(0)[1] < SECOND
-    three.settle(2 * KEPT, [1, 2])  # neither has been heard since
-    low, high = three.between(2 * KEPT)
-    assert low <= 2 * KEPT and high >= 2 * KEPT + 100 * SECOND
+    three.update(2 * SAMPLE_LIFETIME, [1, 2])  # neither has been heard since
+    low, high = three.between(2 * SAMPLE_LIFETIME)
+    assert low <= 2 * SAMPLE_LIFETIME and high >= 2 * SAMPLE_LIFETIME + 100 * SECOND
 
 
 def test_where_clocks_are_unsure_a_request_counts_in_both_windows():
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -12,7 +12,7 @@
 
 from whinpier.cli.main import cli
 from whinpier.fleet import messages
-from whinpier.fleet.fleet_size import Counting
+from whinpier.fleet.fleet_size import FleetSizes
 from whinpier.fleet.membership.membership import (
     BURST_BYTES,
     JOIN_REPLIES_PER_SECOND,
@@ -439,7 +439,7 @@
 def test_the_count_rises_at_once_falls_late_and_is_never_below_the_silent_seeds():
     seeds = [("127.0.0.1", 7001 + number) for number in range(4)]
     one = make_membership("a", 7001, seeds)
-    counting = Counting(one, ("all",))
+    counting = FleetSizes(one, ("all",))
     assert [(told.balancers, told.number) for told in counting.update(0)] == [(4, 0)]
     for now in range(0, 3 * SECOND, SECOND // 10):
         one.tick(now)
--- a/tests/kept_control_stage.py
+++ b/tests/kept_control_stage.py
@@ -14,7 +14,7 @@
 import whinpier.fleet.consensus.service as agreed_module
 import whinpier.fleet.service as link_module
 from whinpier.config import operator
-from whinpier.fleet.control_socket import Control
+from whinpier.fleet.control_socket import ControlSocket
 from whinpier.fleet.messages import (
     ALIVE,
     LOST,
@@ -142,14 +142,14 @@
         for pool in self.process.pools.values():
             pool.start()
         self.link = self.process.fleet = Link(self.process, spec.fleet, Datagrams())
-        self.link.loop.call_at(self.link.loop.clock(), self.link, self.link.deal)
+        self.link.loop.call_at(self.link.loop.clock(), self.link, self.link.run_periodic_tasks)
         if self.link.agreed:
             self.link.agreed.observe_pools()
             self.link.loop.call_at(
                 self.link.loop.clock(), self.link.agreed, self.link.agreed.run_periodic_tasks
             )
         self.link.schedule()
-        self.control = Control(self.link)
+        self.control = ControlSocket(self.link)
 
     def meet(self, name, state, port):
         """Another member, in a state, by this one's own word."""
--- a/tests/test_kept_fleet.py
+++ b/tests/test_kept_fleet.py
@@ -440,7 +440,7 @@
         "count",
         "connections",
     )
-    assert (service.BEGUN, service.WINDOW) == ("begun", "window")
+    assert (service.HISTORY_START, service.WINDOW) == ("begun", "window")
     assert model.make_key("m1") == "b/m1" and model.make_key("u1", "web") == "u/web/u1"
 
 
@@ -452,7 +452,7 @@
         messages.member_id("m1", 0xABC),
         messages.pool_hash("web"),
         messages.LOG_PROGRESS_CHANNEL,
-        service.STAMP,
+        service.STATE_SEQUENCE_CHANNEL,
         limit.wire_id,
         limit.epoch(),
         window.wire_id,
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -518,9 +518,9 @@
     folder = agreement.get("folder") if isinstance(agreement, dict) else None
     if not isinstance(folder, str):
         return None
-    from whinpier.fleet.spec import RELEASED as NAME  # only where a file has it
+    from whinpier.fleet.spec import RELEASE_FILE_NAME  # only where a file has it
 
-    path = os.path.join(folder, NAME)
+    path = os.path.join(folder, RELEASE_FILE_NAME)
     return read_bounded(path) if os.path.exists(path) else None
 
 
--- a/whinpier/fleet/bootstrap.py
+++ b/whinpier/fleet/bootstrap.py
@@ -1,4 +1,4 @@
-"""Puts the fleet beside the life of the process; not imported where no file has it."""
+"""Start of the fleet's part of a process; imported only where a fleet is configured."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def start(process: Process, sockets: list[socket.socket]) -> Link:
-    """The link, on a socket that is closed with the others. Raises OSError if its address can't be had."""
+    """Return this process's membership in the fleet, on a socket that is added to `sockets`.
+
+    The caller closes the sockets. Raises OSError where the address can't be bound.
+    """
     assert isinstance(process.spec.fleet, FleetSpec)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
     sockets.append(sock)
--- a/whinpier/fleet/clock_offset.py
+++ b/whinpier/fleet/clock_offset.py
@@ -1,11 +1,15 @@
-"""Decides what time of day it is for the whole fleet, and how sure of it this member is.
+"""Estimate of the fleet's wall-clock time, with bounds of its error.
 
-Wall clocks may be wrong by an hour, or step. Each member tells its own with what it sends; an
-answer to a ping bounds the other's clock by when the ping went and when the answer came. The
-fleet's time is where a majority lies closest together, and it may be off by as far as that
-majority lies apart. Free of I/O: times are nanoseconds, `now` of this process's clock, walls
-since the epoch. Must never let one wrong clock move the fleet's time, or call sure what only one
-clock says when others were heard before.
+Single wall clocks may be wrong by an hour, or step. Each member sends its own with its datagrams;
+the answer to a ping bounds the other member's clock by the times at which the ping was sent and the
+answer arrived. The fleet's time is the narrowest interval that holds a majority of the clocks
+(intersection of intervals, as in Marzullo's algorithm).
+
+Times are nanoseconds: `now` on this process's clock, wall-clock times since the epoch. An offset is
+what has to be added to this process's clock to get a wall-clock time.
+
+Invariants: one wrong clock never moves the fleet's time, and where other clocks were known before,
+the time is never taken for exact by one clock alone. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,64 +18,72 @@
 
 from whinpier.policy.decaying_sum import SECOND
 
-KEPT = 60 * SECOND  # that a word on a clock counts: some turns of pings in a fleet of two hundred
-MARGIN = SECOND // 20  # a late loop, on either side
-DRIFT = 2_000  # a clock runs wrong by a part of this at most: 0.05 %, five times what hardware does
+SAMPLE_LIFETIME = 60 * SECOND  # several rounds of pings in a fleet of two hundred
+MARGIN = SECOND // 20  # on either side, for a late event loop
+# Assumed drift of a clock: one part in this many (0.05 %), five times what hardware does.
+DRIFT_DIVISOR = 2_000
 
 
 class Clocks:
-    """What this member knows of the others' clocks, as what is to be added to its own."""
+    """The offsets of the members' wall clocks, as far as this member knows them."""
 
     def __init__(self, own: int) -> None:
-        """`own`: this machine's wall clock less the process's clock."""
+        """Begin with this machine's wall clock alone, whose offset is `own`."""
         self.own = own
-        self.told: dict[int, tuple[int, int, int]] = {}  # by member: lowest, highest, when
+        self.samples: dict[int, tuple[int, int, int]] = {}  # by member: lowest, highest, time
         self.low = self.high = own
-        self.voices, self.at = 0, 0
+        self.sample_count = 0  # clocks behind the estimate, this machine's among them
+        self.updated_at = 0
 
-    def heard(self, member: int, low: int, high: int, now: int) -> None:
-        """A member's wall clock is `low` to `high` ahead of this process's clock."""
-        before = self.told.get(member)
-        if before is not None:
-            # The narrower word of late holds; one that contradicts it tells of a step.
-            wide = 2 * (now - before[2]) // DRIFT
-            meet = before[0] - wide <= high and low <= before[1] + wide
-            if meet and before[1] - before[0] + wide < high - low:
+    def on_sample(self, member: int, low: int, high: int, now: int) -> None:
+        """Take in that the offset of a member's wall clock is between `low` and `high`."""
+        previous = self.samples.get(member)
+        if previous is not None:
+            # The narrower interval is kept, unless the two contradict: then the clock has stepped.
+            previous_low, previous_high, previous_at = previous
+            widening = 2 * (now - previous_at) // DRIFT_DIVISOR
+            overlap = previous_low - widening <= high and low <= previous_high + widening
+            if overlap and previous_high - previous_low + widening < high - low:
                 return
-        self.told[member] = low, high, now
+        self.samples[member] = low, high, now
 
-    def settle(self, now: int, members: Iterable[int]) -> None:
-        """Look anew, at the clocks of these members and the own one."""
-        those = set(members)
-        self.told = {
-            who: one for who, one in self.told.items() if who in those and now - one[2] < KEPT
+    def update(self, now: int, members: Iterable[int]) -> None:
+        """Estimate anew, from the clocks of these members and this machine's own."""
+        included = set(members)
+        self.samples = {
+            member: sample
+            for member, sample in self.samples.items()
+            if member in included and now - sample[2] < SAMPLE_LIFETIME
         }
-        found = [(self.own, self.own)]
-        for low, high, at in self.told.values():
-            more = (now - at) // DRIFT
-            found.append((low - more, high + more))
-        low, high = closest(found)
-        self.voices = min(self.voices, 1 + len(those))
-        if len(found) <= self.voices // 2:
-            # Guards against one that is cut off, and whose own clock then has the only voice: until
-            # it hears the others again both what they said and what it says itself may be true.
-            more = (now - self.at) // DRIFT
-            low, high = min(low, self.low - more), max(high, self.high + more)
+        intervals = [(self.own, self.own)]
+        for low, high, at in self.samples.values():
+            widening = (now - at) // DRIFT_DIVISOR
+            intervals.append((low - widening, high + widening))
+        low, high = narrowest_majority_interval(intervals)
+        self.sample_count = min(self.sample_count, 1 + len(included))
+        if len(intervals) <= self.sample_count // 2:
+            # A member that is cut off would go by its own clock alone. Until it hears from the
+            # others again, both the last estimate and its own clock may be right.
+            widening = (now - self.updated_at) // DRIFT_DIVISOR
+            low = min(low, self.low - widening)
+            high = max(high, self.high + widening)
         else:
-            self.voices = len(found)
-        self.low, self.high, self.at = low, high, now
+            self.sample_count = len(intervals)
+        self.low = low
+        self.high = high
+        self.updated_at = now
 
     def between(self, now: int) -> tuple[int, int]:
-        """The earliest and the latest that it may be just now, in nanoseconds since the epoch."""
+        """Return the earliest and the latest wall-clock time that it may be at `now`."""
         return now + self.low - MARGIN, now + self.high + MARGIN
 
 
-def closest(found: list[tuple[int, int]]) -> tuple[int, int]:
-    """The narrowest span that holds a majority of these, each whole."""
-    needed = len(found) // 2 + 1
-    best = min(low for low, _ in found), max(high for _, high in found)
-    for start in {low for low, _ in found}:
-        ends = sorted(high for low, high in found if low >= start)
-        if len(ends) >= needed and ends[needed - 1] - start < best[1] - best[0]:
-            best = start, ends[needed - 1]
+def narrowest_majority_interval(intervals: list[tuple[int, int]]) -> tuple[int, int]:
+    """Return the narrowest interval that contains a majority of the given ones as a whole."""
+    majority = len(intervals) // 2 + 1
+    best = min(low for low, _ in intervals), max(high for _, high in intervals)
+    for start in {low for low, _ in intervals}:
+        ends = sorted(high for low, high in intervals if low >= start)
+        if len(ends) >= majority and ends[majority - 1] - start < best[1] - best[0]:
+            best = start, ends[majority - 1]
     return best
--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -1,5 +1,6 @@
-"""The table `fleet` of an operator's file: its keys, what is said of a faulty one. Not imported
-without it.
+"""The table `bank` of an operator's file, which configures the fleet: its keys and their checks.
+
+Imported only where a file has the table. Each ConfigFault names the key.
 """
 
 from __future__ import annotations
@@ -24,13 +25,23 @@
 from whinpier.fleet.spec import AgreementSpec, FleetSpec
 from whinpier.policy.decaying_sum import SECOND
 
-MOST_SEEDS = 1_000
-MOST_LIMITS, MOST_HOMES = 64, 1_000
-LONGEST_PATH = 100  # bytes of a Unix socket's path: what the system takes, with some to spare
+MAX_SEEDS = 1_000
+MAX_LIMITS = 64
+MAX_HOMES = 1_000  # of one limit
+MAX_SOCKET_PATH_BYTES = 100  # some less than the 104 to 108 that systems take
+MAX_ZONE_LENGTH = 63  # characters
+MIN_TIMING = 10 * MS
+MIN_DURATION = SECOND // 10  # of ejections and of consensus
+MIN_EJECTION_LEASE = 2 * SECOND  # votes take some time to arrive
+MIN_CUT_OFF = 5 * SECOND  # it takes 3 s to find out that a member is lost
+MIN_LEASE_TIMEOUTS = 3  # a lease of requests in flight outlives this many of the longest timeouts
 
 
 class TimesTable(Strict, frozen=True):
-    """How quick it is; the defaults hold a lost member to 3 s, and a pause of 1 s to none."""
+    """Timing of the membership.
+
+    By default a lost member is found within 3 s, and a pause of 1 s does not count as a loss.
+    """
 
     probe: Duration = "100ms"
     answer: Duration = "300ms"
@@ -58,7 +69,7 @@
 
 
 class VerdictsTable(Strict, frozen=True):
-    """By what upstreams rest over the whole fleet."""
+    """When the fleet ejects an upstream for all its members."""
 
     part: Annotated[float, Meta(gt=0.0, le=0.5)] = 0.2
     witnesses: Annotated[int, Meta(ge=2, le=100)] = 3
@@ -70,7 +81,7 @@
 
 
 class PermitTable(Strict, frozen=True):
-    """How many may be out at once."""
+    """A disruption budget: how many balancers or upstreams may be out at once."""
 
     of: Literal["balancers", "upstreams"]
     out: Annotated[int, Meta(ge=0, le=4096)]
@@ -79,7 +90,7 @@
 
 
 class AgreementTable(Strict, frozen=True):
-    """The fleet's record: drains and releases that all agree on."""
+    """Consensus of the fleet, which decides on drains and releases."""
 
     voters: list[str]
     folder: str
@@ -108,83 +119,62 @@
     agreement: AgreementTable | None = None
 
 
-def times(table: TimesTable, at: str) -> MembershipTiming:
-    found = {
-        one.name: duration(getattr(table, one.name), f"{at}.{one.name}", 10 * MS)
-        for one in fields(MembershipTiming)
+def read_timing(table: TimesTable, at: str) -> MembershipTiming:
+    """Return the timing of the membership. Raises ConfigFault."""
+    timing = {
+        field.name: duration(getattr(table, field.name), f"{at}.{field.name}", MIN_TIMING)
+        for field in fields(MembershipTiming)
     }
-    if found["answer"] < found["probe"]:
+    if timing["answer"] < timing["probe"]:
         raise ConfigFault(f"{at}.answer: is shorter than probe")
-    if found["suspect"] < found["answer"]:
+    if timing["suspect"] < timing["answer"]:
         raise ConfigFault(
             f"{at}.suspect: is shorter than answer; who is suspected needs time to refute"
         )
-    if found["reckon"] < 10 * found["suspect"]:
+    if timing["reckon"] < 10 * timing["suspect"]:
         raise ConfigFault(f"{at}.reckon: is shorter than ten times suspect")
-    return MembershipTiming(**found)
+    return MembershipTiming(**timing)
 
 
-def keys(paths: list[str], at: str) -> tuple[bytes, ...]:
+def read_keys(paths: list[str], at: str) -> tuple[bytes, ...]:
+    """Read the keys of the fleet from their files. Raises ConfigFault."""
     if not 1 <= len(paths) <= 2:
-        raise ConfigFault(f"{at}: {len(paths)} of them; one, or two while they are changed")
-    found = []
+        raise ConfigFault(f"{at}: {len(paths)} files; 1 is allowed, or 2 while the key is rotated")
+    keys = []
     for index, path in enumerate(paths):
         key = kept_secret(path, f"{at}[{index}]")
         if not messages.MIN_KEY_BYTES <= len(key) <= messages.MAX_KEY_BYTES:
             raise ConfigFault(
-                f"{at}[{index}]: {path} holds {len(key)} bytes; {messages.MIN_KEY_BYTES} to "
-                f"{messages.MAX_KEY_BYTES} are a key"
+                f"{at}[{index}]: {path} holds {len(key)} bytes; a key has "
+                f"{messages.MIN_KEY_BYTES} to {messages.MAX_KEY_BYTES}"
             )
-        found.append(key)
-    return tuple(found)
+        keys.append(key)
+    return tuple(keys)
+
 
+def read_limit(name: str, value: Any, pools: dict[str, int], routes: dict[str, str]) -> LimitConfig:
+    """Return the configuration of one limit. Raises ConfigFault.
 
-def limit(name: str, value: Any, pools: dict[str, int], routes: dict[str, str]) -> LimitConfig:
-    """One limit; `pools` are all there are, with the longest timeout of each, `routes` with
-    their pool.
+    `pools` are all pools with their longest timeouts in nanoseconds, `routes` all routes with their
+    pools.
     """
     at = f"bank.limits.{named(name, 'bank.limits')}"
     table = part(value, LimitTable, at)
-    nearly = table.promise == "nearly"
-    if nearly and table.homes:
-        raise ConfigFault(
-            f"{at}.homes: only what is never over has homes; nearly goes by what all tell"
-        )
-    if not nearly and not 1 <= len(table.homes) <= MOST_HOMES:
-        raise ConfigFault(
-            f"{at}.homes: {len(table.homes)} of them; 1 to {MOST_HOMES} members hold a limit"
-        )
-    for index, home in enumerate(table.homes):
-        named(home, f"{at}.homes[{index}]")
-    if len(set(table.homes)) < len(table.homes):
-        raise ConfigFault(f"{at}.homes: a member twice")
-    for key, those, known in (("pools", table.pools, pools), ("routes", table.routes, routes)):
-        for index, one in enumerate(those):
-            if one not in known:
+    is_approximate = table.promise == "nearly"
+    _check_homes(table, at)
+    for key, given, known in (("pools", table.pools, pools), ("routes", table.routes, routes)):
+        for index, item in enumerate(given):
+            if item not in known:
                 raise ConfigFault(
-                    f"{at}.{key}[{index}]: {one!r} is none of {', '.join(known) or 'none'}"
+                    f"{at}.{key}[{index}]: {item!r} is none of {', '.join(known) or 'none'}"
                 )
-    chosen = tuple(table.pools) or tuple(pools)
-    for index, one in enumerate(table.routes):
-        if routes[one] not in chosen:
+    limited_pools = tuple(table.pools) or tuple(pools)
+    for index, route in enumerate(table.routes):
+        if routes[route] not in limited_pools:
             raise ConfigFault(
-                f"{at}.routes[{index}]: {one!r} leads to {routes[one]}, which is not in pools"
+                f"{at}.routes[{index}]: {route!r} leads to {routes[route]}, which is not in pools"
             )
-    if (table.kind == COUNT) != (table.window is not None):
-        raise ConfigFault(f"{at}.window: a count has one, and nothing else")
-    if table.kind == CONNECTIONS and table.each != "upstream":
-        raise ConfigFault(f"{at}.each: connections are limited at each upstream")
-    if table.each == "upstream" and (table.kind not in (IN_FLIGHT, CONNECTIONS) or table.routes):
-        raise ConfigFault(
-            f"{at}.each: at each upstream what is in flight and connections are limited, "
-            "whatever route they come by"
-        )
-    if table.each and nearly:
-        raise ConfigFault(
-            f"{at}.promise: each tenant's and upstream's limit is never_over; nearly is for all together"
-        )
-    if table.tenants and table.each != "tenant":
-        raise ConfigFault(f'{at}.tenants: only with each = "tenant"')
+    _check_scope(table, at)
     calendar = None
     if table.window is not None:
         try:
@@ -193,34 +183,95 @@
             raise ConfigFault(
                 f"{at}.time_zone: {table.time_zone!r} is no time zone that this machine knows"
             ) from None
-    amount, burst, span = whole(table.amount, table.kind, f"{at}.amount"), 0, LEASE_DURATION
+    amount = read_amount(table.amount, table.kind, f"{at}.amount")
+    burst = 0
+    lease_duration = LEASE_DURATION
     if table.kind == RATE:
         burst = table.burst or max(1, ceil(table.amount))
     elif table.burst is not None:
         raise ConfigFault(f"{at}.burst: only a rate has one")
     elif table.kind == IN_FLIGHT:
-        span = max(LEASE_DURATION, 3 * max(pools[pool] for pool in chosen))
-    window = f"{table.window} {table.time_zone}" if table.window else ""
-    scope = "/".join(("", *sorted(table.pools), "", *sorted(table.routes), "", table.each or ""))
-    amounts = tuple(
-        (tenant, whole(one, table.kind, f"{at}.tenants.{tenant}"))
-        for tenant, one in sorted(table.tenants.items())
+        longest_timeout = max(pools[pool] for pool in limited_pools)
+        lease_duration = max(LEASE_DURATION, MIN_LEASE_TIMEOUTS * longest_timeout)
+    tenant_amounts = tuple(
+        (tenant, read_amount(tenant_amount, table.kind, f"{at}.tenants.{tenant}"))
+        for tenant, tenant_amount in sorted(table.tenants.items())
     )
-    window += scope * bool(scope.strip("/")) + str(amounts) * bool(amounts)
     return LimitConfig(
-        Limit(name, table.kind, amount, tuple(table.homes), burst, span, window),
-        chosen,
-        nearly,
+        Limit(
+            name,
+            table.kind,
+            amount,
+            tuple(table.homes),
+            burst,
+            lease_duration,
+            _window_identity(table, tenant_amounts),
+        ),
+        limited_pools,
+        is_approximate,
         calendar,
         tuple(table.routes),
         table.each or "",
-        amounts,
+        tenant_amounts,
         table.most if table.each == "tenant" else 0,
     )
 
 
-def whole(amount: float, kind: str, at: str) -> int:
-    """An amount in the limit's own unit: thousandths of a request a second, or requests."""
+def _check_homes(table: LimitTable, at: str) -> None:
+    """Raise ConfigFault for homes that do not fit the limit's promise, or are invalid."""
+    is_approximate = table.promise == "nearly"
+    if is_approximate and table.homes:
+        raise ConfigFault(
+            f"{at}.homes: only what is never over has homes; nearly goes by what all tell"
+        )
+    if not is_approximate and not 1 <= len(table.homes) <= MAX_HOMES:
+        raise ConfigFault(
+            f"{at}.homes: {len(table.homes)} of them; 1 to {MAX_HOMES} members hold a limit"
+        )
+    for index, home in enumerate(table.homes):
+        named(home, f"{at}.homes[{index}]")
+    if len(set(table.homes)) < len(table.homes):
+        raise ConfigFault(f"{at}.homes: a member twice")
+
+
+def _check_scope(table: LimitTable, at: str) -> None:
+    """Raise ConfigFault where window, scope or tenants do not fit the limit's kind or promise."""
+    if (table.kind == COUNT) != (table.window is not None):
+        raise ConfigFault(f"{at}.window: a count has one, and nothing else")
+    if table.kind == CONNECTIONS and table.each != "upstream":
+        raise ConfigFault(f"{at}.each: connections are limited at each upstream")
+    if table.each == "upstream" and (table.kind not in (IN_FLIGHT, CONNECTIONS) or table.routes):
+        raise ConfigFault(
+            f"{at}.each: at each upstream what is in flight and connections are limited, "
+            "whatever route they come by"
+        )
+    if table.each and table.promise == "nearly":
+        raise ConfigFault(
+            f"{at}.promise: each tenant's and upstream's limit is never_over; nearly is for all together"
+        )
+    if table.tenants and table.each != "tenant":
+        raise ConfigFault(f'{at}.tenants: only with each = "tenant"')
+
+
+def _window_identity(table: LimitTable, tenant_amounts: tuple[tuple[str, int], ...]) -> str:
+    """Return the text by which members compare a limit's window, scope and tenants.
+
+    It is part of the limit's epoch on the wire.
+    """
+    identity = f"{table.window} {table.time_zone}" if table.window else ""
+    scope = "/".join(("", *sorted(table.pools), "", *sorted(table.routes), "", table.each or ""))
+    if scope.strip("/"):
+        identity += scope
+    if tenant_amounts:
+        identity += str(tenant_amounts)
+    return identity
+
+
+def read_amount(amount: float, kind: str, at: str) -> int:
+    """Return an amount in the limit's unit: thousandths of a request a second, or requests.
+
+    Raises ConfigFault.
+    """
     if kind == RATE:
         if round(amount * 1000) < 1:
             raise ConfigFault(f"{at}: {amount!r} is less than a task in 1,000 s")
@@ -230,40 +281,42 @@
     return int(amount)
 
 
-def verdicts(table: VerdictsTable | None) -> EjectionConfig | None:
+def read_ejection(table: VerdictsTable | None) -> EjectionConfig | None:
+    """Return how the fleet ejects upstreams, if it does. Raises ConfigFault."""
     if table is None:
         return None
-    spans = {
-        key: duration(getattr(table, key), f"bank.verdicts.{key}", SECOND // 10)
+    durations = {
+        key: duration(getattr(table, key), f"bank.verdicts.{key}", MIN_DURATION)
         for key in ("life", "term", "most_term", "back")
     }
-    if spans["most_term"] < spans["term"]:
+    if durations["most_term"] < durations["term"]:
         raise ConfigFault("bank.verdicts.most_term: is shorter than term")
-    if spans["life"] < 2 * SECOND:
+    if durations["life"] < MIN_EJECTION_LEASE:
         raise ConfigFault("bank.verdicts.life: is shorter than 2s; votes need some time to come")
     return EjectionConfig(
         max_ejected_fraction=table.part,
         min_observers=table.witnesses,
         min_latency_ratio=table.slow,
-        lease_ns=spans["life"],
-        base_ejection_ns=spans["term"],
-        max_ejection_ns=spans["most_term"],
-        return_spread_ns=spans["back"],
+        lease_ns=durations["life"],
+        base_ejection_ns=durations["term"],
+        max_ejection_ns=durations["most_term"],
+        return_spread_ns=durations["back"],
     )
 
 
-def agreement(table: AgreementTable | None) -> AgreementSpec | None:
+def read_consensus(table: AgreementTable | None) -> AgreementSpec | None:
+    """Return how this process takes part in the consensus, if it does. Raises ConfigFault."""
     if table is None:
         return None
     at = "bank.agreement"
     if not 1 <= len(table.voters) <= MAX_VOTERS or len(set(table.voters)) < len(table.voters):
         raise ConfigFault(f"{at}.voters: 1 to {MAX_VOTERS} members, none twice")
-    for index, one in enumerate(table.voters):
-        named(one, f"{at}.voters[{index}]")
+    for index, voter in enumerate(table.voters):
+        named(voter, f"{at}.voters[{index}]")
     if not table.folder.startswith("/") or "\0" in table.folder:
         raise ConfigFault(f"{at}.folder: {table.folder!r} is no whole path")
     if len(table.permits) > MAX_RULES:
-        raise ConfigFault(f"{at}.permits: {len(table.permits)} of them; {MAX_RULES} at most")
+        raise ConfigFault(f"{at}.permits: {len(table.permits)} rules, {MAX_RULES} at most")
     rules = []
     for key, rule in table.permits.items():
         if rule.pool and rule.of == BudgetTarget.BALANCERS.value:
@@ -271,53 +324,53 @@
         rules.append(
             BudgetRule(named(key, f"{at}.permits"), rule.of, rule.out, rule.pool, rule.zone)
         )
-    spans = {
-        key: duration(getattr(table, key), f"{at}.{key}", SECOND // 10)
+    durations = {
+        key: duration(getattr(table, key), f"{at}.{key}", MIN_DURATION)
         for key in ("wait", "write_off", "cut_off")
     }
-    if spans["cut_off"] < 5 * SECOND:
+    if durations["cut_off"] < MIN_CUT_OFF:
         raise ConfigFault(f"{at}.cut_off: is shorter than 5s; it takes 3 s to know who is lost")
     return AgreementSpec(
-        tuple(table.voters), table.folder, tuple(rules), build=table.build, **spans
+        tuple(table.voters), table.folder, tuple(rules), build=table.build, **durations
     )
 
 
 def fleet(
     value: Any, name: str, pools: tuple[str, ...], every: dict[str, int], routes: dict[str, str]
 ) -> FleetSpec:
-    """What the fleet's part of the process runs by, or a ConfigFault that names the key.
+    """Return the configuration of the fleet from its table. Raises ConfigFault.
 
-    `pools` are shared by as many as the fleet says; `every` pool has its longest timeout, in
-    nanoseconds; `routes` have their pool.
+    `pools` are those whose number of balancers the fleet finds out; `every` has the longest timeout
+    of each pool, in nanoseconds; `routes` has the pool of each route.
     """
     table = part(value, FleetTable, "bank")
-    if len(table.seeds) > MOST_SEEDS:
-        raise ConfigFault(f"bank.seeds: {len(table.seeds)} of them; {MOST_SEEDS} at most")
+    if len(table.seeds) > MAX_SEEDS:
+        raise ConfigFault(f"bank.seeds: {len(table.seeds)} addresses, {MAX_SEEDS} at most")
     if len(pools) > messages.MAX_POOLS:
         raise ConfigFault(
             f"bank: {len(pools)} pools would be shared by it, {messages.MAX_POOLS} at most; "
             "say balancers in the others"
         )
-    if len(os.fsencode(table.control)) > LONGEST_PATH or "\0" in table.control:
+    if len(os.fsencode(table.control)) > MAX_SOCKET_PATH_BYTES or "\0" in table.control:
         raise ConfigFault(
-            f"bank.control: {table.control!r} is no path of {LONGEST_PATH} bytes at most"
+            f"bank.control: {table.control!r} is no path of {MAX_SOCKET_PATH_BYTES} bytes at most"
         )
     listen = address(table.listen, "bank.listen")
     advertise = address(table.advertise, "bank.advertise") if table.advertise else listen
     if advertise[0] == "0.0.0.0":
         raise ConfigFault(
-            f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is where nobody "
-            "is reached; say an address in bank.advertise"
+            f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is no address at "
+            "which other members reach this one; set bank.advertise"
         )
-    if len(table.zone) > 63:
-        raise ConfigFault("bank.zone: has over 63 characters")
+    if len(table.zone) > MAX_ZONE_LENGTH:
+        raise ConfigFault(f"bank.zone: has {len(table.zone)} characters, {MAX_ZONE_LENGTH} at most")
     seeds = tuple(
         dict.fromkeys(
             address(text, f"bank.seeds[{index}]") for index, text in enumerate(table.seeds)
         )
     )
-    if len(table.limits) > MOST_LIMITS:
-        raise ConfigFault(f"bank.limits: {len(table.limits)} of them; {MOST_LIMITS} at most")
+    if len(table.limits) > MAX_LIMITS:
+        raise ConfigFault(f"bank.limits: {len(table.limits)} limits, {MAX_LIMITS} at most")
     for key in ("recall", "state"):
         if "\0" in getattr(table, key):
             raise ConfigFault(f"bank.{key}: is no path")
@@ -327,15 +380,15 @@
         named(table.name or name, "bank.name" if table.name else "name"),
         listen,
         advertise,
-        keys(table.key_files, "bank.key_files"),
+        read_keys(table.key_files, "bank.key_files"),
         seeds,
         table.control,
         table.recall,
         table.state,
         table.zone,
-        times(table.times, "bank.times"),
+        read_timing(table.times, "bank.times"),
         pools,
-        tuple(limit(key, inner, every, routes) for key, inner in table.limits.items()),
-        verdicts(table.verdicts),
-        agreement(table.agreement),
+        tuple(read_limit(key, inner, every, routes) for key, inner in table.limits.items()),
+        read_ejection(table.verdicts),
+        read_consensus(table.agreement),
     )
--- a/whinpier/fleet/consensus/service.py
+++ b/whinpier/fleet/consensus/service.py
@@ -48,7 +48,7 @@
 from whinpier.fleet.rollouts.model import MemberOrders, MemberReport, MemberView
 from whinpier.fleet.rollouts.release_files import hash_file
 from whinpier.fleet.rollouts.state_machine import RolloutStateMachine
-from whinpier.fleet.spec import RELEASED, AgreementSpec
+from whinpier.fleet.spec import RELEASE_FILE_NAME, AgreementSpec
 from whinpier.policy.decaying_sum import SECOND
 from whinpier.policy.model import Outcome
 from whinpier.runtime.pool import PendingRequest
@@ -114,7 +114,7 @@
             Random().getrandbits(64)
         )  # numbers of disks and commands are nobody else's
         self.journal = AppendLog(str(Path(spec.folder) / "record"), JOURNAL_MAGIC, MAX_RECORD_BYTES)
-        self.release_file = Path(spec.folder) / RELEASED
+        self.release_file = Path(spec.folder) / RELEASE_FILE_NAME
         copy = self.open_journal()
         self.disk_version = self.disk_version_at_start = disk_version_of(
             copy
--- a/whinpier/fleet/control_socket.py
+++ b/whinpier/fleet/control_socket.py
@@ -1,7 +1,9 @@
-"""Owns the control socket: what the process knows of the fleet can be asked while it serves.
+"""The control socket: a Unix socket on which operators query and command a running process.
 
-One JSON object a line each way, with the id that the caller gave. Must never let a caller hold the
-process: a line is bounded, so is what waits to be read, and each write has a deadline.
+Requests and answers are JSON objects, one a line; an answer repeats the id of its request.
+
+Invariant: no caller can hold the process up. Lines and the queues of watchers are bounded, and each
+read and write has a deadline.
 """
 
 from __future__ import annotations
@@ -22,22 +24,21 @@
 from whinpier import log
 from whinpier.fleet.membership.membership import MS, UNREACHABLE
 from whinpier.fleet.registry import MAX_LIFETIME_MS
-from whinpier.fleet.spec import CALLERS
+from whinpier.fleet.spec import MAX_CONTROL_CALLERS
 
 if TYPE_CHECKING:
     from whinpier.fleet.service import Link
 
-LINE = 4_096  # bytes of what is asked
-WAITING = 1_000  # events that wait for a watcher; then it is told how many it missed
-TIMEOUT = 5.0  # seconds for a caller to take what it asked for, or to ask
-IDLE = 60.0
-LINGER, AFTER = (
-    0.5,
-    64,
-)  # seconds, and pieces, for which a caller whose line is too long is still read
-
+MAX_LINE_BYTES = 4_096  # of a request
+MAX_QUEUED_EVENTS = 1_000  # for a watcher that reads slowly; later ones are dropped and counted
+WRITE_TIMEOUT_SECONDS = 5.0
+IDLE_TIMEOUT_SECONDS = 60.0
+# How long, and for how many reads, a caller whose line is too long is still read from.
+LINGER_SECONDS = 0.5
+MAX_LINGER_READS = 64
 
-ASKS = frozenset(
+# Requests about the replicated state, which control_commands answers.
+CONSENSUS_REQUESTS = frozenset(
     (
         "status",
         "command",
@@ -51,8 +52,9 @@
         "voters",
         "recover",
     )
-)  # about the fleet's record
-GONE_CALLER = (
+)
+# What a write to a caller raises, or a read, when it has gone or does not answer in time.
+DISCONNECT_ERRORS = (
     OSError,
     TimeoutError,
     anyio.BrokenResourceError,
@@ -62,27 +64,30 @@
 
 
 class ControlRequest(Struct, forbid_unknown_fields=True):
-    """One request."""
+    """One request, as a line of JSON."""
 
-    ask: str
+    ask: str  # what is requested
     id: int | str = 0
     name: str = ""
     value: dict[str, str | float | int] = {}
-    life_ms: int = 0
+    life_ms: int = 0  # lifetime of a registry entry
+
 
+class RequestError(Exception):
+    """A request that can't be served; the text tells the caller why."""
 
-class Refused(Exception):
-    """What is asked can't be done; the text says why."""
 
+def remove_stale_socket(path: str) -> None:
+    """Remove the socket of a process that has ended.
 
-def prepare(path: str) -> None:
-    """Take away the socket of a process that is gone. Raises OSError where one is still there."""
+    Raises OSError where a process still listens on it, or the path is not a socket.
+    """
     try:
         mode = os.stat(path).st_mode
     except FileNotFoundError:
         return
     if not stat.S_ISSOCK(mode):
-        raise OSError(f"{path} is there and is no socket")
+        raise OSError(f"{path} exists and is not a socket")
     with socket.socket(socket.AF_UNIX) as probe:
         probe.settimeout(1.0)
         try:
@@ -90,23 +95,25 @@
         except ConnectionRefusedError:
             os.unlink(path)
             return
-    raise OSError(f"{path} is another process's")
+    raise OSError(f"{path} is in use by another process")
 
 
-class Control:
+class ControlSocket:
     """The control socket of one process."""
 
     def __init__(self, link: Link) -> None:
-        self.link, self.path = link, link.spec.control
-        self.callers = 0
+        """Name the process's socket; `run` opens it."""
+        self.link = link
+        self.path = link.spec.control
+        self.callers = 0  # connected now
 
     async def run(self) -> None:
-        """Serve until the process ends. What can't be had is said, and the process goes on without it."""
+        """Serve until the process ends; where the socket can't be opened, log that and return."""
         try:
-            prepare(self.path)
+            remove_stale_socket(self.path)
             listener = await anyio.create_unix_listener(self.path, mode=0o600)
-        except OSError as fault:
-            log.warning("control_socket_failed", path=self.path, fault=fault)
+        except OSError as error:
+            log.warning("control_socket_failed", path=self.path, fault=error)
             return
         try:
             async with listener:
@@ -116,8 +123,9 @@
                 os.unlink(self.path)
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
+        """Serve one caller until it disconnects."""
         async with stream:
-            if self.callers >= CALLERS:
+            if self.callers >= MAX_CONTROL_CALLERS:
                 log.warning_uncounted("control_socket_full", callers=self.callers)
                 return
             self.callers += 1
@@ -125,44 +133,49 @@
                 async for line in lines(stream):
                     if not await self.answer(line, stream):
                         return
-            except GONE_CALLER:
-                return  # a caller that goes, or does not read, is its own trouble
-            except Exception:  # a fault of ours ends this call, and not the listener
+            except DISCONNECT_ERRORS:
+                return  # the caller has disconnected or does not read
+            except Exception:  # an error in this process ends the call, but not the listener
                 log.exception("control_call_failed")
             finally:
                 self.callers -= 1
 
     async def answer(self, line: bytes, stream: anyio.abc.SocketStream) -> bool:
-        """Answer one line; whether the caller may ask more."""
-        asked: ControlRequest | None = None
+        """Answer one line; return whether the caller may send more."""
+        request: ControlRequest | None = None
         try:
-            asked = msgspec.json.decode(line, type=ControlRequest)
-            if asked.ask == "watch":
-                await self.watch(asked, stream)
+            request = msgspec.json.decode(line, type=ControlRequest)
+            if request.ask == "watch":
+                await self.watch(request, stream)
                 return False
-            whole: dict[str, Any] = {"id": asked.id, "ok": True, "result": self.found(asked)}
-        except (msgspec.DecodeError, ValueError, RecursionError, Refused) as fault:
-            whole = {"id": asked.id if asked else 0, "ok": False, "fault": str(fault)}
-        await say(stream, whole)
+            answer: dict[str, Any] = {
+                "id": request.id,
+                "ok": True,
+                "result": self.result_of(request),
+            }
+        except (msgspec.DecodeError, ValueError, RecursionError, RequestError) as error:
+            answer = {"id": request.id if request else 0, "ok": False, "fault": str(error)}
+        await send(stream, answer)
         return True
 
-    def found(self, asked: ControlRequest) -> Any:
+    def result_of(self, request: ControlRequest) -> Any:
+        """Carry a request out and return its result. Raises RequestError."""
         link = self.link
         members = link.members
         members.advance_clock(link.loop.clock())
-        if asked.ask == "members":
+        if request.ask == "members":
             return {
                 "self": link.spec.name,
                 "position": members.position,
                 "here": members.count(),
                 "unheard": members.reachability_counts[UNREACHABLE],
                 "shares": {
-                    name: {"balancers": one.balancers, "number": one.number}
-                    for name, one in link.counting.pools.items()
+                    name: {"balancers": size.balancers, "number": size.number}
+                    for name, size in link.fleet_sizes.pools.items()
                 },
                 "members": list(members.rows()),
             }
-        if asked.ask == "links":
+        if request.ask == "links":
             return [
                 {
                     "to": row["name"],
@@ -174,147 +187,161 @@
                 }
                 for row in list(members.rows())[1:]
             ]
-        if asked.ask == "figures":
+        if request.ask == "figures":
             return link.figures()
-        if asked.ask == "verdicts":
+        if request.ask == "verdicts":
             return link.outlier_monitor.rows() if link.outlier_monitor else []
-        if asked.ask == "limits":
+        if request.ask == "limits":
             return link.limits()
-        if asked.ask == "begin":
-            return self.begin(asked.name)
-        if asked.ask in ASKS:
-            return self.of_record(asked)
-        if asked.ask == "register":
+        if request.ask == "begin":
+            return self.begin(request.name)
+        if request.ask in CONSENSUS_REQUESTS:
+            return self.answer_from_consensus(request)
+        if request.ask == "register":
             return link.register()
-        if asked.ask == "say":
-            return self.say(asked)
-        if asked.ask == "strike":
-            struck = link.strike(asked.name)
+        if request.ask == "say":
+            return self.say(request)
+        if request.ask == "strike":
+            struck = link.strike(request.name)
             if not struck:
-                raise Refused(f"no member {asked.name!r} is lost by silence alone")
-            log.info("member_removed_by_operator", member=asked.name)
+                raise RequestError(f"no member {request.name!r} is lost by silence alone")
+            log.info("member_removed_by_operator", member=request.name)
             return {"struck": struck}
-        raise Refused(
-            f"{asked.ask!r} is none of members, links, limits, figures, watch, strike, begin, "
-            "register, say, " + ", ".join(sorted(ASKS))
+        raise RequestError(
+            f"{request.ask!r} is none of members, links, limits, figures, watch, strike, begin, "
+            "register, say, " + ", ".join(sorted(CONSENSUS_REQUESTS))
         )
 
-    def of_record(self, asked: ControlRequest) -> Any:
-        """What is about the fleet's record."""
+    def answer_from_consensus(self, request: ControlRequest) -> Any:
+        """Carry out a request about the replicated state. Raises RequestError."""
         if self.link.agreed is None:
-            raise Refused("bank.agreement is not in this file, so that nothing is agreed")
-        from whinpier.fleet.control_commands import Fault, found  # only where a file has it
+            raise RequestError("bank.agreement is not in this file, so that nothing is agreed")
+        # Imported only where consensus is configured.
+        from whinpier.fleet.control_commands import CommandError, answer_request
 
         try:
-            return found(self.link.agreed, asked.ask, asked.name, asked.value)
-        except Fault as fault:
-            raise Refused(str(fault)) from None
-
-    def say(self, asked: ControlRequest) -> Any:
-        """An operator's word to the whole fleet."""
-        kind, _, name = asked.name.partition("/")
-        if not 1_000 <= asked.life_ms <= MAX_LIFETIME_MS:
-            raise Refused(
-                f"life_ms: {asked.life_ms} is not between 1,000 and {MAX_LIFETIME_MS}; what is to stay "
+            return answer_request(self.link.agreed, request.ask, request.name, request.value)
+        except CommandError as error:
+            raise RequestError(str(error)) from None
+
+    def say(self, request: ControlRequest) -> Any:
+        """Set a registry entry for the whole fleet. Raises RequestError."""
+        kind, _, name = request.name.partition("/")
+        if not 1_000 <= request.life_ms <= MAX_LIFETIME_MS:
+            raise RequestError(
+                f"life_ms: {request.life_ms} is not between 1,000 and {MAX_LIFETIME_MS}; what is to stay "
                 "belongs into the files"
             )
-        self.check(kind, name, asked.value)
-        if not self.link.say(asked.name, dict(asked.value), asked.life_ms * MS):
-            raise Refused("the table of what operators said is full, or the word too long")
+        self.check_entry(kind, name, request.value)
+        if not self.link.say(request.name, dict(request.value), request.life_ms * MS):
+            raise RequestError("the table of what operators said is full, or the word too long")
         return self.link.register()
 
-    def check(self, kind: str, name: str, value: dict[str, Any]) -> None:
-        """Whether this process knows what is meant. Raises Refused."""
+    def check_entry(self, kind: str, name: str, value: dict[str, Any]) -> None:
+        """Raise RequestError for a registry entry about what this process does not know."""
         link = self.link
         if kind == "limit":
-            if name not in {said.limit.name for said in link.spec.limits}:
-                raise Refused(f"{name!r} is no limit of this file")
+            if name not in {config.limit.name for config in link.spec.limits}:
+                raise RequestError(f"{name!r} is no limit of this file")
             amount = value.get("amount")
             if value and not (isinstance(amount, (int, float)) and 0 < amount <= 1e9):
-                raise Refused(f"amount: {amount!r} is none")
+                raise RequestError(f"amount: {amount!r} is none")
         elif kind == "route":
             table = link.process.spec.table
             if table is None or name not in {route.name for route in table.routes}:
-                raise Refused(f"{name!r} is no route of this file")
+                raise RequestError(f"{name!r} is no route of this file")
         elif kind == "rest":
             pool, _, host = name.partition("/")
             if link.outlier_monitor is None:
-                raise Refused("bank.verdicts is not in this file, so that nobody votes")
+                raise RequestError("bank.verdicts is not in this file, so that nobody votes")
             if pool not in link.process.pools or host not in link.process.pools[pool].endpoints:
-                raise Refused(f"{host!r} is no upstream of a pool {pool!r}")
+                raise RequestError(f"{host!r} is no upstream of a pool {pool!r}")
         elif kind != "tenant" or not name:
-            raise Refused(f"{kind}/{name}: nothing of this kind is said to the bank")
+            raise RequestError(f"{kind}/{name}: nothing of this kind is said to the bank")
 
     def begin(self, name: str) -> Any:
-        """An operator says that nothing was used of the window that is on: for a first start, a lost disk."""
+        """Record that nothing was used of a limit's current window. Raises RequestError.
+
+        For the first start of a member, or after its disk was lost.
+        """
         link = self.link
         if not link.begin(name):
-            raise Refused(f"{name!r} is no count of windows that is never over")
+            raise RequestError(f"{name!r} is no count of windows that is never over")
         log.info("quota_window_opened", limit=name)
         return {"begun": name}
 
-    async def watch(self, asked: ControlRequest, stream: anyio.abc.SocketStream) -> None:
-        """Tell events as they come; one that reads too slowly is told how many it missed."""
+    async def watch(self, request: ControlRequest, stream: anyio.abc.SocketStream) -> None:
+        """Send events as they happen; a caller that reads too slowly gets the number it missed."""
         queue: deque[dict[str, Any]] = deque()
-        came, missed = anyio.Event(), 0
+        queued = anyio.Event()
+        missed = 0
 
-        def heard(event: dict[str, Any]) -> None:
+        def enqueue(event: dict[str, Any]) -> None:
             nonlocal missed
-            if len(queue) >= WAITING:
+            if len(queue) >= MAX_QUEUED_EVENTS:
                 missed += 1
             else:
                 queue.append(event)
-                came.set()
+                queued.set()
 
-        self.link.watchers.append(heard)
+        self.link.watchers.append(enqueue)
         try:
-            await say(
-                stream, {"id": asked.id, "ok": True, "result": {"watching": self.link.spec.name}}
+            await send(
+                stream, {"id": request.id, "ok": True, "result": {"watching": self.link.spec.name}}
             )
             async with anyio.create_task_group() as group:
-                # Guards against watchers that went long ago and still hold the places of others.
-                group.start_soon(until_gone, stream, group.cancel_scope)
-                with suppress(*GONE_CALLER):
+                # Without it a watcher that disconnected while no event happens would count
+                # against MAX_CONTROL_CALLERS for ever.
+                group.start_soon(cancel_on_disconnect, stream, group.cancel_scope)
+                with suppress(*DISCONNECT_ERRORS):
                     while True:
                         while queue:
-                            await say(stream, {"id": asked.id, "event": queue.popleft()})
+                            await send(stream, {"id": request.id, "event": queue.popleft()})
                         if missed:
-                            lost, missed = missed, 0
-                            await say(stream, {"id": asked.id, "missed": lost})
-                        came = anyio.Event()
-                        await came.wait()
+                            reported = missed
+                            missed = 0
+                            await send(stream, {"id": request.id, "missed": reported})
+                        queued = anyio.Event()
+                        await queued.wait()
                 group.cancel_scope.cancel()
         finally:
-            self.link.watchers.remove(heard)
+            self.link.watchers.remove(enqueue)
 
 
 async def lines(stream: anyio.abc.SocketStream) -> AsyncIterator[bytes]:
-    """Lines of a caller; one that is too long, or says nothing for long, ends it."""
+    """Yield a caller's lines that are not empty.
+
+    A line that is too long ends them. Raises TimeoutError for a caller that sends nothing for
+    IDLE_TIMEOUT_SECONDS.
+    """
     data = b""
     while True:
         while (end := data.find(b"\n")) >= 0:
-            line, data = data[:end], data[end + 1 :]
+            line = data[:end]
+            data = data[end + 1 :]
             if line.strip():
                 yield line
-        if len(data) > LINE:
-            await say(stream, {"id": 0, "ok": False, "fault": f"a line of over {LINE} bytes"})
-            # Guards against the answer being lost with what is unread: that resets the connection.
-            with anyio.move_on_after(LINGER):
-                for _ in range(AFTER):
-                    await stream.receive(LINE)
+        if len(data) > MAX_LINE_BYTES:
+            answer = {"id": 0, "ok": False, "fault": f"a line of over {MAX_LINE_BYTES} bytes"}
+            await send(stream, answer)
+            # Closing a socket with unread data resets the connection, and the answer would be lost.
+            with anyio.move_on_after(LINGER_SECONDS):
+                for _ in range(MAX_LINGER_READS):
+                    await stream.receive(MAX_LINE_BYTES)
             return
-        with anyio.fail_after(IDLE):
-            data += await stream.receive(LINE)
+        with anyio.fail_after(IDLE_TIMEOUT_SECONDS):
+            data += await stream.receive(MAX_LINE_BYTES)
 
 
-async def until_gone(stream: anyio.abc.SocketStream, scope: anyio.CancelScope) -> None:
-    """Wait until a caller has closed its side; what it still says is passed over."""
-    with suppress(*GONE_CALLER):
+async def cancel_on_disconnect(stream: anyio.abc.SocketStream, scope: anyio.CancelScope) -> None:
+    """Cancel a scope once the caller has closed its side; ignore what it still sends."""
+    with suppress(*DISCONNECT_ERRORS):
         while True:
-            await stream.receive(LINE)
+            await stream.receive(MAX_LINE_BYTES)
     scope.cancel()
 
 
-async def say(stream: anyio.abc.SocketStream, whole: dict[str, Any]) -> None:
-    with anyio.fail_after(TIMEOUT):
-        await stream.send(msgspec.json.encode(whole, enc_hook=str) + b"\n")
+async def send(stream: anyio.abc.SocketStream, message: dict[str, Any]) -> None:
+    """Send one message as a line of JSON. Raises TimeoutError where the caller does not read."""
+    with anyio.fail_after(WRITE_TIMEOUT_SECONDS):
+        await stream.send(msgspec.json.encode(message, enc_hook=str) + b"\n")
--- a/whinpier/fleet/event_names.py
+++ b/whinpier/fleet/event_names.py
@@ -1,11 +1,11 @@
-"""Event names and counters as the control socket tells them, which are older than those of the log.
+"""Names of events and counters on the control socket, where they differ from those in the log.
 
-Scripts of operators read `watch` and `figures`, so that their names stay; the log and the code use
-the names on the left.
+Operators' scripts read `watch` and `figures`, so the control socket keeps its older names.
 """
 
 from __future__ import annotations
 
+# Names on the control socket, by the names in the log and the code.
 CONTROL_NAMES = {
     "fleet_joined": "bank_joined",
     "fleet_leaving": "bank_leaving",
@@ -33,14 +33,14 @@
     "drain_finished": "drain_ends",
     "release_finished": "release_ends",
 }
-EVENT_NAMES = {old: new for new, old in CONTROL_NAMES.items()}
+EVENT_NAMES = {control: event for event, control in CONTROL_NAMES.items()}
 
 
 def control_name(event: str) -> str:
-    """Return the name by which the control socket tells an event or a counter."""
+    """Return the name of an event or a counter on the control socket."""
     return CONTROL_NAMES.get(event, event)
 
 
-def event_name(told: str) -> str:
-    """Return the event's name in the log for one that the control socket told."""
-    return EVENT_NAMES.get(told, told)
+def event_name(control: str) -> str:
+    """Return the name in the log of an event that the control socket sent."""
+    return EVENT_NAMES.get(control, control)
--- a/whinpier/fleet/fleet_size.py
+++ b/whinpier/fleet/fleet_size.py
@@ -1,8 +1,10 @@
-"""Decides what pools are told of the fleet: how many balancers share each, and which this one is.
+"""The number of balancers that share each pool, and this balancer's number among them.
 
-Too few is by far the dearer mistake: those who think they are alone together push everything over.
-So the number rises at once and falls only for good reason, and late. Free of I/O. Must never tell a
-pool fewer than have to be reckoned with, or change its number more than once a second.
+Too low a number is by far the worse mistake: balancers that each believe they are alone overload
+the upstreams together. So the number rises at once, and falls only once the lower one has lasted.
+
+Invariants: a pool is never told fewer balancers than have to be reckoned with, and what it is told
+changes at most once a second unless there are more. The module does no I/O; times are nanoseconds.
 """
 
 from __future__ import annotations
@@ -11,68 +13,88 @@
 from whinpier.fleet.messages import pool_hash
 from whinpier.policy.decaying_sum import SECOND
 
-LASTING = (
-    2 * SECOND
-)  # that there have been fewer before a pool hears of it: a restart is over by then
-APART = SECOND  # between two changes of one pool
+DECREASE_DELAY = 2 * SECOND  # that a lower number has to last: a restart is over by then
+MIN_CHANGE_INTERVAL = SECOND  # between two changes of a pool that are no increase
 
 
-class Counted:
-    """What one pool was last told."""
+class PoolFleetSize:
+    """The numbers that one pool was last given."""
 
-    __slots__ = ("name", "mark", "balancers", "number", "told_at", "fewer_since", "ids")
+    __slots__ = (
+        "balancers",
+        "changed_at",
+        "decreased_since",
+        "ids",
+        "name",
+        "number",
+        "pool_hash",
+    )
 
     def __init__(self, name: str) -> None:
-        self.name, self.mark = name, pool_hash(name)
-        self.balancers, self.number = 0, 0
-        self.told_at, self.fewer_since = -APART, 0
-        self.ids: dict[int, int] = {}  # members by their number
+        """Begin without balancers, so that the first update is a change."""
+        self.name = name
+        self.pool_hash = pool_hash(name)
+        self.balancers = 0
+        self.number = 0  # of this balancer, from 0
+        self.changed_at = -MIN_CHANGE_INTERVAL
+        self.decreased_since = 0  # 0: there are no fewer balancers than the pool was told
+        self.ids: dict[int, int] = {}  # numbers of the balancers, by member id
 
 
-class Counting:
-    """Of all pools that the fleet shares."""
+class FleetSizes:
+    """The sizes of all pools that the fleet shares."""
 
     def __init__(self, members: Membership, pools: tuple[str, ...]) -> None:
+        """Follow the membership for the pools of these names."""
         self.members = members
-        self.pools: dict[str, Counted] = {}
-        self.follow(pools)
+        self.pools: dict[str, PoolFleetSize] = {}
+        self.set_pools(pools)
+
+    def set_pools(self, pools: tuple[str, ...]) -> None:
+        """Replace the pools; those that stay keep their numbers."""
+        self.pools = {name: self.pools.get(name) or PoolFleetSize(name) for name in pools}
 
-    def follow(self, pools: tuple[str, ...]) -> None:
-        """Other pools, by a new file; what is known of those that stay is kept."""
-        self.pools = {name: self.pools.get(name) or Counted(name) for name in pools}
+    def min_balancers(self, now: int) -> int:
+        """Return how many balancers there may be while not all seeds were heard from.
 
-    def floor(self, now: int) -> int:
-        """How many there may be at least, while this one has not heard from all whom it should."""
+        A seed that does not answer may run on the other side of a partition.
+        """
         members = self.members
-        young = now - members.started_at < members.timing.settle
-        if not young and (members.count() > 1 or now - members.started_at >= members.timing.reckon):
+        age = now - members.started_at
+        is_settling = age < members.timing.settle
+        if not is_settling and (members.count() > 1 or age >= members.timing.reckon):
             return 1
-        return 1 + (
-            len(members.seeds) if young and not members.joined else members.unresponsive_seeds()
-        )
+        if is_settling and not members.joined:
+            return 1 + len(members.seeds)
+        return 1 + members.unresponsive_seeds()
 
-    def update(self, now: int) -> list[Counted]:
-        """The pools whose numbers change now."""
-        found, floor = [], self.floor(now)
+    def update(self, now: int) -> list[PoolFleetSize]:
+        """Update the numbers, and return the pools whose numbers have changed."""
+        changed = []
+        min_balancers = self.min_balancers(now)
         for pool in self.pools.values():
-            shares = self.members.pool_members(pool.mark)
+            sharing = self.members.pool_members(pool.pool_hash)
             number = next(
-                place for place, (_, one) in enumerate(shares) if one == self.members.metadata.id
+                index
+                for index, (_, member_id) in enumerate(sharing)
+                if member_id == self.members.metadata.id
             )
-            balancers = max(len(shares), floor)
-            pool.ids = {one: place for place, (_, one) in enumerate(shares)}
+            balancers = max(len(sharing), min_balancers)
+            pool.ids = {member_id: index for index, (_, member_id) in enumerate(sharing)}
             if (balancers, number) == (pool.balancers, pool.number):
-                pool.fewer_since = 0
+                pool.decreased_since = 0
                 continue
             if balancers < pool.balancers:
-                pool.fewer_since = pool.fewer_since or now
-                if now - pool.fewer_since < LASTING:
+                pool.decreased_since = pool.decreased_since or now
+                if now - pool.decreased_since < DECREASE_DELAY:
                     continue
             elif balancers > pool.balancers:
-                pool.fewer_since = 0
-            if now - pool.told_at < APART and balancers <= pool.balancers:
+                pool.decreased_since = 0
+            if now - pool.changed_at < MIN_CHANGE_INTERVAL and balancers <= pool.balancers:
                 continue
-            pool.balancers, pool.number = balancers, number
-            pool.told_at, pool.fewer_since = now, 0
-            found.append(pool)
-        return found
+            pool.balancers = balancers
+            pool.number = number
+            pool.changed_at = now
+            pool.decreased_since = 0
+            changed.append(pool)
+        return changed
--- a/whinpier/fleet/peer_cache.py
+++ b/whinpier/fleet/peer_cache.py
@@ -63,7 +63,11 @@
     """Raise ValueError for an unknown version or too many members."""
     is_known_version = OLDEST_FORMAT_VERSION <= cached.format_version <= FORMAT_VERSION
     if not is_known_version or len(cached.members) > MAX_ADDRESSES:
-        raise ValueError(f"{path}: form {cached.format_version} with {len(cached.members)} members")
+        raise ValueError(
+            f"{path}: format version {cached.format_version} with {len(cached.members)} members; "
+            f"versions {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION} with up to {MAX_ADDRESSES} "
+            "members are allowed"
+        )
 
 
 def write(path: str, addresses: list[Address], allocations: dict[str, StoredAllocation]) -> None:
--- a/whinpier/fleet/service.py
+++ b/whinpier/fleet/service.py
@@ -1,8 +1,10 @@
-"""Owns the fleet's datagrams: their socket, the clock, the log lines, what pools are told.
+"""The I/O of this process as a member of the fleet: its UDP socket, timers, log events and pools.
 
-Hands bytes and times to `members` and sends what it gives back. Must never decide anything, let a
-flood take the loop's time beyond a bound, or end the process for anything that comes or fails to
-go.
+`Link` hands received datagrams and the time to the state machines of the fleet (membership,
+quotas, outlier ejection, consensus), sends what they return and tells the pools what concerns them.
+
+Invariants: the module takes no decisions itself, a flood of datagrams takes a bounded share of the
+event loop's time, and no datagram that arrives or can't be sent ends the process.
 """
 
 from __future__ import annotations
@@ -24,9 +26,9 @@
 from whinpier import log
 from whinpier.fleet import peer_cache
 from whinpier.fleet.clock_offset import Clocks
-from whinpier.fleet.control_socket import Control
+from whinpier.fleet.control_socket import ControlSocket
 from whinpier.fleet.event_names import control_name
-from whinpier.fleet.fleet_size import Counting
+from whinpier.fleet.fleet_size import FleetSizes
 from whinpier.fleet.membership.membership import (
     GONE,
     MS,
@@ -67,32 +69,45 @@
     from whinpier.runtime.pool import Pool
     from whinpier.runtime.process import Process
 
-IP_RECVERR, MSG_ERRQUEUE = 11, 0x2000  # Linux: errors come with the address they are about
-AT_ONCE = 64  # datagrams read in one go, before others have their turn
-OPENED = 2_000  # a second of unknown addresses that are looked at; 5 us each
-COUNT = SECOND // 4  # between looks at how many share each pool: what lasts is seen then
-FORGET = 10 * SECOND  # between looks at notes of windows that are over
-REMEMBER = 2.0  # seconds between looks at whether where members are has changed
-STAMP = pool_hash(
-    "state/stamp"
-)  # under which members tell how many notes their state files have had
-BEGUN, WINDOW = "begun", "window"  # notes of the state file: since when it knows all; of one window
+# Linux: the socket's error queue holds ICMP errors with the address that they are about.
+IP_RECVERR = 11
+MSG_ERRQUEUE = 0x2000
+MAX_DATAGRAMS_PER_READ = 64  # then other events of the loop have their turn
+MAX_UNKNOWN_DATAGRAMS_PER_SECOND = 2_000  # from unknown addresses; each takes 5 us to verify
+RECEIVE_BUFFER_BYTES = 2_048  # more than the longest datagram, so that a longer one is recognized
+FLEET_SIZE_INTERVAL = SECOND // 4  # between checks of how many balancers share each pool
+EXPIRY_INTERVAL = 10 * SECOND  # between removals of records of windows that are over
+PEER_CACHE_INTERVAL_SECONDS = 2.0  # between checks whether the peer cache has to be rewritten
+# Members publish the sequence number of their state files under this channel.
+STATE_SEQUENCE_CHANNEL = pool_hash("state/stamp")
+STATE_SEQUENCE_BYTES = 8
+# Kinds of records in the state file, the first item of their keys: from when on the file knows all
+# that was used, and what was used of one window.
+HISTORY_START = "begun"
+WINDOW = "window"
 
 
 class Link:
     """This process as a member of the fleet."""
 
     def __init__(self, process: Process, spec: FleetSpec, sock: socket.socket) -> None:
-        self.process, self.spec, self.sock, self.loop = process, spec, sock, process.loop
+        """Load what earlier runs stored and connect the pools; `start` begins the I/O.
+
+        Raises AppendLogError where the state file can't be used.
+        """
+        self.process = process
+        self.spec = spec
+        self.sock = sock
+        self.loop = process.loop
         self.now = self.loop.clock()
-        self.first_notes: Records = {}
-        self.begun_stamp = 0  # notes that the state file had ever held when this run began
-        self.stamps: dict[
-            str, tuple[int, int]
-        ] = {}  # of the others' files, by name: whose run, how many
-        chance = Random(process.seed_source.getrandbits(64))
+        self.pending_history_starts: Records = {}  # to be written to the state file
+        self.initial_state_sequence = 0  # the state file's sequence number when this run began
+        # The highest sequence number of each other member's state file, by the member's name, with
+        # the id of the run that published it.
+        self.peer_state_sequences: dict[str, tuple[int, int]] = {}
+        random = Random(process.seed_source.getrandbits(64))
         build = spec.agreement.build if spec.agreement else BUILD_VERSION
-        card = MemberMetadata(
+        metadata = MemberMetadata(
             spec.name,
             Random().getrandbits(63),
             1,
@@ -102,172 +117,203 @@
             process.spec.revision,
             tuple(pool_hash(name) for name in spec.pools),
         )
-        recalled, kept = self.recalled()
+        cached_addresses, cached_allocations = self.read_peer_cache()
         self.clocks = Clocks(time.time_ns() - self.now)
         self.state_store = StateStore(spec.state) if spec.state else None
-        notes, since, known_since_by_limit = self.taken_up()
+        window_records, known_since, known_since_by_limit = self.load_state()
         self.quota_allocation = QuotaAllocation(
             spec.name,
             spec.limits,
             self.now,
-            chance,
+            random,
             self.clocks.between,
-            kept,
+            cached_allocations,
             self.state_store is not None,
-            notes,
-            since,
+            window_records,
+            known_since,
             known_since_by_limit,
         )
         self.limit_enforcer = LimitEnforcer(self.quota_allocation, self.loop)
         self.outlier_monitor: OutlierMonitor | None = None
-        card = msgspec.structs.replace(
-            card, limits_epoch=self.quota_allocation.epoch if self.quota_allocation.tables else 0
+        metadata = msgspec.structs.replace(
+            metadata,
+            limits_epoch=self.quota_allocation.epoch if self.quota_allocation.tables else 0,
         )
         self.members = Membership(
-            card,
+            metadata,
             spec.seeds,
             Seal(spec.keys),
             spec.times,
-            chance,
+            random,
             self.now,
-            cached_addresses=recalled,
+            cached_addresses=cached_addresses,
         )
-        self.counting = Counting(self.members, spec.pools)
+        self.fleet_sizes = FleetSizes(self.members, spec.pools)
         if spec.verdicts:
             self.outlier_monitor = OutlierMonitor(
-                spec.verdicts, self.members, self.loop, chance, self.say_event
+                spec.verdicts, self.members, self.loop, random, self.say_event
             )
         self.agreed: ConsensusService | None = None
-        self.shared = True  # whether others count this one among those who share the pools
+        self.shared = True  # whether other members count this one as a balancer of its pools
         if spec.agreement:
-            from whinpier.fleet.consensus.service import (
-                ConsensusService,
-            )  # only where a file has it
+            # Imported only where consensus is configured.
+            from whinpier.fleet.consensus.service import ConsensusService
 
             self.agreed = ConsensusService(self, spec.agreement)
-        self.control = Control(self) if spec.control else None
-        self.called_at = 0
-        self.second, self.opened = 0, 0
-        self.seen_changes = -1
+        self.control = ControlSocket(self) if spec.control else None
+        self.tick_at = 0  # when the membership's next timer is set for; 0: none is set
+        # Datagrams from unknown addresses in the current second of the clock.
+        self.unknown_datagrams_second = 0
+        self.unknown_datagrams = 0
+        self.seen_membership_changes = -1
         self.seen_registry_changes = 0
-        self.amounts: dict[str, float] = {}  # of limits, as operators have said them for a while
+        self.amount_overrides: dict[str, float] = {}  # set by operators, by name of the limit
         self.watchers: list[Callable[[dict[str, Any]], None]] = []
-        self.by_mark: dict[int, str] = {}
-        self.said: dict[tuple[int, int], bytes] = {}
+        self.pool_names: dict[int, str] = {}  # by channel
+        self.last_peer_messages: dict[tuple[int, int], bytes] = {}  # by member and channel
         self.counts: Counter[str] = Counter()
-        self.nearly_marks: dict[int, ApproximateQuota] = {}
-        self.dealing, self.forget_at = False, 0
+        self.approximate_quotas: dict[int, ApproximateQuota] = {}  # by channel
+        self.periodic_tasks_running = False
+        self.next_expiry_at = 0
         self.attach()
         if sys.platform == "linux":
             sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
 
-    def taken_up(self) -> tuple[list[WindowRecord], int, dict[int, int]]:
-        """What the state file holds of windows, and since when it has known of all. Raises AppendLogError."""
+    def load_state(self) -> tuple[list[WindowRecord], int, dict[int, int]]:
+        """Return the state file's records of windows, and from when on it knows all that was used.
+
+        That is one time for all limits, and the later times of single limits by their hash. Raises
+        AppendLogError.
+        """
         if self.state_store is None:
             return [], NO_HISTORY, {}
-        self.state_store.collect_batches = self.to_write
+        self.state_store.collect_batches = self.collect_state_batches
         live = self.state_store.open()
-        begun = live.get((BEGUN,), (NO_HISTORY,))
+        history_start = live.get((HISTORY_START,), (NO_HISTORY,))
         log.info(
             "state_store_loaded",
             file=self.state_store.journal.path,
             notes=len(live),
             stamp=self.state_store.sequence,
         )
-        self.begun_stamp = self.state_store.sequence
+        self.initial_state_sequence = self.state_store.sequence
         return (
             [(*key[1:], *value) for key, value in live.items() if key[0] == WINDOW],
-            begun[0],
-            {key[1]: value[0] for key, value in live.items() if key[0] == BEGUN and len(key) == 2},
+            history_start[0],
+            {
+                key[1]: value[0]
+                for key, value in live.items()
+                if key[0] == HISTORY_START and len(key) == 2
+            },
         )
 
-    def to_write(self) -> list[Batch]:
-        """What is to be on the disk, each with whom to tell."""
-        first, self.first_notes = self.first_notes, {}
-        found: list[Batch] = []
-        if first:
-            found.append(Batch(first, lambda: None, lambda: self.first_notes.update(first)))
-        for part in self.quota_allocation.calendar_quotas():
-            if part.pending_records:
-                said, notes = part.take_records()
-                found.append(
+    def collect_state_batches(self) -> list[Batch]:
+        """Return the records that the state file lacks, in batches with their callbacks."""
+        history_starts = self.pending_history_starts
+        self.pending_history_starts = {}
+        batches: list[Batch] = []
+        if history_starts:
+            batches.append(
+                Batch(
+                    history_starts,
+                    on_written=lambda: None,
+                    on_failed=lambda: self.pending_history_starts.update(history_starts),
+                )
+            )
+        for quota in self.quota_allocation.calendar_quotas():
+            if quota.pending_records:
+                revision, records = quota.take_records()
+                batches.append(
                     Batch(
-                        {(WINDOW, *note[:3]): note[3:] for note in notes},
-                        partial(self.written, part, said, notes),
-                        partial(part.on_write_failed, notes),
+                        {(WINDOW, *record[:3]): record[3:] for record in records},
+                        partial(self.on_records_written, quota, revision, records),
+                        partial(quota.on_write_failed, records),
                     )
                 )
-        return found
+        return batches
 
-    def written(self, part: CalendarQuota, said: int, notes: list[WindowRecord]) -> None:
-        part.on_records_written(said, notes)
+    def on_records_written(
+        self, quota: CalendarQuota, revision: int, records: list[WindowRecord]
+    ) -> None:
+        """Tell a quota that its records are on the disk, and send what it held back until then."""
+        quota.on_records_written(revision, records)
         self.send_application_messages()
 
-    def recalled(self) -> tuple[list[Address], dict[str, StoredAllocation]]:
+    def read_peer_cache(self) -> tuple[list[Address], dict[str, StoredAllocation]]:
+        """Return what the last run cached; empty where there is no cache or it can't be read."""
         try:
             return peer_cache.read(self.spec.recall) if self.spec.recall else ([], {})
-        except (OSError, ValueError) as fault:
-            log.warning("peer_cache_failed", fault=fault)
+        except (OSError, ValueError) as error:
+            log.warning("peer_cache_failed", fault=error)
             return [], {}
 
-    async def remember(self) -> None:
-        """Keep where members are, when it has changed, off the loop."""
-        kept, well = None, True
+    async def keep_peer_cache(self) -> None:
+        """Write the peer cache when its content has changed, in a thread beside the event loop.
+
+        Of several failures in a row only the first one is logged.
+        """
+        written = None
+        succeeded = True
         while True:
-            await anyio.sleep(REMEMBER)
-            now = self.members.known_addresses(), self.quota_allocation.stored_allocations()
-            if now == kept or not any(now):
+            await anyio.sleep(PEER_CACHE_INTERVAL_SECONDS)
+            content = self.members.known_addresses(), self.quota_allocation.stored_allocations()
+            if content == written or not any(content):
                 continue
             try:
-                await anyio.to_thread.run_sync(peer_cache.write, self.spec.recall, *now)
-                kept, well = now, True
-            except OSError as fault:
-                if well:
-                    log.warning("peer_cache_failed", fault=fault)
-                well = False
+                await anyio.to_thread.run_sync(peer_cache.write, self.spec.recall, *content)
+                written = content
+                succeeded = True
+            except OSError as error:
+                if succeeded:
+                    log.warning("peer_cache_failed", fault=error)
+                succeeded = False
 
     def attach(self) -> None:
-        """Connect the pools that the fleet shares."""
-        self.by_mark = {pool_hash(name): name for name in self.spec.pools}
-        self.nearly_marks = {
-            one.limit.wire_id: one for one in self.quota_allocation.approximate_quotas.values()
+        """Connect the pools that the fleet shares, and disconnect the others."""
+        self.pool_names = {pool_hash(name): name for name in self.spec.pools}
+        self.approximate_quotas = {
+            quota.limit.wire_id: quota
+            for quota in self.quota_allocation.approximate_quotas.values()
         }
         for name, pool in self.process.pools.items():
-            pool.broadcast = self.speaker(name) if name in self.spec.pools else None
+            pool.broadcast = self.pool_publisher(name) if name in self.spec.pools else None
             if name not in self.spec.pools:
                 pool.clear_fleet_size()
         self.limit_enforcer.attach_pools(self.process.pools.values(), self.spec.limits)
         if self.outlier_monitor:
             self.outlier_monitor.update_pools(self.process.pools.values(), self.spec.pools)
-        # Before the first request: until it knows better, as many as the file lets it expect.
-        self.count(self.now)
+        # Before the first request: as many balancers as the configured seeds let one expect.
+        self.update_fleet_size(self.now)
 
-    def speaker(self, name: str) -> Callable[[bytes], None]:
-        mark = pool_hash(name)
-        return lambda contents: self.members.publish(mark, contents)
-
-    # The life of the process.
+    def pool_publisher(self, name: str) -> Callable[[bytes], None]:
+        """Return the function by which a pool publishes payloads to its peers."""
+        channel = pool_hash(name)
+        return lambda payload: self.members.publish(channel, payload)
 
     def start(self) -> None:
-        asyncio.get_running_loop().add_reader(self.sock, self.came)
+        """Begin to receive datagrams, and start the timers and background tasks."""
+        asyncio.get_running_loop().add_reader(self.sock, self.on_readable)
         if self.control:
             self.loop.spawn(self.control.run, lambda: None)
         if self.spec.recall:
-            self.loop.spawn(self.remember, lambda: None)
-        self.loop.call_at(self.loop.clock() + COUNT, self, self.recount)
+            self.loop.spawn(self.keep_peer_cache, lambda: None)
+        self.loop.call_at(
+            self.loop.clock() + FLEET_SIZE_INTERVAL, self, self.update_fleet_size_periodically
+        )
         if self.state_store:
             self.loop.spawn(self.state_store.run, lambda: None)
-        self.loop.dispatch(self, self.deal)
+        self.loop.dispatch(self, self.run_periodic_tasks)
         if self.agreed:
             self.agreed.start()
         self.schedule()
 
     def reconfigure(self, spec: FleetSpec) -> None:
-        """Go on by a new file."""
-        keys, self.spec = spec.differs(self.spec), spec
-        self.counting.follow(spec.pools)
+        """Apply a new configuration."""
+        keys = spec.differs(self.spec)
+        self.spec = spec
+        self.fleet_sizes.set_pools(spec.pools)
         if "limits" in keys:
-            self.quota_allocation.apply_configs(self.said_limits(), self.loop.clock())
+            self.quota_allocation.apply_configs(self.limits_with_overrides(), self.loop.clock())
         self.attach()
         self.members.reconfigure(
             self.loop.clock(),
@@ -276,174 +322,205 @@
             spec.times,
             zone=spec.zone,
             revision=self.process.spec.revision,
-            pools=self.marks(),
+            pools=self.shared_pool_hashes(),
         )
         if keys:
             log.info("fleet_configuration_changed", keys=",".join(keys))
-        if not self.dealing:
-            self.loop.dispatch(self, self.deal)
+        if not self.periodic_tasks_running:
+            self.loop.dispatch(self, self.run_periodic_tasks)
         self.pass_on()
         if self.agreed:
             self.agreed.on_pools_changed()
 
-    def marks(self) -> tuple[int, ...]:
-        """The pools that others are to count this one among."""
+    def shared_pool_hashes(self) -> tuple[int, ...]:
+        """Return the pools for which other members are to count this one as a balancer."""
         return tuple(pool_hash(name) for name in self.spec.pools) if self.shared else ()
 
     def share(self, on: bool) -> None:
-        """Others count this one among those who share its pools, or no longer."""
+        """Announce whether other members are to count this one as a balancer of its pools."""
         self.shared = on
         self.members.reconfigure(
             self.loop.clock(),
             self.spec.seeds,
             Seal(self.spec.keys),
             self.spec.times,
-            pools=self.marks(),
+            pools=self.shared_pool_hashes(),
         )
 
     def say_event(self, name: str, pairs: dict[str, Any]) -> None:
-        """Something that has happened beside membership, to the log and to watchers."""
-        self.happened(Event(name, self.loop.clock(), pairs))
+        """Report an event of another part of the fleet to the log and to watchers."""
+        self.on_event(Event(name, self.loop.clock(), pairs))
 
     def leave(self) -> None:
+        """Begin to leave the fleet: give up leadership, and tell the others."""
         if self.agreed:
             self.agreed.leave()
         self.members.leave(self.loop.clock())
         self.pass_on()
 
     def announce_leave(self) -> None:
+        """Announce to the fleet that this member has left."""
         self.members.announce_leave(self.loop.clock())
         self.pass_on()
 
     def figures(self) -> dict[str, int]:
-        """Return the counters by the names that the control socket tells."""
+        """Return the counters under the names that the control socket uses."""
         members = self.members
-        found = {
+        counters = {
             "members_reachable": members.count(),
             "members_unreachable": members.reachability_counts[UNREACHABLE],
             **members.counts,
             **self.counts,
         }
-        return {control_name(name): count for name, count in found.items()}
+        return {control_name(name): count for name, count in counters.items()}
 
-    # In and out.
+    def on_readable(self) -> None:
+        """Read waiting datagrams and errors.
 
-    def came(self) -> None:
-        """Something can be read. Registered once: to ask anew for each datagram costs more than reading."""
-        for _ in range(AT_ONCE):
+        Stays registered with the event loop: registering anew for each datagram costs more than
+        reading it.
+        """
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data, source = self.sock.recvfrom(2_048)
+                data, source = self.sock.recvfrom(RECEIVE_BUFFER_BYTES)
             except BlockingIOError:
                 break
             except OSError:
-                continue  # what the error queue tells with its address
-            if self.wanted(source):
-                self.loop.dispatch(self, self.received, data, source)
+                continue  # the error queue has it too, with the address
+            if self.is_within_receive_limit(source):
+                self.loop.dispatch(self, self.on_datagram, data, source)
         self.read_errors()
 
-    def wanted(self, source: Address) -> bool:
-        """Whether there is time for one more of an unknown address in this second."""
+    def is_within_receive_limit(self, source: Address) -> bool:
+        """Count a datagram, and tell whether it is to be verified.
+
+        Datagrams from known addresses always are, those from unknown ones up to
+        MAX_UNKNOWN_DATAGRAMS_PER_SECOND.
+        """
         if source in self.members.ids_by_address:
             return True
-        if (second := self.loop.clock() // SECOND) != self.second:
-            self.second, self.opened = second, 0
-        self.opened += 1
-        if self.opened > OPENED:
+        second = self.loop.clock() // SECOND
+        if second != self.unknown_datagrams_second:
+            self.unknown_datagrams_second = second
+            self.unknown_datagrams = 0
+        self.unknown_datagrams += 1
+        if self.unknown_datagrams > MAX_UNKNOWN_DATAGRAMS_PER_SECOND:
             self.counts["fleet_receive_limit"] += 1
             return False
         return True
 
     def read_errors(self) -> None:
-        for _ in range(AT_ONCE):
+        """Read the socket's error queue, and report closed ports to the membership."""
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 _, extra, _, address = self.sock.recvmsg(512, 256, MSG_ERRQUEUE)
             except OSError:
                 return
             for level, kind, data in extra:
-                if (level, kind) == (socket.IPPROTO_IP, IP_RECVERR) and len(data) >= 4:
-                    if int.from_bytes(data[:4], sys.byteorder) == errno.ECONNREFUSED:
-                        self.loop.dispatch(self, self.refused, (address[0], address[1]))
-
-    def received(self, data: bytes, source: Address) -> None:
+                if (level, kind) != (socket.IPPROTO_IP, IP_RECVERR) or len(data) < 4:
+                    continue
+                error_number = int.from_bytes(data[:4], sys.byteorder)  # of sock_extended_err
+                if error_number == errno.ECONNREFUSED:
+                    self.loop.dispatch(self, self.on_port_unreachable, (address[0], address[1]))
+
+    def on_datagram(self, data: bytes, source: Address) -> None:
+        """Process one received datagram."""
         self.members.receive(data, source, self.now)
         self.pass_on()
 
-    def refused(self, address: Address) -> None:
+    def on_port_unreachable(self, address: Address) -> None:
+        """Process an ICMP error: no process listens at the address."""
         self.members.on_port_unreachable(address, self.now)
         self.pass_on()
 
-    def tick(self, called_at: int) -> None:
-        if called_at == self.called_at:
-            self.called_at = 0
+    def tick(self, scheduled_at: int) -> None:
+        """Run the membership's timers, unless an earlier tick has taken this one's place."""
+        if scheduled_at == self.tick_at:
+            self.tick_at = 0
             self.members.tick(self.now)
             self.pass_on()
 
     def schedule(self) -> None:
+        """Set a timer for when the membership is due next, unless an earlier one is set."""
         due = self.members.due()
-        if not self.called_at or due < self.called_at:
-            self.called_at = due
+        if not self.tick_at or due < self.tick_at:
+            self.tick_at = due
             self.loop.call_at(due, self, self.tick, due)
 
     def pass_on(self) -> None:
-        """Send what is to be sent, say what has happened, tell pools what others tell."""
-        out, events, said = self.members.take_output()
-        for address, data in out:
-            try:
-                self.sock.sendto(data, address)
-            except BlockingIOError:
-                self.counts["fleet_not_sent"] += 1
-            except OSError as fault:
-                self.counts["fleet_send_failed"] += 1
-                if fault.errno != errno.ECONNREFUSED:
-                    log.warning_uncounted(
-                        "fleet_send_failed", address="%s:%d" % address, fault=fault
-                    )
+        """Send pending datagrams, and hand events and received messages to those they concern."""
+        datagrams, events, payloads = self.members.take_output()
+        for address, data in datagrams:
+            self.send_datagram(address, data)
         for event in events:
-            self.happened(event)
-        for member, mark, contents in said:
-            self.hear(member, mark, contents)
-        if self.members.received_ejection_messages:
-            pleas, self.members.received_ejection_messages = (
-                self.members.received_ejection_messages,
-                [],
-            )
-            for sender, plea in pleas:
-                if self.outlier_monitor:
-                    self.outlier_monitor.on_message(sender, plea)
-            self.send_application_messages()
-        if self.members.received_quota_messages:
-            deals, self.members.received_quota_messages = self.members.received_quota_messages, []
-            for sender, one in deals:
-                if one.kind == STALE_STATE:
-                    self.told_old(one, sender)
-                else:
-                    self.quota_allocation.on_message(one, sender, self.loop.clock())
-            self.send_application_messages()
-        if self.members.received_consensus_messages:
-            talks, self.members.received_consensus_messages = (
-                self.members.received_consensus_messages,
-                [],
-            )
-            if self.agreed:
-                for sender, talk in talks:
-                    self.agreed.receive(sender, talk)
-                self.agreed.flush()
-        if self.members.change_count != self.seen_changes:
-            self.seen_changes = self.members.change_count
-            self.count(self.loop.clock())
+            self.on_event(event)
+        for member, channel, payload in payloads:
+            self.on_payload(member, channel, payload)
+        self.process_ejection_messages()
+        self.process_quota_messages()
+        self.process_consensus_messages()
+        if self.members.change_count != self.seen_membership_changes:
+            self.seen_membership_changes = self.members.change_count
+            self.update_fleet_size(self.loop.clock())
         if self.members.registry.change_count != self.seen_registry_changes:
             self.seen_registry_changes = self.members.registry.change_count
-            self.heed()
+            self.apply_registry()
         self.schedule()
 
-    def happened(self, event: Event) -> None:
+    def send_datagram(self, address: Address, data: bytes) -> None:
+        """Send one datagram; count and log a failure, which the protocols treat as a loss."""
+        try:
+            self.sock.sendto(data, address)
+        except BlockingIOError:
+            self.counts["fleet_not_sent"] += 1
+        except OSError as error:
+            self.counts["fleet_send_failed"] += 1
+            if error.errno != errno.ECONNREFUSED:
+                host, port = address
+                log.warning_uncounted("fleet_send_failed", address=f"{host}:{port}", fault=error)
+
+    def process_ejection_messages(self) -> None:
+        """Hand received messages on ejections to the outlier monitor."""
+        messages = self.members.received_ejection_messages
+        if not messages:
+            return
+        self.members.received_ejection_messages = []
+        for sender, message in messages:
+            if self.outlier_monitor:
+                self.outlier_monitor.on_message(sender, message)
+        self.send_application_messages()
+
+    def process_quota_messages(self) -> None:
+        """Hand received messages on limits to the quota allocation."""
+        messages = self.members.received_quota_messages
+        if not messages:
+            return
+        self.members.received_quota_messages = []
+        for sender, message in messages:
+            if message.kind == STALE_STATE:
+                self.on_stale_state(message, sender)
+            else:
+                self.quota_allocation.on_message(message, sender, self.loop.clock())
+        self.send_application_messages()
+
+    def process_consensus_messages(self) -> None:
+        """Hand received consensus messages to the consensus service."""
+        messages = self.members.received_consensus_messages
+        if not messages:
+            return
+        self.members.received_consensus_messages = []
+        if self.agreed:
+            for sender, message in messages:
+                self.agreed.receive(sender, message)
+            self.agreed.flush()
+
+    def on_event(self, event: Event) -> None:
+        """Count and log an event, and tell it to watchers and to the quota allocation."""
         self.counts[event.name] += 1
-        at = (
-            event.at - self.loop.offset
-        )  # on the machine's monotonic clock, as every process has it
+        at = event.at - self.loop.offset  # on the monotonic clock, which processes have in common
         run = f"{self.members.metadata.run:x}"
-        pairs = {"process": self.spec.name, "process_run": run, "mono_ns": at} | event.pairs
-        log.info(event.name, **pairs)
+        fields = {"process": self.spec.name, "process_run": run, "mono_ns": at} | event.pairs
+        log.info(event.name, **fields)
         name = event.pairs.get("member", "")
         if event.name in ("member_left", "member_lost"):
             if event.pairs.get("why") != REASON_NAMES[NO_RESPONSE]:
@@ -451,36 +528,43 @@
         elif event.name == "member_here":
             self.quota_allocation.departed.discard(name)
         for watcher in list(self.watchers):
-            watcher({"event": control_name(event.name)} | pairs)
+            watcher({"event": control_name(event.name)} | fields)
 
     def strike(self, name: str) -> int:
-        """An operator says that a member is dead: one that is unheard, or a home that was never met."""
-        struck = self.members.declare_dead(name, self.loop.clock())
-        gone = not any(
-            one.metadata.name == name and one.connected for one in self.members.members.values()
+        """Declare a member dead for an operator; return how many runs of it were.
+
+        Only a member that is unreachable can be, or a home of a limit that was never met.
+        """
+        declared_dead = self.members.declare_dead(name, self.loop.clock())
+        is_gone = not any(
+            member.metadata.name == name and member.connected
+            for member in self.members.members.values()
         )
-        if gone and any(name in kept.homes for kept in self.quota_allocation.stored.values()):
+        if is_gone and any(
+            name in allocation.homes for allocation in self.quota_allocation.stored.values()
+        ):
             self.quota_allocation.departed.add(name)
-            struck = max(struck, 1)
+            declared_dead = max(declared_dead, 1)
         self.pass_on()
-        return struck
+        return declared_dead
 
-    # What operators say.
+    def say(self, key: str, value: dict[str, Any], lifetime_ns: int) -> bool:
+        """Set a registry entry for the whole fleet, or delete it if `value` is empty.
 
-    def say(self, key: str, value: dict[str, Any], life: int) -> bool:
-        """One word to the whole fleet; without a value it lifts what was said. Whether there was room."""
+        Return whether the registry had capacity for it.
+        """
         data = msgspec.json.encode(value) if value else b""
-        said = self.members.registry.put(
-            key, data, life, self.members.metadata.id, self.loop.clock()
+        entry = self.members.registry.put(
+            key, data, lifetime_ns, self.members.metadata.id, self.loop.clock()
         )
-        if said is not None:
+        if entry is not None:
             log.info("registry_entry_changed", key=key, **value)
             self.members.broadcast_payloads(self.loop.clock())
             self.pass_on()
-        return said is not None
+        return entry is not None
 
-    def heed(self) -> None:
-        """Go by what operators say now."""
+    def apply_registry(self) -> None:
+        """Apply what operators have set in the registry: amounts, closed routes, ejections."""
         amounts = {}
         for name, value in self.members.registry.values_with_prefix("limit/").items():
             try:
@@ -501,23 +585,28 @@
                 tuple(name.partition("/")[::2]): entries["rest/" + name].expires_at
                 for name in self.members.registry.values_with_prefix("rest/")
             }
-        if amounts != self.amounts:
-            self.amounts = amounts
-            self.quota_allocation.apply_configs(self.said_limits(), self.loop.clock())
+        if amounts != self.amount_overrides:
+            self.amount_overrides = amounts
+            self.quota_allocation.apply_configs(self.limits_with_overrides(), self.loop.clock())
             self.attach()
-            told = ",".join(f"{name}={amount:g}" for name, amount in amounts.items())
-            log.info("quota_overrides_changed", limits=told)
+            description = ",".join(f"{name}={amount:g}" for name, amount in amounts.items())
+            log.info("quota_overrides_changed", limits=description)
 
-    def said_limits(self) -> tuple[LimitConfig, ...]:
-        """The limits of the file, with the amounts that operators have said for a while."""
-        amounts = self.amounts
+    def limits_with_overrides(self) -> tuple[LimitConfig, ...]:
+        """Return the configured limits, with the amounts that operators have set for a while."""
+        amounts = self.amount_overrides
         return tuple(
-            said.with_amount(amounts[said.limit.name]) if said.limit.name in amounts else said
-            for said in self.spec.limits
+            config.with_amount(amounts[config.limit.name])
+            if config.limit.name in amounts
+            else config
+            for config in self.spec.limits
         )
 
     def register(self) -> dict[str, Any]:
-        """What operators have said, and who of those who are there holds it."""
+        """Return the registry's entries, and which connected members hold the same entries.
+
+        Also whether each member divides the limits in the same way.
+        """
         now = self.loop.clock()
         registry = self.members.registry
         rows = []
@@ -542,191 +631,225 @@
             "words": rows,
             "members": [
                 {
-                    "name": one.metadata.name,
-                    "run": f"{one.metadata.run:x}",
-                    "holds": one.registry_digest == registry.digest,
-                    "limits": one.metadata.limits_epoch == self.quota_allocation.epoch
+                    "name": member.metadata.name,
+                    "run": f"{member.metadata.run:x}",
+                    "holds": member.registry_digest == registry.digest,
+                    "limits": member.metadata.limits_epoch == self.quota_allocation.epoch
                     or not self.quota_allocation.tables,
                 }
-                for one in self.members.members.values()
-                if one.connected
+                for member in self.members.members.values()
+                if member.connected
             ],
             "agreed": self.quota_allocation.agreed,
         }
 
     def begin(self, name: str) -> bool:
-        """An operator says that nothing was used of the window of a count that is on."""
+        """Record for an operator that nothing was used of a limit's current window.
+
+        Return whether the limit exists and counts requests of calendar windows.
+        """
         if not self.quota_allocation.mark_window_unused(name, self.loop.clock()):
             return False
-        mark = self.quota_allocation.tables[name].config.limit.wire_id
-        self.first_notes[BEGUN, mark] = (self.quota_allocation.known_since_by_limit[mark],)
+        limit_hash = self.quota_allocation.tables[name].config.limit.wire_id
+        known_since = self.quota_allocation.known_since_by_limit[limit_hash]
+        self.pending_history_starts[HISTORY_START, limit_hash] = (known_since,)
         return True
 
-    # Limits.
-
-    def deal(self) -> None:
-        """Look what is needed of each limit, and whether all go by one division of it."""
-        self.dealing = bool(self.spec.limits or self.outlier_monitor)
-        if not self.dealing:
+    def run_periodic_tasks(self) -> None:
+        """Run the timers of limits and ejections, and call again after TIMER_INTERVAL."""
+        self.periodic_tasks_running = bool(self.spec.limits or self.outlier_monitor)
+        if not self.periodic_tasks_running:
             return
         now = self.now = self.loop.clock()
-        self.loop.call_at(now + TIMER_INTERVAL, self, self.deal)
-        members, shares = self.members, self.quota_allocation
-        others = [one for one in members.members.values() if one.reachability != GONE]
-        self.look_at_clocks(now)
-        self.look_at_division(now, others)
-        if any(one.metadata.name == self.spec.name for one in others):
-            shares.extend_fence(now)  # a second process of this name holds the same homes
-        by_name = {one.metadata.name: one.id for one in others if one.connected}
-        shares.on_timer(
-            now, lambda limit: [by_name[home] for home in limit.homes if home in by_name]
+        self.loop.call_at(now + TIMER_INTERVAL, self, self.run_periodic_tasks)
+        members = self.members
+        allocation = self.quota_allocation
+        others = [member for member in members.members.values() if member.reachability != GONE]
+        self.update_clocks(now)
+        self.update_allocation_agreement(now, others)
+        if any(member.metadata.name == self.spec.name for member in others):
+            allocation.extend_fence(now)  # a second process of this name holds the same homes
+        ids_by_name = {member.metadata.name: member.id for member in others if member.connected}
+        allocation.on_timer(
+            now, lambda limit: [ids_by_name[home] for home in limit.homes if home in ids_by_name]
         )
-        self.tell_nearly(now, others)
+        self.publish_approximate_quotas(now, others)
         self.limit_enforcer.on_timer(now, self.process.pools.values())
         if self.outlier_monitor:
             self.outlier_monitor.on_timer(now)
         if self.state_store:
-            if self.first_notes or any(part.pending_records for part in shares.calendar_quotas()):
-                self.state_store.wake()
-            self.members.publish(STAMP, self.state_store.sequence.to_bytes(8, "big"))
-            if now >= self.forget_at:
-                over, self.forget_at = self.quota_allocation.make_expiry_filter(now), now + FORGET
-                self.state_store.discard(lambda key: key[0] == WINDOW and over(key[1], key[3]))
+            self.maintain_state_store(self.state_store, now)
         self.send_application_messages()
 
-    def look_at_clocks(self, now: int) -> None:
+    def maintain_state_store(self, store: StateStore, now: int) -> None:
+        """Have pending records written, publish the sequence number, drop expired records."""
+        quotas = self.quota_allocation.calendar_quotas()
+        if self.pending_history_starts or any(quota.pending_records for quota in quotas):
+            store.wake()
+        sequence = store.sequence.to_bytes(STATE_SEQUENCE_BYTES, "big")
+        self.members.publish(STATE_SEQUENCE_CHANNEL, sequence)
+        if now >= self.next_expiry_at:
+            is_expired = self.quota_allocation.make_expiry_filter(now)
+            self.next_expiry_at = now + EXPIRY_INTERVAL
+            store.discard(lambda key: key[0] == WINDOW and is_expired(key[1], key[3]))
+
+    def update_clocks(self, now: int) -> None:
+        """Estimate the fleet's wall-clock time anew from the samples since the last call."""
         self.clocks.own = time.time_ns() - now
         for member, wall, sent, at in self.members.clock_samples:
-            self.clocks.heard(member, wall - at, wall - sent, now)
+            self.clocks.on_sample(member, wall - at, wall - sent, now)
         self.members.clock_samples.clear()
-        self.members.wall_offset = (
-            self.clocks.own if any(said.calendar for said in self.spec.limits) else 0
-        )
-        self.clocks.settle(
-            now, [one.id for one in self.members.members.values() if one.reachability != GONE]
+        has_calendar_limit = any(config.calendar for config in self.spec.limits)
+        self.members.wall_offset = self.clocks.own if has_calendar_limit else 0
+        self.clocks.update(
+            now,
+            [member.id for member in self.members.members.values() if member.reachability != GONE],
         )
 
-    def look_at_division(self, now: int, others: list[Member]) -> None:
-        shares = self.quota_allocation
-        if shares.agreed and shares.announced_epoch == shares.epoch:
+    def update_allocation_agreement(self, now: int, others: list[Member]) -> None:
+        """Announce how this member divides the limits, and check whether the others agree."""
+        allocation = self.quota_allocation
+        if allocation.agreed and allocation.announced_epoch == allocation.epoch:
             return
-        if shares.announce(now):
+        if allocation.announce(now):
             self.members.reconfigure(
                 now,
                 self.spec.seeds,
                 Seal(self.spec.keys),
                 self.spec.times,
-                limits_epoch=shares.epoch if shares.tables else 0,
+                limits_epoch=allocation.epoch if allocation.tables else 0,
             )
-        heard = [one for one in others if one.connected]
-        there = {one.metadata.name for one in heard if one.metadata.limits_epoch == shares.epoch}
-        apart = {one.metadata.name for one in heard if one.metadata.limits_epoch != shares.epoch}
-        since, silent = shares.known_since, {one.metadata.name for one in others if one.unreachable}
-        agreed = shares.check_agreement(now, there, apart, silent, self.clocks.voices)
-        if self.state_store and shares.known_since != since:
-            # From here on the file knows of all that is used; what was before it does not say.
-            self.first_notes[BEGUN,] = (shares.known_since,)
+        agreeing: set[str] = set()
+        disagreeing: set[str] = set()
+        for member in others:
+            if not member.connected:
+                continue
+            agrees = member.metadata.limits_epoch == allocation.epoch
+            (agreeing if agrees else disagreeing).add(member.metadata.name)
+        unreachable = {member.metadata.name for member in others if member.unreachable}
+        known_since = allocation.known_since
+        agreed = allocation.check_agreement(
+            now, agreeing, disagreeing, unreachable, self.clocks.sample_count
+        )
+        if self.state_store and allocation.known_since != known_since:
+            # The file knows all that is used from here on, but not what was used before.
+            self.pending_history_starts[HISTORY_START,] = (allocation.known_since,)
         if agreed:
             log.info(
-                "quota_allocation_agreed", limits=",".join(shares.tables), epoch=f"{shares.epoch:x}"
+                "quota_allocation_agreed",
+                limits=",".join(allocation.tables),
+                epoch=f"{allocation.epoch:x}",
             )
 
-    def tell_nearly(self, now: int, others: list[Member]) -> None:
-        """Tell what is asked for of limits that are nearly kept, and hear what the others tell."""
-        nearly = self.quota_allocation.approximate_quotas
-        if not nearly:
+    def publish_approximate_quotas(self, now: int, others: list[Member]) -> None:
+        """Run the timers of approximate limits, and publish what this member asks for of them."""
+        quotas = self.quota_allocation.approximate_quotas
+        if not quotas:
             return
-        heard, soon = {one.id: one.connected for one in others}, False
-        for one in nearly.values():
-            changed, at_once = one.on_timer(now, heard, self.counting.floor(now))
+        connected_by_id = {member.id: member.connected for member in others}
+        broadcast = False
+        for quota in quotas.values():
+            changed, urgent = quota.on_timer(
+                now, connected_by_id, self.fleet_sizes.min_balancers(now)
+            )
             if changed:
-                self.members.publish(one.limit.wire_id, one.encode_report(now))
-            soon = soon or at_once
-        if soon:
+                self.members.publish(quota.limit.wire_id, quota.encode_report(now))
+            broadcast = broadcast or urgent
+        if broadcast:
             self.members.broadcast_payloads(now)
 
     def send_application_messages(self) -> None:
-        deals = self.quota_allocation.take_messages()
-        pleas = self.outlier_monitor.take_messages() if self.outlier_monitor else []
-        if deals or pleas:
-            self.members.send_application_messages(deals, self.loop.clock(), pleas)
+        """Send the pending messages of limits and ejections."""
+        quota_messages = self.quota_allocation.take_messages()
+        ejection_messages = self.outlier_monitor.take_messages() if self.outlier_monitor else []
+        if quota_messages or ejection_messages:
+            self.members.send_application_messages(
+                quota_messages, self.loop.clock(), ejection_messages
+            )
             self.pass_on()
 
     def limits(self) -> list[dict[str, Any]]:
-        """How each limit stands here."""
+        """Return the state of each limit at this member."""
         return self.quota_allocation.status_rows(self.loop.clock())
 
-    def compare(self, member: int, contents: bytes) -> None:
-        """A new run whose state file has fewer notes than the last one's: an old copy, or none."""
-        there = self.members.members.get(member)
-        if there is None or len(contents) != 8:
+    def on_state_sequence(self, member_id: int, payload: bytes) -> None:
+        """Warn a restarted member whose state file is older than its last run's.
+
+        Its file has a lower sequence number then: it is an old copy, or was lost.
+        """
+        member = self.members.members.get(member_id)
+        if member is None or len(payload) != STATE_SEQUENCE_BYTES:
             return
-        name, stamp = there.metadata.name, int.from_bytes(contents, "big")
+        name = member.metadata.name
+        sequence = int.from_bytes(payload, "big")
         self.counts["state_stamps_received"] += 1
-        run, most = self.stamps.pop(name, (member, 0))
-        if run != member and stamp < most:
+        previous_id, highest = self.peer_state_sequences.pop(name, (member_id, 0))
+        if previous_id != member_id and sequence < highest:
             self.members.send_application_messages(
-                [(member, QuotaMessage(STALE_STATE, 0, most, 0, 0))], self.loop.clock()
+                [(member_id, QuotaMessage(STALE_STATE, 0, highest, 0, 0))], self.loop.clock()
             )
-        self.stamps[name] = member, max(stamp, most)
-        while len(self.stamps) > self.members.max_members:
-            del self.stamps[next(iter(self.stamps))]
-
-    def told_old(self, deal: QuotaMessage, sender: int) -> None:
-        """Another knows that this process's last run had written more than its state file holds."""
-        if self.state_store is None or deal.nonce <= self.begun_stamp:
+        # Inserted anew, so that the first entry is the one that was updated longest ago.
+        self.peer_state_sequences[name] = member_id, max(sequence, highest)
+        while len(self.peer_state_sequences) > self.members.max_members:
+            del self.peer_state_sequences[next(iter(self.peer_state_sequences))]
+
+    def on_stale_state(self, message: QuotaMessage, sender: int) -> None:
+        """Distrust the state file: another member knows of later records of the last run."""
+        if self.state_store is None or message.nonce <= self.initial_state_sequence:
             return
         log.warning(
             "state_store_stale",
             file=self.state_store.journal.path,
-            notes=self.begun_stamp,
-            known=deal.nonce,
+            notes=self.initial_state_sequence,
+            known=message.nonce,
             by=self.members.name_of(sender),
         )
-        self.begun_stamp = deal.nonce
-        self.state_store.sequence = max(self.state_store.sequence, deal.nonce)
+        self.initial_state_sequence = message.nonce
+        self.state_store.sequence = max(self.state_store.sequence, message.nonce)
         self.quota_allocation.invalidate_records(self.loop.clock())
-        self.first_notes[BEGUN,] = (self.quota_allocation.known_since,)
+        self.pending_history_starts[HISTORY_START,] = (self.quota_allocation.known_since,)
 
-    # Pools.
-
-    def hear(self, member: int, mark: int, contents: bytes) -> None:
-        """What another balancer's decisions tell those of the same pool here, and what it says of limits."""
-        if mark == STAMP:
-            self.compare(member, contents)
+    def on_payload(self, member_id: int, channel: int, payload: bytes) -> None:
+        """Hand a payload that another member published to whom its channel belongs."""
+        if channel == STATE_SEQUENCE_CHANNEL:
+            self.on_state_sequence(member_id, payload)
             return
-        if mark == LOG_PROGRESS_CHANNEL:
+        if channel == LOG_PROGRESS_CHANNEL:
             if self.agreed:
-                self.agreed.on_announcement(member, contents)
+                self.agreed.on_announcement(member_id, payload)
             return
-        if mark in self.nearly_marks:
-            self.nearly_marks[mark].on_report(member, contents, self.loop.clock())
+        if channel in self.approximate_quotas:
+            self.approximate_quotas[channel].on_report(member_id, payload, self.loop.clock())
             return
-        name = self.by_mark.get(mark)
-        counted = self.counting.pools.get(name) if name else None
+        name = self.pool_names.get(channel)
+        fleet_size = self.fleet_sizes.pools.get(name) if name else None
         pool = self.process.pools.get(name) if name else None
-        if counted is None or pool is None or (number := counted.ids.get(member)) is None:
+        if fleet_size is None or pool is None:
+            return
+        number = fleet_size.ids.get(member_id)
+        if number is None:
             return
-        if len(self.said) > 4 * self.members.max_members:
-            self.said.clear()
-        if self.said.get((member, mark)) != contents:
-            self.said[member, mark] = contents
-            pool.receive_peer_message(number, contents)
-
-    def recount(self) -> None:
-        self.loop.call_at(self.now + COUNT, self, self.recount)
-        self.count(self.now)
-
-    def count(self, now: int) -> None:
-        """Tell pools how many share them, and which this one is."""
-        for counted in self.counting.update(now):
-            pool: Pool | None = self.process.pools.get(counted.name)
+        if len(self.last_peer_messages) > 4 * self.members.max_members:
+            self.last_peer_messages.clear()
+        if self.last_peer_messages.get((member_id, channel)) != payload:
+            self.last_peer_messages[member_id, channel] = payload
+            pool.receive_peer_message(number, payload)
+
+    def update_fleet_size_periodically(self) -> None:
+        """Update the fleet size, and call again after FLEET_SIZE_INTERVAL."""
+        self.loop.call_at(self.now + FLEET_SIZE_INTERVAL, self, self.update_fleet_size_periodically)
+        self.update_fleet_size(self.now)
+
+    def update_fleet_size(self, now: int) -> None:
+        """Tell pools how many balancers share them, and which of these this one is."""
+        for fleet_size in self.fleet_sizes.update(now):
+            pool: Pool | None = self.process.pools.get(fleet_size.name)
             if pool is not None:
-                pool.set_fleet_size(counted.balancers, counted.number)
-                self.said.clear()  # by other numbers now
+                pool.set_fleet_size(fleet_size.balancers, fleet_size.number)
+                self.last_peer_messages.clear()  # messages come under other numbers from now on
                 log.info(
                     "pool_fleet_size_changed",
-                    pool=counted.name,
-                    balancers=counted.balancers,
-                    number=counted.number,
+                    pool=fleet_size.name,
+                    balancers=fleet_size.balancers,
+                    number=fleet_size.number,
                 )
--- a/whinpier/fleet/spec.py
+++ b/whinpier/fleet/spec.py
@@ -1,4 +1,4 @@
-"""Plain types of what is configured for the fleet. Reads no file."""
+"""Configuration of a fleet member, as plain types; whinpier.fleet.config reads the file."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 from whinpier.fleet.rollouts.commands import BudgetRule
 from whinpier.policy.decaying_sum import SECOND
 
-RELEASED = "released.toml"  # the file's name in the folder of what is agreed
-CALLERS = 16  # on the control socket at once
-TILL_RESTART = (
+RELEASE_FILE_NAME = "released.toml"  # in the folder of the replicated state
+MAX_CONTROL_CALLERS = 16  # connected to the control socket at once
+# Fields that a running process keeps until it is restarted.
+KEPT_TILL_RESTART = (
     "name",
     "listen",
     "advertise",
@@ -24,17 +25,25 @@
 )
 
 
+# File descriptors of the parts of a member.
+_DATAGRAM_SOCKET_DESCRIPTORS = 1
+_CONTROL_SOCKET_DESCRIPTORS = 1 + MAX_CONTROL_CALLERS
+_STATE_FILE_DESCRIPTORS = 3
+_CONSENSUS_DESCRIPTORS = 5
+
+
 @dataclass(frozen=True)
 class AgreementSpec:
-    """How this process takes part in the fleet's record."""
+    """How this process takes part in the consensus of the fleet; durations are nanoseconds."""
 
-    voters: tuple[str, ...]  # who votes where a record begins; the first begins it
-    folder: str  # where the record and the released file lie
-    permits: tuple[BudgetRule, ...] = ()  # how many may be out, where a record begins
-    wait: int = 5 * SECOND  # for the record, till it serves by what it has
-    write_off: int = 600 * SECOND  # after which one that is lost is reckoned with no more
-    cut_off: int = 15 * SECOND  # after a release that cuts this process off it takes it back itself
-    build: str = ""  # what this build is called
+    voters: tuple[str, ...]  # of a new replicated log, which the first of them bootstraps
+    folder: str  # of the replicated state and the released file
+    permits: tuple[BudgetRule, ...] = ()  # disruption budgets that a new log begins with
+    wait: int = 5 * SECOND  # at start, for the current state; then it serves by what it has stored
+    write_off: int = 600 * SECOND  # after which a lost member is no longer waited for
+    # A release that has cut this process off for so long is taken back by the process itself.
+    cut_off: int = 15 * SECOND
+    build: str = ""  # name of the build that runs
 
 
 @dataclass(frozen=True)
@@ -43,41 +52,45 @@
 
     name: str
     listen: Address
-    advertise: Address  # where the others reach it
-    keys: tuple[bytes, ...]  # the first seals, each opens
+    advertise: Address  # at which the other members reach it
+    keys: tuple[bytes, ...]  # the first signs datagrams, each one verifies them
     seeds: tuple[Address, ...] = ()
-    control: str = ""  # path of a Unix socket; empty: none
-    recall: str = ""  # path of a file by which the next run finds the others again; empty: none
-    state: str = ""  # path of a file of what must outlive the process; empty: none
+    control: str = ""  # path of the control socket; empty: none
+    recall: str = ""  # path of the peer cache; empty: none
+    state: str = ""  # path of the state file; empty: none
     zone: str = ""
     times: MembershipTiming = MembershipTiming()
-    pools: tuple[str, ...] = ()  # that are shared by as many as the fleet says
+    pools: tuple[str, ...] = ()  # whose number of balancers the fleet finds out
     limits: tuple[LimitConfig, ...] = ()
-    verdicts: EjectionConfig | None = None  # None: nothing rests by what the fleet says
-    agreement: AgreementSpec | None = None  # None: nothing is agreed
+    verdicts: EjectionConfig | None = None  # None: the fleet ejects no upstreams
+    agreement: AgreementSpec | None = None  # None: no consensus
 
     @property
     def descriptors(self) -> int:
-        """What it may hold: its datagrams' socket, the control socket and who calls there, the state file."""
-        return (
-            1
-            + (1 + CALLERS if self.control else 0)
-            + (3 if self.state else 0)
-            + (5 if self.agreement else 0)
-        )
+        """Return how many file descriptors the fleet's part of the process may hold."""
+        count = _DATAGRAM_SOCKET_DESCRIPTORS
+        if self.control:
+            count += _CONTROL_SOCKET_DESCRIPTORS
+        if self.state:
+            count += _STATE_FILE_DESCRIPTORS
+        if self.agreement:
+            count += _CONSENSUS_DESCRIPTORS
+        return count
 
     @property
     def till_restart(self) -> dict[str, object]:
-        return {key: getattr(self, key) for key in TILL_RESTART}
+        """Return the fields that a reload leaves as they are, by name."""
+        return {key: getattr(self, key) for key in KEPT_TILL_RESTART}
 
     def kept(self, old: object) -> FleetSpec:
-        """This one as it can be run by a process that was started by an old one."""
+        """Return this configuration as a process that was started with an old one can run it."""
         assert isinstance(old, FleetSpec)
-        return replace(self, **{key: getattr(old, key) for key in TILL_RESTART})
+        return replace(self, **{key: getattr(old, key) for key in KEPT_TILL_RESTART})
 
     def differs(self, other: FleetSpec) -> list[str]:
+        """Return the names of the fields in which another configuration differs."""
         return [
-            one.name
-            for one in fields(FleetSpec)
-            if getattr(self, one.name) != getattr(other, one.name)
+            field.name
+            for field in fields(FleetSpec)
+            if getattr(self, field.name) != getattr(other, field.name)
         ]
--- a/whinpier/fleet/state_store.py
+++ b/whinpier/fleet/state_store.py
@@ -82,7 +82,8 @@
                 path = self.journal.path
                 self.journal.close()
                 raise AppendLogError(
-                    path, "a note of another build; move it away to begin without"
+                    path,
+                    "holds a record in an unknown format; move the file away to begin without it",
                 ) from None
         if self.journal.torn_bytes:
             log.warning(
--- a/whinpier/simulation/fleet_mutants.py
+++ b/whinpier/simulation/fleet_mutants.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from whinpier.fleet import messages
-from whinpier.fleet.fleet_size import Counting
+from whinpier.fleet.fleet_size import FleetSizes
 from whinpier.fleet.membership.membership import Member, Membership
 from whinpier.fleet.messages import ALIVE, LOST, NO_RESPONSE, MemberUpdate
 from whinpier.simulation.fleet import POOL, Fleet
@@ -224,7 +224,7 @@
 def holds(schedule: Schedule) -> list[Breach]:
     """What breaks on a day: the referee's properties, and what pools are told (each half second)."""
     fleet = Fleet(schedule)
-    counted: dict[int, Counting] = {}
+    counted: dict[int, FleetSizes] = {}
     broken: list[Breach] = []
 
     def look() -> None:
@@ -234,7 +234,7 @@
         for number, node in fleet.nodes.items():
             counting = counted.get(number)
             if counting is None or counting.members is not node.members:
-                counting = counted[number] = Counting(node.members, ("all",))
+                counting = counted[number] = FleetSizes(node.members, ("all",))
             counting.update(fleet.clock.now)
             told = counting.pools["all"].balancers
             settled = fleet.clock.now - node.members.started_at > 5_000_000_000
