--- a/tests/fleet/test_outlier_ejection.py
+++ b/tests/fleet/test_outlier_ejection.py
@@ -21,7 +21,7 @@
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.detector import MAX_LATENCY_RATIO
 from whinpier.fleet.outliers.ejection import (
-    LEASE_MARGIN,
+    LEASE_MARGIN_NS,
     MAX_OBSERVATION_ROUNDS,
     EjectionCoordinator,
 )
@@ -301,7 +301,7 @@
     proposer.on_message(EjectionMessage(OBSERVATION_REQUEST, 99, 23, 9), 2, USUAL, 0)
     assert not proposer.proposals and not proposer.observation_rounds
     fresh = EjectionCoordinator(
-        EjectionConfig(), 9, 0, Random(1), EjectionConfig().lease_ns + LEASE_MARGIN
+        EjectionConfig(), 9, 0, Random(1), EjectionConfig().lease_ns + LEASE_MARGIN_NS
     )
     fresh.update_endpoints(POOL, {key: 0 for key in range(20, 30)})
     fresh.on_message(
--- a/tests/fleet/test_outlier_monitor.py
+++ b/tests/fleet/test_outlier_monitor.py
@@ -17,7 +17,7 @@
 )
 from whinpier.fleet.outliers.config import EjectionConfig
 from whinpier.fleet.outliers.detector import MAX_LATENCY_RATIO
-from whinpier.fleet.outliers.ejection import LEASE_MARGIN
+from whinpier.fleet.outliers.ejection import LEASE_MARGIN_NS
 from whinpier.fleet.outliers.messages import decode, encode
 from whinpier.fleet.outliers.monitor import NOT_OBSERVED, OutlierMonitor, upstream_key
 from whinpier.policy.decaying_sum import SECOND
@@ -70,7 +70,7 @@
         CONFIG, members, loop, Random(1), lambda name, fields: told.append((name, fields))
     )
     found.update_pools([pool], ("web",))
-    loop.now = CONFIG.lease_ns + LEASE_MARGIN
+    loop.now = CONFIG.lease_ns + LEASE_MARGIN_NS
     return found
 
 
--- a/whinpier/fleet/outliers/__init__.py
+++ b/whinpier/fleet/outliers/__init__.py
@@ -1,1 +1,1 @@
-"""Outlier ejection that a quorum of observers agrees on."""
+"""Outlier ejection, decided by a quorum of the members that observe an upstream."""
--- a/whinpier/fleet/outliers/detector.py
+++ b/whinpier/fleet/outliers/detector.py
@@ -1,8 +1,9 @@
-"""Local detection of outliers: what this member observed of each upstream, and what it suspects.
+"""Local outlier detection: measures each upstream from this member's own attempts.
 
-Owns the endpoints of each pool with their zones, and for each the answers of late as multiples of the
-usual latency. Sums fade, so that an upstream that recovered is not held to what it did before. An
-attempt without an answer counts by its age. Free of I/O; handed the time; tells nobody else.
+Owns the endpoints of each pool with their zones and, for each endpoint, the latency of its recent
+answers as a multiple of the usual latency. The sums decay, so that earlier answers do not count
+against an upstream that has recovered. An attempt that is long overdue counts as an answer as late as
+its age. Does no I/O, sends no messages and is handed the time, in nanoseconds.
 """
 
 from __future__ import annotations
@@ -15,23 +16,25 @@
 from whinpier.fleet.outliers.model import Observation, UpstreamKey
 from whinpier.policy.decaying_sum import SECOND, DecayingSum
 
-# Over which answers count: with longer ones good answers of before outweigh bad ones.
-OBSERVATION_SPAN = 4 * SECOND // 5
-MAX_LATENCY_RATIO = 10.0  # times the usual: one answer says no more, however late
-OVERDUE_RATIO = 4.0  # times the usual, after which what has no answer counts as one by its age
-SUSPICION_DRIFT = 1.5  # times the usual, which each answer may take without raising suspicion
-SUSPICION_THRESHOLD = 6.0  # one answer ten times late, or a few slow ones
-MIN_RECENT_ANSWERS = 0.4  # fading: whoever received nothing for a second observed nothing
-# Over all observers: by chance their mean is three times the usual once in a thousand.
+# Time constant of the decaying sums. With a longer one, earlier good answers outweigh bad ones.
+OBSERVATION_SPAN_NS = 4 * SECOND // 5
+# Ratios are multiples of the pool's usual latency; numbers of answers are decayed sums.
+MAX_LATENCY_RATIO = 10.0  # upper bound of the ratio that one attempt contributes
+OVERDUE_RATIO = 4.0  # an attempt that waits for longer counts as an answer as late as its age
+SUSPICION_DRIFT = 1.5  # ratio up to which an answer does not raise suspicion
+SUSPICION_THRESHOLD = 6.0  # reached by one answer ten times as late as usual, or by a few slow ones
+MIN_RECENT_ANSWERS = 0.4  # less is left of one answer after a second: the member observed nothing
+# Over all observers. With this many answers, a healthy upstream's mean reaches three times the usual
+# latency with a probability of one in a thousand.
 MIN_TOTAL_ANSWERS = 5.0
-MAX_OBSERVER_WEIGHT = 3.0  # answers that one member's observation counts for at most
-OBSERVER_RATIO = 2.0  # times the usual: whoever measured that observed an outlier
-# Of the upstreams that a member tried may look bad to it: with more the fault is its own.
+MAX_OBSERVER_WEIGHT = 3.0  # upper bound of the answers for which one member's observation counts
+OBSERVER_RATIO = 2.0  # a member that measured at least this has observed an outlier
+# A member to which a larger part of the upstreams that it tried looks bad is at fault itself.
 MAX_BAD_FRACTION = 1 / 3
-MIN_TRIED_UPSTREAMS = 3  # below which a member can't tell whose fault it is
-MIN_TRIED_ANSWERS = 0.3
-MIN_MEAN_ANSWERS = 0.2  # below which a mean of answers says nothing
-MAX_UPSTREAMS = 4_096  # of one list that are remembered
+MIN_TRIED_UPSTREAMS = 3  # with fewer, a member can't tell its own fault from an upstream's
+MIN_TRIED_ANSWERS = 0.3  # with fewer, an upstream does not count as tried
+MIN_MEAN_ANSWERS = 0.2  # with fewer, the mean ratio is not computed
+MAX_UPSTREAMS = 4_096  # endpoints that are remembered of one update
 
 
 @dataclass(slots=True)
@@ -40,20 +43,20 @@
 
     answers: DecayingSum
     latency_ratios: DecayingSum
-    suspicion: float = 0.0  # a cumulative sum of how far answers exceed the drift
-    outstanding: dict[int, int] = field(default_factory=dict)  # attempts: started at
+    suspicion: float = 0.0  # CUSUM statistic: sum of ratio - SUSPICION_DRIFT, never below 0
+    outstanding: dict[int, int] = field(default_factory=dict)  # start times by attempt number
 
 
 class ObservationSummary(NamedTuple):
-    """What all members together observed, those in good standing only."""
+    """Combined observations of all members that are in good standing."""
 
     tried: int  # members that tried the upstream
-    observers: int  # of these, who observed an outlier
-    weight: float
-    latency_ratio: float
+    observers: int  # of these, members that observed an outlier
+    weight: float  # answers that the mean is over, with MAX_OBSERVER_WEIGHT applied
+    latency_ratio: float  # weighted mean
 
     def reaches_quorum(self, config: EjectionConfig) -> bool:
-        """Return whether enough observers saw enough to propose an ejection."""
+        """Return whether answers, latency and observers suffice to propose an ejection."""
         return (
             self.weight >= MIN_TOTAL_ANSWERS
             and self.latency_ratio >= config.min_latency_ratio
@@ -63,7 +66,7 @@
 
 
 def summarize(observations: Iterable[Observation]) -> ObservationSummary:
-    """Weigh the observations of several members against each other."""
+    """Combine the observations of several members, weighted by their answers."""
     tried = [
         (min(answers, MAX_OBSERVER_WEIGHT), ratio)
         for answers, ratio, in_good_standing in observations
@@ -80,11 +83,11 @@
 
     def __init__(self) -> None:
         """Start with no endpoints."""
-        self.zones: dict[UpstreamKey, int] = {}  # of each endpoint
+        self.zones: dict[UpstreamKey, int] = {}  # by endpoint; 0: in no zone
         self.statistics: dict[UpstreamKey, UpstreamStatistics] = {}
 
     def update_endpoints(self, pool: int, endpoints: dict[int, int]) -> None:
-        """Take over a pool's endpoints with their zones; forget what is no endpoint any more."""
+        """Replace a pool's endpoints, given with their zones; forget statistics of removed ones."""
         self.zones = {
             upstream: zone for upstream, zone in self.zones.items() if upstream.pool != pool
         }
@@ -97,7 +100,7 @@
         }
 
     def on_attempt_started(self, upstream: UpstreamKey, number: int, now: int) -> None:
-        """Remember an attempt that has no answer yet."""
+        """Record an attempt that has no answer yet."""
         statistics = self.statistics_of(upstream, now)
         if statistics is not None:
             statistics.outstanding[number] = now
@@ -107,7 +110,7 @@
     ) -> bool:
         """Count an outcome; return whether the upstream is suspected now.
 
-        `latency_ratio` is negative where the attempt never reached the upstream.
+        A negative `latency_ratio` means that the attempt says nothing about the upstream.
         """
         statistics = self.statistics_of(upstream, now)
         if statistics is None:
@@ -122,17 +125,17 @@
         return statistics.suspicion >= SUSPICION_THRESHOLD
 
     def statistics_of(self, upstream: UpstreamKey, now: int) -> UpstreamStatistics | None:
-        """Return the statistics of an endpoint, new ones where there are none; None: no endpoint."""
+        """Return an endpoint's statistics, created if missing, or None if it is no endpoint."""
         statistics = self.statistics.get(upstream)
         if statistics is None and upstream in self.zones:
             statistics = UpstreamStatistics(
-                DecayingSum(OBSERVATION_SPAN, now), DecayingSum(OBSERVATION_SPAN, now)
+                DecayingSum(OBSERVATION_SPAN_NS, now), DecayingSum(OBSERVATION_SPAN_NS, now)
             )
             self.statistics[upstream] = statistics
         return statistics
 
     def measure(self, upstream: UpstreamKey, usual_ns: float, now: int) -> tuple[float, float]:
-        """Return recent answers and their mean latency ratio, with what is overdue by its age."""
+        """Return the number of recent answers, overdue attempts included, and their mean ratio."""
         statistics = self.statistics.get(upstream)
         if statistics is None:
             return 0.0, 0.0
@@ -146,7 +149,7 @@
         return answers, ratios / answers if answers > MIN_MEAN_ANSWERS else 0.0
 
     def is_in_good_standing(self, pool: int, usual_ns: float, now: int) -> bool:
-        """Return whether most upstreams that this member tried do not look bad to it."""
+        """Return whether few of the upstreams that this member tried look bad to it."""
         tried = 0
         bad = 0
         for upstream in self.zones:
@@ -162,7 +165,7 @@
         return Observation(answers, ratio, self.is_in_good_standing(upstream.pool, usual_ns, now))
 
     def overdue(self, pool: int, usual_ns: float, now: int) -> list[UpstreamKey]:
-        """Return the upstreams of a pool that left an attempt without an answer for far too long."""
+        """Return the pool's upstreams whose oldest open attempt exceeds MAX_LATENCY_RATIO."""
         return [
             upstream
             for upstream, statistics in self.statistics.items()
@@ -172,12 +175,12 @@
         ]
 
     def clear_suspicion(self, upstream: UpstreamKey) -> None:
-        """Suspect an upstream anew only by what follows."""
+        """Reset the suspicion of an upstream; its answers are kept."""
         if statistics := self.statistics.get(upstream):
             statistics.suspicion = 0.0
 
     def forget_answers(self, upstream: UpstreamKey) -> None:
-        """Drop suspicion and the answers of before an ejection."""
+        """Reset the suspicion of an upstream and drop its answers."""
         if statistics := self.statistics.get(upstream):
             statistics.suspicion = 0.0
             statistics.answers.value = 0.0
--- a/whinpier/fleet/outliers/messages.py
+++ b/whinpier/fleet/outliers/messages.py
@@ -1,7 +1,7 @@
-"""Typed payloads of outlier ejection, and the `EjectionMessage` that carries each on the wire.
+"""Typed payloads of outlier ejection, and their encoding as `EjectionMessage` on the wire.
 
-Owns the meaning of the arguments in an `EjectionMessage`. Whatever `encode` packs, `decode` gives
-back; fractions are carried in hundredths, rounded down.
+Defines what the arguments of an `EjectionMessage` of each kind mean. `decode` reverses `encode`, but
+fractions are carried in hundredths, rounded down.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from whinpier.fleet.messages import EjectionMessage
 from whinpier.fleet.outliers.model import WHOLE_POOL, EjectionSlot, Observation, UpstreamKey
 
-HUNDREDTHS = 100
+HUNDREDTHS_PER_UNIT = 100
 
 
 @dataclass(frozen=True, slots=True)
 class ObservationRequest:
-    """A member that suspects an upstream asks what the others observed of it."""
+    """Asks the other members what they observed of a suspected upstream."""
 
     upstream: UpstreamKey
     nonce: int
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservationReply:
-    """What one member observed of an upstream."""
+    """Carries what one member observed of an upstream."""
 
     upstream: UpstreamKey
     nonce: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """A proposer asks for a vote for one slot of a pool and, with a zone, one slot of that zone."""
+    """Asks for a vote that leases a slot of the pool and, with a zone, a slot of that zone."""
 
     upstream: UpstreamKey
     nonce: int
@@ -44,16 +44,16 @@
     zone_slot: int
 
     def slots(self) -> list[EjectionSlot]:
-        """Return the slots that the vote is asked for."""
-        found = [EjectionSlot(self.upstream.pool, WHOLE_POOL, self.slot)]
+        """Return the slots that a granted vote leases."""
+        slots = [EjectionSlot(self.upstream.pool, WHOLE_POOL, self.slot)]
         if self.zone:
-            found.append(EjectionSlot(self.upstream.pool, self.zone, self.zone_slot))
-        return found
+            slots.append(EjectionSlot(self.upstream.pool, self.zone, self.zone_slot))
+        return slots
 
 
 @dataclass(frozen=True, slots=True)
 class VoteReply:
-    """Whether a member gave its vote."""
+    """Grants or refuses a vote."""
 
     upstream: UpstreamKey
     nonce: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionNotice:
-    """A quorum voted for the ejection; sent to each voter with the delay of its own vote."""
+    """Tells a voter that a quorum voted for the ejection, and the delay of its own vote."""
 
     upstream: UpstreamKey
     nonce: int
@@ -76,15 +76,15 @@
 
 
 def encode(message: EjectionPayload) -> EjectionMessage:
-    """Pack a message into the form that datagrams carry."""
+    """Pack a payload into the message that datagrams carry."""
     pool, key = message.upstream
     nonce = message.nonce
     match message:
         case ObservationRequest():
             return EjectionMessage(messages.OBSERVATION_REQUEST, pool, key, nonce)
         case ObservationReply(observation=observed):
-            answers = int(observed.answers * HUNDREDTHS)
-            ratio = int(observed.latency_ratio * HUNDREDTHS)
+            answers = int(observed.answers * HUNDREDTHS_PER_UNIT)
+            ratio = int(observed.latency_ratio * HUNDREDTHS_PER_UNIT)
             return EjectionMessage(
                 messages.OBSERVATION_REPLY,
                 pool,
@@ -120,14 +120,16 @@
 
 
 def decode(packed: EjectionMessage) -> EjectionPayload | None:
-    """Read a message; None: its kind is unknown here."""
+    """Unpack a message; return None if its kind is unknown to this build."""
     upstream = UpstreamKey(packed.pool, packed.key)
     match packed.kind:
         case messages.OBSERVATION_REQUEST:
             return ObservationRequest(upstream, packed.nonce)
         case messages.OBSERVATION_REPLY:
             observation = Observation(
-                packed.arg1 / HUNDREDTHS, packed.arg2 / HUNDREDTHS, bool(packed.arg3)
+                packed.arg1 / HUNDREDTHS_PER_UNIT,
+                packed.arg2 / HUNDREDTHS_PER_UNIT,
+                bool(packed.arg3),
             )
             return ObservationReply(upstream, packed.nonce, observation)
         case messages.EJECTION_VOTE_REQUEST:
--- a/whinpier/fleet/outliers/model.py
+++ b/whinpier/fleet/outliers/model.py
@@ -1,6 +1,6 @@
-"""Records of outlier ejection: how upstreams, slots, rounds, proposals and votes are represented.
+"""Data types of outlier ejection: upstreams, slots, rounds, proposals and votes.
 
-Owns no state and takes no decision. Times are in nanoseconds.
+Holds no logic. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -8,18 +8,18 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-WHOLE_POOL = 0  # in the place of a zone
+WHOLE_POOL = 0  # stands in a zone field for the pool itself
 
 
 class UpstreamKey(NamedTuple):
-    """One run of an upstream in one pool, as the whole fleet names it."""
+    """One incarnation of an upstream in one pool, named alike by all members."""
 
-    pool: int
-    key: int
+    pool: int  # hash of the pool's name
+    key: int  # hash of the host and its start time
 
 
 class EjectionSlot(NamedTuple):
-    """One of the places in which an upstream of a pool, or of a zone, may be ejected."""
+    """A slot that an ejected upstream occupies; their number bounds the ejections of a pool or zone."""
 
     pool: int
     zone: int  # WHOLE_POOL for the slots of the pool itself
@@ -27,29 +27,29 @@
 
 
 class MemberCounts(NamedTuple):
-    """How many members share a pool, this one among them."""
+    """Number of members that share a pool, this one included."""
 
-    expected: int  # reachable or not: a quorum is more than half of these
+    expected: int  # reachable or not; a quorum is more than half of these
     reachable: int
 
 
 class Observation(NamedTuple):
-    """What one member observed of an upstream of late."""
+    """What one member recently observed of an upstream."""
 
-    answers: float
+    answers: float  # decayed number of recent answers
     latency_ratio: float  # mean, in multiples of the usual latency
     in_good_standing: bool  # few of the upstreams that the member tried look bad to it
 
 
 class Event(NamedTuple):
-    """Something that happened to an upstream, for the log and for pools."""
+    """A change of an upstream's ejection, for the log and for pools."""
 
     name: str
     fields: dict[str, Any]
 
 
 class EjectionCount(NamedTuple):
-    """How often an upstream was ejected, and when for the last time."""
+    """Number of ejections of an upstream, and the time of the last."""
 
     times: int
     last_at: int
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class ObservationRound:
-    """An upstream that this member suspects and has asked the others about."""
+    """A suspected upstream for which this member collects the observations of the others."""
 
     upstream: UpstreamKey
     started_at: int
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class EjectionProposal:
-    """An ejection that this member asks votes for, or renews."""
+    """An ejection for which this member requests votes, or which it renews."""
 
     upstream: UpstreamKey
     zone: int
@@ -79,7 +79,7 @@
     is_operator_request: bool = False
     requested_at: int = 0
     nonce: int = 0
-    vote_delays: dict[int, int] = field(default_factory=dict)  # by voter, in ns
+    vote_delays: dict[int, int] = field(default_factory=dict)  # in ns, by voter
     has_quorum: bool = False
 
 
@@ -87,7 +87,7 @@
 class GrantedVote:
     """A vote of this member, which leases one slot to an upstream."""
 
-    key: int
+    key: int  # of the upstream
     expires_at: int
     granted_at: int
     nonce: int
--- a/whinpier/model_checking/ejection.py
+++ b/whinpier/model_checking/ejection.py
@@ -12,7 +12,7 @@
 
 from whinpier.fleet.messages import EjectionMessage
 from whinpier.fleet.outliers.config import EjectionConfig
-from whinpier.fleet.outliers.ejection import LEASE_MARGIN, EjectionCoordinator
+from whinpier.fleet.outliers.ejection import LEASE_MARGIN_NS, EjectionCoordinator
 from whinpier.fleet.outliers.messages import EjectionNotice, VoteReply, VoteRequest
 from whinpier.fleet.outliers.model import (
     EjectionProposal,
@@ -118,7 +118,7 @@
     def do_crash(self, place: int) -> None:
         self.crashes -= 1
         self.runs[place] += 100
-        self.coordinators[place] = self.started(place, CONFIG.lease_ns + LEASE_MARGIN)
+        self.coordinators[place] = self.started(place, CONFIG.lease_ns + LEASE_MARGIN_NS)
 
     def do_time(self) -> None:
         self.left -= 1
