--- a/whinpier/fleet/rollouts/__init__.py
+++ b/whinpier/fleet/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Drains and rollouts: the replicated state machine, and the leader's controller that drives it."""
+"""Drains and rollouts: the replicated state machine, and the controller that its leader runs."""
--- a/whinpier/fleet/rollouts/analysis.py
+++ b/whinpier/fleet/rollouts/analysis.py
@@ -1,8 +1,9 @@
-"""The analysis between two waves, which finds a released version that does worse than the rest.
+"""Canary analysis after each wave: detects a released version that does worse than the rest.
 
-Owns the measuring windows of one leader; whoever leads next measures anew. Compares members that run
-the released version with the others over the same seconds or, if too little is left of those, with
-the fleet before the rollout. Invariant: an analysis never passes without enough requests to judge by.
+Owns the measurement windows of one leader; the next leader measures again. Compares the members that
+run the released version with the other members over the same window or, if those completed too few
+requests, with the fleet before the rollout. Invariant: an analysis never passes if the updated members
+completed fewer than `min_requests`. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -15,40 +16,42 @@
 from whinpier.fleet.rollouts.reports import ReportPair, ReportTable
 from whinpier.policy.decaying_sum import SECOND
 
-MILLISECOND = SECOND // 1000
-BASELINE_INTERVAL_NS = 5 * SECOND
-MAX_WINDOWS_WITHOUT_TRAFFIC = 3  # that an analysis waits before it fails
-REPORT_DELAY_NS = SECOND  # after a window, for its last reports to arrive
+NS_PER_MS = SECOND // 1000
+BASELINE_INTERVAL_NS = 5 * SECOND  # length of a baseline measurement
+# Window lengths for which an analysis waits for missing reports or requests.
+MAX_WINDOWS_WITHOUT_TRAFFIC = 3
+REPORT_DELAY_NS = SECOND  # wait after a window for its last reports
 MAX_NAMES_SHOWN = 5
 
 
 @dataclass(frozen=True)
 class OutcomeShares:
-    """Hold how requests of a group of members ended, as parts of all that were completed."""
+    """Hold the outcomes of a group's requests, as fractions of those completed."""
 
     completed: int = 0
     on_time: float = 1.0
     failed: float = 0.0
     rejected: float = 0.0
-    memory_bytes: float = 0.0  # mean of the members
+    memory_bytes: float = 0.0  # mean over the members
 
 
 @dataclass
 class AnalysisWindow:
-    """Hold what is measured of one wave."""
+    """Hold the measurement of one wave."""
 
     release_number: int
     wave: int
     started_at: int
     length_ns: int
+    # The first report of each member in this window.
     first: dict[str, MemberReport] = field(default_factory=dict)
 
     def has_ended(self, now: int) -> bool:
-        """Return whether the window and the delay of its reports are over."""
+        """Return whether the window and the wait for its last reports are over."""
         return now - self.started_at >= self.length_ns + min(REPORT_DELAY_NS, self.length_ns // 2)
 
     def has_timed_out(self, now: int) -> bool:
-        """Return whether no more is waited for members without reports or traffic."""
+        """Return whether the wait for missing reports or requests is over."""
         limit = MAX_WINDOWS_WITHOUT_TRAFFIC * self.length_ns + REPORT_DELAY_NS
         return now - self.started_at >= limit
 
@@ -57,7 +60,7 @@
     """Measure the fleet before and during a rollout, and judge each wave."""
 
     def __init__(self, reports: ReportTable, now: int) -> None:
-        """Measure by the reports of this table, from now on."""
+        """Start the first baseline measurement, from the reports in `reports`."""
         self._reports = reports
         self._window: AnalysisWindow | None = None
         self._baseline = OutcomeShares()
@@ -65,7 +68,7 @@
         self._baseline_at = now
 
     def measure_baseline(self, now: int) -> None:
-        """Measure the fleet while no rollout is active."""
+        """Measure the fleet's baseline; called while no rollout is active."""
         self._window = None
         if now - self._baseline_at < BASELINE_INTERVAL_NS:
             return
@@ -76,7 +79,7 @@
         self._baseline_at = now
 
     def recent_requests(self, name: str) -> int:
-        """Return how many requests a member has completed since the baseline was last measured."""
+        """Return how many requests a member has completed since the last baseline measurement."""
         received = self._reports.get(name)
         completed = received.report.completed if received else 0
         first = self._baseline_first.get(name)
@@ -85,7 +88,7 @@
     def judge(
         self, now: int, views: dict[str, MemberView], rollout: Rollout
     ) -> AnalysisResult | None:
-        """Return how the analysis of the current wave ended, or None while it goes on."""
+        """Return the result of the current wave's analysis, or None while it is still running."""
         window = self._current_window(now, rollout)
         for name, received in self._reports.items():
             if received.received_at >= window.started_at and views[name].is_present:
@@ -103,14 +106,14 @@
         return self._compare_groups(now, rollout, window)
 
     def _current_window(self, now: int, rollout: Rollout) -> AnalysisWindow:
-        """Return the window of the current wave; the first call for a wave opens it."""
+        """Return the window of the current wave, opened by the first call for the wave."""
         window = self._window
         if (
             window is None
             or window.release_number != rollout.number
             or window.wave != rollout.current_wave
         ):
-            length_ns = rollout.command.analysis.window_ms * MILLISECOND
+            length_ns = rollout.command.analysis.window_ms * NS_PER_MS
             window = AnalysisWindow(rollout.number, rollout.current_wave, now, length_ns)
             self._window = window
         return window
@@ -127,6 +130,7 @@
     def _compare_groups(
         self, now: int, rollout: Rollout, window: AnalysisWindow
     ) -> AnalysisResult | None:
+        """Compare updated members with the rest; return None to wait for more requests."""
         settings = rollout.command.analysis
         pairs = self._reports.pairs_since(window.first)
         updated = set(rollout.updated)
@@ -143,12 +147,12 @@
 
 
 def _make_result(rollout: Rollout, failure: str) -> AnalysisResult:
-    """Return a result that has passed if no failure is named."""
+    """Return the result of the current wave, which has passed if `failure` is empty."""
     return AnalysisResult(rollout.number, rollout.current_wave, not failure, failure[:MAX_TEXT])
 
 
 def compute_shares(pairs: Collection[ReportPair]) -> OutcomeShares:
-    """Return how requests ended between the two reports of each member."""
+    """Return the outcomes of the requests completed between the two reports of each member."""
     if not pairs:
         return OutcomeShares()
     memory_bytes = sum(pair.last.memory_bytes for pair in pairs) / len(pairs)
@@ -165,15 +169,16 @@
 
 
 def _sum_growth(pairs: Collection[ReportPair], count_of: Callable[[MemberReport], int]) -> int:
+    """Return by how much a counter grew over all pairs; a counter that fell counts as 0."""
     return sum(max(0, count_of(pair.last) - count_of(pair.first)) for pair in pairs)
 
 
 def find_regression(
     released: OutcomeShares, rest: OutcomeShares, settings: AnalysisSettings
 ) -> str:
-    """Describe what is worse by more than the settings allow; empty if nothing is.
+    """Describe the first measure that is worse than the settings allow, or return an empty text.
 
-    The texts are kept in the replicated history, so that their wording stays.
+    The texts are stored in the replicated history, so their wording is kept.
     """
     if rest.on_time - released.on_time > settings.max_on_time_drop:
         return f"on time {released.on_time:.3f}, the rest {rest.on_time:.3f}"
--- a/whinpier/fleet/rollouts/commands.py
+++ b/whinpier/fleet/rollouts/commands.py
@@ -1,8 +1,8 @@
-"""The typed contents of the log entries that drive drains and releases, and their codec.
+"""Typed contents of the log entries for drains and releases, and their codec.
 
-Owns what an entry of each kind holds and within which bounds. Invariants: the numbers of kinds and
-the order of fields are on the wire and on disk, so they are only ever added to; an entry that does
-not decode changes nothing anywhere.
+Defines the fields of each kind of entry and their bounds. Invariants: the numbers of kinds and the
+order of fields are on the wire and on disk, so new ones are only appended; an entry that does not
+decode changes no member's state.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 MAX_MEMBERS = 4_096
 MAX_FILE_BYTES = 96 << 10  # of a released file, compressed
 MAX_CHUNK_BYTES = 600  # of a released file in one entry
-MAX_FILES = 8  # files that are held: older ones that nobody is assigned to are dropped
-MAX_HISTORY = 256
-MAX_RESULTS = 512
-MAX_WRITTEN_OFF = 512
-MAX_TEXT = 200
-MAX_CLOSED_ROLLOUTS = 8  # rollouts that are over and still shown
+MAX_FILES = 8  # files that are held; of those not in use the oldest are dropped
+MAX_HISTORY = 256  # entries
+MAX_RESULTS = 512  # answers to commands that are kept
+MAX_WRITTEN_OFF = 512  # members
+MAX_TEXT = 200  # characters
+MAX_CLOSED_ROLLOUTS = 8  # ended rollouts that are kept
 MAX_WAVES = 16
 MAX_NAMES_PER_ENTRY = 64
 
@@ -32,7 +32,7 @@
 
 
 class EntryKind(IntEnum):
-    """Kinds of log entries; 0 and 1 are the consensus module's own."""
+    """Kinds of log entries; 0 and 1 are reserved for the consensus module."""
 
     SET_BUDGET = 2
     DRAIN = 3
@@ -48,7 +48,7 @@
     WRITE_OFF = 13
 
 
-# The words by which operators give commands, on the control socket and in the history.
+# Names of the operators' commands on the control socket and in the history.
 COMMAND_WORDS: dict[int, str] = {
     EntryKind.SET_BUDGET: "permits",
     EntryKind.DRAIN: "drain",
@@ -69,34 +69,34 @@
 
 
 class ObservationKind(IntEnum):
-    """What a leader observes of a member or an upstream."""
+    """What the leader observes of a member or an upstream."""
 
-    LOST = 0  # it failed without a permit
+    LOST = 0  # it went out of service without a permit
     RETURNED = 1  # it serves again
     DRAIN_CONFIRMED = 2
-    SWITCHED = 3  # it runs what it was assigned
-    FAILED = 4  # it refuses what it was assigned, or did not come back
-    WRITTEN_OFF = 5  # lost for so long that it no longer counts
-    DRAIN_PENDING = 6  # who has not confirmed a drain yet, for people to read
+    SWITCHED = 3  # it runs the version that it was assigned
+    FAILED = 4  # it refused its assigned version, or did not come back
+    WRITTEN_OFF = 5  # lost for too long: it no longer counts as out of service
+    DRAIN_PENDING = 6  # members that have not confirmed a drain yet, as text
 
 
 class CommandHeader(Struct, frozen=True, array_like=True):
-    """Identify an operator's command, which takes effect once for each id."""
+    """Identify an operator's command; commands with the same id take effect once."""
 
     id: Annotated[int, Meta(ge=1)]
     operator: Text
     reason: Text = ""
-    wall_ms: int = 0  # since the epoch, for people to read
-    base_revision: int = -1  # the revision that its operator had seen; -1: any
+    wall_ms: int = 0  # since the epoch; for display only
+    base_revision: int = -1  # the command is refused if the state has changed since; -1: any
 
 
 class BudgetRule(Struct, frozen=True, array_like=True):
-    """Bound how many of a scope may be out at once."""
+    """Limit how many balancers or upstreams of a scope may be out of service at once."""
 
     name: Name
-    target: str  # a BudgetTarget; other text is refused where the command is applied
+    target: str  # a BudgetTarget; other text is refused when the command is applied
     max_out: Annotated[int, Meta(ge=0, le=MAX_MEMBERS)]
-    pool: Name = ""  # of upstreams; empty: any
+    pool: Name = ""  # of the upstreams; empty: any
     zone: Name = ""  # empty: any
 
 
@@ -120,9 +120,9 @@
     """Report one thing that the leader observed of a member or an upstream."""
 
     kind: ObservationKind
-    key: Name
-    number: int = 0  # of the permit that is meant
-    text: Text = ""  # a zone, or why it failed
+    key: Name  # as returned by make_key
+    number: int = 0  # of the permit that it refers to; 0: none
+    text: Text = ""  # depends on the kind: a zone, the reason, or who is pending
 
 
 class Observations(Struct, frozen=True, array_like=True):
@@ -133,7 +133,7 @@
 
 
 class FileChunk(Struct, frozen=True, array_like=True):
-    """Carry a part of a released file."""
+    """Carry one chunk of a released file."""
 
     content_hash: Name
     offset: Annotated[int, Meta(ge=0, le=MAX_FILE_BYTES)]
@@ -142,33 +142,33 @@
 
 
 class AnalysisSettings(Struct, frozen=True, array_like=True):
-    """Say by how much a released wave may be worse than the rest of the fleet."""
+    """Limit by how much updated members may do worse than the rest of the fleet."""
 
     window_ms: Annotated[int, Meta(ge=200, le=3_600_000)] = 3_000
-    max_on_time_drop: float = 0.05  # as parts of all requests, like the next two
+    max_on_time_drop: float = 0.05  # fraction of completed requests, like the next two
     max_error_increase: float = 0.02
     max_rejected_increase: float = 0.05
     max_memory_ratio: float = 1.5
-    min_requests: int = 20  # fewer give nothing to judge by
-    return_timeout_ms: int = 20_000  # for a member to come back
-    hold_on_failure: bool = False  # halt a failed rollout where it is instead of rolling it back
+    min_requests: int = 20  # with fewer, a group can't be judged
+    return_timeout_ms: int = 20_000  # within which a member must run its assigned version
+    hold_on_failure: bool = False  # halt a failed rollout instead of rolling it back
 
 
 class ReleaseCommand(Struct, frozen=True, array_like=True):
     """Release a file or a build to selected members in waves."""
 
     header: CommandHeader
-    content_hash: Name = ""  # of a file; empty: a build
+    content_hash: Name = ""  # of a file; empty: a build is released
     build: Name = ""
-    selector: Name = "all"  # all, zone=Z, or names with commas between
-    # Numbers of members, or percentages such as 25%; the last wave has who is left.
+    selector: Name = "all"  # all, zone=Z, or comma-separated names
+    # Numbers of members, or percentages such as 25%; the members left over form the last wave.
     waves: Annotated[list[str], Meta(max_length=MAX_WAVES)] = msgspec.field(default_factory=list)
     analysis: AnalysisSettings = AnalysisSettings()
-    previous_build: Name = ""  # of the process that its operator spoke to
+    previous_build: Name = ""  # of the process that received the command
 
     @property
     def version(self) -> str:
-        """Return what members are to run: the hash of a file, or a build."""
+        """Return the version to run: the hash of a file, or a build."""
         return self.content_hash or self.build
 
 
@@ -183,7 +183,7 @@
 
 
 class AnalysisResult(Struct, frozen=True, array_like=True):
-    """Say whether the analysis of a wave passed."""
+    """Carry the outcome of a wave's analysis."""
 
     release_number: int
     wave: int
@@ -192,7 +192,7 @@
 
 
 class NamedCommand(Struct, frozen=True, array_like=True):
-    """Halt, resume or roll back the active rollout, or write off the member of that name."""
+    """Halt, resume or roll back the active rollout, or write off the named member."""
 
     header: CommandHeader
     name: Name = ""
@@ -220,7 +220,7 @@
 
 
 class EntryDecodeError(ValueError):
-    """The contents of a log entry are unknown to this build, or malformed."""
+    """The contents of a log entry are malformed, or of a kind unknown to this build."""
 
 
 def decode(kind: int, data: bytes) -> Any:
--- a/whinpier/fleet/rollouts/controller.py
+++ b/whinpier/fleet/rollouts/controller.py
@@ -1,16 +1,16 @@
-"""The reconciliation by the leader: what it adds to the log of its own accord.
+"""The leader's controller: compares observations with the replicated state and proposes log entries.
 
-Handed the time, the members as its process sees them, their reports and the replicated state; gives
-back contents for log entries. Whoever leads next measures all of it anew. Free of I/O. Invariants: a
-drain is never confirmed while a member has not confirmed it, and a member is never taken to be back
-by what an earlier run of it said.
+Handed the time in nanoseconds, the members as the leader's process sees them, their reports and the
+replicated state; returns contents for log entries. Its own state is not replicated: the next leader
+observes everything again. Does no I/O. Invariants: a drain is never confirmed before all members have
+confirmed it; a report of a member's earlier incarnation never shows that the member is back.
 """
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-from whinpier.fleet.rollouts.analysis import MILLISECOND, WaveAnalysis
+from whinpier.fleet.rollouts.analysis import NS_PER_MS, WaveAnalysis
 from whinpier.fleet.rollouts.commands import (
     MAX_DRAINS,
     MAX_TEXT,
@@ -40,46 +40,46 @@
 from whinpier.fleet.rollouts.wave_planning import select_members, split_into_waves
 from whinpier.policy.decaying_sum import SECOND
 
-GRACE_NS = 3 * SECOND  # of a new leader, until members it has not heard from count as lost
-PLAN_RETRY_NS = 2 * SECOND  # until a plan that was not committed is proposed again
-PENDING_INTERVAL_NS = SECOND  # between two reports of who has not confirmed a drain
-MAX_ITEMS_PER_ENTRY = 24  # observations, or names of a plan
-MAX_PENDING_SHOWN = 3
+GRACE_NS = 3 * SECOND  # before a new leader counts members that it has not met as lost
+PLAN_RETRY_NS = 2 * SECOND  # after which a plan that was not committed is proposed again
+PENDING_INTERVAL_NS = SECOND  # between two DRAIN_PENDING observations of one drain
+MAX_ITEMS_PER_ENTRY = 24  # observations, or names of a wave plan
+MAX_PENDING_SHOWN = 3  # members
 
-Views = dict[str, MemberView]
+Views = dict[str, MemberView]  # by member name
 
 
 class ProposedEntry(NamedTuple):
-    """Hold the contents of an entry that the leader is to add to the log."""
+    """Hold the contents of an entry that the leader is to append to the log."""
 
     kind: EntryKind
     data: bytes
 
 
 class RolloutController:
-    """Reconcile what is observed with the replicated state, for as long as one leader leads."""
+    """Reconcile observations with the replicated state during the term of one leader."""
 
     def __init__(self, now: int, write_off_ns: int) -> None:
-        """Lead from now on; members lost for `write_off_ns` are written off."""
-        self.known_zones: dict[str, str] = {}  # of all that were present under this leader
+        """Start a leader's term; members that are lost for `write_off_ns` are written off."""
+        self.known_zones: dict[str, str] = {}  # by member that was present in this term
         self._leading_since = now
         self._write_off_ns = write_off_ns
         self._reports = ReportTable()
         self._analysis = WaveAnalysis(self._reports, now)
         self._lost_since: dict[str, int] = {}
-        self._switching_since: dict[int, int] = {}  # by permit
-        self._pending_reported_at: dict[str, int] = {}  # by key of a drain
+        self._switching_since: dict[int, int] = {}  # by permit number
+        self._pending_reported_at: dict[str, int] = {}  # by key of the drain
         self._planned_release = 0
         self._planned_at = 0
 
     def on_report(self, name: str, member_id: int, report: MemberReport, now: int) -> None:
-        """Take in what a member reports of itself."""
+        """Store a member's report of itself."""
         self._reports.receive(name, member_id, report, now)
 
     def reconcile(
         self, now: int, views: Views, machine: RolloutStateMachine
     ) -> list[ProposedEntry]:
-        """Return the entries that are to be added to the log now."""
+        """Return the entries to append to the log now."""
         self._reports.retain(views)
         state = machine.state
         observations = [
@@ -97,13 +97,13 @@
             entries += self._drive_rollout(now, views, rollout)
         for start in range(0, len(observations), MAX_ITEMS_PER_ENTRY):
             items = observations[start : start + MAX_ITEMS_PER_ENTRY]
-            entries.append(_propose(EntryKind.OBSERVATIONS, Observations(0, items)))
+            entries.append(_make_entry(EntryKind.OBSERVATIONS, Observations(0, items)))
         return entries
 
-    # Members that are lost and come back.
+    # Members that are lost or back.
 
     def _observe_returned(self, views: Views, state: ReplicatedState) -> list[Observation]:
-        """Observe which members that were lost or written off serve again."""
+        """Observe which lost or written-off members serve again."""
         observations = []
         for name, view in views.items():
             if not view.is_present:
@@ -117,7 +117,7 @@
         return observations
 
     def _observe_lost(self, now: int, views: Views, state: ReplicatedState) -> list[Observation]:
-        """Observe which members are lost, and which for so long that they are written off."""
+        """Observe which members are lost, and which have been lost for too long."""
         observations = []
         for name in self._expected_members(views, state):
             view = views.get(name)
@@ -125,7 +125,7 @@
                 continue
             is_unknown = view is None and name not in self.known_zones
             if is_unknown and now - self._leading_since < GRACE_NS:
-                continue  # this leader may not have met it yet
+                continue  # the new leader may not have met it yet
             lost_since = self._lost_since.setdefault(name, now)
             key = make_key(name)
             if name not in state.lost:
@@ -138,7 +138,7 @@
         return observations
 
     def _expected_members(self, views: Views, state: ReplicatedState) -> list[str]:
-        """Return all that are known from anywhere and not written off, sorted."""
+        """Return the sorted names of all known members that are not written off."""
         holders = {display_name(key) for key in state.permits if key.startswith(BALANCER_PREFIX)}
         names = {*self.known_zones, *holders, *state.lost, *views}
         return sorted(names - state.written_off.keys())
@@ -148,7 +148,7 @@
     def _observe_drains(
         self, now: int, views: Views, machine: RolloutStateMachine
     ) -> list[Observation]:
-        """Observe which drains are confirmed, and what has returned from one."""
+        """Observe which drains are confirmed or still pending, and what has returned to service."""
         observations = []
         for key, drain in machine.unfinished_drains():
             number = drain.permit_number
@@ -165,7 +165,7 @@
         return observations
 
     def _may_report_pending(self, key: str, now: int) -> bool:
-        """Return whether the interval since the last report of who is pending is over."""
+        """Return whether PENDING_INTERVAL_NS has passed since the last report, and restart it if so."""
         reported_at = self._pending_reported_at.setdefault(key, now)
         if now - reported_at < PENDING_INTERVAL_NS:
             return False
@@ -175,7 +175,7 @@
         return True
 
     def find_unconfirmed(self, key: str, drain: Drain, views: Views) -> dict[str, str]:
-        """Return who has not confirmed a drain yet, with the reasons."""
+        """Return the members that have not confirmed a drain yet, with the reasons."""
         if key.startswith(BALANCER_PREFIX):
             name = display_name(key)
             reason = self._why_balancer_unconfirmed(drain, views.get(name))
@@ -207,7 +207,7 @@
         return ""
 
     def _has_returned(self, key: str, drain: Drain, views: Views) -> bool:
-        """Return whether a balancer serves again, or all present members use an upstream again."""
+        """Return whether a balancer serves again, or all present members know an upstream's return."""
         if key.startswith(BALANCER_PREFIX):
             report = self._reports.of_present_run(views.get(display_name(key)))
             return (
@@ -224,17 +224,17 @@
     # Rollouts.
 
     def _drive_rollout(self, now: int, views: Views, rollout: Rollout) -> list[ProposedEntry]:
-        """Plan the waves, or judge the current one."""
+        """Plan the waves, or analyze the current one."""
         if rollout.phase == RolloutPhase.PLANNING:
             return self._plan_waves(now, views, rollout)
         if rollout.phase == RolloutPhase.ANALYZING:
             result = self._analysis.judge(now, views, rollout)
             if result is not None:
-                return [_propose(EntryKind.ANALYSIS_RESULT, result)]
+                return [_make_entry(EntryKind.ANALYSIS_RESULT, result)]
         return []
 
     def _plan_waves(self, now: int, views: Views, rollout: Rollout) -> list[ProposedEntry]:
-        """Propose who of the present members is in which wave."""
+        """Propose the division of the selected members into waves."""
         was_planned = self._planned_release == rollout.number
         if was_planned and now - self._planned_at < PLAN_RETRY_NS:
             return []
@@ -248,12 +248,12 @@
                 zones = [views[name].zone for name in part]
                 plans.append(WavePlan(rollout.number, wave, part, zones))
         plans.append(WavePlan(rollout.number, max(0, len(waves) - 1), [], [], True))
-        return [_propose(EntryKind.WAVE_PLAN, plan) for plan in plans]
+        return [_make_entry(EntryKind.WAVE_PLAN, plan) for plan in plans]
 
     def _order_members(self, views: Views, rollout: Rollout) -> list[str]:
         """Return the selected members, those with traffic first.
 
-        A canary without traffic would give the analysis nothing to judge by.
+        Without traffic on the first updated members, the analysis would lack requests to judge.
         """
         min_requests = rollout.command.analysis.min_requests
 
@@ -265,7 +265,7 @@
     def _observe_switches(
         self, now: int, views: Views, machine: RolloutStateMachine, rollout: Rollout
     ) -> list[Observation]:
-        """Observe who runs what it was assigned, and who fails to."""
+        """Observe which members run their assigned version, and which failed to switch."""
         observations = []
         for key, permit in machine.state.permits.items():
             if permit.purpose != PermitPurpose.RELEASE:
@@ -284,7 +284,7 @@
         machine: RolloutStateMachine,
         rollout: Rollout,
     ) -> Observation | None:
-        """Observe whether one member has switched, has failed to, or neither yet."""
+        """Return whether one member has switched or failed to, or None if there is nothing new."""
         name = display_name(key)
         switching_since = self._switching_since.setdefault(permit.number, now)
         report = self._reports.of_present_run(views.get(name))
@@ -300,7 +300,7 @@
                 return Observation(ObservationKind.SWITCHED, key, permit.number)
             if is_file and orders.content_hash and report.refused_content == orders.content_hash:
                 failure = f"refuses the file: {report.refusal}"[:MAX_TEXT]
-        return_timeout_ns = rollout.command.analysis.return_timeout_ms * MILLISECOND
+        return_timeout_ns = rollout.command.analysis.return_timeout_ms * NS_PER_MS
         if not failure and now - switching_since > return_timeout_ns:
             failure = "did not come back"
         if not failure or name in rollout.failed:
@@ -308,12 +308,13 @@
         return Observation(ObservationKind.FAILED, key, permit.number, failure)
 
 
-def _propose(kind: EntryKind, contents: Any) -> ProposedEntry:
+def _make_entry(kind: EntryKind, contents: Any) -> ProposedEntry:
+    """Return a proposed entry with encoded contents."""
     return ProposedEntry(kind, encode(contents))
 
 
 def describe_pending(unconfirmed: dict[str, str]) -> str:
-    """Return who has not confirmed a drain and why, in one line."""
+    """Describe which members have not confirmed a drain and why, in one line."""
     reasons = [f"{name} {reason}" for name, reason in sorted(unconfirmed.items())]
     text = "; ".join(reasons[:MAX_PENDING_SHOWN])
     if len(reasons) > MAX_PENDING_SHOWN:
--- a/whinpier/fleet/rollouts/disruption_budget.py
+++ b/whinpier/fleet/rollouts/disruption_budget.py
@@ -1,7 +1,8 @@
-"""The disruption budget: which members and upstreams may be out of service at once.
+"""The disruption budget: how many balancers and upstreams may be out of service at once.
 
-Owns permits and the list of who was lost or written off. Invariants: a permit is only granted where
-no rule would be broken, counting who failed without a permit; nobody counts twice.
+Owns the permits, and the lists of lost and written-off members. Invariants: callers grant a permit only
+if `find_violation` finds no rule that it would break, lost members included; no member or upstream
+counts twice.
 """
 
 from __future__ import annotations
@@ -31,14 +32,14 @@
 
 
 class Location(NamedTuple):
-    """Say by which rules a member or an upstream is counted."""
+    """Hold what decides which rules count a balancer or an upstream."""
 
     zone: str
     pool: str = ""  # empty: a balancer
 
 
 def set_rules(state: ReplicatedState, command: SetBudget) -> str:
-    """Replace the rules; raise CommandRefusedError for a set that can't be meant."""
+    """Replace the rules; raise CommandRefusedError for a duplicate name or unknown target."""
     names = [rule.name for rule in command.rules]
     if len(set(names)) < len(names):
         raise CommandRefusedError("a rule's name stands there twice")
@@ -53,7 +54,7 @@
 
 
 def find_unavailable(state: ReplicatedState) -> dict[str, Location]:
-    """Return all that are out of service, with a permit or without."""
+    """Return what is out of service, with a permit or without, by key."""
     unavailable = {make_key(name): Location(zone) for name, zone in state.lost.items()}
     for key, permit in state.permits.items():
         unavailable[key] = Location(permit.zone, permit.pool)
@@ -61,9 +62,9 @@
 
 
 def find_violation(state: ReplicatedState, key: str = "", zone: str = "", pool: str = "") -> str:
-    """Describe the rule that one more out would break, or without a key one that is broken now.
+    """Describe the first rule that is broken, or return an empty text.
 
-    Returns an empty text if there is none.
+    With a key, this is the rule that would be broken if that balancer or upstream were out too.
     """
     unavailable = find_unavailable(state)
     if key:
@@ -82,7 +83,7 @@
 
 
 def rule_applies(rule: BudgetRule, location: Location) -> bool:
-    """Return whether a rule counts what is at this location."""
+    """Return whether a rule counts a balancer or an upstream at this location."""
     target = BudgetTarget.UPSTREAMS if location.pool else BudgetTarget.BALANCERS
     return (
         rule.target == target
@@ -94,7 +95,7 @@
 def grant_permit(
     state: ReplicatedState, key: str, purpose: PermitPurpose, zone: str, pool: str = ""
 ) -> Permit:
-    """Grant a permit, which replaces an earlier one of the same holder."""
+    """Grant a permit, which replaces an earlier one of the same key; the budget is not checked."""
     state.permits_granted += 1
     permit = Permit(state.permits_granted, state.last_applied, purpose, zone, pool)
     state.permits[key] = permit
@@ -102,7 +103,7 @@
 
 
 def mark_lost(state: ReplicatedState, observation: Observation) -> None:
-    """Count a member that failed without a permit as out."""
+    """Count a member as out of service although it holds no permit."""
     name = display_name(observation.key)
     if len(state.lost) < MAX_MEMBERS and name not in state.written_off:
         state.lost[name] = observation.text
@@ -115,7 +116,7 @@
 
 
 def write_off_by_command(state: ReplicatedState, command: NamedCommand) -> str:
-    """Write off a lost member at an operator's command."""
+    """Write off a lost member; raise CommandRefusedError if it is not lost."""
     if command.name not in state.lost:
         raise CommandRefusedError(f"{command.name!r} is not lost")
     _write_off(state, command.name)
@@ -123,7 +124,7 @@
 
 
 def write_off_by_timeout(state: ReplicatedState, observation: Observation) -> None:
-    """Write off a member that has been lost for too long."""
+    """Write off a member that the leader has found lost for too long."""
     name = display_name(observation.key)
     if name in state.lost:
         _write_off(state, name)
@@ -131,7 +132,7 @@
 
 
 def _write_off(state: ReplicatedState, name: str) -> None:
-    """Free the permit of a member and count it as out no longer."""
+    """Free the permit of a member and no longer count it as out of service."""
     state.lost.pop(name, None)
     state.permits.pop(make_key(name), None)
     state.written_off[name] = state.last_applied
--- a/whinpier/fleet/rollouts/drains.py
+++ b/whinpier/fleet/rollouts/drains.py
@@ -1,7 +1,7 @@
-"""Drains of balancers and upstreams: from the command to the return into service.
+"""Drains of balancers and upstreams, from the command to the return to service.
 
-Owns the records of drains. Invariants: each drain holds a permit until its holder is known to be
-back; an observation counts only for the drain whose permit it names.
+Owns the state of drains. Invariants: a drain holds its permit until what was drained is known to serve
+again; an observation counts only for the drain whose permit number it names.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 from whinpier.fleet.rollouts import disruption_budget
 from whinpier.fleet.rollouts.commands import MAX_DRAINS, DrainCommand, Observation
 from whinpier.fleet.rollouts.model import (
+    UPSTREAM_PREFIX,
     CommandRefusedError,
     Drain,
     DrainPhase,
@@ -22,10 +23,10 @@
 
 
 def start_drain(state: ReplicatedState, command: DrainCommand) -> str:
-    """Drain a balancer or an upstream if the disruption budget allows it."""
+    """Start to drain a balancer or an upstream; raise CommandRefusedError if it may not be."""
     key = make_key(command.name, command.pool)
     _check_drainable(state, key)
-    # Who is out already, because it is lost, counts once, and no less.
+    # What is out already because it is lost counts once, so it can be drained within the budget.
     violation = disruption_budget.find_violation(state, key, command.zone, command.pool)
     if violation:
         raise CommandRefusedError(violation)
@@ -45,7 +46,7 @@
 
 
 def _check_drainable(state: ReplicatedState, key: str) -> None:
-    """Raise CommandRefusedError for what is drained already or is switching."""
+    """Raise CommandRefusedError if it is drained or switching already, or too many drains exist."""
     drain = state.drains.get(key)
     if drain is not None:
         if drain.phase != DrainPhase.UNDRAINING:
@@ -62,7 +63,7 @@
 
 
 def start_undrain(state: ReplicatedState, command: DrainCommand) -> str:
-    """Let what is drained return to service; its permit is freed once it is back."""
+    """Start to return a balancer or an upstream to service; its permit is freed once it is back."""
     key = make_key(command.name, command.pool)
     drain = state.drains.get(key)
     if drain is None:
@@ -75,7 +76,7 @@
 
 
 def confirm_drain(state: ReplicatedState, observation: Observation) -> None:
-    """Mark a drain as done."""
+    """Mark a drain as confirmed by all members."""
     drain = _find_drain(state, observation)
     if drain is not None and drain.phase == DrainPhase.DRAINING:
         drain.phase = DrainPhase.DRAINED
@@ -84,14 +85,14 @@
 
 
 def update_pending(state: ReplicatedState, observation: Observation) -> None:
-    """Keep who has not confirmed a drain yet."""
+    """Store the text that names the members that have not confirmed a drain yet."""
     drain = _find_drain(state, observation)
     if drain is not None:
         drain.pending = observation.text
 
 
 def finish_undrain(state: ReplicatedState, observation: Observation) -> None:
-    """Free the permit of what was drained and serves again."""
+    """Remove a drain whose balancer or upstream serves again, and free its permit."""
     drain = _find_drain(state, observation)
     if drain is None or drain.phase != DrainPhase.UNDRAINING:
         return
@@ -102,6 +103,7 @@
 
 
 def _find_drain(state: ReplicatedState, observation: Observation) -> Drain | None:
+    """Return the drain whose permit an observation names, or None."""
     drain = state.drains.get(observation.key)
     return drain if drain is not None and drain.permit_number == observation.number else None
 
@@ -113,8 +115,8 @@
 
 
 def find_drained_upstreams(state: ReplicatedState, pool: str) -> dict[str, int]:
-    """Return the upstreams of a pool that are to get no new requests, with their permits."""
-    prefix = f"u/{pool}/"
+    """Return the permit numbers of a pool's drained upstreams, which get no new requests."""
+    prefix = f"{UPSTREAM_PREFIX}{pool}/"
     return {
         key.removeprefix(prefix): drain.permit_number
         for key, drain in state.drains.items()
--- a/whinpier/fleet/rollouts/history.py
+++ b/whinpier/fleet/rollouts/history.py
@@ -1,7 +1,7 @@
-"""The history of commands and of the fleet's own actions, as a chain of digests.
+"""The history of operators' commands and of the fleet's own actions, as a hash chain.
 
 Owns the order and the bound of the history. Invariant: the digest of each entry covers the entry and
-all entries before it, so that a history that was changed afterwards is seen to be.
+all entries before it, so that later changes to the history are detected.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 def record_fleet_action(
     state: ReplicatedState, action: str, reason: str, succeeded: bool = True, text: str = ""
 ) -> None:
-    """Append what happened without an operator's command to the history."""
+    """Append an action that no operator commanded to the history."""
     _append(state, 0, FLEET_ACTOR, action, reason, succeeded, text)
 
 
@@ -37,6 +37,7 @@
     succeeded: bool,
     text: str,
 ) -> None:
+    """Append an entry with its digest; drop the oldest entry if the history is full."""
     history = state.history
     previous = history[-1].digest if history else b""
     fields = (state.last_applied, wall_ms, actor, action, reason, succeeded, text)
@@ -46,12 +47,12 @@
 
 
 def compute_digest(previous: bytes, fields: Any) -> bytes:
-    """Return the digest that chains an entry to the digest before it."""
+    """Return the digest of an entry's fields, chained to the previous entry's digest."""
     return hashlib.blake2b(previous + encode(fields), digest_size=16, person=b"history").digest()
 
 
 def is_intact(history: list[HistoryEntry]) -> bool:
-    """Return whether each entry's digest follows from the entry before it."""
+    """Return whether each digest but the first matches its entry and the digest before it."""
     for previous, entry in pairwise(history):
         fields = (
             entry.index,
--- a/whinpier/fleet/rollouts/model.py
+++ b/whinpier/fleet/rollouts/model.py
@@ -1,8 +1,7 @@
-"""The replicated state of drains and rollouts, and what members and their leader tell of each other.
+"""Data types of drains and rollouts: the replicated state, members' orders and their reports.
 
-Owns the records that a snapshot holds. Invariant: the order of fields is the form of snapshots and
-reports on the wire and on disk. Phases are read as plain text, so that a snapshot of a later build
-that knows more of them can still be restored.
+Invariant: snapshots and reports are encoded by the order of fields, on the wire and on disk. Phases
+are decoded as plain text, so that a snapshot of a later build with more phases can still be restored.
 """
 
 from __future__ import annotations
@@ -15,12 +14,14 @@
 
 from whinpier.fleet.rollouts.commands import BudgetRule, ReleaseCommand
 
-FLEET_ACTOR = "bank"  # stands in the history for what no operator commanded
+FLEET_ACTOR = "bank"  # actor in the history of actions that no operator commanded
 BALANCER_PREFIX = "b/"
+UPSTREAM_PREFIX = "u/"
+PREFIX_LENGTH = 2  # of either prefix
 
 
 class DrainPhase(StrEnum):
-    """How far a drain is."""
+    """Progress of a drain."""
 
     DRAINING = "draining"
     DRAINED = "done"
@@ -28,7 +29,7 @@
 
 
 class RolloutPhase(StrEnum):
-    """How far a rollout is."""
+    """Progress of a rollout."""
 
     PLANNING = "planning"
     UPDATING = "waves"
@@ -49,7 +50,7 @@
 class Permit(Struct, array_like=True):
     """Allow one member or upstream to be out of service."""
 
-    number: int  # rises from permit to permit
+    number: int  # counts up from 1
     entry_index: int  # of the entry that granted it
     purpose: str  # a PermitPurpose
     zone: str = ""
@@ -57,7 +58,7 @@
 
 
 class Drain(Struct, array_like=True):
-    """Hold the progress of one drain."""
+    """Hold the state of one drain."""
 
     permit_number: int
     phase: str  # a DrainPhase
@@ -65,32 +66,32 @@
     reason: str
     wall_ms: int
     changed_index: int = 0  # of the entry that last changed its phase
-    pending: str = ""  # who has not confirmed it, as the leader last reported
+    pending: str = ""  # members that have not confirmed it, as the leader last reported
 
 
 class Rollout(Struct, array_like=True):
-    """Hold the progress of one release."""
+    """Hold the state of one rollout."""
 
     number: int
     command: ReleaseCommand
     phase: str = RolloutPhase.PLANNING
     waves: list[list[str]] = field(default_factory=list)
     current_wave: int = 0
-    pending: list[str] = field(default_factory=list)  # who is still to be assigned in this phase
-    updated: list[str] = field(default_factory=list)  # who runs it
-    zones: dict[str, str] = field(default_factory=dict)
-    previous: dict[str, str] = field(default_factory=dict)  # each member's earlier assignment
-    failed: dict[str, str] = field(default_factory=dict)  # who did not switch, and why
+    pending: list[str] = field(default_factory=list)  # members still to be assigned in this phase
+    updated: list[str] = field(default_factory=list)  # members that run the released version
+    zones: dict[str, str] = field(default_factory=dict)  # by member
+    previous: dict[str, str] = field(default_factory=dict)  # earlier assignment by member
+    failed: dict[str, str] = field(default_factory=dict)  # reasons of members that did not switch
     reason: str = ""
-    is_rollback: bool = False  # if halted: what was halted is the rollback
+    is_rollback: bool = False  # if halted: the rollback was halted
     previous_default: str = ""  # the fleet's default before this release
 
 
 class HistoryEntry(Struct, frozen=True, array_like=True):
-    """Record one action for people to read."""
+    """Record one action, for display."""
 
-    index: int
-    wall_ms: int
+    index: int  # of the log entry that caused it
+    wall_ms: int  # since the epoch; 0 for actions of the fleet itself
     actor: str
     action: str
     reason: str
@@ -100,7 +101,7 @@
 
 
 class CommandResult(NamedTuple):
-    """Hold the answer that each repetition of a command gets."""
+    """Hold the answer to a command, given again to each repetition of it."""
 
     entry_index: int
     succeeded: bool
@@ -108,31 +109,32 @@
 
 
 class ReplicatedState(Struct, array_like=True):
-    """Hold all that the log entries so far amount to."""
+    """Hold the state that results from all log entries applied so far."""
 
-    revision: int = 0  # the last entry by which an operator changed anything
+    revision: int = 0  # index of the last entry by which an operator changed anything
     rules: list[BudgetRule] = field(default_factory=list)
     permits: dict[str, Permit] = field(default_factory=dict)
-    lost: dict[str, str] = field(default_factory=dict)  # who failed without a permit: its zone
-    written_off: dict[str, int] = field(default_factory=dict)  # by which entry; not seen since
+    lost: dict[str, str] = field(default_factory=dict)  # zones by lost member
+    written_off: dict[str, int] = field(default_factory=dict)  # index of the entry, by member
     drains: dict[str, Drain] = field(default_factory=dict)
+    # Chunks by content hash and offset.
     file_chunks: dict[str, dict[int, bytes]] = field(default_factory=dict)
-    file_sizes: dict[str, int] = field(default_factory=dict)
-    default_content: str = ""  # what members without an assignment run; empty: their own file
+    file_sizes: dict[str, int] = field(default_factory=dict)  # in bytes, by content hash
+    default_content: str = ""  # run by members without an assignment; empty: their own file
     default_build: str = ""
     assigned_content: dict[str, str] = field(default_factory=dict)
     assigned_build: dict[str, str] = field(default_factory=dict)
-    permits_granted: int = 0  # ever
+    permits_granted: int = 0  # in total
     rollout: Rollout | None = None
     closed_rollouts: list[Rollout] = field(default_factory=list)
     history: list[HistoryEntry] = field(default_factory=list)
-    results: dict[int, CommandResult] = field(default_factory=dict)
+    results: dict[int, CommandResult] = field(default_factory=dict)  # by command id
     last_applied: int = 0
 
 
 @dataclass(frozen=True)
 class MemberOrders:
-    """Say what one member is to do."""
+    """Tell one member what to run and whether to drain."""
 
     is_drained: bool
     content_hash: str
@@ -143,19 +145,19 @@
 
 
 class MemberReport(Struct, frozen=True, array_like=True):
-    """Tell the leader how a member stands; counts are since its start."""
+    """Report a member's state to the leader; counts are since the member's start."""
 
     applied_index: Count = 0
     content_hash: Annotated[str, Meta(max_length=64)] = ""  # of the released file that it runs
     build: Annotated[str, Meta(max_length=64)] = ""
     is_ready: bool = False
     is_draining: bool = False
-    is_drained: bool = False  # nothing is in flight, and no client waits for an answer
+    is_drained: bool = False  # nothing is in flight and no client waits for an answer
     refused_content: Annotated[str, Meta(max_length=64)] = ""
     refusal: Annotated[str, Meta(max_length=200)] = ""
-    # Permits of drained upstreams to which this member has nothing in flight.
+    # Permit numbers of drained upstreams to which this member has nothing in flight.
     idle_drains: Annotated[tuple[int, ...], Meta(max_length=64)] = ()
-    completed: Count = 0  # requests with their answer, of which the next three are parts
+    completed: Count = 0  # requests that have ended; the next three are subsets of these
     on_time: Count = 0
     failed: Count = 0
     rejected: Count = 0
@@ -169,19 +171,19 @@
     name: str
     id: int
     zone: str
-    is_present: bool  # heard from, and not leaving
-    is_unreachable: bool = False  # lost by silence alone: it may go on sending
+    is_present: bool  # reachable and not leaving
+    is_unreachable: bool = False  # lost without having left: it may still send requests
 
 
 def make_key(name: str, pool: str = "") -> str:
-    """Return the key of a balancer, or of an upstream of a pool."""
-    return f"u/{pool}/{name}" if pool else f"{BALANCER_PREFIX}{name}"
+    """Return the key of a balancer or, with a pool, of one of its upstreams."""
+    return f"{UPSTREAM_PREFIX}{pool}/{name}" if pool else f"{BALANCER_PREFIX}{name}"
 
 
 def display_name(key: str) -> str:
-    """Return a key as people read it."""
-    return key[2:]
+    """Return a key without its prefix: a balancer's name, or an upstream as pool/name."""
+    return key[PREFIX_LENGTH:]
 
 
 class CommandRefusedError(Exception):
-    """A command can't be carried out; the text says why."""
+    """A command is refused; the text, which is the answer to it, says why."""
--- a/whinpier/fleet/rollouts/release_files.py
+++ b/whinpier/fleet/rollouts/release_files.py
@@ -1,7 +1,7 @@
-"""The released files, kept in the replicated state in chunks.
+"""The released files, stored in chunks in the replicated state.
 
-Owns which files are held. Invariants: at most MAX_FILES files are held, and none that a member is
-assigned to or could be rolled back to is dropped.
+Decides which files are held. Invariants: at most MAX_FILES files are held; a file that a member is
+assigned or could be rolled back to is never dropped.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def store_chunk(state: ReplicatedState, chunk: FileChunk) -> None:
-    """Keep a chunk, if there is room for its file."""
+    """Store a chunk; ignore it if there is no room for its file or it exceeds the file's size."""
     chunks = state.file_chunks.get(chunk.content_hash)
     if chunks is None:
         _drop_unused_files(state)
@@ -27,7 +27,7 @@
 
 
 def _drop_unused_files(state: ReplicatedState) -> None:
-    """Make room for one more file by dropping those that nobody needs, the oldest first."""
+    """Make room for one more file by dropping unused ones, the oldest first."""
     used = _find_used_files(state)
     for content_hash in list(state.file_chunks):
         if len(state.file_chunks) < MAX_FILES:
@@ -38,6 +38,7 @@
 
 
 def _find_used_files(state: ReplicatedState) -> set[str]:
+    """Return the hashes of files that are assigned, or that a rollback could need."""
     used = {state.default_content, *state.assigned_content.values()}
     rollouts = state.closed_rollouts[-1:]
     if state.rollout is not None:
@@ -58,5 +59,5 @@
 
 
 def hash_file(data: bytes) -> str:
-    """Return the hash by which a file is named."""
+    """Return the hash that identifies a file."""
     return hashlib.blake2b(data, digest_size=10, person=b"release").hexdigest()
--- a/whinpier/fleet/rollouts/releases.py
+++ b/whinpier/fleet/rollouts/releases.py
@@ -1,8 +1,9 @@
 """Rollouts of a file or a build to members, wave by wave, and their rollback.
 
-Owns the active rollout, the closed ones and what each member is assigned. Invariants: a member is
-assigned another version only with a permit, or while it is drained; a wave begins only after the
-analysis of the one before has passed; who failed to switch keeps its permit until it is back.
+Owns the active rollout, the closed ones and each member's assigned version. Invariants: a member is
+assigned another version only with a permit, or while it is drained; a wave starts only after the
+analysis of the one before has passed; a member that failed to switch keeps its permit until it runs
+its assigned version, is written off, or the rollback ends.
 """
 
 from __future__ import annotations
@@ -33,13 +34,13 @@
 )
 from whinpier.fleet.rollouts.release_files import hash_file, read_file
 
-ALL_MEMBERS = "all"
+ALL_MEMBERS = "all"  # selector
 
 # Commands of operators.
 
 
 def start_release(state: ReplicatedState, command: ReleaseCommand) -> str:
-    """Begin a rollout; the leader plans its waves next."""
+    """Start a rollout; the leader plans its waves next."""
     if state.rollout is not None:
         raise CommandRefusedError(f"release {state.rollout.number} is {state.rollout.phase}")
     if bool(command.content_hash) == bool(command.build):
@@ -58,13 +59,14 @@
 
 
 def _check_wave_size(wave: str) -> None:
+    """Raise CommandRefusedError unless it is a positive number, with or without a % sign."""
     size = wave.removesuffix("%")
     if not size.isdigit() or not 0 < int(size) <= MAX_MEMBERS:
         raise CommandRefusedError(f"{wave!r} is no wave: a number, or a part of all as 25%")
 
 
 def halt(state: ReplicatedState, command: NamedCommand) -> str:
-    """Halt the active rollout where it is."""
+    """Halt the active rollout, or its rollback, without changing any assignment."""
     rollout = state.rollout
     if rollout is None:
         raise CommandRefusedError("no release is on")
@@ -92,7 +94,7 @@
 
 
 def roll_back(state: ReplicatedState, _command: NamedCommand) -> str:
-    """Roll back the active rollout, or the last one that was released."""
+    """Roll back the active rollout or, if there is none, the last released one."""
     rollout = state.rollout
     if rollout is None:
         rollout = _reopen_last_released(state)
@@ -103,7 +105,7 @@
 
 
 def _reopen_last_released(state: ReplicatedState) -> Rollout:
-    """Make the last rollout that was released the active one again."""
+    """Make the last released rollout the active one again, and restore the earlier default."""
     for rollout in reversed(state.closed_rollouts):
         if rollout.phase == RolloutPhase.RELEASED:
             break
@@ -119,11 +121,11 @@
     return rollout
 
 
-# What the leader adds to the log.
+# Entries that the leader appends to the log.
 
 
 def plan_wave(state: ReplicatedState, plan: WavePlan) -> None:
-    """Add members to a wave; the last plan starts the first wave."""
+    """Add members to a wave; the plan with `is_last` starts the first wave."""
     rollout = state.rollout
     if rollout is None or rollout.number != plan.release_number:
         return
@@ -140,6 +142,7 @@
 
 
 def _finish_planning(state: ReplicatedState, rollout: Rollout) -> None:
+    """Start the first wave, or close a rollout that no present member is selected for."""
     rollout.waves = [wave for wave in rollout.waves if wave]
     if rollout.waves:
         _start_wave(rollout)
@@ -149,12 +152,13 @@
 
 
 def _start_wave(rollout: Rollout) -> None:
+    """Queue the members of the current wave for assignment."""
     rollout.phase = RolloutPhase.UPDATING
     rollout.pending = list(rollout.waves[rollout.current_wave])
 
 
 def apply_analysis(state: ReplicatedState, result: AnalysisResult) -> None:
-    """Go on to the next wave, or stop the rollout, by how an analysis ended."""
+    """Start the next wave, finish the rollout, or stop it, depending on an analysis."""
     rollout = state.rollout
     if rollout is None or rollout.number != result.release_number:
         return
@@ -171,7 +175,7 @@
 
 
 def apply_switch(state: ReplicatedState, observation: Observation) -> None:
-    """Note that a member runs what it was assigned, or that it failed to."""
+    """Record that a member runs its assigned version, or that it failed to switch."""
     rollout = state.rollout
     permit = state.permits.get(observation.key)
     if rollout is None or permit is None or permit.number != observation.number:
@@ -192,19 +196,20 @@
 
 
 def _mark_failed(state: ReplicatedState, rollout: Rollout, name: str, reason: str) -> None:
+    """Record that a member failed to switch; stop a rollout, but go on with a rollback."""
     rollout.failed[name] = reason
     if rollout.phase == RolloutPhase.UPDATING:
         _stop(state, rollout, f"{name}: {reason}")
     elif rollout.phase == RolloutPhase.ROLLING_BACK:
-        # It is not known to be back, so that it counts as out: by its drain or loss, or by this.
+        # It is not known to be back, so it still counts as out: by a drain, as lost or by this permit.
         rollout.pending = _without(rollout.pending, name)
 
 
-# How a rollout goes on.
+# Progress of the rollout, after each applied entry.
 
 
 def advance(state: ReplicatedState) -> None:
-    """Assign as many members as the budget allows, and end a wave that is complete."""
+    """Assign as many members as the budget allows, and finish a wave or rollback that is complete."""
     rollout = state.rollout
     if rollout is None:
         return
@@ -223,7 +228,7 @@
 
 
 def _find_switching(state: ReplicatedState, excluded: Container[str] = ()) -> list[str]:
-    """Return the keys of members that are out to switch to what they were assigned."""
+    """Return the keys of members that hold a permit to switch to their assigned version."""
     return [
         key
         for key, permit in state.permits.items()
@@ -232,7 +237,7 @@
 
 
 def _assign_pending(state: ReplicatedState, rollout: Rollout, version: str | None) -> None:
-    """Assign a version to who may be out now; without one, each gets its previous version."""
+    """Assign a version to pending members within the budget; None: each one's previous version."""
     still_pending = []
     for name in rollout.pending:
         if version is not None and name in state.lost:
@@ -243,7 +248,7 @@
 
 
 def _assign(state: ReplicatedState, rollout: Rollout, name: str, version: str | None) -> bool:
-    """Assign a version to one member; return whether the budget allows it now."""
+    """Assign a version to one member, None: its previous one; return False if over budget."""
     key = make_key(name)
     zone = rollout.zones.get(name, "")
     permit = state.permits.get(key)
@@ -251,7 +256,7 @@
     if version is not None:
         rollout.previous.setdefault(name, assigned.get(name, rollout.previous_default))
     if permit is not None and permit.purpose == PermitPurpose.DRAIN:
-        # It is out already and switches as it is: it takes no permit, and nobody waits for it.
+        # A drained member is out already: it needs no second permit, and the wave does not wait.
         rollout.updated = _without(rollout.updated, name)
         if version is not None:
             rollout.updated.append(name)
@@ -266,7 +271,7 @@
 
 
 def _stop(state: ReplicatedState, rollout: Rollout, reason: str) -> None:
-    """Assign no more, and roll back or hold what has been, as the release says."""
+    """Stop the rollout for a failure: halt it or roll it back, as its settings say."""
     rollout.reason = reason[:MAX_TEXT]
     record_fleet_action(state, f"halted {rollout.number}", rollout.reason)
     if rollout.command.analysis.hold_on_failure:
@@ -277,23 +282,23 @@
 
 
 def _start_rollback(state: ReplicatedState, rollout: Rollout) -> None:
-    """Give members back their previous version, who was updated last first."""
+    """Start to give members back their previous version, the last updated first."""
     rollout.phase = RolloutPhase.ROLLING_BACK
     rollout.is_rollback = True
     rollout.failed = {}
-    # Who is out by this rollout already is assigned at once.
+    # Members that are switching hold a permit already, so they come first.
     switching = [display_name(key) for key in _find_switching(state)]
     updated = [name for name in reversed(rollout.updated) if name not in switching]
     rollout.pending = switching + updated
 
 
 def _close(state: ReplicatedState, rollout: Rollout, phase: RolloutPhase) -> None:
-    """End the active rollout and keep it among the closed ones."""
+    """End the active rollout and move it to the closed ones."""
     rollout.phase = phase
     if phase == RolloutPhase.RELEASED and rollout.command.selector == ALL_MEMBERS:
         _set_default(state, rollout, rollout.command.version)
     if phase == RolloutPhase.ROLLED_BACK:
-        # A member that was lost meanwhile takes up the default when it comes back.
+        # A member that was lost meanwhile takes over the default when it comes back.
         for key in _find_switching(state):
             del state.permits[key]
     _drop_default_assignments(state, rollout)
@@ -310,7 +315,7 @@
 
 
 def _drop_default_assignments(state: ReplicatedState, rollout: Rollout) -> None:
-    """Drop the assignments of this rollout that say no more than the default does."""
+    """Drop the assignments of this rollout that equal the default."""
     assigned = _assignments(state, rollout)
     default = state.default_content if rollout.command.content_hash else state.default_build
     for name in rollout.previous:
@@ -319,11 +324,12 @@
 
 
 def _assignments(state: ReplicatedState, rollout: Rollout) -> dict[str, str]:
-    """Return what members are assigned, of the kind that this rollout is of."""
+    """Return the assignments of the kind that this rollout releases, files or builds."""
     return state.assigned_content if rollout.command.content_hash else state.assigned_build
 
 
 def _set_default(state: ReplicatedState, rollout: Rollout, version: str) -> None:
+    """Set the fleet's default file or build, whichever this rollout releases."""
     if rollout.command.content_hash:
         state.default_content = version
     else:
@@ -331,4 +337,5 @@
 
 
 def _without(names: list[str], removed: str) -> list[str]:
+    """Return a copy of a list without one name."""
     return [name for name in names if name != removed]
--- a/whinpier/fleet/rollouts/state_machine.py
+++ b/whinpier/fleet/rollouts/state_machine.py
@@ -1,9 +1,10 @@
 """The replicated state machine of drains and rollouts: applies log entries in order.
 
-A pure function of the entries: every member that has applied the same entries holds the same state
-and finds in it its own orders. Free of I/O, time and chance; wall clocks are carried for people to
-read only. Invariants: no more are out by permit than the budget allows; a permit is freed only once
-its holder is known to be back or written off; a command is answered once, and the same each time;
+Deterministic: all members that have applied the same entries hold the same state, from which each
+reads its own orders. Uses no I/O, clock or random numbers; wall-clock times are carried for display
+only. Answers are part of the state, so their wording must not differ between builds. Invariants: no
+permit is granted beyond the budget; a permit is freed only once its holder is known to be back, is
+written off, or a rollback has ended; a command takes effect once, and repetitions get the same answer;
 every table is bounded.
 """
 
@@ -58,19 +59,19 @@
     """Hold the replicated state and apply log entries to it."""
 
     def __init__(self) -> None:
-        """Begin with an empty state."""
+        """Start with an empty state."""
         self.state = ReplicatedState()
-        self.changes = 0  # rises with each entry, for whoever acts on the state
-        self.undecodable_entries = 0  # that this build does not know
+        self.changes = 0  # counts entries and restores, so that readers notice a change
+        self.undecodable_entries = 0  # skipped: malformed, or of a later build
 
-    # What the consensus module calls.
+    # Called by the consensus module.
 
     def snapshot(self) -> bytes:
         """Return the whole state, encoded."""
         return encode(self.state)
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a snapshot; an empty one stands for the state at the beginning."""
+        """Replace the state by a snapshot; empty data stands for the initial state."""
         if data:
             self.state = msgspec.msgpack.decode(data, type=ReplicatedState)
         else:
@@ -78,7 +79,7 @@
         self.changes += 1
 
     def has_applied(self, data: bytes) -> bool:
-        """Return whether the command in an entry's contents has had its answer."""
+        """Return whether the command in an entry's contents has been answered already."""
         try:
             header = msgspec.msgpack.decode(data)[0]
             return isinstance(header, list) and header[0] in self.state.results
@@ -86,7 +87,7 @@
             return False
 
     def apply(self, index: int, entry: LogEntry) -> None:
-        """Apply the next committed entry; all members pass alike over one that does not decode."""
+        """Apply the next committed entry; skip and count one that does not decode."""
         self.changes += 1
         self.state.last_applied = index
         try:
@@ -101,7 +102,7 @@
         releases.advance(self.state)
 
     def dry_run(self, index: int, kind: int, data: bytes) -> CommandResult:
-        """Return what a command would answer were it the next entry; nothing is changed."""
+        """Return what a command would answer if it were the next entry, without applying it."""
         trial = RolloutStateMachine()
         trial.restore(self.snapshot())
         known_ids = set(trial.state.results)
@@ -111,10 +112,10 @@
                 return result
         return CommandResult(index, False, "it was said before, or can't be read")
 
-    # What members read.
+    # Read by members.
 
     def orders_for(self, name: str) -> MemberOrders:
-        """Return what one member is to do."""
+        """Return what one member is to run and whether it is to drain."""
         state = self.state
         return MemberOrders(
             drains.is_drained(state, name),
@@ -123,7 +124,7 @@
         )
 
     def drained_upstreams(self, pool: str) -> dict[str, int]:
-        """Return the upstreams of a pool that are to get no new requests, with their permits."""
+        """Return the permit numbers of a pool's drained upstreams, which get no new requests."""
         return drains.find_drained_upstreams(self.state, pool)
 
     def unfinished_drains(self) -> Iterator[tuple[str, Drain]]:
@@ -136,7 +137,7 @@
 
 
 def _apply_command(state: ReplicatedState, kind: int, command: Any) -> None:
-    """Carry out an operator's command once for each id, and keep its answer."""
+    """Carry out an operator's command unless its id is known, and store its answer."""
     header = command.header
     if header.id in state.results:
         return
@@ -157,7 +158,7 @@
 
 
 def _describe_subject(kind: int, command: Any) -> str:
-    """Return what a command is about, for the history."""
+    """Return the subject of a command, for the history."""
     if kind in (EntryKind.DRAIN, EntryKind.UNDRAIN):
         return display_name(make_key(command.name, command.pool))
     if kind == EntryKind.SET_BUDGET:
@@ -169,7 +170,7 @@
 
 
 def _describe_conflict(state: ReplicatedState, base_revision: int) -> str:
-    """Say what has changed since the revision that a command is based on."""
+    """Describe what has changed since the revision that a command is based on."""
     for entry in reversed(state.history):
         if entry.index > base_revision and entry.succeeded and entry.actor != FLEET_ACTOR:
             return (
@@ -179,12 +180,13 @@
 
 
 def _apply_observations(state: ReplicatedState, observations: Any) -> None:
+    """Apply the leader's observations in order."""
     for observation in observations.items:
         OBSERVATION_HANDLERS[observation.kind](state, observation)
 
 
 def _apply_return(state: ReplicatedState, observation: Observation) -> None:
-    """Take in that a lost member was found, or that what was drained serves again."""
+    """Apply that a lost member is back, or that what was drained serves again."""
     if observation.number == 0:
         disruption_budget.mark_found(state, display_name(observation.key))
     else:
--- a/whinpier/fleet/rollouts/wave_planning.py
+++ b/whinpier/fleet/rollouts/wave_planning.py
@@ -1,4 +1,4 @@
-"""The selection of the members of a rollout, and their division into waves."""
+"""Selects the members of a rollout and divides them into waves."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 def select_members(selector: str, views: dict[str, MemberView]) -> list[str]:
-    """Return the names of present members that a selector means, sorted."""
+    """Return the sorted names of the present members that match a selector.
+
+    A selector is ALL_MEMBERS, a zone after ZONE_PREFIX, or comma-separated names.
+    """
     present = sorted(name for name, view in views.items() if view.is_present)
     if selector == ALL_MEMBERS:
         return present
@@ -23,7 +26,10 @@
 
 
 def split_into_waves(names: list[str], sizes: list[str]) -> list[list[str]]:
-    """Divide names by sizes, numbers or percentages of all; who is left forms the last wave."""
+    """Divide names into waves of these sizes; names left over form the last wave.
+
+    A size is a number of names, or a percentage of all names, rounded up.
+    """
     waves = []
     start = 0
     for text in sizes:
