--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -8,7 +8,7 @@
 
 PAGE = Path("docs/operate/log-events.md")
 LOG_CALLS = {"info", "warning", "warning_uncounted", "exception"}
-EVENT_CALLS = {"event", "Event", "tell", "say_event"}
+EVENT_CALLS = {"event", "Event", "add_event", "emit_event", "tell", "say_event"}
 # State machines and tools beside the balancer, which write no log of its own.
 ASIDE = ("testbed", "simulation", "model_checking", "cli")
 
