--- a/whinpier/config/__init__.py
+++ b/whinpier/config/__init__.py
@@ -1,1 +1,1 @@
-"""What is configured: the platform's JSON and the operator's file, read and checked."""
+"""Read and validate the configuration: the platform's JSON file or the operator's TOML file."""
--- a/whinpier/config/model.py
+++ b/whinpier/config/model.py
@@ -1,5 +1,6 @@
-"""Plain types of what is configured: the process, its pools, their lists. Reads no file, decides
-nothing.
+"""Data types of the configuration: the process, its pools and their upstream lists.
+
+This module reads no files and makes no balancing decisions.
 """
 
 from __future__ import annotations
@@ -21,10 +22,11 @@
     "draining": UpstreamState.DRAINING,
     "removed": UpstreamState.REMOVED,
 }
-LATEST = (
-    2**53
-)  # milliseconds: what JSON numbers hold exactly; later times would only upset arithmetic
-CONFIGURED = (
+# The largest integer that JSON numbers hold exactly. Start times (milliseconds) and cells above it
+# are rejected because arithmetic on them would be inexact.
+MAX_JSON_INTEGER = 2**53
+# The fields of a request class that come from the configuration; the policy sets the others.
+CONFIGURED_FIELDS = (
     "name",
     "kind",
     "latency_objective",
@@ -35,18 +37,22 @@
     "window",
     "streamed",
     "stretch",
-)  # of a request class
-KEPT_TILL_RESTART = ("name", "listen", "seed", "sockets", "memory", "isolate")  # of a process
-PLATFORM = "all"  # the one pool of a process without an operator's file
+)
+# The fields of Spec that a reload leaves unchanged.
+KEPT_TILL_RESTART = ("name", "listen", "seed", "sockets", "memory", "isolate")
+PLATFORM_POOL = "all"  # the only pool of a process without an operator's file
 
 
 class ConfigFault(Exception):
-    """What is configured cannot be used; the text names the key."""
+    """Report an invalid configuration; the text names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One upstream of a list, as discovery, `known` or the operator's file give it."""
+    """Describe one upstream of a list from discovery, `known` or the operator's file.
+
+    `started` is in nanoseconds.
+    """
 
     host: str
     dial: Address
@@ -60,17 +66,17 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What one pool may have of the process; None: no limit of its own."""
+    """Hold the limits of one pool within the process; None means no limit of its own."""
 
-    guaranteed: float = 1.0  # the part of descriptors, bodies and CPU that it always has
-    requests: int | None = None  # without an answer
+    guaranteed: float = 1.0  # the fraction of descriptors, bodies and CPU reserved for the pool
+    requests: int | None = None  # not yet answered
     connections: int | None = None  # to upstreams
-    bodies: int | None = None  # bytes of requests and answers held
+    bodies: int | None = None  # bytes of buffered requests and responses
 
 
 @dataclass(frozen=True, slots=True)
 class Fields:
-    """Which headers of a request say what; empty: none does. Names are in lower case."""
+    """Name the request headers that carry each value, in lower case; empty means no header does."""
 
     txn: bytes = b"x-txn"
     remaining: bytes = b"x-remaining"
@@ -78,18 +84,21 @@
     key: bytes = b"x-entity"
     tenant: bytes = b"x-org"
     repeat: bytes = b"x-resent"
-    query_key: bytes = b"obj"  # a part of the query that gives the key, before the header
-    optional: bool = False  # whether a request may leave out its id and its timeout
+    query_key: bytes = b"obj"  # the query parameter that gives the key; it precedes the header
+    optional: bool = False  # whether a request may omit its id and its timeout
 
     @property
     def once(self) -> frozenset[bytes]:
-        """Of two, which would hold?"""
+        """Return the headers that may occur only once, since two values would be ambiguous."""
         return frozenset((self.txn, self.remaining, self.ticket, b"x-lane", b"host")) - {b""}
 
 
 @dataclass(frozen=True)
 class PoolSpec:
-    """One pool: its decisions' settings, where its list comes from, what it may use."""
+    """Configure one pool: its policy settings, the source of its upstream list and its limits.
+
+    `connect_limit` and `idle_limit` are in nanoseconds.
+    """
 
     name: str
     settings: dict[str, Any]
@@ -99,86 +108,91 @@
     tenants: list[str]
     connect_limit: int
     idle_limit: int
-    discovery: Address | None = None  # None: the list is `known`
+    discovery: Address | None = None  # None: `known` is the whole list
     known: list[Entry] = field(default_factory=list)
     seq: int | None = None
     limits: Limits = Limits()
-    passed_on: frozenset[int] = frozenset((200,))  # statuses that are an answer, not an error
+    passed_on: frozenset[int] = frozenset((200,))  # statuses of successful responses
     protocol: str = "http"
-    server: object = None  # how its servers are spoken to, where its protocol has more to say
+    server: object = None  # options of its protocol for the upstreams, if it has any
 
 
 def kept_till_restart(old: Spec, new: Spec) -> list[str]:
-    """Which keys of the process differ and wait for a restart. A seed that is not given is no change."""
+    """Return the fields of the process that differ and take effect only after a restart.
+
+    The seed is left out: without a configured one, each read draws another.
+    """
     return [
         key for key in KEPT_TILL_RESTART if key != "seed" and getattr(old, key) != getattr(new, key)
     ]
 
 
 def differs(old: PoolSpec, new: PoolSpec) -> list[str]:
-    """Which keys of a pool differ; request classes by what is configured of them, not by what is known."""
-    found = [
+    """Return the keys of a pool that differ.
+
+    Request classes are compared by their configured fields, not by their statistics.
+    """
+    changed = [
         key.name
         for key in fields(PoolSpec)
         if key.name != "request_classes" and getattr(old, key.name) != getattr(new, key.name)
     ]
-    told = [
+    configured = [
         [
-            tuple(getattr(request_class, key) for key in CONFIGURED)
+            tuple(getattr(request_class, key) for key in CONFIGURED_FIELDS)
             for request_class in spec.request_classes
         ]
         for spec in (old, new)
     ]
-    return found + ["workloads"] * (told[0] != told[1])
+    return changed + ["workloads"] * (configured[0] != configured[1])
 
 
 class Listener(Protocol):
-    """A listener of streams, whatever else it has."""
+    """Describe a stream listener by its address."""
 
     @property
-    def listen(self) -> Address: ...
+    def listen(self) -> Address:
+        """Return the address that it listens on."""
 
 
-class Beside(Protocol):
-    """What a protocol beside HTTP is configured by; only that protocol knows more of it."""
+class ProtocolConfig(Protocol):
+    """Describe what the process needs to know of a non-HTTP protocol's configuration."""
 
     @property
     def listen(self) -> tuple[Address, ...]:
-        """Where its clients send datagrams."""
+        """Return the addresses that receive datagrams from clients."""
 
     @property
     def streams(self) -> Sequence[Listener]:
-        """Where its clients connect."""
+        """Return the stream listeners that clients connect to."""
 
     @property
     def descriptors(self) -> int:
-        """What its clients and listeners may hold."""
+        """Return how many file descriptors its clients and listeners may hold."""
 
     @property
     def till_restart(self) -> dict[str, object]:
-        """What of it a reload leaves as it is, by key."""
+        """Return the values that a reload leaves unchanged, by key."""
 
 
-class Together(Protocol):
-    """What the part of a process that knows other processes is configured by; only that part
-    knows more.
-    """
+class FleetConfig(Protocol):
+    """Describe what the process needs to know of the fleet configuration."""
 
     @property
     def descriptors(self) -> int:
-        """What it may hold."""
+        """Return how many file descriptors it may hold."""
 
     @property
     def till_restart(self) -> dict[str, object]:
-        """What of it a reload leaves as it is, by key."""
+        """Return the values that a reload leaves unchanged, by key."""
 
-    def kept(self, old: object) -> Together:
-        """This one as a process can be run by it that was started by an old one."""
+    def kept(self, old: object) -> FleetConfig:
+        """Return this configuration with the values that need a restart taken from `old`."""
 
 
 @dataclass(frozen=True)
 class Spec:
-    """The process."""
+    """Configure the process."""
 
     name: str
     listen: list[Address]
@@ -186,27 +200,27 @@
     sockets: int
     memory: int  # bytes
     pools: dict[str, PoolSpec]
-    table: RoutingTable | None = None  # of the operator's routes; None on the platform
-    beside: dict[str, Beside] = field(default_factory=dict)  # by the protocol's name
-    up: bytes = b"/up"  # where a front asks whether this balancer is ready
-    isolate: bool = True  # whether pools have guaranteed parts
-    not_honoured: list[str] = field(
-        default_factory=list
-    )  # settings that the protocol has no way for
-    fleet: Together | None = None  # how it knows the other processes; None: not at all
-    revision: str = ""  # of the operator's file, by its content
+    table: RoutingTable | None = None  # the operator's routes; None on the platform
+    beside: dict[str, ProtocolConfig] = field(default_factory=dict)  # non-HTTP protocols, by name
+    up: bytes = b"/up"  # the path of the readiness check
+    isolate: bool = True  # whether resources are reserved for each pool
+    # Settings that were ignored because the protocol cannot do what they ask for.
+    not_honoured: list[str] = field(default_factory=list)
+    fleet: FleetConfig | None = None  # None: the process is not a member of a fleet
+    revision: str = ""  # a hash of the operator's file
 
     @property
     def routed(self) -> bool:
-        """Whether an operator's file says what goes where."""
+        """Return whether requests are routed by an operator's file."""
         return self.table is not None
 
 
 def address(text: Any, key: str) -> Address:
-    host, mark, port = str(text).rpartition(":")
+    """Parse `HOST:PORT` with an IPv4 host; raise ConfigFault that names `key` otherwise."""
+    host, separator, port = str(text).rpartition(":")
     if not (
         isinstance(text, str)
-        and mark
+        and separator
         and host
         and port.isascii()
         and port.isdigit()
@@ -214,14 +228,17 @@
     ):
         raise ConfigFault(f"{key}: {text!r} is not HOST:PORT")
     try:
-        # Guards against a name: looking it up would stop the loop at every connection.
+        # Host names are refused: resolving one would block the event loop at each connection.
         return str(IPv4Address(host)), int(port)
     except AddressValueError:
         raise ConfigFault(f"{key}: {text!r} is no IPv4 address") from None
 
 
 def entries(hosts: Any) -> list[Entry]:
-    """The entries of a list in discovery's form, all or none."""
+    """Parse an upstream list in the form that discovery sends.
+
+    Raise ConfigFault if any entry is invalid.
+    """
     try:
         found = [
             Entry(
@@ -236,10 +253,12 @@
             )
             for host in hosts
         ]
+        max_started = MAX_JSON_INTEGER * 1_000_000
         for entry in found:
-            latest = LATEST * 1_000_000
             if not (
-                isfinite(entry.size) and 0 <= entry.started < latest and abs(entry.cell) < LATEST
+                isfinite(entry.size)
+                and 0 <= entry.started < max_started
+                and abs(entry.cell) < MAX_JSON_INTEGER
             ):
                 raise ValueError(f"a figure of {entry.host!r} is out of bounds")
         return found
--- a/whinpier/config/operator.py
+++ b/whinpier/config/operator.py
@@ -1,9 +1,8 @@
-"""The one place where the operator's file is read, checked as a whole and made into what the
-process runs by.
+"""Read and validate an operator's file and build the process configuration from it.
 
-Owns its keys and what is said about a faulty one: the file, the key and what is allowed. Not
-imported without such a file. Must never let through a part of a faulty file, or raise anything but
-a ConfigFault for it.
+This module defines the keys of the file and the error texts, which name the file, the key and the
+allowed values. A file with any error is rejected as a whole with a ConfigFault. Only imported when
+there is an operator's file.
 """
 
 from __future__ import annotations
@@ -33,14 +32,14 @@
     part,
 )
 from whinpier.config.model import (
-    Beside,
     ConfigFault,
     Entry,
     Fields,
+    FleetConfig,
     Limits,
     PoolSpec,
+    ProtocolConfig,
     Spec,
-    Together,
     address,
     differs,
     kept_till_restart,
@@ -54,13 +53,19 @@
 )
 from whinpier.storage.bounded_files import read_bounded
 
-MOST_POOLS, MOST_ROUTES = 256, 20_000  # what is still checked within a second or two
-LEAST = 16  # connections for each pool: with fewer nothing can be held apart
-TOKEN = re.compile(r"[-!#$%&'*+.^_`|~0-9a-z]+\Z")  # a header's name, in lower case
+# A file with this many pools and routes is validated within a second or two.
+MAX_POOLS = 256
+MAX_ROUTES = 20_000
+MIN_POOL_DESCRIPTORS = 16  # with fewer the pools cannot be isolated from each other
+HEADER_NAME_PATTERN = re.compile(r"[-!#$%&'*+.^_`|~0-9a-z]+\Z")  # in lower case
+ROUNDING_TOLERANCE = 1e-9  # of a sum of shares
+# The keys that a release may set; they replace those of the process's own file.
+RELEASED_KEYS = frozenset(("pools", "routes", "up"))
+RELEASED_FLEET_KEYS = frozenset(("limits", "verdicts"))
 
 
-class Says(Strict, frozen=True):
-    """Which headers say what; an empty name: none does."""
+class HeadersTable(Strict, frozen=True):
+    """Name the header that carries each value; with an empty name no header does."""
 
     id: str = "x-txn"
     patience: str = "x-remaining"
@@ -82,7 +87,7 @@
         "late_priority_weight": "late_payoff",
     },
 ):
-    """One kind of request."""
+    """Describe one request class."""
 
     kind: Literal["rerunnable", "ticketed", "exclusive"]
     latency_objective: Duration
@@ -94,7 +99,7 @@
 
 
 class UpstreamTable(Strict, frozen=True):
-    """One upstream of a static list."""
+    """Describe one upstream of a static list."""
 
     name: str
     address: str
@@ -107,7 +112,7 @@
 
 
 class LimitsTable(Strict, frozen=True, rename={"requests": "tasks"}):
-    """What a pool may have of the process."""
+    """Hold the limits of a pool within the process."""
 
     guaranteed: Part | None = None
     requests: Count | None = None
@@ -119,7 +124,7 @@
 class PoolTable(
     Strict, frozen=True, rename={"request_classes": "workloads", "attempts": "hand_offs"}
 ):
-    """One pool."""
+    """Describe one pool."""
 
     request_classes: dict[str, Any]
     protocol: Literal["http", "radius"] = "http"
@@ -127,8 +132,8 @@
     upstreams: list[Any] | None = None
     discovery: str | None = None
     limits: LimitsTable = LimitsTable()
-    says: Says = Says()
-    balancers: Count | None = None  # said: so many, whatever the fleet knows
+    says: HeadersTable = HeadersTable()
+    balancers: Count | None = None  # if set, overrides the fleet's count
     number: Whole = 0
     zone: str = ""
     zones: list[str] = []
@@ -137,7 +142,7 @@
     attempts: Annotated[int, Meta(ge=1, le=16)] = 3
     second_copies: bool = False
     cancelling: bool = True
-    warm_keys: bool = False  # no longer there: said, not passed over
+    warm_keys: bool = False  # removed; still parsed so that its use is reported
     warm_up: Duration = "0s"
     cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 1.0
     connect_timeout: Duration = "250ms"
@@ -149,7 +154,7 @@
 
 
 class RouteTable(Strict, frozen=True, rename={"request_class": "workload", "timeout": "patience"}):
-    """One route."""
+    """Describe one route."""
 
     name: str
     pool: str
@@ -161,11 +166,11 @@
     lane: str = ""
     request_class: str = ""
     timeout: Duration | None = None
-    says: Says | None = None
+    says: HeadersTable | None = None
 
 
 class ProcessTable(Strict, frozen=True):
-    """What the process has, and shares out among its pools."""
+    """Hold the resources of the process, which its pools share."""
 
     descriptors: Annotated[int, Meta(ge=64, le=2**20)] = 1024
     memory_mb: Annotated[int, Meta(ge=32, le=2**20)] = 192
@@ -174,7 +179,7 @@
 
 
 class FileTable(Strict, frozen=True, rename={"fleet": "bank"}):
-    """The whole file."""
+    """Describe the whole file."""
 
     version: Literal[1]
     listen: list[str]
@@ -187,22 +192,28 @@
     process: ProcessTable = ProcessTable()
 
 
-def header(name: str, at: str) -> str:
-    if name and not TOKEN.match(name):
-        raise ConfigFault(f"{at}: {name!r} is no header's name in lower case")
+def validate_header_name(name: str, at: str) -> str:
+    """Return a header's name if it is empty or valid; raise ConfigFault otherwise."""
+    if name and not HEADER_NAME_PATTERN.match(name):
+        raise ConfigFault(f"{at}: {name!r} is not a valid header name in lower case")
     return name
 
 
-def says(table: Says, at: str) -> Fields:
+def request_fields(table: HeadersTable, at: str) -> Fields:
+    """Return the headers that carry each value.
+
+    Raise ConfigFault if a header is named twice, or if there is none for the id or the timeout and
+    these are not optional.
+    """
     names = {
-        key: header(getattr(table, key), f"{at}.{key}").encode()
+        key: validate_header_name(getattr(table, key), f"{at}.{key}").encode()
         for key in ("id", "patience", "ticket", "key", "tenant", "repeat")
     }
     given = [name for name in names.values() if name]
     if len(set(given)) < len(given):
         raise ConfigFault(f"{at}: one header says two things")
     if not table.optional and not (names["id"] and names["patience"]):
-        raise ConfigFault(f"{at}: without headers for id and patience, optional has to be true")
+        raise ConfigFault(f"{at}: without headers for id and patience, optional must be true")
     return Fields(
         names["id"],
         names["patience"],
@@ -215,11 +226,12 @@
     )
 
 
-def request_class(name: str, value: Any, at: str) -> model.RequestClass:
+def build_request_class(name: str, value: Any, at: str) -> model.RequestClass:
+    """Build one request class; raise ConfigFault if its durations or its kind do not fit."""
     table = part(value, WorkloadTable, at)
-    agreed = duration(table.latency_objective, f"{at}.agreed_time", UNITS["ms"])
+    latency_objective = duration(table.latency_objective, f"{at}.agreed_time", UNITS["ms"])
     timeout = duration(table.timeout, f"{at}.patience", UNITS["ms"])
-    if timeout < agreed:
+    if timeout < latency_objective:
         raise ConfigFault(f"{at}.patience: is shorter than agreed_time")
     window = duration(table.window, f"{at}.window")
     effect = model.Effect(table.kind)
@@ -228,7 +240,7 @@
     return model.RequestClass(
         name,
         effect,
-        agreed,
+        latency_objective,
         timeout,
         table.priority_weight,
         table.late_priority_weight,
@@ -237,21 +249,27 @@
     )
 
 
-def entries(values: list[Any], table: PoolTable, at: str) -> list[Entry]:
+def build_upstreams(values: list[Any], table: PoolTable, at: str) -> list[Entry]:
+    """Build the static upstream list of a pool.
+
+    Raise ConfigFault for a duplicate name or for a zone or kind that the pool does not have.
+    """
     found: dict[str, Entry] = {}
     for index, value in enumerate(values):
         here = f"{at}[{index}]"
         given = part(value, UpstreamTable, here)
         if not given.name or given.name in found:
-            raise ConfigFault(f"{here}.name: {given.name!r} is empty or taken")
+            raise ConfigFault(
+                f"{here}.name: {given.name!r} is empty or already used by another upstream"
+            )
         for key, names in (("zone", table.zones), ("kind", table.kinds)):
             name = getattr(given, key)
             if name and name not in names:
                 raise ConfigFault(f"{here}.{key}: {name!r} is not in {key}s of its pool")
-        dial = address(given.address, f"{here}.address")
+        upstream_address = address(given.address, f"{here}.address")
         found[given.name] = Entry(
             given.name,
-            dial,
+            upstream_address,
             model.UpstreamState(given.state),
             given.zone,
             given.kind,
@@ -262,23 +280,23 @@
     return list(found.values())
 
 
-def pool(name: str, table: PoolTable, guaranteed: float) -> PoolSpec:
-    """What one pool runs by."""
+def build_pool(name: str, table: PoolTable, guaranteed: float) -> PoolSpec:
+    """Build the configuration of one pool; raise ConfigFault for conflicting values."""
     at = f"pools.{name}"
     if (table.upstreams is None) == (table.discovery is None):
-        raise ConfigFault(f"{at}: either upstreams or discovery says where its list comes from")
+        raise ConfigFault(f"{at}: either upstreams or discovery is required, not both")
     if not table.request_classes:
         raise ConfigFault(f"{at}.workloads: none is named")
     if table.zone and table.zone not in table.zones:
         raise ConfigFault(f"{at}.zone: {table.zone!r} is not in zones")
     if table.warm_keys:
-        raise ConfigFault(f"{at}.warm_keys: keys no longer steer tasks; take it out")
+        raise ConfigFault(f"{at}.warm_keys: is no longer supported; remove it")
     if table.number >= (table.balancers or 1):
         raise ConfigFault(
             f"{at}.number: {table.number} is not below balancers, {table.balancers or 1}"
         )
     request_classes = [
-        request_class(named(key, f"{at}.workloads"), inner, f"{at}.workloads.{key}")
+        build_request_class(named(key, f"{at}.workloads"), inner, f"{at}.workloads.{key}")
         for key, inner in table.request_classes.items()
     ]
     settings: dict[str, Any] = {
@@ -310,7 +328,7 @@
         discovery=address(table.discovery, f"{at}.discovery")
         if table.discovery is not None
         else None,
-        known=entries(table.upstreams or [], table, f"{at}.upstreams"),
+        known=build_upstreams(table.upstreams or [], table, f"{at}.upstreams"),
         limits=Limits(
             guaranteed,
             limits.requests,
@@ -319,12 +337,12 @@
         ),
         passed_on=frozenset(table.statuses),
         protocol=table.protocol,
-        server=servers(table, at),
+        server=upstream_options(table, at),
     )
 
 
-def servers(table: PoolTable, at: str) -> object:
-    """How a pool's servers are spoken to, by its protocol; None of a pool that speaks HTTP."""
+def upstream_options(table: PoolTable, at: str) -> object:
+    """Return the protocol's options for a pool's upstreams; None for HTTP."""
     if (table.protocol == "radius") != (table.radius is not None):
         raise ConfigFault(f'{at}.radius: belongs to protocol = "radius", and such a pool needs it')
     if table.radius is None:
@@ -334,8 +352,8 @@
     return config.servers(table.radius, f"{at}.radius")
 
 
-def beside(table: FileTable, pools: dict[str, PoolSpec]) -> dict[str, Beside]:
-    """The protocols beside HTTP that the file has clients for."""
+def build_protocols(table: FileTable, pools: dict[str, PoolSpec]) -> dict[str, ProtocolConfig]:
+    """Build the configuration of the non-HTTP protocols that the file has clients for, by name."""
     if table.radius is None:
         return {}
     from whinpier.radius import config
@@ -343,25 +361,29 @@
     return {"radius": config.front(table.radius, pools)}
 
 
-def together(
-    table: FileTable, config: dict[str, PoolTable], pools: dict[str, PoolSpec], routes: list[Route]
-) -> Together | None:
-    """How the process knows the others, if the file says so."""
+def build_fleet(
+    table: FileTable,
+    pool_tables: dict[str, PoolTable],
+    pools: dict[str, PoolSpec],
+    routes: list[Route],
+) -> FleetConfig | None:
+    """Build the fleet configuration; None without a `bank` table."""
     if table.fleet is None:
         return None
     from whinpier.fleet.config import fleet
 
-    timeout = {
-        name: max(one.timeout for one in spec.request_classes) for name, spec in pools.items()
+    longest_timeouts = {
+        name: max(request_class.timeout for request_class in spec.request_classes)
+        for name, spec in pools.items()
     }
-    shared = tuple(name for name, one in config.items() if one.balancers is None)
-    return fleet(
-        table.fleet, table.name, shared, timeout, {one.name: one.to.pool for one in routes}
-    )
+    # Pools whose number of balancers the fleet determines.
+    shared = tuple(name for name, pool in pool_tables.items() if pool.balancers is None)
+    route_pools = {route.name: route.to.pool for route in routes}
+    return fleet(table.fleet, table.name, shared, longest_timeouts, route_pools)
 
 
-class To(Struct, frozen=True):
-    """Where a route leads."""
+class RouteTarget(Struct, frozen=True):
+    """Hold the target of a route; a `timeout` of 0 ns means that the route sets none."""
 
     pool: str
     request_class: str
@@ -369,7 +391,13 @@
     fields: Fields
 
 
-def route(value: Any, at: str, pools: dict[str, PoolSpec], usual: dict[str, Fields]) -> Route:
+def build_route(
+    value: Any, at: str, pools: dict[str, PoolSpec], default_fields: dict[str, Fields]
+) -> Route:
+    """Build one route to one of `pools`, with the pool's headers unless the route names its own.
+
+    Raise ConfigFault if its pool, request class, methods or headers do not fit together.
+    """
     table = part(value, RouteTable, at)
     at = f"routes.{named(table.name, f'{at}.name')}"
     if table.pool not in pools:
@@ -385,13 +413,17 @@
     if name and name not in kinds:
         raise ConfigFault(f"{at}.workload: {name!r} is none of {', '.join(kinds)}")
     if name and kinds[name] == model.Effect.NON_IDEMPOTENT and table.methods == ["GET"]:
-        raise ConfigFault(f"{at}.methods: GET is for what may be repeated, and {name} is exclusive")
-    fields = says(table.says, f"{at}.says") if table.says else usual[table.pool]
+        raise ConfigFault(
+            f"{at}.methods: GET is for what may be repeated; workload {name} is exclusive"
+        )
+    fields = request_fields(table.says, f"{at}.says") if table.says else default_fields[table.pool]
     if name and kinds[name] == model.Effect.KEYED and not fields.ticket:
-        raise ConfigFault(f"{at}.says.ticket: {name} is ticketed and no header holds its ticket")
+        raise ConfigFault(
+            f"{at}.says.ticket: workload {name} is ticketed and needs a ticket header"
+        )
     for key in table.headers:
-        if not header(key, f"{at}.headers"):
-            raise ConfigFault(f"{at}.headers: a header without a name")
+        if not validate_header_name(key, f"{at}.headers"):
+            raise ConfigFault(f"{at}.headers: a header name is empty")
     timeout = (
         duration(table.timeout, f"{at}.patience", UNITS["ms"]) if table.timeout is not None else 0
     )
@@ -403,28 +435,32 @@
         frozenset(table.methods),
         dict(table.headers),
         table.lane,
-        To(table.pool, name, timeout, fields),
+        RouteTarget(table.pool, name, timeout, fields),
     )
 
 
-def parts(config: dict[str, PoolTable]) -> dict[str, float]:
-    """The guaranteed part of each pool: what is said, or an even share of what the others leave."""
-    found = {name: table.limits.guaranteed for name, table in config.items()}
-    said = [share for share in found.values() if share is not None]
-    rest = 1.0 - sum(said)
-    if rest < -1e-9:
-        raise ConfigFault(f"pools: guaranteed parts come to {sum(said):g}, over 1")
-    even = max(0.0, rest) / max(1, len(found) - len(said))
-    return {name: even if share is None else share for name, share in found.items()}
+def guaranteed_shares(pool_tables: dict[str, PoolTable]) -> dict[str, float]:
+    """Return the guaranteed share of each pool.
+
+    Pools without a configured share divide the rest evenly. Raise ConfigFault if the configured
+    shares exceed 1.
+    """
+    shares = {name: table.limits.guaranteed for name, table in pool_tables.items()}
+    configured = [share for share in shares.values() if share is not None]
+    rest = 1.0 - sum(configured)
+    if rest < -ROUNDING_TOLERANCE:
+        raise ConfigFault(f"pools: guaranteed parts come to {sum(configured):g}, over 1")
+    even_share = max(0.0, rest) / max(1, len(shares) - len(configured))
+    return {name: even_share if share is None else share for name, share in shares.items()}
 
 
 def made(given: Any) -> Spec:
-    """What the process runs by, or a ConfigFault that names the key."""
+    """Build the process configuration from a parsed file; raise ConfigFault that names the key."""
     table = part(given, FileTable, "")
-    if not table.pools or len(table.pools) > MOST_POOLS:
-        raise ConfigFault(f"pools: {len(table.pools)} of them; 1 to {MOST_POOLS} are allowed")
-    if len(table.routes) > MOST_ROUTES:
-        raise ConfigFault(f"routes: {len(table.routes)} of them; {MOST_ROUTES} at most are allowed")
+    if not table.pools or len(table.pools) > MAX_POOLS:
+        raise ConfigFault(f"pools: {len(table.pools)} of them; 1 to {MAX_POOLS} are allowed")
+    if len(table.routes) > MAX_ROUTES:
+        raise ConfigFault(f"routes: {len(table.routes)} of them; {MAX_ROUTES} at most are allowed")
     if not table.listen:
         raise ConfigFault("listen: names no address")
     listen = [address(text, f"listen[{index}]") for index, text in enumerate(table.listen)]
@@ -438,15 +474,18 @@
         raise ConfigFault(
             f"process.seed: {table.process.seed!r} is not a hexadecimal number"
         ) from None
-    config = {
+    pool_tables = {
         named(name, "pools"): part(value, PoolTable, f"pools.{name}")
         for name, value in table.pools.items()
     }
-    shares = parts(config)
-    pools = {name: pool(name, one, shares[name]) for name, one in config.items()}
-    usual = {name: says(one.says, f"pools.{name}.says") for name, one in config.items()}
+    shares = guaranteed_shares(pool_tables)
+    pools = {name: build_pool(name, pool, shares[name]) for name, pool in pool_tables.items()}
+    default_fields = {
+        name: request_fields(pool.says, f"pools.{name}.says") for name, pool in pool_tables.items()
+    }
     routes = [
-        route(value, f"routes[{index}]", pools, usual) for index, value in enumerate(table.routes)
+        build_route(value, f"routes[{index}]", pools, default_fields)
+        for index, value in enumerate(table.routes)
     ]
     try:
         compiled = RoutingTable(routes)
@@ -454,10 +493,12 @@
         raise ConfigFault(
             f"{', '.join(f'routes.{name}' for name in fault.routes)}: {fault}"
         ) from None
-    for one in routes:
-        if pools[one.to.pool].protocol != "http":
+    for route in routes:
+        protocol = pools[route.to.pool].protocol
+        if protocol != "http":
             raise ConfigFault(
-                f"routes.{one.name}.pool: {one.to.pool!r} speaks {pools[one.to.pool].protocol}"
+                f"routes.{route.name}.pool: {route.to.pool!r} is a {protocol} pool; "
+                "routes are allowed only to http pools"
             )
     spec = Spec(
         table.name,
@@ -467,23 +508,23 @@
         table.process.memory_mb << 20,
         pools,
         compiled,
-        beside(table, pools),
+        build_protocols(table, pools),
         table.up.encode(),
         table.process.isolate,
-        fleet=together(table, config, pools, routes),
+        fleet=build_fleet(table, pool_tables, pools, routes),
     )
-    check_room(spec)
+    check_descriptors(spec)
     return spec
 
 
-def check_room(spec: Spec) -> None:
-    """Whether the descriptors come to something for each pool."""
+def check_descriptors(spec: Spec) -> None:
+    """Raise ConfigFault if the descriptors left after reservations are too few for the pools."""
     left = (
         spec.sockets
         - reserved_descriptors(spec)
         - min(spec.sockets // REJECTION_DIVISOR, MAX_REJECTION_RESERVE)
     )
-    need = LEAST * len(spec.pools)
+    need = MIN_POOL_DESCRIPTORS * len(spec.pools)
     if left < need:
         raise ConfigFault(
             f"process.descriptors: {spec.sockets} leave {left} for {len(spec.pools)} pools, "
@@ -491,50 +532,47 @@
         )
 
 
-RELEASED = frozenset(
-    ("pools", "routes", "up")
-)  # keys that a released file may have, and takes the place of
-RELEASED_BANK = frozenset(("limits", "verdicts"))
-
+def apply_release(given: Any, released: Any) -> Any:
+    """Return a process's own file with the released keys in place of its own.
 
-def overlaid(given: Any, released: Any) -> Any:
-    """A process's own file with what was released over it: pools, routes, limits are everybody's."""
+    Only keys that are the same for the whole fleet may be released; raise ConfigFault otherwise.
+    """
     for key in released:
-        if key not in RELEASED and key != "bank":
+        if key not in RELEASED_KEYS and key != "bank":
             raise ConfigFault(f"released: {key}: belongs into each process's own file")
     fleet = released.get("bank", {})
-    if not isinstance(fleet, dict) or not fleet.keys() <= RELEASED_BANK:
+    if not isinstance(fleet, dict) or not fleet.keys() <= RELEASED_FLEET_KEYS:
         raise ConfigFault(
-            f"released: bank: only {' and '.join(sorted(RELEASED_BANK))} are released"
+            f"released: bank: only {' and '.join(sorted(RELEASED_FLEET_KEYS))} are released"
         )
-    whole = given | {key: value for key, value in released.items() if key != "bank"}
-    return whole | ({"bank": given.get("bank", {}) | fleet} if fleet else {})
+    merged = given | {key: value for key, value in released.items() if key != "bank"}
+    return merged | ({"bank": given.get("bank", {}) | fleet} if fleet else {})
 
 
-def released_to(given: Any) -> bytes | None:
-    """What was released to the process of this file, if anything was."""
+def read_release(given: Any) -> bytes | None:
+    """Read the release stored in the consensus folder of this file's process; None without one."""
     fleet = given.get("bank")
     agreement = fleet.get("agreement") if isinstance(fleet, dict) else None
     folder = agreement.get("folder") if isinstance(agreement, dict) else None
     if not isinstance(folder, str):
         return None
-    from whinpier.fleet.spec import RELEASE_FILE_NAME  # only where a file has it
+    from whinpier.fleet.spec import RELEASE_FILE_NAME  # imported only if the fleet is configured
 
     path = os.path.join(folder, RELEASE_FILE_NAME)
     return read_bounded(path) if os.path.exists(path) else None
 
 
 def read(path: str, released: bytes | None = None, own: bool = True) -> Spec:
-    """What an operator's file says; a ConfigFault names the file and the key.
+    """Read an operator's file; raise ConfigFault that names the file and the key.
 
-    `own`: with what was released to it so far, else with `released`.
+    With `own`, apply the release that the process has stored; otherwise apply `released`, if any.
     """
     try:
         text = read_bounded(path)
         given = tomllib.loads(text.decode("utf-8"))
-        released = released_to(given) if own else released
+        released = read_release(given) if own else released
         if released is not None:
-            given = overlaid(given, tomllib.loads(released.decode("utf-8")))
+            given = apply_release(given, tomllib.loads(released.decode("utf-8")))
             text += released
         revision = hashlib.blake2b(text, digest_size=6).hexdigest()
         return replace(made(given), revision=revision)
@@ -543,47 +581,52 @@
     except (OSError, ValueError, RecursionError) as fault:
         raise ConfigFault(f"{path}: {fault}") from None
     except (ArithmeticError, AttributeError, KeyError, TypeError) as fault:
-        # Guards against a kind of fault that no check has thought of: it must not end a running
-        # balancer.
+        # A fault that no check covers must not end a running balancer at a reload.
         raise ConfigFault(f"{path}: {type(fault).__name__}: {fault}") from None
 
 
 class Reader:
-    """Reads one operator's file, now and whenever it has changed."""
+    """Read one operator's file, at the start and at each reload."""
 
     def __init__(self, path: str) -> None:
+        """Take the path of the file; nothing is read yet."""
         self.path = path
 
     def __call__(self) -> Spec:
+        """Read the file with the release that the process has stored."""
         return read(self.path)
 
     def check(self, released: bytes | None) -> Spec:
-        """What it comes to with another release over it."""
+        """Read the file with another release, or with none."""
         return read(self.path, released, False)
 
 
 def reader(path: str) -> Callable[[], Spec]:
+    """Return a callable that reads the file."""
     return Reader(path)
 
 
 def changes(old: Spec, new: Spec) -> Iterable[str]:
-    """Which keys of the process, and of what runs beside HTTP, differ and wait for a restart."""
-    found: list[str] = kept_till_restart(old, new)
+    """Return the keys that differ and take effect only after a restart.
+
+    These are keys of the process, of its non-HTTP protocols and of the fleet.
+    """
+    changed: list[str] = kept_till_restart(old, new)
     names = sorted(old.beside.keys() | new.beside.keys())
     for name in names:
         before, after = (
             spec.beside[name].till_restart if name in spec.beside else {} for spec in (old, new)
         )
-        found += [
+        changed += [
             f"{name}.{key}" for key in {**before, **after} if before.get(key) != after.get(key)
         ]
     before, after = (spec.fleet.till_restart if spec.fleet else {} for spec in (old, new))
-    found += [f"bank.{key}" for key in {**before, **after} if before.get(key) != after.get(key)]
-    return found
+    changed += [f"bank.{key}" for key in {**before, **after} if before.get(key) != after.get(key)]
+    return changed
 
 
 def differences(old: Spec, new: Spec) -> list[str]:
-    """What a new file changes, by key, for the log and for `config diff`."""
+    """Return a line per changed pool key or route, for the log and for `config diff`."""
     lines = [f"pools.{name}: removed" for name in old.pools if name not in new.pools]
     for name, spec in new.pools.items():
         if name not in old.pools:
