--- a/tests/config/test_operator.py
+++ b/tests/config/test_operator.py
@@ -1,5 +1,6 @@
-"""Stories of the operator's file and the command line: what is wrong is named, with what is
-allowed.
+"""Tests of the operator's file and of the commands that read it.
+
+Errors name the file, the key and the allowed values.
 """
 
 import json
@@ -16,14 +17,15 @@
 from whinpier.config.model import ConfigFault, differs
 from whinpier.config.platform import read as read_platform
 
-EXAMPLE = "deploy/operator.example.toml"
+EXAMPLE_FILE = "deploy/operator.example.toml"
 
 
-def given():
-    return tomllib.loads(Path(EXAMPLE).read_text())
+def example():
+    return tomllib.loads(Path(EXAMPLE_FILE).read_text())
 
 
 def put(table, key, value):
+    """Set the value at a path such as `routes/0/pool`; None deletes it, a last step `+` appends."""
     *path, last = key.split("/")
     for step in path:
         table = table[int(step) if step.isdigit() else step]
@@ -36,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "key, value, said",
+    "key, value, expected",
     [
         ("version", 2, "version: "),
         ("version", None, "version: is missing"),
@@ -109,18 +111,18 @@
         ("routes/0", 7, "routes[0]: expected `object`"),
     ],
 )
-def test_a_faulty_file_is_refused_as_a_whole_with_the_key_and_what_is_allowed(key, value, said):
-    table = given()
+def test_an_invalid_file_is_rejected_with_the_key_and_the_allowed_values(key, value, expected):
+    table = example()
     put(table, key, value)
     with pytest.raises(ConfigFault) as fault:
         operator.made(table)
-    assert said in str(fault.value), str(fault.value)
+    assert expected in str(fault.value), str(fault.value)
 
 
 @pytest.mark.parametrize(
     "text", [None, "", "version = ", "version = 1", "\0", "\xff".encode("latin-1")]
 )
-def test_a_file_that_cannot_be_read_is_named(tmp_path, text):
+def test_an_unreadable_file_is_named_in_the_error(tmp_path, text):
     file = tmp_path / "o.toml"
     if text is not None:
         file.write_bytes(text if isinstance(text, bytes) else text.encode())
@@ -129,16 +131,17 @@
     assert str(fault.value).startswith(f"{file}: ") and "\n" not in str(fault.value)
 
 
-def test_guaranteed_parts_that_are_not_said_share_what_is_left():
-    table = given()
+def test_pools_without_a_guaranteed_share_divide_the_rest_evenly():
+    table = example()
     del table["pools"]["tariff"]["limits"], table["pools"]["posting"]["limits"]
     pools = operator.made(table).pools
     assert [pools[name].limits.guaranteed for name in pools] == pytest.approx([0.4, 0.4, 0.2])
 
 
-def test_what_differs_is_told_by_key_and_a_file_read_twice_does_not_differ():
-    table, old = given(), operator.made(given())
-    assert operator.differences(old, operator.made(given())) == []
+def test_differences_are_listed_by_key_and_a_file_equals_itself():
+    table = example()
+    old = operator.made(example())
+    assert operator.differences(old, operator.made(example())) == []
     table["pools"]["tariff"]["workloads"]["enquiry"]["patience"] = "3s"
     table["pools"]["new"] = table["pools"].pop("settlement")
     table["routes"][3]["pool"] = "new"
@@ -157,31 +160,34 @@
     assert not differs(old.pools["posting"], new.pools["posting"])
 
 
-def run(*words):
-    return CliRunner().invoke(cli, [str(word) for word in words])
+def run(*arguments):
+    return CliRunner().invoke(cli, [str(argument) for argument in arguments])
 
 
-def test_the_command_line_checks_a_file_and_exits_with_2_for_a_faulty_one(tmp_path):
-    ended = run("config", "check", EXAMPLE, "--json")
-    found = json.loads(ended.output)
-    assert ended.exit_code == 0 and [pool["pool"] for pool in found["pools"]] == list(
-        given()["pools"]
+def test_config_check_exits_with_2_for_an_invalid_file(tmp_path):
+    result = run("config", "check", EXAMPLE_FILE, "--json")
+    found = json.loads(result.output)
+    assert result.exit_code == 0 and [pool["pool"] for pool in found["pools"]] == list(
+        example()["pools"]
     )
     order = ["partner", "enquiry", "charge", "reserve", "settle"]
     assert [route["route"] for route in found["routes"]] == order
-    assert "routes" in run("config", "check", EXAMPLE, "--routes").output
-    faulty = tmp_path / "o.toml"
-    faulty.write_text(Path(EXAMPLE).read_text().replace('kind = "exclusive"', 'kind = "often"'))
-    ended = run("config", "check", faulty)
+    assert "routes" in run("config", "check", EXAMPLE_FILE, "--routes").output
+    invalid_file = tmp_path / "o.toml"
+    invalid_file.write_text(
+        Path(EXAMPLE_FILE).read_text().replace('kind = "exclusive"', 'kind = "often"')
+    )
+    result = run("config", "check", invalid_file)
     assert (
-        ended.exit_code == 2 and f"{faulty}: pools.posting.workloads.charge.kind: " in ended.output
+        result.exit_code == 2
+        and f"{invalid_file}: pools.posting.workloads.charge.kind: " in result.output
     )
-    assert run("config", "diff", EXAMPLE, EXAMPLE).output == "nothing changes\n"
+    assert run("config", "diff", EXAMPLE_FILE, EXAMPLE_FILE).output == "nothing changes\n"
     assert run("run").exit_code == 2
 
 
 @pytest.mark.parametrize(
-    "words, code, said",
+    "arguments, exit_code, expected",
     [
         (
             ["--host", "x.charge.example", "--path", "/networks/7/charges", "--method", "post"],
@@ -205,27 +211,31 @@
         (["--path", "/settle", "-H", "nonsense"], 2, "is not NAME:VALUE"),
     ],
 )
-def test_the_command_line_says_which_route_takes_a_request_and_why(words, code, said):
-    ended = run("config", "route", EXAMPLE, *words)
-    assert ended.exit_code == code and said in ended.output, ended.output
+def test_config_route_shows_which_route_matches_a_request_and_why(arguments, exit_code, expected):
+    result = run("config", "route", EXAMPLE_FILE, *arguments)
+    assert result.exit_code == exit_code and expected in result.output, result.output
 
 
-def test_the_platform_imports_nothing_of_the_operators_side():
-    ours = ("routing", "standin", "cli", "config.operator", "net.routed")
-    text = "import sys, whinpier.__main__; print(*sys.modules)"
-    ended = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, timeout=20)
-    found = ended.stdout.split()
+def test_the_platform_start_imports_no_operator_modules():
+    operator_modules = ("routing", "standin", "cli", "config.operator", "net.routed")
+    code = "import sys, whinpier.__main__; print(*sys.modules)"
+    result = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, timeout=20
+    )
+    found = result.stdout.split()
     assert "whinpier.runtime.process" in found and not {
         "msgspec",
         "click",
         "rich",
         "tomllib",
     } & set(found)
-    assert not any(name.startswith(tuple(f"whinpier.{part}" for part in ours)) for name in found)
+    assert not any(
+        name.startswith(tuple(f"whinpier.{part}" for part in operator_modules)) for name in found
+    )
     assert not read_platform({"BALANCER_CONFIG": "example/config.json"}).routed
 
 
 @pytest.mark.parametrize("file", sorted(Path("deploy").glob("operator*.toml")), ids=str)
-def test_example_files_are_good(file):
+def test_the_example_files_are_valid(file):
     spec = operator.read(str(file))
     assert spec.pools and (spec.table.routes or spec.beside["radius"].routes)
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -1,6 +1,4 @@
-"""Stories of the start: what is wrong with a configuration is said in one line; what log lines look
-like.
-"""
+"""Tests of the start on the platform: configuration errors, log lines and the deployed command."""
 
 import json
 import logging
@@ -18,7 +16,7 @@
 from whinpier import log
 from whinpier.testbed.process import free
 
-GIVEN = json.loads(Path("example/config.json").read_text())
+EXAMPLE_CONFIG = json.loads(Path("example/config.json").read_text())
 
 
 def run(path, *options):
@@ -32,15 +30,16 @@
     )
 
 
-def put(given, key, value):
+def put(table, key, value):
+    """Set the value at a path such as `settings/workloads/0/payoff`."""
     *path, last = key.split("/")
     for step in path:
-        given = given[int(step) if step.isdigit() else step]
-    given[last] = value
+        table = table[int(step) if step.isdigit() else step]
+    table[last] = value
 
 
 @pytest.mark.parametrize(
-    "key, value, said",
+    "key, value, expected_key",
     [
         ("listen", "nowhere", "listen"),
         ("listen", "127.0.0.1:99999", "listen"),
@@ -71,84 +70,90 @@
         ("settings/limits/cancelling", "perhaps", "limits.cancelling"),
     ],
 )
-def test_a_faulty_configuration_is_said_in_one_line_that_names_the_key(tmp_path, key, value, said):
-    given = json.loads(json.dumps(GIVEN))
-    put(given, key, value)
-    (tmp_path / "c.json").write_text(json.dumps(given))
-    ended = run(tmp_path / "c.json")
-    assert ended.returncode == 2 and len(ended.stderr.splitlines()) == 1
-    assert "event=configuration_rejected" in ended.stderr and f"{said}:" in ended.stderr
+def test_an_invalid_configuration_is_logged_in_one_line_that_names_the_key(
+    tmp_path, key, value, expected_key
+):
+    config = json.loads(json.dumps(EXAMPLE_CONFIG))
+    put(config, key, value)
+    (tmp_path / "c.json").write_text(json.dumps(config))
+    result = run(tmp_path / "c.json")
+    assert result.returncode == 2 and len(result.stderr.splitlines()) == 1
+    assert "event=configuration_rejected" in result.stderr and f"{expected_key}:" in result.stderr
 
 
 @pytest.mark.parametrize("text", [None, "", "[]", "{", "\0"])
-def test_a_configuration_that_cannot_be_read_is_said_too(tmp_path, text):
+def test_an_unreadable_configuration_is_logged(tmp_path, text):
     if text is not None:
         (tmp_path / "c.json").write_text(text)
-    ended = run(tmp_path / "c.json")
-    assert ended.returncode == 2 and "BALANCER_CONFIG: " in ended.stderr
+    result = run(tmp_path / "c.json")
+    assert result.returncode == 2 and "BALANCER_CONFIG: " in result.stderr
 
 
-def test_an_address_in_use_ends_the_start_with_one_line(tmp_path):
+def test_an_address_in_use_is_logged_in_one_line(tmp_path):
     with socket.socket() as taken:
         taken.bind(("127.0.0.2", 0))
         taken.listen()
         (tmp_path / "c.json").write_text(
-            json.dumps(GIVEN | {"listen": "%s:%d" % taken.getsockname()})
+            json.dumps(EXAMPLE_CONFIG | {"listen": "%s:%d" % taken.getsockname()})
         )
-        ended = run(tmp_path / "c.json")
-    assert ended.returncode == 1 and "event=listen_failed" in ended.stderr
-    assert len(ended.stderr.splitlines()) == 1
-
-
-@pytest.mark.parametrize("options, code", [([], 1), (["-O"], 0)])
-def test_what_must_hold_is_asserted_in_debug_builds_and_counted_in_release_builds(options, code):
-    text = "from whinpier import log; log.invariant(False, 'x'); print(log.counters['invariant_violated'])"
-    ended = subprocess.run(
-        [sys.executable, *options, "-c", text], capture_output=True, text=True, timeout=20
+        result = run(tmp_path / "c.json")
+    assert result.returncode == 1 and "event=listen_failed" in result.stderr
+    assert len(result.stderr.splitlines()) == 1
+
+
+@pytest.mark.parametrize("options, exit_code", [([], 1), (["-O"], 0)])
+def test_a_violated_invariant_is_an_assertion_error_or_with_optimisation_a_counter(
+    options, exit_code
+):
+    code = "from whinpier import log; log.invariant(False, 'x'); print(log.counters['invariant_violated'])"
+    result = subprocess.run(
+        [sys.executable, *options, "-c", code], capture_output=True, text=True, timeout=20
     )
-    assert ended.returncode == code and ended.stdout == ("" if code else "1\n")
+    assert result.returncode == exit_code and result.stdout == ("" if exit_code else "1\n")
 
 
-def test_a_line_is_key_value_and_a_repeated_event_is_bounded(capsys):
+def test_log_lines_are_key_value_pairs_and_repeated_events_are_rate_limited(capsys):
     log.set_up()
     for _ in range(1000):
         log.info("again", why='a "b"\n')
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) <= 2 * log.MAX_LINES_PER_SECOND  # a second may end in between
+    assert len(lines) <= 2 * log.MAX_LINES_PER_SECOND  # the calls may span two seconds
     assert lines[0].endswith(' level=info event=again why="a \\"b\\"\\n"')
     logging.getLogger("whinpier").handlers.clear()
 
 
-DEPLOYED = tomllib.loads(Path("deploy/balancer.toml").read_text())
+DEPLOYMENT = tomllib.loads(Path("deploy/balancer.toml").read_text())
 
 
-def test_the_deployed_line_ends_in_one_process_linked_against_the_c_library(tmp_path):
-    """Guards against a shell that stays before the balancer, and against a second program beside it."""
+def test_the_deployed_command_ends_in_one_process_linked_against_the_c_library(tmp_path):
+    """Guards against a shell that remains the parent of the balancer, and against a child process."""
     address = free(socket.SOCK_STREAM, "127.0.0.2")
     (tmp_path / "c.json").write_text(
-        json.dumps(GIVEN | {"listen": "%s:%d" % address, "discovery": "127.0.0.2:1"})
+        json.dumps(EXAMPLE_CONFIG | {"listen": "%s:%d" % address, "discovery": "127.0.0.2:1"})
     )
-    line = DEPLOYED["run"].replace(".venv/bin/python", sys.executable)
+    command = DEPLOYMENT["run"].replace(".venv/bin/python", sys.executable)
     balancer = subprocess.Popen(
-        line,
+        command,
         shell=True,
         stderr=subprocess.DEVNULL,
         env=os.environ | {"BALANCER_CONFIG": str(tmp_path / "c.json")},
     )
     try:
-        until(lambda: answers_up(address))
-        own = Path("/proc", str(balancer.pid))
-        assert own.joinpath("cmdline").read_bytes().endswith(b"-O\0-m\0whinpier\0")
+        until(lambda: is_reachable(address))
+        process_directory = Path("/proc", str(balancer.pid))
+        assert process_directory.joinpath("cmdline").read_bytes().endswith(b"-O\0-m\0whinpier\0")
         assert not [
-            text for request in own.glob("task/*/children") if (text := request.read_text())
+            text
+            for children in process_directory.glob("task/*/children")
+            if (text := children.read_text())
         ]
-        assert "/libc.so" in own.joinpath("maps").read_text()
+        assert "/libc.so" in process_directory.joinpath("maps").read_text()
     finally:
         balancer.terminate()
         assert balancer.wait(20) == 0
 
 
-def answers_up(address):
+def is_reachable(address):
     try:
         with socket.create_connection(address, 5) as client:
             client.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
@@ -157,10 +162,10 @@
         return False
 
 
-def test_all_that_a_start_imports_is_compiled_by_the_build():
-    """Guards against 200 balancers that each compile a package on a file system that keeps nothing."""
+def test_the_build_compiles_every_module_that_the_start_imports():
+    """Guards against 200 balancers each compiling a package on a file system that is not persistent."""
     packages = sysconfig.get_path("purelib")
-    step = next(step for step in DEPLOYED["build"].split("&&") if "-O -m compileall" in step)
+    step = next(step for step in DEPLOYMENT["build"].split("&&") if "-O -m compileall" in step)
     compiled = [
         Path(name.replace(".venv/lib/python3*/site-packages", packages)).resolve()
         for name in step.split("compileall")[1].split()
@@ -170,14 +175,18 @@
         "import sys, anyio._backends._asyncio, whinpier.__main__\n"
         "print(*(m.__file__ for m in list(sys.modules.values()) if getattr(m, '__cached__', None)))"
     )
-    ended = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=20)
-    files = [Path(name) for name in ended.stdout.split()]
-    beside = [
+    result = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, timeout=20
+    )
+    files = [Path(name) for name in result.stdout.split()]
+    outside_standard_library = [
         file
         for file in files
         if file.is_relative_to(packages) or not file.is_relative_to(sysconfig.get_path("stdlib"))
     ]
-    assert len(beside) > 20
+    assert len(outside_standard_library) > 20
     assert not [
-        file for file in beside if not any(file.is_relative_to(folder) for folder in compiled)
+        file
+        for file in outside_standard_library
+        if not any(file.is_relative_to(folder) for folder in compiled)
     ]
