--- a/whinpier/simulation/balancers.py
+++ b/whinpier/simulation/balancers.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from whinpier.config.model import Address, Entry
-from whinpier.policy.decaying_sum import DecayingSum
+from whinpier.policy.decaying_sum import Pacer
 from whinpier.policy.model import Outcome, RequestClass
 from whinpier.runtime.event_loop import EventLoop
 from whinpier.runtime.pool import Endpoint, EndpointWatch, PendingRequest, Pool, PoolAttempt
@@ -274,7 +274,7 @@
     def create_watch(self, pool: Pool) -> EndpointWatch | None:
         return None
 
-    def shared_warm_up_pacer(self, entry: Entry) -> DecayingSum | None:
+    def shared_warm_up_pacer(self, entry: Entry) -> Pacer | None:
         return None
 
     def first_seen_at(self, dial: Address) -> int:
