--- a/tests/test_kept_simulator.py
+++ b/tests/test_kept_simulator.py
@@ -94,12 +94,12 @@
         self.instance = Instance(3, 7, SETTINGS, NOW)
         self.request = Request(99, self.instance.request_classes[0], NOW, NOW + 10**9)
         self.upstream = Upstream(222, model.UpstreamState.READY, 0, 0, 0)
-        self.instance.out.clear()
+        self.instance.output.clear()
 
     def of(self, call, *given):
         call(*given)
-        data = bytes(self.instance.out)
-        self.instance.out.clear()
+        data = bytes(self.instance.output)
+        self.instance.output.clear()
         return data.hex()
 
     def all(self):
--- a/whinpier/simhost/__init__.py
+++ b/whinpier/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts instances of the decisions on the simulator's wire. No decisions here."""
+"""Adapter that runs policies under the simulator, over its wire format."""
--- a/whinpier/simhost/__main__.py
+++ b/whinpier/simhost/__main__.py
@@ -1,5 +1,6 @@
-"""`python -m whinpier.simhost`: batches of events on standard input, one reply each on standard
-output.
+"""Run balancers for the simulator: `python -m whinpier.simhost`.
+
+Reads batches of events from standard input and writes one reply for each to standard output.
 """
 
 from __future__ import annotations
@@ -14,55 +15,59 @@
 
 
 class Process:
-    """The instances of one process. They share nothing but the numbered lists the wire lends them."""
+    """Holds the instances of one process, which share only the endpoint lists (rosters) by number."""
 
     def __init__(self) -> None:
+        """Start without instances and rosters."""
         self.instances: dict[int, Instance] = {}
         self.rosters: dict[int, list[tuple[Any, ...]]] = {}
 
     def batch(self, number: int, count: int, now: int, body: bytes) -> bytes:
-        """The whole reply to one batch."""
-        reply, actions = bytearray(), 0
+        """Process the events of one batch and return the encoded reply.
+
+        An exception in an instance becomes a fatal action: the simulation ends and shows its text to the
+        operators.
+        Raises WireError if the batch is malformed.
+        """
+        reply = bytearray()
+        action_count = 0
         for code, fields, rest in wire.records(number, count, body):
             if code == wire.ROSTER:
                 self.rosters[fields[0]] = wire.entries(rest, fields[1])
                 continue
-            who = fields[0]
+            instance_id = fields[0]
             try:
                 if code == wire.UP:
                     text = wire.counted(rest, fields[2]).decode("utf-8", "replace")
-                    self.instances[who] = Instance(who, fields[1], text, now)
-                instance = self.instances.get(who)
+                    self.instances[instance_id] = Instance(instance_id, fields[1], text, now)
+                instance = self.instances.get(instance_id)
                 if instance is None:
                     continue
                 instance.now = now
                 self.event(instance, code, fields, rest)
             except WireError:
                 raise
-            except (
-                Exception
-            ) as fault:  # the day must end here, with the reason where on-call staff see it
+            except Exception as error:
                 traceback.print_exc()
-                reply += text_record(wire.FATAL_CODE, who, f"{type(fault).__name__}: {fault}")
-                actions += 1
+                message = f"{type(error).__name__}: {error}"
+                reply += text_record(wire.FATAL_CODE, instance_id, message)
+                action_count += 1
                 continue
-            if instance.out:
-                reply += instance.out
-                actions += instance.actions
-                instance.out.clear()
-                instance.actions = 0
-        return wire.REPLY.pack(number, actions, len(reply)) + reply
+            if instance.output:
+                reply += instance.output
+                action_count += instance.action_count
+                instance.output.clear()
+                instance.action_count = 0
+        return wire.REPLY.pack(number, action_count, len(reply)) + reply
 
     def event(self, instance: Instance, code: int, fields: tuple[Any, ...], rest: bytes) -> None:
-        """One event of one instance, straight into a call. Nothing is probed or told, so no finding comes."""
+        """Pass one event to its instance."""
         if code == wire.RESOLVED:
-            _, number, trial, _, reason, took, over, n = fields
-            instance.resolved(
-                number, trial, reason, took, over, wire.report(rest, n, instance.columns)
-            )
+            _, number, attempt_number, _, reason, duration_us, ends_request, column_count = fields
+            load = wire.report(rest, column_count, instance.columns)
+            instance.resolved(number, attempt_number, reason, duration_us, ends_request, load)
         elif code == wire.INGRESS:
-            _, number, bits, key, tenant, ends, lane, hint = fields
-            instance.ingress(number, bits, key, tenant, ends, lane, hint)
+            instance.ingress(*fields[1:])
         elif code == wire.BELL:
             instance.policy.on_timer(fields[1])
         elif code == wire.TARGETS:
@@ -71,23 +76,25 @@
         elif code == wire.CLIENT_LEFT:
             instance.client_left(fields[1])
         elif code == wire.SAMPLED:
-            _, reason, took, upstream, n = fields
-            instance.sampled(upstream, wire.report(rest, n, instance.columns))
+            _, _, _, upstream, column_count = fields
+            instance.sampled(upstream, wire.report(rest, column_count, instance.columns))
         elif code == wire.DATAGRAM:
             instance.policy.on_peer_message(fields[1], wire.counted(rest, fields[2]))
         elif code == wire.DESTROY:
-            del self.instances[instance.who]
+            del self.instances[instance.instance_id]
 
 
 def main() -> int:
-    """Serve until the end of input."""
-    source, sink, process = sys.stdin.buffer, sys.stdout.buffer, Process()
+    """Serve until the end of input; return 1 if the input is malformed, else 0."""
+    source = sys.stdin.buffer
+    sink = sys.stdout.buffer
+    process = Process()
     try:
         while (batch := wire.read_batch(source)) is not None:
             sink.write(process.batch(*batch))
             sink.flush()
-    except WireError as fault:
-        print(f"whinpier.simhost: {fault}", file=sys.stderr)
+    except WireError as error:
+        print(f"whinpier.simhost: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/whinpier/simhost/wire.py
+++ b/whinpier/simhost/wire.py
@@ -1,4 +1,8 @@
-"""The simulator's wire: frames, records, settings. Wire words and microseconds stop here."""
+"""Encode and decode the simulator's wire format: batches, records and settings.
+
+Integers are little-endian and times are in microseconds. The numeric codes of the wire are mapped to
+the policy's enums here.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +15,28 @@
 from whinpier.policy.model import WireError
 from whinpier.settings import NS_PER_US, parse_settings
 
+# Batch number, record count, length (of the clock and the records), clock.
 BATCH = Struct("<IIIQ")
+CLOCK_BYTES = 8
+# Batch number, action count, length of the actions.
 REPLY = Struct("<III")
+# Code, length of the fields.
 RECORD = Struct("<BI")
-FLOATS = [Struct(f"<{n}f") for n in range(256)]
+# Load reports by their number of columns, which is one byte on the wire.
+FLOATS = [Struct(f"<{count}f") for count in range(256)]
 
 # Event codes.
-UP, ROSTER, TARGETS, INGRESS, DESTROY, CLIENT_LEFT = 90, 10, 100, 50, 80, 40
-DATAGRAM, BELL, RESOLVED, SAMPLED, OPENED = 20, 60, 70, 30, 110
+UP = 90
+ROSTER = 10
+TARGETS = 100
+INGRESS = 50
+DESTROY = 80
+CLIENT_LEFT = 40
+DATAGRAM = 20
+BELL = 60
+RESOLVED = 70
+SAMPLED = 30
+OPENED = 110
 
 # The fixed fields of each event, in order.
 FIELDS = {
@@ -34,16 +52,29 @@
     SAMPLED: Struct("<IHIIB"),
     OPENED: Struct("<IIIHI"),
 }
+# An endpoint of a roster: state, id, zone, start time, size, cell, shape.
 ENTRY = Struct("<BIHQfHH")
 
-# Actions, each with its record header in front.
-ISSUE, PUSH_BACK, SET_ALARM = Struct("<BIIIIQ"), Struct("<BIIII"), Struct("<BIIQQ")
-STREAM_CHANGES, DROP_CONNS, SNAPSHOT = Struct("<BIIB"), Struct("<BIII"), Struct("<BII")
-SOUND_OUT, WITHDRAW, GIVE_UP = Struct("<BIII"), Struct("<BIIIH"), Struct("<BIII")
-TEXT, SIGNAL = Struct("<BIIH"), Struct("<BIIIH")
-EMIT_CODE, FATAL_CODE = 90, 50
-
-SCOPE_DELTA, SCOPE_FAILED, SCOPE_FULL, SCOPE_CACHED = 0, 1, 2, 3
+# Layouts of the actions, including the record header and the instance id.
+ISSUE = Struct("<BIIIIQ")
+PUSH_BACK = Struct("<BIIII")
+SET_ALARM = Struct("<BIIQQ")
+STREAM_CHANGES = Struct("<BIIB")
+DROP_CONNS = Struct("<BIII")
+SNAPSHOT = Struct("<BII")
+SOUND_OUT = Struct("<BIII")
+WITHDRAW = Struct("<BIIIH")
+GIVE_UP = Struct("<BIII")
+TEXT = Struct("<BIIH")
+SIGNAL = Struct("<BIIIH")
+EMIT_CODE = 90
+FATAL_CODE = 50
+
+# Scopes of an endpoint list (TARGETS).
+SCOPE_DELTA = 0
+SCOPE_FAILED = 1
+SCOPE_FULL = 2
+SCOPE_CACHED = 3
 STATES = {
     0: model.UpstreamState.REMOVED,
     1: model.UpstreamState.READY,
@@ -62,24 +93,33 @@
 
 
 def read_batch(source: BinaryIO) -> tuple[int, int, int, bytes] | None:
-    """Number, record count, clock and records of the next batch; None at the end of input."""
+    """Return number, record count, clock (ns) and records of the next batch; None at the end of input.
+
+    Raises WireError if the batch is truncated.
+    """
     head = source.read(BATCH.size)
     if not head:
         return None
     if len(head) < BATCH.size:
         raise WireError(f"batch header of {len(head)} bytes, {BATCH.size} expected")
     number, count, length, clock = BATCH.unpack(head)
-    if length < 8:
+    if length < CLOCK_BYTES:
         raise WireError(f"batch {number}: length {length} does not even hold the clock")
-    body = source.read(length - 8)
-    if len(body) < length - 8:
-        raise WireError(f"batch {number}: {len(body)} bytes of records, {length - 8} announced")
+    body = source.read(length - CLOCK_BYTES)
+    if len(body) < length - CLOCK_BYTES:
+        raise WireError(
+            f"batch {number}: {len(body)} bytes of records, {length - CLOCK_BYTES} announced"
+        )
     return number, count, clock * NS_PER_US, body
 
 
 def records(number: int, count: int, body: bytes) -> Iterator[tuple[int, tuple[Any, ...], bytes]]:
-    """Each known record of a batch as (code, fields, rest of its bytes)."""
-    at, size = 0, len(body)
+    """Yield each record of a known code as (code, fields, remaining bytes).
+
+    Raises WireError if the body does not hold exactly `count` records.
+    """
+    at = 0
+    size = len(body)
     for index in range(count):
         if at + RECORD.size > size:
             raise WireError(f"batch {number}: record {index} of {count} is missing")
@@ -87,43 +127,48 @@
         at += RECORD.size
         if at + length > size:
             raise WireError(f"batch {number}: record {index} (code {code}) runs past the end")
-        shape = FIELDS.get(code)
-        if shape is not None:  # an event this page does not know is skipped
-            if length < shape.size:
+        layout = FIELDS.get(code)
+        if layout is not None:  # records of unknown codes are skipped
+            if length < layout.size:
                 raise WireError(
                     f"batch {number}: record {index} (code {code}) has {length} bytes,"
-                    f" {shape.size} expected"
+                    f" {layout.size} expected"
                 )
-            yield code, shape.unpack_from(body, at), body[at + shape.size : at + length]
+            yield code, layout.unpack_from(body, at), body[at + layout.size : at + length]
         at += length
     if at != size:
         raise WireError(f"batch {number}: {size - at} bytes after the last record")
 
 
 def counted(rest: bytes, count: int) -> bytes:
-    """The `count` bytes that a field announced."""
+    """Return the first `count` bytes of `rest`; raise WireError if there are fewer."""
     if len(rest) < count:
         raise WireError(f"a field of {count} bytes holds {len(rest)}")
     return rest[:count]
 
 
 def entries(rest: bytes, count: int) -> list[tuple[Any, ...]]:
-    """The entries of a roster."""
+    """Return the `count` endpoints of a roster as tuples of the fields of `ENTRY`."""
     return list(ENTRY.iter_unpack(counted(rest, count * ENTRY.size)))
 
 
 def report(rest: bytes, count: int, columns: list[str]) -> dict[str, float] | None:
-    """A load report by our column names; what is absent, negative or no number is left out."""
+    """Return a load report by column name, or None if it is empty.
+
+    Values that are negative or not finite are left out.
+    """
     if not count:
         return None
     values = FLOATS[count].unpack(counted(rest, 4 * count))
     return {
-        name: value for name, value in zip(columns, values) if value >= 0 and math.isfinite(value)
+        name: value
+        for name, value in zip(columns, values, strict=False)
+        if value >= 0 and math.isfinite(value)
     }
 
 
 def value(text: str) -> Any:
-    """A setting's text as the plain value it stands for."""
+    """Parse the text of a setting as a bool, int or float; return other text unchanged."""
     if text in ("true", "false"):
         return text == "true"
     for kind in (int, float):
@@ -135,6 +180,6 @@
 
 
 def settings(text: str) -> dict[str, Any]:
-    """The settings map of a text with one path=value on each line."""
-    split = (line.partition("=") for line in text.splitlines())
-    return parse_settings((name, value(content)) for name, mark, content in split if mark)
+    """Parse settings from text with one path=value on each line; lines without `=` are ignored."""
+    lines = (line.partition("=") for line in text.splitlines())
+    return parse_settings((name, value(content)) for name, mark, content in lines if mark)
