--- a/whinpier/__main__.py
+++ b/whinpier/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m whinpier`: one balancer, as the environment and its configuration file say."""
+"""Run one balancer process, configured by the environment and a file: `python -m whinpier`."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 import anyio
 import h11  # noqa: F401 (imported here for its place in the order, see below)
 
-# Imports from below upwards, which the sorter would undo: imports that nest leave 0.7 MB more behind
-# than those that do not (measured, of 27).
+# Lower layers are imported first, so that imports do not nest: nested imports use 0.7 MB more memory
+# (of 27 MB). The import sorter would undo this order.
 # isort: off
 from whinpier import log
 from whinpier.config.model import Address, ConfigFault, Spec, kept_till_restart
@@ -22,83 +22,93 @@
 from whinpier.http.transport import Http1Transport
 # isort: on
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024  # connections
 
 
 async def run(listeners: list[socket.socket], process: Process) -> None:
+    """Serve on the listeners until the process is told to stop."""
     await process.serve(listeners)
 
 
-def bound(kind: socket.SocketKind, address: Address) -> socket.socket:
-    """A socket at an address, listening if it is for streams. Raises OSError if it can't be had."""
+def bind_socket(kind: socket.SocketKind, address: Address) -> socket.socket:
+    """Bind a non-blocking socket to an address; a stream socket also listens. Raises OSError."""
     sock = socket.socket(socket.AF_INET, kind | socket.SOCK_NONBLOCK)
     try:
         if kind == socket.SOCK_STREAM:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
         if kind == socket.SOCK_STREAM:
-            sock.listen(BACKLOG)
+            sock.listen(LISTEN_BACKLOG)
     except OSError:
         sock.close()
         raise
     return sock
 
 
-def start(reread: Callable[[], Spec], changed: Callable[[Spec, Spec], Iterable[str]]) -> int:
-    """0 after an ordered end, 1 where an address can't be had, 2 for a faulty configuration."""
+def start(
+    read_spec: Callable[[], Spec], restart_keys: Callable[[Spec, Spec], Iterable[str]]
+) -> int:
+    """Run a balancer with the spec that `read_spec` returns and return the exit status.
+
+    0 after an orderly shutdown, 1 if an address cannot be bound, 2 for an invalid configuration.
+    `read_spec` is called again on a reload; `restart_keys` lists the changed keys that need a restart.
+    """
     log.set_up()
-    # Until the loop takes it over: a reload before that would end the process.
+    # Ignored until the event loop handles it: by default the signal would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        spec = reread()
-    except ConfigFault as fault:
-        log.warning("configuration_rejected", fault=fault)
+        spec = read_spec()
+    except ConfigFault as error:
+        log.warning("configuration_rejected", fault=error)
         return 2
     streams: list[socket.socket] = []
     datagrams: list[socket.socket] = []
-    further: list[socket.socket] = []  # streams of protocols beside HTTP
+    other_streams: list[socket.socket] = []  # of protocols other than HTTP
     try:
-        asked = [(streams, socket.SOCK_STREAM, address) for address in spec.listen]
-        for beside in spec.beside.values():
-            asked += [(datagrams, socket.SOCK_DGRAM, address) for address in beside.listen]
-            asked += [(further, socket.SOCK_STREAM, one.listen) for one in beside.streams]
-        for sockets, kind, address in asked:
+        addresses = [(streams, socket.SOCK_STREAM, address) for address in spec.listen]
+        for protocol in spec.beside.values():
+            addresses += [(datagrams, socket.SOCK_DGRAM, address) for address in protocol.listen]
+            addresses += [
+                (other_streams, socket.SOCK_STREAM, stream.listen) for stream in protocol.streams
+            ]
+        for sockets, kind, address in addresses:
             try:
-                sockets.append(bound(kind, address))
-            except OSError as fault:
-                log.warning("listen_failed", address="%s:%d" % address, fault=fault)
+                sockets.append(bind_socket(kind, address))
+            except OSError as error:
+                log.warning("listen_failed", address="%s:%d" % address, fault=error)
                 return 1
-        wire = Http1Transport()
+        transport = Http1Transport()
         if spec.beside:
-            from whinpier.radius.transport import WithRadius  # only where a file has it
+            from whinpier.radius.transport import WithRadius  # imported only if configured
 
-            wire = WithRadius(datagrams, further)
+            transport = WithRadius(datagrams, other_streams)
         try:
-            process = Process(spec, wire, reread, changed)
-        except ConfigFault as fault:
-            log.warning("configuration_rejected", fault=fault)
+            process = Process(spec, transport, read_spec, restart_keys)
+        except ConfigFault as error:
+            log.warning("configuration_rejected", fault=error)
             return 2
         if spec.fleet:
-            from whinpier.fleet import bootstrap as fleet  # only where a file has it
+            from whinpier.fleet import bootstrap as fleet  # imported only if configured
 
             try:
                 process.fleet = fleet.start(process, datagrams)
-            except OSError as fault:
-                log.warning("listen_failed", address="bank.listen", fault=fault)
+            except OSError as error:
+                log.warning("listen_failed", address="bank.listen", fault=error)
                 return 1
-            except ConfigFault as fault:
-                log.warning("configuration_rejected", fault=fault)
+            except ConfigFault as error:
+                log.warning("configuration_rejected", fault=error)
                 return 2
         anyio.run(run, streams, process)
     finally:
-        for sock in (*streams, *datagrams, *further):
+        for sock in (*streams, *datagrams, *other_streams):
             sock.close()
     return 0
 
 
 def main() -> int:
+    """Run with the operator's file if BALANCER_OPERATOR names one, else with the platform's."""
     if os.environ.get("BALANCER_OPERATOR"):
-        # Only here: the platform sets no such file, and pays nothing for what reads it.
+        # Imported here so that the platform, which does not set this variable, pays nothing for it.
         from whinpier.config import operator
 
         return start(operator.reader(os.environ["BALANCER_OPERATOR"]), operator.changes)
