--- a/whinpier/fleet/config.py
+++ b/whinpier/fleet/config.py
@@ -139,14 +139,14 @@
 def read_keys(paths: list[str], at: str) -> tuple[bytes, ...]:
     """Read the keys of the fleet from their files. Raises ConfigFault."""
     if not 1 <= len(paths) <= 2:
-        raise ConfigFault(f"{at}: {len(paths)} files; 1 is allowed, or 2 while the key is rotated")
+        raise ConfigFault(f"{at}: {len(paths)} of them; one, or two while they are changed")
     keys = []
     for index, path in enumerate(paths):
         key = kept_secret(path, f"{at}[{index}]")
         if not messages.MIN_KEY_BYTES <= len(key) <= messages.MAX_KEY_BYTES:
             raise ConfigFault(
-                f"{at}[{index}]: {path} holds {len(key)} bytes; a key has "
-                f"{messages.MIN_KEY_BYTES} to {messages.MAX_KEY_BYTES}"
+                f"{at}[{index}]: {path} holds {len(key)} bytes; "
+                f"{messages.MIN_KEY_BYTES} to {messages.MAX_KEY_BYTES} are a key"
             )
         keys.append(key)
     return tuple(keys)
@@ -345,7 +345,7 @@
     """
     table = part(value, FleetTable, "bank")
     if len(table.seeds) > MAX_SEEDS:
-        raise ConfigFault(f"bank.seeds: {len(table.seeds)} addresses, {MAX_SEEDS} at most")
+        raise ConfigFault(f"bank.seeds: {len(table.seeds)} of them; {MAX_SEEDS} at most")
     if len(pools) > messages.MAX_POOLS:
         raise ConfigFault(
             f"bank: {len(pools)} pools would be shared by it, {messages.MAX_POOLS} at most; "
@@ -359,8 +359,8 @@
     advertise = address(table.advertise, "bank.advertise") if table.advertise else listen
     if advertise[0] == "0.0.0.0":
         raise ConfigFault(
-            f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is no address at "
-            "which other members reach this one; set bank.advertise"
+            f"bank.{'advertise' if table.advertise else 'listen'}: 0.0.0.0 is where "
+            "nobody is reached; say an address in bank.advertise"
         )
     if len(table.zone) > MAX_ZONE_LENGTH:
         raise ConfigFault(f"bank.zone: has {len(table.zone)} characters, {MAX_ZONE_LENGTH} at most")
