--- a/whinpier/fleet/consensus/node.py
+++ b/whinpier/fleet/consensus/node.py
@@ -806,16 +806,16 @@
     def change_voters(self, config: dict[str, int]) -> str:
         """Begin to add or remove one voter (4.1); return why it can't be done now, or nothing."""
         if self.role != LEADER:
-            return "this member is not the leader"
+            return "this member does not lead"
         if self.term_at(self.commit_index) != self.term:
-            return "the leader has not committed an entry of its own term yet"
+            return "the leader has agreed on nothing yet"
         if self.configs and self.configs[-1][0] > self.commit_index:
-            return "the previous change of voters is not committed yet"
+            return "the last change of voters is not agreed yet"
         old_voters = set(self.config.items())
         if len(old_voters ^ set(config.items())) != 1:
             return "one voter at a time is added or taken away"
         if not config or len(config) > MAX_VOTERS:
-            return f"{len(config)} voters; 1 to {MAX_VOTERS} are allowed"
+            return f"1 to {MAX_VOTERS} members vote"
         self.append_as_leader(CONFIG_ENTRY, pack(config))
         return ""
 
